--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -139,9 +139,9 @@
     /// The name of another host that fills a miss.
     pub source: Option<Rc<str>>,
     /// Until then an answer is of use: told with the request in milliseconds.
-    pub deadline: Moment,
+    pub deadline: Timestamp,
     /// Rule 2: what may have run before may go out again only until then.
-    pub repeat_by: Option<Moment>,
+    pub repeat_by: Option<Timestamp>,
     /// Connections on which the same id has gone out before.
     pub avoid: Vec<LineId>,
 }
@@ -180,7 +180,7 @@
     /// The bytes where it is done; `None`: the client's copy is the one.
     pub body: Option<Parcel>,
     /// When the origin gave this copy out, as it is stamped.
-    pub minted: Option<Moment>,
+    pub minted: Option<Timestamp>,
 }
 
 impl Answer {
@@ -300,7 +300,7 @@
         object: Option<ObjectId>,
         group: GroupId,
         /// When, by the clock of whoever purged.
-        stamp: Moment,
+        stamp: Timestamp,
     },
 }
 
@@ -322,7 +322,7 @@
 
 impl Entry {
     /// The stamps that it bears.
-    pub fn stamps(&self) -> Vec<Moment> {
+    pub fn stamps(&self) -> Vec<Timestamp> {
         match &self.change {
             Change::Hosts { members, .. } => {
                 let stamps = members.iter().filter_map(|member| member.entry.stamp);
@@ -358,13 +358,13 @@
         }
     }
 
-    pub fn moment(&self, at: Instant) -> Moment {
+    pub fn moment(&self, at: Instant) -> Timestamp {
         let since = at.saturating_duration_since(self.start).as_micros() as u64;
-        Moment(self.unix_us + since + since / 1_000_000 * self.fast)
+        Timestamp(self.unix_us + since + since / 1_000_000 * self.fast)
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
-        let since = at.since(Moment(self.unix_us)).0;
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        let since = at.since(Timestamp(self.unix_us)).0;
         self.start + Duration::from_micros(since - since / (1_000_000 + self.fast) * self.fast)
     }
 }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -49,27 +49,27 @@
     }
 
     /// A request with a key comes: it waits for the others for as long as that may take.
-    pub fn come(&mut self, now: Moment, arrival: Arrival, mark: &str) {
+    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
         let key = self.folding.key(arrival.track, mark);
         self.peers.come(now, arrival.id, key, due);
         self.act();
     }
 
-    pub fn sent(&mut self, now: Moment, id: RequestId, host: HostId) {
+    pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.waiting.place(host) {
             self.peers.hand_off(now, id, place);
             self.act();
         }
     }
 
-    pub fn ended(&mut self, now: Moment, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.waiting.forget(id);
         self.peers.ended(now, id, came);
         self.act();
     }
 
-    pub fn message(&mut self, now: Moment, address: Address, message: Message) {
+    pub fn message(&mut self, now: Timestamp, address: Address, message: Message) {
         if !self.peers.shown(now, address, &message) {
             self.peers.heard(now, address, message);
         }
@@ -87,29 +87,35 @@
         std::mem::take(&mut self.beside)
     }
 
-    pub fn send(&mut self, now: Moment, to: PeerId, of: u8, bytes: Vec<u8>) {
+    pub fn send(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
         self.peers.beside(now, to, of, bytes);
         self.act();
     }
 
-    pub fn answer(&mut self, now: Moment, address: Address, no: AskNo, text: String) {
+    pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
         self.peers.answer(now, address, no, text);
         self.act();
     }
 
     /// The journal told a purge, by its own clock.
-    pub fn purged(&mut self, now: Moment, object: Option<ObjectId>, group: GroupId, at: Moment) {
+    pub fn purged(
+        &mut self,
+        now: Timestamp,
+        object: Option<ObjectId>,
+        group: GroupId,
+        at: Timestamp,
+    ) {
         self.peers.purged(now, object, group, at);
         self.act();
     }
 
     /// The journal told of hosts, at this place.
-    pub fn listed(&mut self, now: Moment, entries: &[HostEntry], place: u64) {
+    pub fn listed(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
         self.peers.listed(now, entries, place);
         self.act();
     }
 
-    pub fn opened(&mut self, now: Moment, host: HostEntry) {
+    pub fn opened(&mut self, now: Timestamp, host: HostEntry) {
         self.peers.opened(now, host);
         self.act();
     }
@@ -122,11 +128,11 @@
         self.waiting.heard(event);
     }
 
-    pub fn next(&self) -> Moment {
+    pub fn next(&self) -> Timestamp {
         self.peers.next()
     }
 
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: Timestamp) {
         if self.peers.next() <= now {
             self.peers.advance(now);
             self.act();
@@ -138,7 +144,7 @@
     }
 
     /// It ends in order: the others need not find out.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.peers.leave(now);
         self.act();
     }
@@ -149,7 +155,7 @@
         self.waiting.end()
     }
 
-    pub fn figures(&self, now: Moment) -> String {
+    pub fn figures(&self, now: Timestamp) -> String {
         self.peers.show(now)
     }
 
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -31,7 +31,7 @@
     open: usize,
     retired: bool,
     /// Since when it is up.
-    up: Moment,
+    up: Timestamp,
 }
 
 struct Pool {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -32,7 +32,7 @@
 impl Subsystems {
     /// A request with a key comes; `false`: nobody is asked about it. Where both know records, the store is asked: one
     /// record has one truth.
-    pub fn come(&mut self, now: Moment, arrival: Arrival, mark: &str) -> bool {
+    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) -> bool {
         match (&mut self.shared, &mut self.peers) {
             (Some(shared), _) if shared.config.records => shared.come(now, arrival, mark),
             (_, Some(peers)) if peers.told.config.records => peers.come(now, arrival, mark),
@@ -47,7 +47,7 @@
     }
 
     /// An attempt goes out.
-    pub fn went(&mut self, now: Moment, id: RequestId, host: HostId) {
+    pub fn went(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         self.shared
             .iter_mut()
             .for_each(|shared| shared.sent(now, id, host));
@@ -57,7 +57,7 @@
     }
 
     /// A request with a key has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Moment, id: RequestId, came: &Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
         self.shared
             .iter_mut()
             .for_each(|shared| shared.ended(now, id, came.clone()));
@@ -66,7 +66,7 @@
             .for_each(|peers| peers.ended(now, id, came.clone()));
     }
 
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         let shared = self.shared.as_ref().and_then(Shared::next);
         shared
             .into_iter()
@@ -75,7 +75,7 @@
             .min()
     }
 
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: Timestamp) {
         self.shared
             .iter_mut()
             .for_each(|shared| shared.advance(now));
@@ -84,7 +84,7 @@
     }
 
     /// A message of another dispatcher, or a question from the command line.
-    pub fn message(&mut self, now: Moment, told: FromPeers) {
+    pub fn message(&mut self, now: Timestamp, told: FromPeers) {
         let Some(peers) = &mut self.peers else {
             return;
         };
@@ -102,7 +102,7 @@
     }
 
     /// Words of others reach the division, and what follows goes out: by the peers' messages, or else by the store.
-    fn divide(&mut self, now: Moment) {
+    fn divide(&mut self, now: Timestamp) {
         let words = self.peers.as_mut().map(Peered::words).unwrap_or_default();
         let posted = self
             .shared
@@ -124,7 +124,7 @@
         self.send_words(now);
     }
 
-    fn send_words(&mut self, now: Moment) {
+    fn send_words(&mut self, now: Timestamp) {
         let Some(divided) = &mut self.divided else {
             return;
         };
@@ -159,7 +159,7 @@
     /// What the operator's file says of budgets: the same section for the same member goes on.
     pub fn budgets(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         config: Option<&BudgetsSheet>,
         (name, fresh): (&str, Life),
         (terms, seed): (&Terms, u64),
@@ -196,7 +196,7 @@
     }
 
     /// It ends in order: what it holds is given back.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.divided
             .iter_mut()
             .for_each(|divided| divided.following.leave(now));
@@ -249,21 +249,21 @@
     }
 
     /// Words of another subsystem for another dispatcher; its number goes before them.
-    fn post(&mut self, now: Moment, own: PeerId, to: PeerId, of: u8, bytes: &[u8]) {
+    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, of: u8, bytes: &[u8]) {
         let bytes = [&[of], bytes].concat();
         self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
         self.act();
     }
 
     /// A request comes: one with a key waits for the store for as long as that may take.
-    pub fn come(&mut self, now: Moment, arrival: Arrival, mark: &str) {
+    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
         let key = self.folding.key(arrival.track, mark);
         self.sharing.come(now, arrival.id, key, due);
         self.act();
     }
 
-    pub fn sent(&mut self, now: Moment, id: RequestId, host: HostId) {
+    pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.waiting.place(host) {
             self.sharing.hand_off(now, id, place);
             self.act();
@@ -271,7 +271,7 @@
     }
 
     /// It has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Moment, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.waiting.forget(id);
         self.sharing.ended(now, id, came);
         self.act();
@@ -282,7 +282,7 @@
         self.waiting.end()
     }
 
-    pub fn told(&mut self, now: Moment, told: FromStore) {
+    pub fn told(&mut self, now: Timestamp, told: FromStore) {
         match told {
             FromStore::Connected { run } => {
                 self.run = run;
@@ -294,11 +294,11 @@
         self.act();
     }
 
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.sharing.next()
     }
 
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: Timestamp) {
         if self.sharing.next().is_some_and(|at| at <= now) {
             self.sharing.advance(now);
             self.act();
@@ -355,7 +355,7 @@
         }
     }
 
-    pub fn heard(&mut self, now: Moment, event: &Event) {
+    pub fn heard(&mut self, now: Timestamp, event: &Event) {
         self.waiting.heard(event);
         if let Event::Purged {
             object, group, ago, ..
@@ -377,7 +377,7 @@
 }
 
 impl Crossings for Subsystems {
-    fn heard(&mut self, now: Moment, event: &Event) {
+    fn heard(&mut self, now: Timestamp, event: &Event) {
         self.zones.heard(now, event);
         self.shared
             .iter_mut()
@@ -388,15 +388,15 @@
             .for_each(|on| on.following.event(now, event));
     }
 
-    fn room(&self, now: Moment, crossing: &Crossing) -> bool {
+    fn room(&self, now: Timestamp, crossing: &Crossing) -> bool {
         self.zones.room(now, crossing)
     }
 
-    fn sent(&mut self, now: Moment, crossing: &Crossing) {
+    fn sent(&mut self, now: Timestamp, crossing: &Crossing) {
         self.zones.sent(now, crossing);
     }
 
-    fn come_back(&self, now: Moment, track: ClassId) -> Option<Span> {
+    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<Span> {
         self.zones.come_back(now, track)
     }
 }
@@ -410,7 +410,7 @@
         shared.or_else(|| self.peers.as_ref()?.earlier(id))
     }
 
-    fn turned(&mut self, now: Moment, host: HostEntry, open: bool) {
+    fn turned(&mut self, now: Timestamp, host: HostEntry, open: bool) {
         if let Some(shared) = self.shared.as_mut().filter(|_| open) {
             shared.sharing.opened(now, host);
             shared.act();
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -14,7 +14,7 @@
     Tell(Event),
     /// A host is restricted by what others know of it: it counts as in this state, and as started then; `None`: the own
     /// list holds again.
-    Restricted(HostId, Option<(HostState, Option<Moment>)>),
+    Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
 pub struct Waiting {
@@ -37,7 +37,7 @@
     }
 
     /// One is held back; when it is due.
-    pub fn hold(&mut self, now: Moment, arrival: Arrival) -> Moment {
+    pub fn hold(&mut self, now: Timestamp, arrival: Arrival) -> Timestamp {
         self.held.insert(arrival.id, arrival);
         now + self.dues[usize::from(arrival.track.0)].min(arrival.left)
     }
--- a/crates/trials/src/decide/keys.rs
+++ b/crates/trials/src/decide/keys.rs
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug)]
 struct Try {
     seat: usize,
-    asked: Moment,
-    sent: Option<Moment>,
+    asked: Timestamp,
+    sent: Option<Timestamp>,
     done: bool,
 }
 
@@ -19,7 +19,7 @@
 struct Run {
     id: RequestId,
     no: u8,
-    at: Moment,
+    at: Timestamp,
     place: (ZoneId, CellId),
     never_ran: bool,
 }
@@ -34,7 +34,7 @@
 impl OfKey {
     /// Who was asked when, and what hosts got of it: seconds of the run.
     fn story(&self) -> String {
-        let at = |at: Moment| at.since(DAWN).as_secs_f64();
+        let at = |at: Timestamp| at.since(DAWN).as_secs_f64();
         let tries = self.tries.values().map(|one| {
             let done = if one.done { ", done" } else { "" };
             (
@@ -109,7 +109,7 @@
         }
     }
 
-    pub fn asked(&mut self, at: Moment, id: RequestId, key: &str, track: ClassId, seat: usize) {
+    pub fn asked(&mut self, at: Timestamp, id: RequestId, key: &str, track: ClassId, seat: usize) {
         self.by_id.insert(id, key.to_owned());
         let of = self.keys.entry(key.to_owned()).or_default();
         of.track = track;
@@ -138,7 +138,7 @@
     }
 
     /// A host got it.
-    pub fn sent(&mut self, at: Moment, id: RequestId, no: u8, host: HostId) {
+    pub fn sent(&mut self, at: Timestamp, id: RequestId, no: u8, host: HostId) {
         let place = self.places.get(&host).copied().unwrap_or_default();
         let Some(of) = self.found(id) else {
             return;
@@ -168,7 +168,7 @@
     }
 
     /// `end`: what is asked from then on was done before.
-    pub fn count(&self, end: Moment) -> Count {
+    pub fn count(&self, end: Timestamp) -> Count {
         let mut count = Count {
             keys: self.keys.len() as u64,
             ..Count::default()
--- a/crates/trials/src/play.rs
+++ b/crates/trials/src/play.rs
@@ -110,15 +110,15 @@
 struct Watched(Keys);
 
 impl Watch for Watched {
-    fn asked(&mut self, at: Moment, id: RequestId, key: &str, track: ClassId, seat: usize) {
+    fn asked(&mut self, at: Timestamp, id: RequestId, key: &str, track: ClassId, seat: usize) {
         self.0.asked(at, id, key, track, seat);
     }
 
-    fn answered(&mut self, _: Moment, id: RequestId, how: Option<Final>) {
+    fn answered(&mut self, _: Timestamp, id: RequestId, how: Option<Final>) {
         self.0.answered(id, how);
     }
 
-    fn seen(&mut self, at: Moment, seen: &Seen) {
+    fn seen(&mut self, at: Timestamp, seen: &Seen) {
         match *seen {
             Seen::Sent {
                 reference,
@@ -241,7 +241,7 @@
     relays: &Relays,
     journals: &Journals,
     store: Option<&Rc<RedisServer>>,
-) -> Vec<(Moment, loopback::Strike)> {
+) -> Vec<(Timestamp, loopback::Strike)> {
     let mut all = Vec::new();
     for strike in &trial.strikes {
         let at = DAWN + Span::from_secs_f64(strike.at_s);
--- a/crates/zones/src/decide/account.rs
+++ b/crates/zones/src/decide/account.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use trailproxy::units::{ClassId, Moment, Span, ZoneId};
+use trailproxy::units::{ClassId, Span, Timestamp, ZoneId};
 
 /// Why bytes crossed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -118,8 +118,8 @@
 pub struct Moved {
     pub key: Key,
     pub kb: f64,
-    pub from: Moment,
-    pub until: Moment,
+    pub from: Timestamp,
+    pub until: Timestamp,
 }
 
 #[derive(Debug, Default)]
@@ -132,14 +132,14 @@
     left_out_kb: f64,
 }
 
-fn second(at: Moment) -> u64 {
+fn second(at: Timestamp) -> u64 {
     at.0 / 1_000_000
 }
 
 impl Account {
     /// Lets time pass. A clock that goes back books into its newest second; one that leaps ahead forgets seconds,
     /// never totals.
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: Timestamp) {
         let now = second(now);
         if self.seconds.is_empty() || now > self.newest + SECONDS {
             self.seconds.clear();
@@ -155,7 +155,7 @@
         }
     }
 
-    pub fn book(&mut self, now: Moment, moved: Moved) {
+    pub fn book(&mut self, now: Timestamp, moved: Moved) {
         self.advance(now);
         let known = self.totals.contains_key(&moved.key);
         if !known && self.totals.len() >= MOST_KEYS {
@@ -169,7 +169,10 @@
         let slots = self.seconds.iter_mut().zip(oldest..);
         let mut left = moved.kb;
         for (sums, slot) in slots {
-            let (begins, ends) = (Moment(slot * 1_000_000), Moment((slot + 1) * 1_000_000));
+            let (begins, ends) = (
+                Timestamp(slot * 1_000_000),
+                Timestamp((slot + 1) * 1_000_000),
+            );
             let last = slot >= second(until) || slot == self.newest;
             let part = until.min(ends).since(from.max(begins)).as_secs_f64();
             let kb = match (last, long > 0.0) {
@@ -197,7 +200,7 @@
     }
 
     /// The sums of the last whole seconds before `now`, at most [`SECONDS`] less one.
-    pub fn within(&self, now: Moment, span: Span) -> Sums {
+    pub fn within(&self, now: Timestamp, span: Span) -> Sums {
         let (until, n) = (second(now), (span.0 / 1_000_000).max(1));
         let mut sums = Sums::new();
         let oldest = self.newest + 1 - (self.seconds.len() as u64).min(self.newest + 1);
--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -11,7 +11,7 @@
 //! besides go on by a part of the burst while large ones wait for a debt to be paid.
 
 use std::cell::Cell;
-use trailproxy::units::{Moment, Span, ZoneId};
+use trailproxy::units::{Span, Timestamp, ZoneId};
 
 /// What goes first, and everything else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -62,7 +62,7 @@
     /// From 0 to 1.
     pub part: f64,
     /// Then it is the floor; `None`: it is that already.
-    pub until: Option<Moment>,
+    pub until: Option<Timestamp>,
     pub floor: f64,
 }
 
@@ -74,11 +74,11 @@
 struct Wanted {
     all: f64,
     first: f64,
-    at: Moment,
+    at: Timestamp,
 }
 
 impl Wanted {
-    fn at(self, now: Moment) -> Wanted {
+    fn at(self, now: Timestamp) -> Wanted {
         let halvings = now.since(self.at).as_secs_f64() / WANTED_HALVES.as_secs_f64();
         let kept = 0.5f64.powf(halvings);
         let at = self.at.max(now);
@@ -89,7 +89,7 @@
         }
     }
 
-    fn add(&mut self, now: Moment, class: Class, kb: f64) {
+    fn add(&mut self, now: Timestamp, class: Class, kb: f64) {
         *self = self.at(now);
         // Evenly wanted, so many KB a second come to as much here.
         let rate = kb * std::f64::consts::LN_2 / WANTED_HALVES.as_secs_f64();
@@ -113,13 +113,13 @@
     small: Bucket,
     common: Bucket,
     /// The largest size turned away lately, and when that was last asked.
-    wanted: Cell<(f64, Moment)>,
+    wanted: Cell<(f64, Timestamp)>,
     /// The part of a size that may stand as debt; drawn once, so that sends are evenly spaced.
     part: f64,
     /// The usual size of what was sent, in KB, and of how many.
     usual: f64,
     sent: u32,
-    at: Moment,
+    at: Timestamp,
 }
 
 /// The part of the common burst that is saved up; the rest may be owed.
@@ -140,7 +140,12 @@
 
 impl Budget {
     /// `dispatchers`: those of the zone that the limit leads into.
-    pub fn new(limit: Limit, dispatchers: f64, now: Moment, chance: &mut fastrand::Rng) -> Budget {
+    pub fn new(
+        limit: Limit,
+        dispatchers: f64,
+        now: Timestamp,
+        chance: &mut fastrand::Rng,
+    ) -> Budget {
         let empty = || Bucket {
             level: 0.0,
             rate: 0.0,
@@ -156,7 +161,7 @@
             kept: empty(),
             small: empty(),
             common: empty(),
-            wanted: Cell::new((0.0, Moment(0))),
+            wanted: Cell::new((0.0, Timestamp(0))),
             part: chance.f64(),
             usual: 0.0,
             sent: 0,
@@ -190,7 +195,7 @@
 
     /// From now on this part of the whole; `None`: an equal share again. What is saved or owed stays, in KB: what one gave
     /// back another saves up anew.
-    pub fn divide(&mut self, now: Moment, part: Option<Part>) {
+    pub fn divide(&mut self, now: Timestamp, part: Option<Part>) {
         self.advance(now);
         self.divided = part;
         let share = part.map_or(self.equal, |part| part.part);
@@ -207,7 +212,7 @@
     }
 
     /// A part that has run out is the floor, whoever has told anything or not.
-    fn lapse(&mut self, now: Moment) {
+    fn lapse(&mut self, now: Timestamp) {
         if let Some(part) = self.divided
             && part.until.is_some_and(|until| until <= now)
         {
@@ -229,17 +234,17 @@
     }
 
     /// Something was wanted, whether it had room or not.
-    pub fn demanded(&mut self, now: Moment, class: Class, kb: f64) {
+    pub fn demanded(&mut self, now: Timestamp, class: Class, kb: f64) {
         self.demand.add(now, class, kb);
     }
 
     /// The part of the whole that was wanted lately, and of that what goes first.
-    pub fn need(&self, now: Moment) -> (f64, f64) {
+    pub fn need(&self, now: Timestamp) -> (f64, f64) {
         let (demand, rate) = (self.demand.at(now), self.limit.kb_per_s.max(1e-9));
         (demand.all / rate, demand.first / rate)
     }
 
-    pub fn advance(&mut self, now: Moment) {
+    pub fn advance(&mut self, now: Timestamp) {
         // A clock that went back brings nothing and takes nothing.
         let until = self.divided.and_then(|part| part.until);
         let ends = until.filter(|&until| until <= now);
@@ -268,7 +273,7 @@
         }
     }
 
-    fn pass(&mut self, now: Moment) {
+    fn pass(&mut self, now: Timestamp) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
         self.run_off(passed);
@@ -283,7 +288,7 @@
         self.common.fill(self.common.rate * passed + over, common);
     }
 
-    fn wanted(&self, now: Moment) -> f64 {
+    fn wanted(&self, now: Timestamp) -> f64 {
         let (kb, asked) = self.wanted.get();
         let rate = self.common.rate.max(1e-9);
         // As long as it takes to save it up, or with a few objects a minute nothing large ever went.
@@ -292,7 +297,7 @@
     }
 
     /// Where a send of so many KB would be taken from; `None`: there is no room for it now.
-    pub fn room(&self, now: Moment, class: Class, kb: f64) -> Option<From> {
+    pub fn room(&self, now: Timestamp, class: Class, kb: f64) -> Option<From> {
         let need = kb * (1.0 - self.part);
         let passed = now.since(self.at).as_secs_f64();
         let has = |bucket: &Bucket| bucket.level + bucket.rate * passed;
@@ -321,20 +326,20 @@
     }
 
     /// Notes that so much was turned away, so that it is saved up for.
-    pub fn turned_away(&self, now: Moment, kb: f64) {
+    pub fn turned_away(&self, now: Timestamp, kb: f64) {
         let before = self.wanted(now);
         if kb >= before {
             self.wanted.set((kb, now));
         }
     }
 
-    pub fn charge(&mut self, now: Moment, from: From, kb: f64) {
+    pub fn charge(&mut self, now: Timestamp, from: From, kb: f64) {
         self.advance(now);
         self.correct(from, kb);
         self.sent = self.sent.saturating_add(1);
         self.usual += (kb - self.usual) * USUAL_GAIN.max(1.0 / f64::from(self.sent));
         if self.wanted.get().0 <= kb {
-            self.wanted.set((0.0, Moment(0)));
+            self.wanted.set((0.0, Timestamp(0)));
         }
     }
 
@@ -348,7 +353,7 @@
     }
 
     /// How long until something plain has room again; `None`: it has.
-    pub fn full_for(&self, now: Moment) -> Option<Span> {
+    pub fn full_for(&self, now: Timestamp) -> Option<Span> {
         let wanted = self.wanted(now) * (1.0 - self.part);
         let level = self.common.level + self.common.rate * now.since(self.at).as_secs_f64();
         let lacks = wanted.max(0.0) - level;
@@ -375,7 +380,7 @@
     sum: f64,
     n: u32,
     refused: bool,
-    step_at: Moment,
+    step_at: Timestamp,
 }
 
 const STEP: Span = Span::from_secs(1);
@@ -403,7 +408,7 @@
     }
 
     /// The rate that follows from the step that ended, if one did.
-    pub fn step(&mut self, now: Moment, rate: f64, between: (f64, f64)) -> Option<f64> {
+    pub fn step(&mut self, now: Timestamp, rate: f64, between: (f64, f64)) -> Option<f64> {
         if now.since(self.step_at) < STEP {
             return None;
         }
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -37,19 +37,19 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     host: HostId,
-    filled: Moment,
+    filled: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
     tier: Tier,
     state: HostState,
-    started: Option<Moment>,
-    stamp: Option<Moment>,
+    started: Option<Timestamp>,
+    stamp: Option<Timestamp>,
     /// When it left the list.
-    left: Moment,
+    left: Timestamp,
     /// Since when it fails what it is asked; `None`: it answered last.
-    failing: Option<Moment>,
+    failing: Option<Timestamp>,
 }
 
 #[derive(Debug)]
@@ -59,8 +59,8 @@
     newer: BTreeMap<(ObjectId, u32), Seen>,
     older: BTreeMap<(ObjectId, u32), Seen>,
     hosts: BTreeMap<HostId, Known>,
-    purges: BTreeMap<(GroupId, Option<ObjectId>), Moment>,
-    purge_order: VecDeque<(Moment, (GroupId, Option<ObjectId>))>,
+    purges: BTreeMap<(GroupId, Option<ObjectId>), Timestamp>,
+    purge_order: VecDeque<(Timestamp, (GroupId, Option<ObjectId>))>,
     filling: BTreeSet<Way>,
 }
 
@@ -86,7 +86,7 @@
             + self.filling.len()
     }
 
-    pub fn list(&mut self, now: Moment, form: ListForm, entries: &[HostEntry]) {
+    pub fn list(&mut self, now: Timestamp, form: ListForm, entries: &[HostEntry]) {
         let gone = |known: &mut Known| {
             if known.state != HostState::Gone {
                 (known.state, known.left) = (HostState::Gone, now);
@@ -128,7 +128,7 @@
             .map_or(Tier::Parent, |known| known.tier)
     }
 
-    pub fn purged(&mut self, at: Moment, object: Option<ObjectId>, group: GroupId) {
+    pub fn purged(&mut self, at: Timestamp, object: Option<ObjectId>, group: GroupId) {
         let group = object.map_or(group, |_| GroupId::default());
         let key = (group, object);
         let known = self.purges.entry(key).or_default();
@@ -154,14 +154,14 @@
         self.newer.get(&part).or(self.older.get(&part)).copied()
     }
 
-    pub fn why(&self, now: Moment, crossing: &Crossing, fresh: Option<Span>) -> Why {
+    pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<Span>) -> Why {
         let Some(seen) = self.seen((crossing.asked.object, crossing.asked.part)) else {
             return Why::of(Cause::First);
         };
         let (object, group) = (crossing.asked.object, crossing.asked.group);
         let own = self.purges.get(&(GroupId::default(), Some(object)));
         let whole = self.purges.get(&(group, None));
-        let since = |purge: &&Moment| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
+        let since = |purge: &&Timestamp| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
         let of_own = own.filter(since).map(|_| object.0);
         if let Some(purge) = of_own.or(whole.filter(since).map(|_| u64::from(group.0))) {
             return Why {
@@ -196,13 +196,13 @@
     }
 
     /// It goes out; `fills`: it is the own hand-off that others join.
-    pub fn sent(&mut self, _now: Moment, way: Way, fills: bool) {
+    pub fn sent(&mut self, _now: Timestamp, way: Way, fills: bool) {
         if fills {
             self.filling.insert(way);
         }
     }
 
-    pub fn ended(&mut self, now: Moment, way: Way, ending: Ending, filled: bool, filler: bool) {
+    pub fn ended(&mut self, now: Timestamp, way: Way, ending: Ending, filled: bool, filler: bool) {
         if filler {
             self.filling.remove(&way);
         }
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -53,7 +53,7 @@
     why: Why,
     expected: f64,
     charged: Vec<(usize, budget::From)>,
-    sent: Moment,
+    sent: Timestamp,
     joined: bool,
     left: bool,
 }
@@ -133,12 +133,12 @@
                 ..rules.clone()
             },
         };
-        zones.change(Moment(0), rules);
+        zones.change(Timestamp(0), rules);
         zones
     }
 
     /// Other rules in place of these. Counts, debts and what is under way stay; a limit is the same by its name.
-    pub fn change(&mut self, now: Moment, rules: Rules) {
+    pub fn change(&mut self, now: Timestamp, rules: Rules) {
         for (nth, track) in (0..).zip(&mut self.tracks) {
             if rules.first.contains(&ClassId(nth)) {
                 track.class = Class::First;
@@ -209,14 +209,14 @@
     }
 
     /// A limit's part is this from now on; `None`: an equal share.
-    pub fn divide(&mut self, now: Moment, name: &str, part: Option<Divided>) {
+    pub fn divide(&mut self, now: Timestamp, name: &str, part: Option<Divided>) {
         for budget in self.budgets.iter_mut().filter(|of| of.limit.name == name) {
             budget.divide(now, part);
         }
     }
 
     /// The part of a limit that was wanted lately, and of that what goes first.
-    pub fn need(&self, now: Moment, name: &str) -> (f64, f64) {
+    pub fn need(&self, now: Timestamp, name: &str) -> (f64, f64) {
         let of = self.budgets.iter().find(|of| of.limit.name == name);
         of.map_or((0.0, 0.0), |budget| budget.need(now))
     }
@@ -237,7 +237,7 @@
     }
 
     /// Lets time pass, and takes what is to be told.
-    pub fn advance(&mut self, now: Moment) -> Vec<Rise> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<Rise> {
         self.account.advance(now);
         self.budgets
             .iter_mut()
@@ -302,7 +302,7 @@
         }
     }
 
-    fn why(&self, now: Moment, crossing: &Crossing) -> Why {
+    fn why(&self, now: Timestamp, crossing: &Crossing) -> Why {
         let track = &self.tracks[usize::from(crossing.asked.track.0)];
         if track.written {
             return Why::of(Cause::Written);
@@ -364,7 +364,7 @@
         }
     }
 
-    fn outcome(&mut self, now: Moment, outcome: &Outcome) {
+    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let Some(flying) = self.flying.remove(&(outcome.id, outcome.hand_off)) else {
             return;
         };
@@ -432,7 +432,7 @@
 impl Others for Zones {}
 
 impl Crossings for Zones {
-    fn heard(&mut self, now: Moment, event: &Event) {
+    fn heard(&mut self, now: Timestamp, event: &Event) {
         self.budgets
             .iter_mut()
             .for_each(|budget| budget.advance(now));
@@ -456,7 +456,7 @@
         }
     }
 
-    fn room(&self, now: Moment, crossing: &Crossing) -> bool {
+    fn room(&self, now: Timestamp, crossing: &Crossing) -> bool {
         if self.budgets.is_empty() {
             return true;
         }
@@ -490,7 +490,7 @@
         fits
     }
 
-    fn sent(&mut self, now: Moment, crossing: &Crossing) {
+    fn sent(&mut self, now: Timestamp, crossing: &Crossing) {
         let why = self.why(now, crossing);
         let joined = self.joins(crossing);
         let expected = self.expected(crossing, why);
@@ -525,7 +525,7 @@
             .insert((crossing.asked.id, crossing.hand_off), flying);
     }
 
-    fn come_back(&self, now: Moment, track: ClassId) -> Option<Span> {
+    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<Span> {
         let own = |budget: &&Budget| budget.limit.to == self.zone;
         let plain = self.class(track) == Class::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
--- a/crates/zones/src/decide/rise.rs
+++ b/crates/zones/src/decide/rise.rs
@@ -169,7 +169,7 @@
     }
 
     /// Lets time pass; at the end of a slot a rise may begin or end.
-    pub fn advance(&mut self, now: Moment, alarm: Alarm) -> Option<Turn> {
+    pub fn advance(&mut self, now: Timestamp, alarm: Alarm) -> Option<Turn> {
         let slot = now.0 / SLOT.0;
         let before = *self.slot.get_or_insert(slot);
         // A clock that went back goes on in its running slot.
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -7,7 +7,7 @@
 use crate::decide::sheet::Names;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use trailproxy::units::{ClassId, Moment, Span, ZoneId};
+use trailproxy::units::{ClassId, Span, Timestamp, ZoneId};
 
 /// One line of the account since the dispatcher's start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
 
 impl Report {
     /// What `zones` has to tell at `now`.
-    pub fn of(zones: &Zones, names: &Names, dispatcher: &str, life: u64, now: Moment) -> Report {
+    pub fn of(zones: &Zones, names: &Names, dispatcher: &str, life: u64, now: Timestamp) -> Report {
         let zone = |id: ZoneId| name(&names.zones, usize::from(id.0));
         let track = |id: ClassId| name(&names.tracks, usize::from(id.0));
         let account = zones.account();
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -7,8 +7,8 @@
 use trailproxy_zones::decide::merge::merge;
 use trailproxy_zones::report::{Line, Report};
 
-fn at(us: u64) -> Moment {
-    Moment(1_000_000_000 + us)
+fn at(us: u64) -> Timestamp {
+    Timestamp(1_000_000_000 + us)
 }
 
 proptest! {
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -15,8 +15,8 @@
 const PARENT: HostId = HostId(21);
 const ORIGIN: HostId = HostId(31);
 
-fn at(ms: u64) -> Moment {
-    Moment(1_000_000_000 + ms * 1_000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp(1_000_000_000 + ms * 1_000)
 }
 
 fn limit(kb_per_s: f64, burst_kb: f64, reserve: f64) -> Limit {
@@ -84,7 +84,7 @@
     }
 }
 
-fn entry(host: HostId, state: HostState, started: Option<Moment>) -> HostEntry {
+fn entry(host: HostId, state: HostState, started: Option<Timestamp>) -> HostEntry {
     let (kind, zone) = match host.0 {
         11..=19 => (KindId(0), DEPOT),
         21..=29 => (KindId(1), HUB),
@@ -708,7 +708,7 @@
 }
 
 /// Takes what has room, in pieces of ten KB, and tells how much that was.
-fn drain(budget: &mut Budget, now: Moment) -> f64 {
+fn drain(budget: &mut Budget, now: Timestamp) -> f64 {
     let mut taken = 0.0;
     budget.advance(now);
     while let Some(from) = budget.room(now, Class::Plain, 10.0) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -152,7 +152,7 @@
         /// How long ago at least, on the caller's clock.
         ago: Span,
         /// When, as it was stamped by another machine's clock: copies are held against it by their own stamps.
-        stamp: Option<Moment>,
+        stamp: Option<Timestamp>,
     },
 }
 
@@ -171,10 +171,10 @@
     pub zone: ZoneId,
     pub kind: KindId,
     /// When its process began, on the caller's clock. `None`: long past.
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
     /// The same as the list stamped it, by another machine's clock: it tells two processes of one host apart, and is
     /// compared with no time.
-    pub stamp: Option<Moment>,
+    pub stamp: Option<Timestamp>,
     pub size: f64,
     pub state: HostState,
 }
@@ -291,7 +291,7 @@
         hand_off: AttemptNo,
     },
     Wake {
-        at: Moment,
+        at: Timestamp,
         wake: WakeId,
     },
     FollowList,
@@ -349,15 +349,15 @@
 /// source and reader are in different zones, by the gate that all hand-offs pass.
 pub trait Crossings {
     /// Every event, before the decisions take it.
-    fn heard(&mut self, _now: Moment, _event: &Event) {}
+    fn heard(&mut self, _now: Timestamp, _event: &Event) {}
     /// Whether this may go out now. It may be asked several times about one way, with nothing sent.
-    fn room(&self, _now: Moment, _crossing: &Crossing) -> bool {
+    fn room(&self, _now: Timestamp, _crossing: &Crossing) -> bool {
         true
     }
     /// This goes out now.
-    fn sent(&mut self, _now: Moment, _crossing: &Crossing) {}
+    fn sent(&mut self, _now: Timestamp, _crossing: &Crossing) {}
     /// After how long a client of this track had better come again; `None`: nothing was in its way here.
-    fn come_back(&self, _now: Moment, _track: ClassId) -> Option<Span> {
+    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<Span> {
         None
     }
 }
@@ -367,7 +367,7 @@
 pub struct Earlier {
     /// Where it went; `None`: it may have gone anywhere.
     pub place: Option<(ZoneId, CellId)>,
-    pub first: Moment,
+    pub first: Timestamp,
 }
 
 /// Whoever knows what other dispatchers did for the same client's request.
@@ -377,7 +377,7 @@
         None
     }
     /// The breaker of a host opened, or let it back.
-    fn turned(&mut self, _now: Moment, _host: HostEntry, _open: bool) {}
+    fn turned(&mut self, _now: Timestamp, _host: HostEntry, _open: bool) {}
 }
 
 /// All links are free, nobody counts, and nothing is known of others.
@@ -389,19 +389,19 @@
 
 /// Switched on or off while it runs.
 impl<C: Crossings> Crossings for Option<C> {
-    fn heard(&mut self, now: Moment, event: &Event) {
+    fn heard(&mut self, now: Timestamp, event: &Event) {
         self.iter_mut().for_each(|on| on.heard(now, event));
     }
 
-    fn room(&self, now: Moment, crossing: &Crossing) -> bool {
+    fn room(&self, now: Timestamp, crossing: &Crossing) -> bool {
         self.as_ref().is_none_or(|on| on.room(now, crossing))
     }
 
-    fn sent(&mut self, now: Moment, crossing: &Crossing) {
+    fn sent(&mut self, now: Timestamp, crossing: &Crossing) {
         self.iter_mut().for_each(|on| on.sent(now, crossing));
     }
 
-    fn come_back(&self, now: Moment, track: ClassId) -> Option<Span> {
+    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<Span> {
         self.as_ref()?.come_back(now, track)
     }
 }
@@ -411,7 +411,7 @@
         self.as_ref()?.earlier(id)
     }
 
-    fn turned(&mut self, now: Moment, host: HostEntry, open: bool) {
+    fn turned(&mut self, now: Timestamp, host: HostEntry, open: bool) {
         self.iter_mut().for_each(|on| on.turned(now, host, open));
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -49,18 +49,18 @@
 #[derive(Clone, Copy, Default)]
 struct Purge {
     /// When, on the own clock, at the latest.
-    at: Moment,
+    at: Timestamp,
     /// When it was told.
-    heard: Moment,
+    heard: Timestamp,
     /// When, by the clock that stamps copies.
-    stamp: Option<Moment>,
+    stamp: Option<Timestamp>,
 }
 
 struct Request {
     asked: Arrival,
     send: f64, // predicted sending time alone, in seconds
-    due: Moment,
-    limit: Moment,
+    due: Timestamp,
+    limit: Timestamp,
     tries: Vec<Try>,
     lacking: bool,
     ended: bool,
@@ -76,8 +76,8 @@
 struct Try {
     plan: Plan,
     held_only: bool,
-    sent: Moment,
-    overdue_at: Moment,
+    sent: Timestamp,
+    overdue_at: Timestamp,
     out: bool,
     may_have_run: bool,
     failed: bool,
@@ -95,7 +95,7 @@
 }
 
 enum Step {
-    Wait(Moment),
+    Wait(Timestamp),
     Send(Plan),
     Withdraw(usize),
     GiveUp(GiveUpReason),
@@ -113,8 +113,8 @@
     accesses: BTreeMap<RequestId, Request>,
     /// Accesses to look at when settling, those to look at later, and the wake-up asked for.
     touched: BTreeSet<RequestId>,
-    timed: BTreeSet<(Moment, RequestId)>,
-    armed: Option<Moment>,
+    timed: BTreeSet<(Timestamp, RequestId)>,
+    armed: Option<Timestamp>,
     purges: BTreeMap<(GroupId, Option<ObjectId>), Purge>,
     seen: BTreeSet<(ObjectId, u32)>,
     sending: Vec<(f64, f64)>, // sending times by track: their sum in seconds and their number
@@ -128,7 +128,7 @@
     zone_size: f64,
     /// By kind, where sizes are not told: what all dispatchers had sent, and the busy seconds it took.
     learnt: BTreeMap<KindId, (f64, f64)>,
-    probe_at: Moment,
+    probe_at: Timestamp,
     probed: HostId,
     actions: Vec<Action>,
 }
@@ -174,7 +174,7 @@
             at_caches: Level::default(),
             zone_size: 1.0,
             learnt: BTreeMap::new(),
-            probe_at: Moment::default(),
+            probe_at: Timestamp::default(),
             probed: HostId::default(),
             actions: Vec::from_iter(terms.list_on_request.then_some(Action::FollowList)),
             terms,
@@ -187,7 +187,7 @@
     }
 
     /// Takes one event; nothing goes out before [`Dispatcher::settle`].
-    pub fn take(&mut self, now: Moment, event: Event) {
+    pub fn take(&mut self, now: Timestamp, event: Event) {
         self.crossings.heard(now, &event);
         match event {
             Event::Hosts { form, entries } => self.list(now, form, entries),
@@ -214,11 +214,11 @@
 
     fn purged(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         object: Option<ObjectId>,
         group: GroupId,
-        at: Moment,
-        stamp: Option<Moment>,
+        at: Timestamp,
+        stamp: Option<Timestamp>,
     ) {
         let forget = self.forgets_purges_after();
         self.purges.retain(|_, purge| now.since(purge.at) < forget);
@@ -235,7 +235,7 @@
     }
 
     /// The purges of an object and of its group that still bind.
-    fn purges_of(&self, now: Moment, access: &Request) -> impl Iterator<Item = &Purge> {
+    fn purges_of(&self, now: Timestamp, access: &Request) -> impl Iterator<Item = &Purge> {
         let (object, group) = (access.asked.object, access.asked.group);
         let keys = [(GroupId::default(), Some(object)), (group, None)];
         let forget = self.forgets_purges_after();
@@ -245,7 +245,13 @@
 
     /// Rule 5, by stamps alone: whether a copy that was given out then may answer an attempt. A host whose clock is wrong,
     /// or that heeds no age, may answer from before a purge that was told before the attempt went out.
-    pub fn admits_copy(&self, now: Moment, id: RequestId, no: AttemptNo, minted: Moment) -> bool {
+    pub fn admits_copy(
+        &self,
+        now: Timestamp,
+        id: RequestId,
+        no: AttemptNo,
+        minted: Timestamp,
+    ) -> bool {
         let Some(access) = self.accesses.get(&id) else {
             return true;
         };
@@ -255,7 +261,7 @@
         binding.all(|purge| purge.stamp.is_none_or(|stamp| minted > stamp))
     }
 
-    fn list(&mut self, now: Moment, form: ListForm, entries: Vec<HostEntry>) {
+    fn list(&mut self, now: Timestamp, form: ListForm, entries: Vec<HostEntry>) {
         if form == ListForm::Failed && self.terms.list_on_request {
             self.actions.push(Action::FollowList);
         }
@@ -277,8 +283,8 @@
                 cold,
                 dispatchers,
                 breaker: Breaker::default(),
-                heard: Moment::default(),
-                slowness: (1.0, Moment::default()),
+                heard: Timestamp::default(),
+                slowness: (1.0, Timestamp::default()),
                 out: 0,
                 size: entry.size,
                 busy: None,
@@ -316,7 +322,7 @@
     }
 
     /// What hosts say when they are probed: how full the link is, how busy they are, or nothing.
-    fn probed(&mut self, now: Moment, id: HostId, ending: Ending, load: Load) {
+    fn probed(&mut self, now: Timestamp, id: HostId, ending: Ending, load: Load) {
         // A probe that fails blames nobody: hosts answer few at once, and a deep one waits behind accesses.
         let answered = |_: &&mut Host| ending == Ending::Done;
         let Some(host) = self.hosts.get_mut(&id).filter(answered) else {
@@ -342,7 +348,7 @@
 
     /// Other terms hold from now on, with the same tracks, zone and effects. What is open, the list with its
     /// rules, purges and breakers stay; what was measured in another unit is learnt afresh.
-    pub fn follow(&mut self, now: Moment, terms: Terms) {
+    pub fn follow(&mut self, now: Timestamp, terms: Terms) {
         let paced = |terms: &Terms| (terms.flow_kb_per_s, terms.sizes_tell);
         if paced(&terms) != paced(&self.terms) {
             self.learnt.clear();
@@ -360,7 +366,7 @@
     }
 
     /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
-    pub fn divide(&mut self, now: Moment, caches: Option<f64>, parents: Option<f64>) {
+    pub fn divide(&mut self, now: Timestamp, caches: Option<f64>, parents: Option<f64>) {
         (self.terms.cold_cache.among, self.terms.cold_parent.among) = (caches, parents);
         let mean = self.mean_send();
         for host in self.hosts.values_mut() {
@@ -371,7 +377,7 @@
     }
 
     /// One host after another is asked for its load, each as often as the others.
-    fn probe(&mut self, now: Moment) {
+    fn probe(&mut self, now: Timestamp) {
         let all = || self.caches.iter().chain(&self.parents);
         if !self.terms.probes || now < self.probe_at {
             return;
@@ -382,7 +388,7 @@
         self.probe_at = now + PROBE_EVERY.times(1.0 / all().count().max(1) as f64);
     }
 
-    fn arrive(&mut self, now: Moment, asked: Arrival) {
+    fn arrive(&mut self, now: Timestamp, asked: Arrival) {
         let track = &self.terms.tracks[usize::from(asked.track.0)];
         let told = asked.size_kb.map(|kb| kb / self.terms.flow_kb_per_s);
         let (sum, n) = &mut self.sending[usize::from(asked.track.0)];
@@ -415,7 +421,7 @@
 
     /// Rule 4: whether a host can take this work out of this dispatcher's part. The last may overdraw, or
     /// one of hundreds could never send; the debt is waited off. No work may exceed the whole limit.
-    fn has_budget(&self, now: Moment, id: HostId, work: f64) -> bool {
+    fn has_budget(&self, now: Timestamp, id: HostId, work: f64) -> bool {
         let host = &self.hosts[&id];
         let bears = || host.cost(now, work * COLD_USE) <= host.among();
         host.warmth(now) >= 1.0 || bears() && host.allowance(now, self.mean_send()) >= 0.0
@@ -446,7 +452,7 @@
         }
     }
 
-    fn outcome(&mut self, now: Moment, outcome: &Outcome) {
+    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let (id, ending) = (outcome.id, outcome.ending);
         let Some(attempt) = self.try_mut(id, outcome.hand_off).filter(|t| t.out) else {
             return;
@@ -466,7 +472,7 @@
     }
 
     /// Tells cache, parent and origin faults apart, by the note or by who else was heard since.
-    fn learn(&mut self, now: Moment, outcome: &Outcome, attempt: &Try) {
+    fn learn(&mut self, now: Timestamp, outcome: &Outcome, attempt: &Try) {
         use {Ending::*, Verdict::*};
         let (ending, took) = (outcome.ending, outcome.took);
         let access = &self.accesses[&outcome.id];
@@ -547,7 +553,7 @@
 
     /// An overdue hand-off is its host's fault if nothing was heard from it since, else its source's if it
     /// was not either, or not lately while another parent was, else an origin's that served none well since.
-    fn blame(&mut self, now: Moment, id: RequestId) {
+    fn blame(&mut self, now: Timestamp, id: RequestId) {
         let late = |t: &&mut Try| t.out && !t.blamed && now >= t.overdue_at;
         let tries = self.accesses.get_mut(&id).map(|access| &mut access.tries);
         let Some(attempt) = tries.and_then(|tries| tries.iter_mut().find(late)) else {
@@ -578,7 +584,7 @@
         phase.is_some_and(|phase| phase != Phase::Closed) && !attempt.held_only
     }
 
-    fn judge(&mut self, now: Moment, id: HostId, verdict: Option<Verdict>, attempt: &Try) {
+    fn judge(&mut self, now: Timestamp, id: HostId, verdict: Option<Verdict>, attempt: &Try) {
         let role = self.hosts[&id].role;
         let pooled = &mut self.pooled[role as usize];
         let Some(host) = self.hosts.get_mut(&id) else {
@@ -621,7 +627,7 @@
     }
 
     /// Emits the difference between what should be out, held and timed and what is.
-    pub fn settle(&mut self, now: Moment) -> Vec<Action> {
+    pub fn settle(&mut self, now: Timestamp) -> Vec<Action> {
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
             self.timed.remove(&(at, id));
             self.touched.insert(id);
@@ -656,7 +662,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn next_step(&mut self, now: Moment, id: RequestId) -> Step {
+    fn next_step(&mut self, now: Timestamp, id: RequestId) -> Step {
         let access = &self.accesses[&id];
         if now >= access.limit {
             return Step::GiveUp(GiveUpReason::DeadlinePassed);
@@ -704,7 +710,7 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    fn open_to(&self, now: Moment, access: &Request, id: HostId) -> bool {
+    fn open_to(&self, now: Timestamp, access: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let share = match host.role {
             Role::Origin if self.track(access).written => host.breaker.share().ceil(),
@@ -717,7 +723,7 @@
         !failed && (within || host.breaker.wants_trial(now))
     }
 
-    fn plan(&mut self, now: Moment, id: RequestId) -> Result<Plan, GiveUpReason> {
+    fn plan(&mut self, now: Timestamp, id: RequestId) -> Result<Plan, GiveUpReason> {
         for id in self.caches.iter().chain(&self.parents).chain(&self.origin) {
             let host = self.hosts.get_mut(id);
             host.into_iter().for_each(|host| host.breaker.advance(now));
@@ -752,7 +758,12 @@
     }
 
     /// The first open parent, or the origin where none is, if a fill from there would be in time.
-    fn pick_source(&self, now: Moment, access: &Request, cache: Option<HostId>) -> Option<HostId> {
+    fn pick_source(
+        &self,
+        now: Timestamp,
+        access: &Request,
+        cache: Option<HostId>,
+    ) -> Option<HostId> {
         let has_room = |id: &HostId| {
             let (host, source) = (cache.unwrap_or(*id), *id);
             let fits = || self.fits(now, access, Plan { host, source });
@@ -775,7 +786,7 @@
 
     /// How much slower than alone an answer from a cache is predicted to be. What others have there is
     /// the own average, corrected by the own number now the more, the more are usual: less is chance.
-    fn stretch(&self, now: Moment, host: &Host) -> f64 {
+    fn stretch(&self, now: Timestamp, host: &Host) -> f64 {
         if host.role != Role::Cache {
             return 1.0;
         }
@@ -787,7 +798,7 @@
     }
 
     /// The first cache in order with room and, by told sizes, time, else the least crowded, if that is in time.
-    fn pick_cache(&self, now: Moment, access: &Request) -> Option<HostId> {
+    fn pick_cache(&self, now: Timestamp, access: &Request) -> Option<HostId> {
         let mut caches = self.in_hash_order(access, Role::Cache);
         caches.retain(|id| self.has_budget(now, *id, self.work(access)));
         let stretch = |id: &HostId| self.stretch(now, &self.hosts[id]);
@@ -806,7 +817,7 @@
     }
 
     /// Rule 2: whether what may have run allows a hand-off to this host.
-    fn may_run_again(&self, now: Moment, access: &Request, host: HostId) -> bool {
+    fn may_run_again(&self, now: Timestamp, access: &Request, host: HostId) -> bool {
         let of = |id| (self.hosts[&id].entry.zone, self.hosts[&id].entry.cell);
         let own = access.tries.iter().filter(|t| t.out || t.may_have_run);
         let own = own.map(|t| EarlierAttempt {
@@ -825,7 +836,7 @@
     }
 
     /// Rule 5: the oldest copy that will do, given the latest purge of the object or its group.
-    fn oldest(&self, now: Moment, access: &Request, stale: bool) -> Option<Span> {
+    fn oldest(&self, now: Timestamp, access: &Request, stale: bool) -> Option<Span> {
         let track = self.track(access);
         let since = self
             .purges_of(now, access)
@@ -859,13 +870,13 @@
     }
 
     /// Whether the links between zones have room for it.
-    fn fits(&self, now: Moment, access: &Request, plan: Plan) -> bool {
+    fn fits(&self, now: Timestamp, access: &Request, plan: Plan) -> bool {
         let way = self.crossing(access, plan);
         way.is_none_or(|way| self.crossings.room(now, &way))
     }
 
     /// The one gate that every hand-off passes, with each rule at its own place.
-    fn passes(&self, now: Moment, access: &Request, plan: &Plan) -> bool {
+    fn passes(&self, now: Timestamp, access: &Request, plan: &Plan) -> bool {
         let (host, source) = (&self.hosts[&plan.host], &self.hosts[&plan.source]);
         let own = plan.host == plan.source;
         // Rule 1: nothing goes out for an access that has ended or whose client has given up.
@@ -884,7 +895,7 @@
         may && self.fits(now, access, *plan)
     }
 
-    fn send(&mut self, now: Moment, id: RequestId, plan: Plan) {
+    fn send(&mut self, now: Timestamp, id: RequestId, plan: Plan) {
         let access = &self.accesses[&id];
         if !self.passes(now, access, &plan) {
             return self.give_up(now, id, GiveUpReason::NotPermitted);
@@ -950,7 +961,7 @@
     }
 
     /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
-    pub fn come_back(&mut self, now: Moment, track: ClassId) -> Option<Span> {
+    pub fn come_back(&mut self, now: Timestamp, track: ClassId) -> Option<Span> {
         let longest = self.terms.longest_away?;
         let full = self.crossings.come_back(now, track);
         let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
@@ -958,7 +969,7 @@
     }
 
     /// The final answer where nothing more can be done: a rejection where trying again is harmless.
-    fn give_up(&mut self, now: Moment, id: RequestId, why: GiveUpReason) {
+    fn give_up(&mut self, now: Timestamp, id: RequestId, why: GiveUpReason) {
         let access = &self.accesses[&id];
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
         let ran = ran || self.crossings.earlier(id).is_some();
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,7 +1,7 @@
 //! The design's breaker, one for each cache, parent and origin: a sliding window of first-byte latencies, a time open, one
 //! trial, then a rising share.
 
-use crate::units::{Moment, Span};
+use crate::units::{Span, Timestamp};
 use std::collections::VecDeque;
 
 /// The design's window, in slots of a second.
@@ -52,10 +52,10 @@
 pub(crate) enum Phase {
     #[default]
     Closed,
-    Open(Moment),
+    Open(Timestamp),
     Trial,
     /// The share, when it doubles next, and whether all went well since it last did.
-    Ramp(f64, Moment, bool),
+    Ramp(f64, Timestamp, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,7 +84,7 @@
     pub(crate) pending: Vec<f64>,
     pub(crate) phase: Phase,
     pub(crate) run: u32,
-    pub(crate) well: Moment,
+    pub(crate) well: Timestamp,
 }
 
 impl Breaker {
@@ -93,7 +93,7 @@
         self.slots.iter().fold((0, 0), add)
     }
 
-    pub(crate) fn advance(&mut self, now: Moment) {
+    pub(crate) fn advance(&mut self, now: Timestamp) {
         let second = now.0 / 1_000_000;
         if self.slots.back().is_none_or(|last| last.second != second) {
             let (good, failed) = self.counts();
@@ -127,12 +127,12 @@
         }
     }
 
-    pub(crate) fn wants_trial(&self, now: Moment) -> bool {
+    pub(crate) fn wants_trial(&self, now: Timestamp) -> bool {
         matches!(self.phase, Phase::Open(until) if now >= until)
     }
 
     /// Counts an outcome: 0 is a good one, else how much it weighs in a run of failures.
-    pub(crate) fn judge(&mut self, now: Moment, weighs: u32, crowded: bool) {
+    pub(crate) fn judge(&mut self, now: Timestamp, weighs: u32, crowded: bool) {
         self.advance(now);
         let bad = weighs > 0;
         self.run = if bad { self.run + weighs } else { 0 };
@@ -154,7 +154,7 @@
         }
     }
 
-    pub(crate) fn turn(&mut self, now: Moment, phase: Phase) {
+    pub(crate) fn turn(&mut self, now: Timestamp, phase: Phase) {
         (self.phase, self.run, self.well) = (phase, 0, now);
         self.slots.clear();
     }
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -2,7 +2,7 @@
 
 use super::breaker::{Breaker, Phase};
 use crate::interface::{Cold, HostEntry, HostState};
-use crate::units::{Moment, Span};
+use crate::units::{Span, Timestamp};
 
 /// Part of a cold host's told limit that all use together. Higher risks it, lower warms it later.
 pub(crate) const COLD_USE: f64 = 0.4;
@@ -26,11 +26,11 @@
 pub(crate) struct Level {
     pub(crate) now: f64,
     pub(crate) usual: f64,
-    reckoned_at: Moment,
+    reckoned_at: Timestamp,
 }
 
 impl Level {
-    pub(crate) fn add(&mut self, now: Moment, change: f64) {
+    pub(crate) fn add(&mut self, now: Timestamp, change: f64) {
         let passed = now.since(self.reckoned_at).as_secs_f64();
         let kept = 0.5f64.powf(passed / HALVES.as_secs_f64());
         self.usual = self.now + (self.usual - self.now) * kept;
@@ -45,17 +45,17 @@
     pub(crate) cold: Cold,
     pub(crate) dispatchers: f64,
     pub(crate) breaker: Breaker,
-    pub(crate) heard: Moment,
+    pub(crate) heard: Timestamp,
     /// How many times longer than predicted hits here took lately, and when that was last told.
-    pub(crate) slowness: (f64, Moment),
+    pub(crate) slowness: (f64, Timestamp),
     pub(crate) out: u32,
     pub(crate) size: f64, // how many answers it can send at full pace, as told or else as learnt
     /// How busy it last said it was, when, and what it has sent for this dispatcher since, in seconds.
-    pub(crate) busy: Option<(f64, Moment)>,
+    pub(crate) busy: Option<(f64, Timestamp)>,
     pub(crate) done: f64,
-    pub(crate) left: Moment, // when it last left the list
+    pub(crate) left: Timestamp, // when it last left the list
     /// What is left of what it may be given while it is cold, and when that was reckoned.
-    pub(crate) allowance: (f64, Moment),
+    pub(crate) allowance: (f64, Timestamp),
 }
 
 impl Host {
@@ -63,7 +63,7 @@
         self.entry.state == HostState::Ready
     }
 
-    pub(crate) fn list_as(&mut self, now: Moment, state: HostState) {
+    pub(crate) fn list_as(&mut self, now: Timestamp, state: HostState) {
         let leaves = state == HostState::Gone && self.entry.state != HostState::Gone;
         self.left = if leaves { now } else { self.left };
         self.entry.state = state;
@@ -80,20 +80,20 @@
         (self.busy).map_or(1.0, |(busy, _)| crowd(busy).clamp(FREE_COUNTS, 1.0))
     }
 
-    pub(crate) fn slowness(&self, now: Moment) -> f64 {
+    pub(crate) fn slowness(&self, now: Timestamp) -> f64 {
         let halvings = now.since(self.slowness.1).as_secs_f64() / HALVES.as_secs_f64();
         1.0 + (self.slowness.0 - 1.0).max(0.0) * 0.5f64.powf(halvings)
     }
 
     /// The part of its capacity that it can surely give now.
-    pub(crate) fn warmth(&self, now: Moment) -> f64 {
+    pub(crate) fn warmth(&self, now: Timestamp) -> f64 {
         let warm_after = self.cold.warm_after.as_secs_f64().max(0.001);
         let risen = |at| now.since(at).as_secs_f64() / warm_after;
         self.cold.from + (1.0 - self.cold.from) * self.entry.started.map_or(1.0, risen).min(1.0)
     }
 
     /// Work as a part of what this dispatcher may give it within the span of rule 4 while it is cold.
-    pub(crate) fn cost(&self, now: Moment, work: f64) -> f64 {
+    pub(crate) fn cost(&self, now: Timestamp, work: f64) -> f64 {
         let told = self.cold.fall_multiple * self.cold.fall_after.as_secs_f64();
         work * self.among() / (told * COLD_USE * self.warmth(now) * self.size)
     }
@@ -103,7 +103,7 @@
     }
 
     /// Where parts are less than a call of mean work, who does not use its turn has let it pass to another.
-    pub(crate) fn allowance(&self, now: Moment, mean: f64) -> f64 {
+    pub(crate) fn allowance(&self, now: Timestamp, mean: f64) -> f64 {
         let span = self.cold.fall_after.as_secs_f64().max(0.001);
         let saved = self.allowance.0 + now.since(self.allowance.1).as_secs_f64() / span - SAVED;
         let turn = self.cost(now, mean).max(1.0);
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -5,7 +5,7 @@
 //! connection or for room in a buffer, and count what they find to have been done against a rule.
 
 use crate::interface::Effect;
-use crate::units::{CellId, Moment, Span, ZoneId};
+use crate::units::{CellId, Span, Timestamp, ZoneId};
 
 /// A client that has ended its side of the connection counts as gone after this: what it sent just before may still begin,
 /// as nobody can tell a close from a half-close. The operators allow 0.1 s; the rest is for the way to the host.
@@ -60,31 +60,31 @@
     /// It has its final answer, was cancelled, or its client's connection is over.
     pub answered: bool,
     /// When its client ended its side of the connection.
-    pub client_closed: Option<Moment>,
-    pub deadline: Moment,
+    pub client_closed: Option<Timestamp>,
+    pub deadline: Timestamp,
     /// Until when a repeat of what may have run is recognised.
-    pub repeat_by: Option<Moment>,
+    pub repeat_by: Option<Timestamp>,
 }
 
 /// Whether the first byte of an attempt may go out now.
 ///
 /// ```
 /// use trailproxy::policy::permits::{Denied, SendFacts, may_send};
-/// use trailproxy::units::Moment;
+/// use trailproxy::units::Timestamp;
 /// let facts = SendFacts {
 ///     answered: false,
-///     client_closed: Some(Moment(1_000)),
-///     deadline: Moment(900_000),
+///     client_closed: Some(Timestamp(1_000)),
+///     deadline: Timestamp(900_000),
 ///     repeat_by: None,
 /// };
-/// assert_eq!(may_send(Moment(2_000), &facts), Ok(()));
-/// assert_eq!(may_send(Moment(60_000), &facts), Err(Denied::ClientGone));
+/// assert_eq!(may_send(Timestamp(2_000), &facts), Ok(()));
+/// assert_eq!(may_send(Timestamp(60_000), &facts), Err(Denied::ClientGone));
 /// ```
-pub fn may_send(now: Moment, facts: &SendFacts) -> Result<(), Denied> {
+pub fn may_send(now: Timestamp, facts: &SendFacts) -> Result<(), Denied> {
     if facts.answered {
         return Err(Denied::Answered);
     }
-    let gone = |closed: Moment| now >= closed + CLIENT_GONE_AFTER;
+    let gone = |closed: Timestamp| now >= closed + CLIENT_GONE_AFTER;
     if facts.client_closed.is_some_and(gone) {
         return Err(Denied::ClientGone);
     }
@@ -101,8 +101,8 @@
 const CLIENT_GONE_AT_MOST: Span = Span::from_millis(100);
 
 /// Whether an attempt that began now broke a rule, by the operators' own bounds. The check behind the act.
-pub fn begun_against_a_rule(now: Moment, facts: &SendFacts) -> bool {
-    let gone = |closed: Moment| now > closed + CLIENT_GONE_AT_MOST;
+pub fn begun_against_a_rule(now: Timestamp, facts: &SendFacts) -> bool {
+    let gone = |closed: Timestamp| now > closed + CLIENT_GONE_AT_MOST;
     facts.answered || now > facts.deadline || facts.client_closed.is_some_and(gone)
 }
 
@@ -120,13 +120,13 @@
 pub struct EarlierAttempt {
     /// Where it went; `None`: it may have gone anywhere.
     pub place: Option<(ZoneId, CellId)>,
-    pub sent: Moment,
+    pub sent: Timestamp,
     pub out: bool,
 }
 
 /// Whether a further attempt may go to a place, after these.
 pub fn may_repeat(
-    now: Moment,
+    now: Timestamp,
     effect: Effect,
     earlier: impl Iterator<Item = EarlierAttempt>,
     to: (ZoneId, CellId),
@@ -160,12 +160,12 @@
 }
 
 /// The deadline to pass on with an attempt that is written now: what the client has left.
-pub fn deadline_to_pass(now: Moment, deadline: Moment) -> Span {
+pub fn deadline_to_pass(now: Timestamp, deadline: Timestamp) -> Span {
     deadline.since(now)
 }
 
 /// Whether an attempt may still go out with the deadline that was written into it some time ago.
-pub fn deadline_still_holds(now: Moment, written_at: Moment) -> bool {
+pub fn deadline_still_holds(now: Timestamp, written_at: Timestamp) -> bool {
     now.since(written_at) < DEADLINE_SLACK
 }
 
--- a/src/policy/stamps.rs
+++ b/src/policy/stamps.rs
@@ -5,14 +5,14 @@
 //! since, which is where the stamps' own clock has got to at least. An age that is too short is safe: a purge binds for
 //! longer, and a host counts as cold for longer, each for a bounded time.
 
-use crate::units::{Moment, Span};
+use crate::units::{Span, Timestamp};
 
 /// The stamps heard so far, as far as they bound the time.
 ///
 /// ```
 /// use trailproxy::policy::stamps::Stamps;
-/// use trailproxy::units::{Moment, Span};
-/// let (stamp, hour) = (Moment(10_000_000_000), Span::from_secs(3_600));
+/// use trailproxy::units::{Timestamp, Span};
+/// let (stamp, hour) = (Timestamp(10_000_000_000), Span::from_secs(3_600));
 /// // The own clock is an hour ahead: what was stamped just now is not an hour old.
 /// let mut stamps = Stamps::default();
 /// let now = stamp + hour;
@@ -25,31 +25,31 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stamps {
     /// The stamp that was furthest ahead when it was heard, and when that was by the own clock.
-    furthest: Option<(Moment, Moment)>,
+    furthest: Option<(Timestamp, Timestamp)>,
 }
 
 impl Stamps {
     /// A stamp came.
-    pub fn heard(&mut self, now: Moment, stamp: Moment) {
+    pub fn heard(&mut self, now: Timestamp, stamp: Timestamp) {
         if self.reached(now).is_none_or(|reached| stamp > reached) {
             self.furthest = Some((stamp, now));
         }
     }
 
     /// Where the clock of the stamps has got to at least.
-    fn reached(&self, now: Moment) -> Option<Moment> {
+    fn reached(&self, now: Timestamp) -> Option<Timestamp> {
         let (stamp, heard) = self.furthest?;
         Some(stamp + now.since(heard))
     }
 
     /// How long ago a stamp was made, at least.
-    pub fn least_age(&self, now: Moment, stamp: Moment) -> Span {
+    pub fn least_age(&self, now: Timestamp, stamp: Timestamp) -> Span {
         let reached = self.reached(now).unwrap_or(stamp);
         reached.min(now).since(stamp)
     }
 
     /// When by the own clock that was, at the latest.
-    pub fn latest(&self, now: Moment, stamp: Moment) -> Moment {
+    pub fn latest(&self, now: Timestamp, stamp: Timestamp) -> Timestamp {
         now - self.least_age(now, stamp)
     }
 }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,24 +1,24 @@
 //! Points in time, spans of time and one type for each kind of id.
 //!
 //! ```
-//! use trailproxy::units::{Moment, Span};
-//! let later = Moment(5_000) + Span::from_millis(2);
-//! assert_eq!(later.since(Moment(5_000)), Span(2_000));
-//! assert_eq!(Moment(5_000).since(later), Span::ZERO);
+//! use trailproxy::units::{Timestamp, Span};
+//! let later = Timestamp(5_000) + Span::from_millis(2);
+//! assert_eq!(later.since(Timestamp(5_000)), Span(2_000));
+//! assert_eq!(Timestamp(5_000).since(later), Span::ZERO);
 //! ```
 //!
 //! A point and a span can't be mixed up:
 //!
 //! ```compile_fail
-//! use trailproxy::units::{Moment, Span};
-//! let wrong: Span = Moment(1) + Span(1);
+//! use trailproxy::units::{Timestamp, Span};
+//! let wrong: Span = Timestamp(1) + Span(1);
 //! ```
 
 use std::ops::{Add, AddAssign, Sub};
 
 /// A point on the caller's clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Moment(pub u64);
+pub struct Timestamp(pub u64);
 
 /// A length of time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -49,24 +49,24 @@
     }
 }
 
-impl Moment {
+impl Timestamp {
     /// The span from `earlier` to this moment; empty if `earlier` is later.
-    pub fn since(self, earlier: Moment) -> Span {
+    pub fn since(self, earlier: Timestamp) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Moment {
-    type Output = Moment;
-    fn add(self, span: Span) -> Moment {
-        Moment(self.0.saturating_add(span.0))
+impl Add<Span> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, span: Span) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Moment {
-    type Output = Moment;
-    fn sub(self, span: Span) -> Moment {
-        Moment(self.0.saturating_sub(span.0))
+impl Sub<Span> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, span: Span) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -11,7 +11,7 @@
 use trailproxy::units::*;
 
 const COLD: HostId = CACHES[0];
-const START: Moment = Moment(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 /// How long a cold host is watched: as long as it takes to warm up.
 const WATCHED: Span = Span::from_secs(30);
 
@@ -62,18 +62,18 @@
 /// Who counts from outside: what came to the cold host within the time of the rule.
 struct Outside {
     case: Case,
-    recent: VecDeque<(Moment, f64)>,
+    recent: VecDeque<(Timestamp, f64)>,
     sum: f64,
     /// The worst share of what it bears with chance on top.
     worst: f64,
     /// How often, in windows that do not overlap, it was over that.
     over: u32,
-    last_over: Option<Moment>,
+    last_over: Option<Timestamp>,
     given: f64,
 }
 
 impl Outside {
-    fn takes(&mut self, now: Moment, work: f64, terms: &Terms) {
+    fn takes(&mut self, now: Timestamp, work: f64, terms: &Terms) {
         let cold = &terms.cold_cache;
         self.recent.push_back((now, work));
         self.sum += work;
@@ -90,7 +90,7 @@
         let may = n + 2.0 * n.sqrt() + 2.0;
         let share = self.sum / may;
         self.worst = self.worst.max(share);
-        let apart = |at: Moment| now.since(at) > cold.fall_after;
+        let apart = |at: Timestamp| now.since(at) > cold.fall_after;
         if share > 1.0 && self.last_over.is_none_or(apart) {
             self.over += 1;
             self.last_over = Some(now);
@@ -101,9 +101,9 @@
 /// One dispatcher and what it has out.
 struct Process {
     dispatcher: Dispatcher,
-    told_at: Moment,
-    wakes: BTreeSet<Moment>,
-    out: VecDeque<(Moment, RequestId, AttemptNo)>,
+    told_at: Timestamp,
+    wakes: BTreeSet<Timestamp>,
+    out: VecDeque<(Timestamp, RequestId, AttemptNo)>,
     /// In requests of mean work.
     works: BTreeMap<RequestId, f64>,
     rate: f64,
@@ -130,7 +130,7 @@
     told / case.bears
 }
 
-fn entries(case: Case, now: Moment, told: bool) -> Vec<HostEntry> {
+fn entries(case: Case, now: Timestamp, told: bool) -> Vec<HostEntry> {
     let all = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
     let is_cold = |host| host == COLD || case.all_cold && CACHES.contains(&host);
     let of = |&host: &HostId| HostEntry {
@@ -141,7 +141,7 @@
     all.map(of).collect()
 }
 
-fn begin(case: Case, terms: &Terms, seed: u64, now: Moment, rate: f64) -> Process {
+fn begin(case: Case, terms: &Terms, seed: u64, now: Timestamp, rate: f64) -> Process {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut dispatcher = Dispatcher::with(Free, terms.clone(), seed);
     let late = if case.told_late {
@@ -192,7 +192,7 @@
     let all: f64 = weights.iter().sum();
     // The caches share the objects evenly.
     let rate = case.load * case.bears / span * CACHES.len() as f64;
-    let before = Moment(START.0 - 100_000);
+    let before = Timestamp(START.0 - 100_000);
     let mut processes: Vec<Process> = (0..n)
         .map(|i| {
             begin(
@@ -233,7 +233,7 @@
                     outside.takes(now, 1.0, &terms);
                 }
             }
-            let later = process.wakes.split_off(&Moment(now.0 + 1));
+            let later = process.wakes.split_off(&Timestamp(now.0 + 1));
             let due = std::mem::replace(&mut process.wakes, later);
             events.extend(due.iter().map(|_| Event::Woken { wake: WakeId(0) }));
             while let Some((_, id, hand_off)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -26,20 +26,20 @@
 impl Others for Gate {}
 
 impl Crossings for Gate {
-    fn heard(&mut self, _now: Moment, _event: &Event) {
+    fn heard(&mut self, _now: Timestamp, _event: &Event) {
         self.0.borrow_mut().heard += 1;
     }
 
-    fn room(&self, _now: Moment, crossing: &Crossing) -> bool {
+    fn room(&self, _now: Timestamp, crossing: &Crossing) -> bool {
         let notes = self.0.borrow();
         !notes.full && !notes.full_from.contains(&crossing.source)
     }
 
-    fn sent(&mut self, _now: Moment, crossing: &Crossing) {
+    fn sent(&mut self, _now: Timestamp, crossing: &Crossing) {
         self.0.borrow_mut().sent.push(*crossing);
     }
 
-    fn come_back(&self, _now: Moment, _track: ClassId) -> Option<Span> {
+    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<Span> {
         self.0.borrow().away
     }
 }
@@ -47,7 +47,7 @@
 struct Desk {
     gate: Gate,
     dispatcher: Dispatcher<Gate>,
-    now: Moment,
+    now: Timestamp,
     next: u64,
 }
 
@@ -55,7 +55,7 @@
     fn new(terms: Terms) -> Desk {
         let gate = Gate::default();
         let mut dispatcher = Dispatcher::with(gate.clone(), terms, 1);
-        let now = Moment(1_000_000_000);
+        let now = Timestamp(1_000_000_000);
         let hosts = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
         let entries = hosts.map(|&host| entry(host)).collect();
         let form = ListForm::Whole;
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -103,13 +103,13 @@
 
 pub struct Stage {
     pub dispatcher: Dispatcher,
-    pub now: Moment,
+    pub now: Timestamp,
     pub handed: Vec<Attempt>,
     pub finals: BTreeMap<RequestId, Vec<Action>>,
     pub withdrawn: Vec<RequestId>,
     pub logged: Vec<String>,
-    pub probed: Vec<(Moment, HostId)>,
-    wakes: Vec<Moment>,
+    pub probed: Vec<(Timestamp, HostId)>,
+    wakes: Vec<Timestamp>,
     pub load: Load,
     pub proven: bool,
     next: u64,
@@ -123,7 +123,7 @@
     pub fn seeded(terms: Terms, seed: u64) -> Stage {
         let mut stage = Stage {
             dispatcher: Dispatcher::with(Free, terms, seed),
-            now: Moment(100_000_000),
+            now: Timestamp(100_000_000),
             handed: vec![],
             finals: BTreeMap::new(),
             withdrawn: vec![],
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -8,7 +8,7 @@
 use trailproxy::logic::Dispatcher;
 use trailproxy::units::*;
 
-const START: Moment = Moment(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 /// One earlier hand-off under every key.
 struct Known(Earlier);
@@ -27,7 +27,7 @@
     let window = Span::from_secs(2);
     terms.tracks[1].effect = Effect::Keyed { group, window };
     let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
-    let first = Moment(START.0 - ago.0);
+    let first = Timestamp(START.0 - ago.0);
     let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
     change(&mut dispatcher)
 }
@@ -138,7 +138,7 @@
 
 #[test]
 fn a_binding_access_that_another_sent_under_its_key_is_never_sent_again() {
-    let first = Moment(START.0 - 1);
+    let first = Timestamp(START.0 - 1);
     for place in [None, Some((ZoneId(0), CellId(0)))] {
         let mut terms = terms();
         terms.tracks[1].effect = Effect::NonIdempotent;
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -711,7 +711,7 @@
     assert_eq!(oldest(&mut stage, 12), None, "another of the first group");
 }
 
-fn large_cold_parent(now: Moment) -> HostEntry {
+fn large_cold_parent(now: Timestamp) -> HostEntry {
     let (started, size) = (Some(now), 60.0);
     HostEntry {
         started,
