--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -100,7 +100,7 @@
             Event::Purged {
                 object: (object != 0).then_some(ObjectId(object)),
                 group: GroupId(f.u16()?.into()),
-                ago: Span(f.u32()?.into()),
+                ago: TimeSpan(f.u32()?.into()),
                 stamp: None,
             }
         }
@@ -165,7 +165,7 @@
 }
 
 fn arrival(f: &mut Fields, tracks: usize) -> Read1<Event> {
-    let (id, left, track) = (RequestId(f.u64()?), Span(f.u32()?.into()), f.u16()?);
+    let (id, left, track) = (RequestId(f.u64()?), TimeSpan(f.u32()?.into()), f.u16()?);
     if usize::from(track) >= tracks {
         return Err(format!("unknown category {track}").into());
     }
@@ -191,7 +191,7 @@
     let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
     f.host()?;
     let ending = ending(f.u8()?)?;
-    let took = Span(f.u32()?.into());
+    let took = TimeSpan(f.u32()?.into());
     let closed = f.u8()? != 0;
     let note = match f.u32()? {
         1 => Note::Hit,
@@ -207,7 +207,7 @@
         _ => Note::Untold,
     };
     let waited = f.u32()?;
-    let waited = (waited > 0).then_some(Span(waited.into()));
+    let waited = (waited > 0).then_some(TimeSpan(waited.into()));
     let load = reports.load(&values(f)?);
     Ok(Event::Outcome(Outcome {
         id,
@@ -244,7 +244,7 @@
 }
 
 /// Time-outs and ages travel as 32 bits, of which the top one would make them negative.
-fn wire_span(span: Span) -> u32 {
+fn wire_span(span: TimeSpan) -> u32 {
     span.0.clamp(1, i32::MAX as u64) as u32
 }
 
--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -10,7 +10,7 @@
 use trailproxy_zones::Zones;
 
 /// What is wanted is reckoned so often.
-const LOOK: Span = Span::from_millis(50);
+const LOOK: TimeSpan = TimeSpan::from_millis(50);
 
 /// Who follows a budget's part.
 enum Follower {
--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -2,17 +2,17 @@
 
 use super::{Ask, AskNo, Division, HolderId, LifeId, TicketId, VoterId, Word};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How often voters are asked, spread by a quarter: several times in the life of a word.
-const EVERY: Span = Span::from_millis(400);
+const EVERY: TimeSpan = TimeSpan::from_millis(400);
 /// After so long already where it lacks something.
 /// Need is kept by steps of this.
-const STEP: Span = Span::from_millis(250);
-const SOONEST: Span = Span::from_millis(100);
+const STEP: TimeSpan = TimeSpan::from_millis(250);
+const SOONEST: TimeSpan = TimeSpan::from_millis(100);
 /// It asks for this much more than it used lately, and gives back only what it had no need of for as long.
 const AHEAD: f64 = 1.25;
-const KEEPS_FOR: Span = Span::from_secs(3);
+const KEEPS_FOR: TimeSpan = TimeSpan::from_secs(3);
 /// Less than this part of what it has is needed before it gives any back.
 const SLACK: f64 = 0.7;
 /// Further tickets asked for at once.
@@ -178,7 +178,7 @@
             return Vec::new();
         }
         self.asked_at = now;
-        self.ask_at = now + EVERY.times(0.75 + 0.5 * self.chance.f64());
+        self.ask_at = now + EVERY.mul_f64(0.75 + 0.5 * self.chance.f64());
         for words in self.words.values_mut() {
             words.retain(|_, until| now < *until);
         }
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -13,7 +13,7 @@
 pub mod voter;
 
 use serde::{Deserialize, Serialize};
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// A dispatcher, by the number that all know it by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -65,10 +65,10 @@
     pub tickets: u16,
     pub voters: u8,
     /// How long a word lasts with its holder. Longer is steadier, shorter gives a dead one's part back sooner.
-    pub lasts: Span,
+    pub lasts: TimeSpan,
     /// What has begun under a ticket may go on for so long after its end: nothing for a rate, the outer limit for work
     /// under way.
-    pub guard: Span,
+    pub guard: TimeSpan,
 }
 
 /// By how much two clocks may drift apart over a word, as a part of it.
@@ -108,13 +108,13 @@
     }
 
     /// With a voter, a word ends after this.
-    pub fn with_voter(&self) -> Span {
-        self.lasts.times(1.0 + DRIFT) + self.guard
+    pub fn with_voter(&self) -> TimeSpan {
+        self.lasts.mul_f64(1.0 + DRIFT) + self.guard
     }
 
     /// With its holder, counted from when it asked.
-    pub fn with_holder(&self) -> Span {
-        self.lasts.times(1.0 - DRIFT)
+    pub fn with_holder(&self) -> TimeSpan {
+        self.lasts.mul_f64(1.0 - DRIFT)
     }
 }
 
--- a/crates/budgets/src/decide/needs.rs
+++ b/crates/budgets/src/decide/needs.rs
@@ -1,10 +1,10 @@
 //! How much of what all may give to hosts that have just started goes to one dispatcher: by its own traffic, which is there
 //! before any host starts, so that the division stands when one does.
 
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How soon traffic is half forgotten. Shorter follows chance, longer has parts where the traffic was.
-const HALVES: Span = Span::from_secs(3);
+const HALVES: TimeSpan = TimeSpan::from_secs(3);
 /// What is told stays until traffic differs from it by this part: parts that follow every change lie idle as they move.
 const STEADY: f64 = 0.25;
 /// A weight of one for so many accesses a second; below, all have one.
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -9,11 +9,11 @@
 use super::{Ask, BudgetId, Division, HolderId, LifeId, VoterId, Word};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_zones::decide::budget::Part;
 
 /// Another's whole counts for so long after it was last heard of.
-const STATED_FOR: Span = Span::from_secs(2);
+const STATED_FOR: TimeSpan = TimeSpan::from_secs(2);
 /// Budgets at once; more keep equal shares.
 pub const MOST: usize = 64;
 
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -5,12 +5,12 @@
 
 use super::{Ask, AskNo, Division, HolderId, LifeId, TicketId, Word};
 use std::collections::BTreeMap;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// Free tickets told with one answer.
 const FREE_TOLD: usize = 128;
 /// A holder that is not heard of for so long wants nothing.
-const WANTS_FOR: Span = Span::from_secs(2);
+const WANTS_FOR: TimeSpan = TimeSpan::from_secs(2);
 
 #[derive(Clone, Copy, Debug)]
 struct Given {
@@ -115,7 +115,7 @@
     /// What was given back may still have work under way.
     fn give_back(&mut self, now: Timestamp, ticket: TicketId) {
         let until = now + self.division.guard;
-        if self.division.guard == Span::ZERO {
+        if self.division.guard == TimeSpan::ZERO {
             self.given.remove(&ticket);
         } else if let Some(given) = self.given.get_mut(&ticket) {
             // Nobody's, and not to be had before then.
--- a/crates/budgets/src/sheet.rs
+++ b/crates/budgets/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use crate::decide::Division;
 use serde::{Deserialize, Serialize};
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// The section `budgets`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -55,8 +55,8 @@
             floors: self.floors,
             tickets,
             voters: self.voters.len() as u8,
-            lasts: Span::from_secs_f64(self.lasts_s),
-            guard: Span::ZERO,
+            lasts: TimeSpan::from_secs_f64(self.lasts_s),
+            guard: TimeSpan::ZERO,
         }
     }
 }
--- a/crates/budgets/tests/figures.rs
+++ b/crates/budgets/tests/figures.rs
@@ -19,7 +19,7 @@
     for nth in 0..holders.div_ceil(10) {
         world.needs[nth] = 0.6;
     }
-    world.run(Span::from_secs(15));
+    world.run(TimeSpan::from_secs(15));
     world
 }
 
@@ -31,7 +31,7 @@
         for seed in 0..3 {
             let mut world = wanted(holders, seed);
             for _ in 0..10 {
-                world.run(Span::from_millis(500));
+                world.run(TimeSpan::from_millis(500));
                 // Of what can be used at all.
                 let most = world.needs.iter().sum::<f64>().min(1.0);
                 used.push(world.used() / most);
@@ -53,15 +53,15 @@
     let (mut reclaimed, mut joined) = (Vec::new(), Vec::new());
     let until = |world: &mut World, holds: &dyn Fn(&World) -> bool| {
         let begun = world.now;
-        while !holds(world) && world.now.since(begun) < Span::from_secs(30) {
-            world.run(Span::from_millis(20));
+        while !holds(world) && world.now.since(begun) < TimeSpan::from_secs(30) {
+            world.run(TimeSpan::from_millis(20));
         }
         world.now.since(begun).as_secs_f64()
     };
     for seed in 0..100 {
         let mut world = up(5, seed);
         world.needs = vec![1.0; 5];
-        world.run(Span::from_secs(6));
+        world.run(TimeSpan::from_secs(6));
         world.holders[4] = None;
         // All but a ticket or two of what it had is in use again.
         reclaimed.push(until(&mut world, &|world| world.used() > 0.92));
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -15,8 +15,8 @@
         floors: 0.25,
         tickets: 64,
         voters: 3,
-        lasts: Span::from_secs(2),
-        guard: Span::ZERO,
+        lasts: TimeSpan::from_secs(2),
+        guard: TimeSpan::ZERO,
     };
     let name = name.into();
     Named {
@@ -72,9 +72,9 @@
     }
 
     fn run(&mut self, ms: u64) {
-        let end = self.now + Span::from_millis(ms);
+        let end = self.now + TimeSpan::from_millis(ms);
         while self.now < end {
-            self.now = self.now + Span::from_millis(20);
+            self.now = self.now + TimeSpan::from_millis(20);
             for nth in 0..self.all.len() {
                 let (now, need, first) = (self.now, self.needs[nth], self.first[nth]);
                 if let Some(shares) = &mut self.all[nth] {
@@ -289,7 +289,7 @@
     let mut told = Vec::new();
     for nth in 0..2_000 {
         // Forty a second, then eighty.
-        now = now + Span::from_millis(if nth < 1_000 { 25 } else { 12 });
+        now = now + TimeSpan::from_millis(if nth < 1_000 { 25 } else { 12 });
         traffic.arrived(now);
         told.push(traffic.weight(now));
     }
@@ -297,7 +297,7 @@
     assert!(steady.iter().all(|of| *of == steady[0]), "{steady:?}");
     assert!((100..=200).contains(&told[999]), "{}", told[999]);
     assert!((240..=400).contains(&told[1_999]), "{}", told[1_999]);
-    assert_eq!(traffic.weight(now + Span::from_secs(120)), 1);
+    assert_eq!(traffic.weight(now + TimeSpan::from_secs(120)), 1);
 }
 
 #[test]
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -14,11 +14,11 @@
 fn a_busy_one_gets_what_the_idle_ones_leave() {
     let mut world = up(5, 1);
     world.needs[0] = 0.7;
-    world.run(Span::from_secs(4));
+    world.run(TimeSpan::from_secs(4));
     assert!(world.part(0) >= 0.7, "{}", world.part(0));
     // All want all: evenly.
     world.needs = vec![1.0; 5];
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     let parts: Vec<f64> = (0..5).map(|nth| world.part(nth)).collect();
     assert!(
         parts.iter().all(|&part| (0.15..=0.25).contains(&part)),
@@ -32,11 +32,11 @@
 fn a_newcomer_has_its_floor_at_once_and_a_part_soon() {
     let mut world = up(4, 2);
     world.needs = vec![1.0, 1.0, 1.0, 0.0];
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     world.start(3);
     assert!(world.part(3) >= 0.25 / 4.0 - 1e-9);
     world.needs[3] = 1.0;
-    world.run(Span::from_millis(1_500));
+    world.run(TimeSpan::from_millis(1_500));
     assert!(world.part(3) > 0.12, "{}", world.part(3));
     world.holds("newcomer");
 }
@@ -45,16 +45,16 @@
 fn what_a_dead_one_had_is_taken_over_when_it_must_have_run_out_and_not_before() {
     let mut world = up(3, 3);
     world.needs = vec![1.0, 1.0, 0.0];
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     let had = world.part(1);
     world.holders[0] = None;
-    world.run(Span::from_millis(1_500));
+    world.run(TimeSpan::from_millis(1_500));
     assert!(
         world.part(1) < had + 0.2,
         "not before: {} and {had}",
         world.part(1)
     );
-    world.run(Span::from_secs(4));
+    world.run(TimeSpan::from_secs(4));
     assert!(world.part(1) > 0.75, "{}", world.part(1));
     world.holds("dead");
 }
@@ -63,16 +63,16 @@
 fn one_that_slept_uses_only_its_floor_on_waking() {
     let mut world = up(3, 4);
     world.needs = vec![1.0; 3];
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     world.paused[0] = true;
-    world.run(Span::from_secs(5));
+    world.run(TimeSpan::from_secs(5));
     world.paused[0] = false;
     assert!(
         (world.part(0) - 0.25 / 3.0).abs() < 1e-9,
         "{}",
         world.part(0)
     );
-    world.run(Span::from_secs(4));
+    world.run(TimeSpan::from_secs(4));
     assert!(world.part(0) > 0.25);
     world.holds("slept");
 }
@@ -81,10 +81,10 @@
 fn a_minority_keeps_its_floors_and_the_majority_takes_the_rest() {
     let mut world = up(6, 5);
     world.needs = vec![1.0; 6];
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     // Two are cut off from all voters.
     (world.cut[0], world.cut[1]) = (true, true);
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     assert!((world.part(0) - 0.25 / 6.0).abs() < 1e-9);
     let rest: f64 = (2..6).map(|nth| world.part(nth)).sum();
     assert!(rest > 0.85, "{rest}");
@@ -96,7 +96,7 @@
     let mut world = World::new(holders, seed);
     world.planted = planted;
     (0..holders).for_each(|nth| world.start(nth));
-    world.run(Span::from_secs(4));
+    world.run(TimeSpan::from_secs(4));
     strike(world, holders, seed)
 }
 
@@ -116,10 +116,10 @@
             3 => world.start(nth),
             4 | 5 => world.start_voter(chance.usize(0..5)),
             6 => world.lost = chance.f64() * 0.5,
-            7 => world.slower = Span::from_millis(chance.u64(0..1_500)),
-            _ => (world.lost, world.slower) = (0.0, Span::ZERO),
+            7 => world.slower = TimeSpan::from_millis(chance.u64(0..1_500)),
+            _ => (world.lost, world.slower) = (0.0, TimeSpan::ZERO),
         }
-        let span = Span::from_millis(chance.u64(50..1_200));
+        let span = TimeSpan::from_millis(chance.u64(50..1_200));
         world.run(span);
     }
     world
@@ -138,14 +138,14 @@
 /// Work that has begun goes on past the end of its ticket, and the next one waits for as long as it may.
 #[test]
 fn work_under_way_never_is_more_than_there_are_tickets() {
-    let guard = Span::from_secs(1);
+    let guard = TimeSpan::from_secs(1);
     for seed in 0..30 {
         let division = Division {
             guard,
             ..division(5)
         };
         let mut world = World::with(5, seed, division);
-        world.run(Span::from_secs(5));
+        world.run(TimeSpan::from_secs(5));
         let world = strike(world, 5, seed);
         let most = usize::from(division.tickets);
         assert!(
@@ -204,7 +204,7 @@
                 }
             }
         }
-        fn pass(&mut self, span: Span) {
+        fn pass(&mut self, span: TimeSpan) {
             self.now = self.now + span;
             for nth in 0..2 {
                 for (voter, ask) in self.holders[nth].advance(self.now) {
@@ -219,8 +219,8 @@
         floors: 0.25,
         tickets: 1,
         voters: 3,
-        lasts: Span::from_secs(2),
-        guard: Span::ZERO,
+        lasts: TimeSpan::from_secs(2),
+        guard: TimeSpan::ZERO,
     };
     let holder = |nth: u64, life: u64, now| {
         let mut holder = Holder::new(now, division, HolderId(nth), LifeId(life), life);
@@ -231,13 +231,13 @@
         now: DAWN,
         division,
         voters: (0..3)
-            .map(|_| Voter::new(DAWN - Span::from_secs(9), division))
+            .map(|_| Voter::new(DAWN - TimeSpan::from_secs(9), division))
             .collect(),
         holders: (0..2).map(|nth| holder(nth, nth + 1, DAWN)).collect(),
         flying: Vec::new(),
         restarts: 0,
     };
-    small.pass(Span::from_millis(600));
+    small.pass(TimeSpan::from_millis(600));
     fn explore(
         small: &Small,
         depth: usize,
@@ -264,11 +264,11 @@
             // What is on its way may all be lost.
             let mut next = small.clone();
             next.flying.clear();
-            next.pass(Span::from_millis(1_100));
+            next.pass(TimeSpan::from_millis(1_100));
             explore(&next, depth - 1, seen, holder);
         }
         let mut next = small.clone();
-        next.pass(Span::from_millis(1_100));
+        next.pass(TimeSpan::from_millis(1_100));
         explore(&next, depth - 1, seen, holder);
         if small.restarts < 2 {
             let mut next = small.clone();
@@ -299,7 +299,7 @@
     for nth in 0..20 {
         world.needs[nth] = 0.04;
     }
-    world.run(Span::from_secs(15));
+    world.run(TimeSpan::from_secs(15));
     let busy: f64 = (0..20).map(|nth| world.part(nth)).sum();
     assert!(busy > 0.7, "{busy}");
     world.holds("300");
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -14,8 +14,8 @@
         floors: 0.25,
         tickets: 64,
         voters: 5,
-        lasts: Span::from_secs(2),
-        guard: Span::ZERO,
+        lasts: TimeSpan::from_secs(2),
+        guard: TimeSpan::ZERO,
     }
 }
 
@@ -36,7 +36,7 @@
     /// Ways to and from a holder.
     pub cut: Vec<bool>,
     pub lost: f64,
-    pub slower: Span,
+    pub slower: TimeSpan,
     pub flying: BTreeMap<(Timestamp, u64), Letter>,
     pub chance: fastrand::Rng,
     pub next: u64,
@@ -84,7 +84,7 @@
             paused: vec![false; holders],
             cut: vec![false; holders],
             lost: 0.0,
-            slower: Span::ZERO,
+            slower: TimeSpan::ZERO,
             flying: BTreeMap::new(),
             chance,
             next: 0,
@@ -105,7 +105,7 @@
     pub fn clock(&self, nth: usize) -> Timestamp {
         let (fast, ahead) = self.clocks[nth];
         let since = self.now.since(DAWN);
-        DAWN + since + since.times(fast) + Span(ahead)
+        DAWN + since + since.mul_f64(fast) + TimeSpan(ahead)
     }
 
     pub fn voter_clock(&self, nth: usize) -> Timestamp {
@@ -115,7 +115,7 @@
     pub fn start_voter(&mut self, nth: usize) {
         let now = self.voter_clock(nth);
         let born = match self.planted {
-            Some(Planted::Forgetful) => now - Span::from_secs(60),
+            Some(Planted::Forgetful) => now - TimeSpan::from_secs(60),
             _ => now,
         };
         self.voters[nth] = Some(Voter::new(born, self.division));
@@ -128,7 +128,7 @@
         self.lives[nth] = life;
         let mut division = self.division;
         if self.planted == Some(Planted::NoDrift) {
-            division.lasts = division.lasts.times(1.06);
+            division.lasts = division.lasts.mul_f64(1.06);
         }
         self.holders[nth] = Some(Holder::new(now, division, id, life, seed));
         self.paused[nth] = false;
@@ -138,9 +138,9 @@
         if self.cut[holder] || self.chance.f64() < self.lost {
             return;
         }
-        let slower = self.slower.times(-(1.0 - self.chance.f64()).ln());
+        let slower = self.slower.mul_f64(-(1.0 - self.chance.f64()).ln());
         self.next += 1;
-        let at = self.now + Span(300) + slower;
+        let at = self.now + TimeSpan(300) + slower;
         self.flying.insert((at, self.next), letter);
     }
 
@@ -165,10 +165,10 @@
         self.twice += by_ticket.values().filter(|&&users| users > 1).count() as u64;
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         while self.now < end {
-            self.now = self.now + Span::from_millis(10);
+            self.now = self.now + TimeSpan::from_millis(10);
             while let Some(entry) = self
                 .flying
                 .first_entry()
@@ -201,7 +201,7 @@
                 };
                 holder.needs(now, need, 0.0);
                 let asked = match self.planted {
-                    Some(Planted::FromReceipt) => now + Span::from_secs(1),
+                    Some(Planted::FromReceipt) => now + TimeSpan::from_secs(1),
                     _ => now,
                 };
                 for (voter, ask) in holder.advance(asked) {
@@ -248,7 +248,7 @@
     /// while its dispatcher is paused.
     pub fn work(&mut self) {
         let (now, guard) = (self.now, self.division.guard);
-        if guard == Span::ZERO {
+        if guard == TimeSpan::ZERO {
             return;
         }
         self.works.retain(|&(_, end)| now < end);
@@ -258,7 +258,7 @@
             let may = holder.map_or(0, |holder| holder.tickets(clock).count());
             let runs = self.works.iter().filter(|&&(of, _)| of == nth).count();
             for _ in runs..may {
-                let lasts = guard.times(self.chance.f64());
+                let lasts = guard.mul_f64(self.chance.f64());
                 self.works.push((nth, now + lasts));
             }
         }
@@ -290,7 +290,7 @@
 /// A world that has been up for longer than any word lasts.
 pub fn up(holders: usize, seed: u64) -> World {
     let mut world = World::new(holders, seed);
-    world.run(Span::from_secs(4));
+    world.run(TimeSpan::from_secs(4));
     world
 }
 
--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
@@ -20,12 +20,12 @@
 /// When the virtual clock begins: any moment far from zero does.
 const BEGIN: Timestamp = Timestamp(1_000_000_000_000);
 /// After so long nothing is lacking any more, by [`rules`].
-const SETTLE: Span = Span::from_secs(40);
+const SETTLE: TimeSpan = TimeSpan::from_secs(40);
 /// The virtual window that is timed.
-const WINDOW: Span = Span::from_secs(120);
+const WINDOW: TimeSpan = TimeSpan::from_secs(120);
 /// The others ping the core, and compare sums with it, this often altogether, as in a fleet at rest.
-const PINGED_EVERY: Span = Span::from_millis(400);
-const COMPARED_EVERY: Span = Span::from_millis(500);
+const PINGED_EVERY: TimeSpan = TimeSpan::from_millis(400);
+const COMPARED_EVERY: TimeSpan = TimeSpan::from_millis(500);
 /// Slots of records that the core compares with others in one message.
 const COMPARED_SLOTS: u16 = 8;
 /// Datagrams that are sent and read to time the socket.
@@ -141,9 +141,9 @@
         hosts: true,
         hints: true,
         refuse: false,
-        wait: Span::from_millis(5),
-        keep: Span::from_secs(10),
-        purges_last: Span::from_secs(3),
+        wait: TimeSpan::from_millis(5),
+        keep: TimeSpan::from_secs(10),
+        purges_last: TimeSpan::from_secs(3),
     }
 }
 
@@ -181,7 +181,7 @@
     }
 
     /// Lets virtual time pass, and hands back where it ends.
-    fn run(&mut self, from: Timestamp, lasts: Span) -> Timestamp {
+    fn run(&mut self, from: Timestamp, lasts: TimeSpan) -> Timestamp {
         let (mut ping_at, mut compare_at) = (from, from);
         let (mut now, end) = (from, from + lasts);
         if from == BEGIN {
@@ -191,7 +191,7 @@
         while now < end {
             let (core, timers) = (&mut self.core, &mut self.timers);
             let due = timers.next.time(|| core.next());
-            now = due.min(ping_at).min(compare_at).max(now + Span(1));
+            now = due.min(ping_at).min(compare_at).max(now + TimeSpan(1));
             if due <= now {
                 timers.advance.time(|| core.advance(now));
             }
@@ -297,7 +297,7 @@
     fn change_members(&mut self, mut now: Timestamp) {
         const CHANGES: usize = 16;
         for nth in 1..CHANGES.min(self.others.len()) {
-            now = now + Span::from_millis(200);
+            now = now + TimeSpan::from_millis(200);
             let mut update = self.others[nth];
             update.standing = Standing::Left;
             let first = self.others[0];
--- a/crates/capacity-live/src/worker.rs
+++ b/crates/capacity-live/src/worker.rs
@@ -16,7 +16,7 @@
 use tokio::process::{Child, ChildStdin, ChildStdout, Command};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_peers::decide::Rules;
 use trailproxy_peers::sites::Site;
 
@@ -93,9 +93,9 @@
             hosts: true,
             hints: true,
             refuse: false,
-            wait: Span::from_secs_f64(self.wait_ms / 1_000.0),
-            keep: Span::from_secs_f64(self.keep_s),
-            purges_last: Span::from_secs_f64(self.purges_last_s),
+            wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
+            keep: TimeSpan::from_secs_f64(self.keep_s),
+            purges_last: TimeSpan::from_secs_f64(self.purges_last_s),
         }
     }
 }
--- a/crates/capacity-live/tests/parts.rs
+++ b/crates/capacity-live/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_capacity_live::cost::measure;
 use trailproxy_capacity_live::dispatcher::free_datagram_addresses;
 use trailproxy_capacity_live::plan::Plan;
@@ -63,9 +63,9 @@
         hosts: true,
         hints: true,
         refuse: false,
-        wait: Span::from_millis(5),
-        keep: Span::from_secs(10),
-        purges_last: Span::from_secs(3),
+        wait: TimeSpan::from_millis(5),
+        keep: TimeSpan::from_secs(10),
+        purges_last: TimeSpan::from_secs(3),
     }
 }
 
--- a/crates/capacity/src/checks.rs
+++ b/crates/capacity/src/checks.rs
@@ -9,7 +9,7 @@
 use crate::phases::{Lengths, Phase, Setup};
 use serde::Serialize;
 use std::collections::BTreeSet;
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// Sizes at which the checks are run.
 pub const SIZES: [usize; 4] = [20, 40, 60, 80];
@@ -19,8 +19,8 @@
 const LEAST_RATE_PER_S: f64 = 1.0;
 /// What is held may grow by this part of itself while a steady load is counted.
 pub const ALLOWED_STATE_GROWTH: f64 = 0.25;
-const KEEP: Span = Span::from_secs(8);
-const COUNTED: Span = Span::from_secs(15);
+const KEEP: TimeSpan = TimeSpan::from_secs(8);
+const COUNTED: TimeSpan = TimeSpan::from_secs(15);
 
 /// A kind of message whose rate at some member grows with the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize)]
--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -1,6 +1,6 @@
 //! The fleet to be measured, read from a Starlark file and checked before anything begins.
 
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_operator::decide::{Absent, Kind, Shape, may, must};
 use trailproxy_operator::{Bounds, Section, Sheet, Wrong, read};
 
@@ -111,8 +111,8 @@
 /// Travel one way between two members, drawn evenly from this range, and the share of messages lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Distance {
-    pub least: Span,
-    pub most: Span,
+    pub least: TimeSpan,
+    pub most: TimeSpan,
     pub loss: f64,
 }
 
@@ -136,14 +136,14 @@
     pub keyed_share: f64,
     /// The share of keyed requests that come again at another dispatcher, after `repeat_least` to `repeat_most`.
     pub repeat_share: f64,
-    pub repeat_least: Span,
-    pub repeat_most: Span,
+    pub repeat_least: TimeSpan,
+    pub repeat_most: TimeSpan,
     /// The time within which a request is to be answered.
-    pub limit: Span,
+    pub limit: TimeSpan,
     /// The longest a keyed request waits for other members.
-    pub wait: Span,
-    pub keep: Span,
-    pub purges_last: Span,
+    pub wait: TimeSpan,
+    pub keep: TimeSpan,
+    pub purges_last: TimeSpan,
     pub refuse: bool,
 }
 
@@ -241,7 +241,7 @@
 }
 
 fn demand(of: &Section) -> Result<Demand, Box<Wrong>> {
-    let seconds = |field: &str| Span::from_secs_f64(of.number(field));
+    let seconds = |field: &str| TimeSpan::from_secs_f64(of.number(field));
     if of.number("repeat_least_s") > of.number("repeat_most_s") {
         return Err(of.wrong("repeat_least_s", "no more than repeat_most_s"));
     }
@@ -253,7 +253,7 @@
         repeat_least: seconds("repeat_least_s"),
         repeat_most: seconds("repeat_most_s"),
         limit: seconds("limit_s"),
-        wait: Span::from_secs_f64(of.number("wait_ms") / 1e3),
+        wait: TimeSpan::from_secs_f64(of.number("wait_ms") / 1e3),
         keep: seconds("keep_s"),
         purges_last: seconds("purges_last_s"),
         refuse: of.flag("refuse"),
@@ -279,7 +279,7 @@
     if of.number("least_ms") > of.number("most_ms") {
         return Err(of.wrong("least_ms", "no more than most_ms"));
     }
-    let span = |field: &str| Span::from_secs_f64(of.number(field) / 1e3);
+    let span = |field: &str| TimeSpan::from_secs_f64(of.number(field) / 1e3);
     Ok(Distance {
         least: span("least_ms"),
         most: span("most_ms"),
--- a/crates/capacity/src/figures.rs
+++ b/crates/capacity/src/figures.rs
@@ -315,7 +315,7 @@
 }
 
 /// A purge that is older than this and not everywhere is called unfinished.
-const LATE_PURGE: trailproxy::units::Span = trailproxy::units::Span::from_secs(3);
+const LATE_PURGE: trailproxy::units::TimeSpan = trailproxy::units::TimeSpan::from_secs(3);
 const KEYED_KINDS: [&str; 6] = ["claim", "stood", "put", "taken", "record_told", "relay"];
 
 /// What one member holds.
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -1,13 +1,13 @@
 //! Budgets that all members divide among them, and whether their parts ever exceed the whole.
 
 use crate::layout::Layout;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::shares::{Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, HolderId, LifeId};
 use trailproxy_budgets::sheet::Sheet;
 
 /// How often needs are told and parts are summed up.
-pub const EVERY: Span = Span::from_millis(100);
+pub const EVERY: TimeSpan = TimeSpan::from_millis(100);
 /// Names of the budgets, and what all members together need of each, as a part of its whole.
 const BUDGETS: [(&str, f64); 3] = [("crossing", 0.6), ("origin", 1.5), ("refill", 4.0)];
 const VOTERS: usize = 5;
@@ -15,7 +15,7 @@
 const LASTS_S: f64 = 2.0;
 const WHOLE: f64 = 1_000.0;
 /// The need of a site rises and falls by half over this.
-const SWING: Span = Span::from_secs(20);
+const SWING: TimeSpan = TimeSpan::from_secs(20);
 /// Sums of parts beyond the whole by less are rounding.
 const ROUNDING: f64 = 1e-9;
 
--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -11,7 +11,7 @@
 use trailproxy_shared_store::decide::records::{Came, Verdict};
 
 /// How long an upstream takes.
-const UPSTREAM_TAKES: Span = Span::from_millis(60);
+const UPSTREAM_TAKES: TimeSpan = TimeSpan::from_millis(60);
 const ANSWER: &[u8] = b"ok";
 /// A purge that is never forgotten is told anew each time this part of its time is over.
 const TOLD_ANEW_PART: f64 = 0.5;
@@ -50,8 +50,8 @@
     }
 
     /// Time until the next arrival of a Poisson process.
-    fn gap(&mut self, per_s: f64) -> Span {
-        Span::from_secs_f64(-(1.0 - self.random.f64()).ln() / per_s)
+    fn gap(&mut self, per_s: f64) -> TimeSpan {
+        TimeSpan::from_secs_f64(-(1.0 - self.random.f64()).ln() / per_s)
     }
 
     /// A member, drawn by load.
@@ -126,7 +126,7 @@
             let demand = &self.settings.demand;
             (demand.repeat_least, demand.repeat_most)
         };
-        let after = least + (most - least).times(self.load.random.f64());
+        let after = least + (most - least).mul_f64(self.load.random.f64());
         let event = Event::Repeat {
             key,
             member: other,
@@ -230,7 +230,7 @@
     pub(super) fn tell_purge(&mut self, member: usize, object: ObjectId) {
         let now = self.now;
         if self.settings.planted == Some(Planted::NeverForgotten) {
-            let after = self.settings.demand.purges_last.times(TOLD_ANEW_PART);
+            let after = self.settings.demand.purges_last.mul_f64(TOLD_ANEW_PART);
             let event = Event::PurgeAgain { member, object };
             self.queue.push(now + after, event);
         }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::shares::Act;
 use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
@@ -34,9 +34,9 @@
 const START: Timestamp = Timestamp(1_700_000_000_000_000);
 const SEEDS_PER_REGION: usize = 1;
 /// How often it is looked whether the fleet is settled.
-const SETTLED_EVERY: Span = Span::from_millis(100);
+const SETTLED_EVERY: TimeSpan = TimeSpan::from_millis(100);
 /// How often it is looked whether members still tell each other who is there, and of how many members one may.
-const QUIET_EVERY: Span = Span::from_secs(2);
+const QUIET_EVERY: TimeSpan = TimeSpan::from_secs(2);
 const QUIET_PART: u64 = 20;
 const UPDATES_IN_MESSAGE: usize = 24;
 
@@ -52,9 +52,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Settling {
     /// All members know just each other.
-    pub agreed: Option<Span>,
+    pub agreed: Option<TimeSpan>,
     /// They lack nothing either.
-    pub settled: Option<Span>,
+    pub settled: Option<TimeSpan>,
 }
 
 /// All members, the network between them, and what was counted.
@@ -140,7 +140,7 @@
     }
 
     /// Runs until hardly any member tells others who is there, or `most` is over.
-    pub fn run_until_quiet(&mut self, most: Span) {
+    pub fn run_until_quiet(&mut self, most: TimeSpan) {
         let begun = self.now;
         while self.now.since(begun) < most {
             let before = self.updates_sent();
@@ -213,7 +213,7 @@
     }
 
     /// Time goes on by `span`.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let until = self.now + span;
         while let Some((at, event)) = self.queue.pop(until) {
             self.now = at;
@@ -223,7 +223,7 @@
     }
 
     /// Runs until all members know each other and lack nothing, or `most` is over.
-    pub fn run_until_settled(&mut self, most: Span) -> Settling {
+    pub fn run_until_settled(&mut self, most: TimeSpan) -> Settling {
         let begun = self.now;
         let mut settling = Settling::default();
         while settling.settled.is_none() && self.now.since(begun) < most {
@@ -451,7 +451,7 @@
         let of = &mut self.members[member];
         let Some(next) = of.next() else { return };
         // A core that is due at once is woken after what happens now.
-        let at = next.max(self.now + Span(1));
+        let at = next.max(self.now + TimeSpan(1));
         if of
             .wakes_at
             .is_none_or(|queued| at < queued || queued < self.now)
--- a/crates/capacity/src/fleet/network.rs
+++ b/crates/capacity/src/fleet/network.rs
@@ -1,7 +1,7 @@
 //! The ways between members: latency and loss by distance, and cuts.
 
 use crate::layout::Layout;
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// Draws what becomes of each message.
 #[derive(Clone, Debug)]
@@ -20,11 +20,11 @@
     }
 
     /// How long a message travels; `None`: it is lost.
-    pub fn travel(&mut self, layout: &Layout, from: usize, to: usize) -> Option<Span> {
+    pub fn travel(&mut self, layout: &Layout, from: usize, to: usize) -> Option<TimeSpan> {
         let distance = layout.distance(from, to);
         let lost = self.random.f64() < distance.loss;
         let range = distance.most - distance.least;
-        let travel = distance.least + range.times(self.random.f64());
+        let travel = distance.least + range.mul_f64(self.random.f64());
         (!lost && !self.is_cut(from, to)).then_some(travel)
     }
 
--- a/crates/capacity/src/fleet/requests.rs
+++ b/crates/capacity/src/fleet/requests.rs
@@ -4,13 +4,13 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_peers::decide::relay::SETTLE;
 
 /// Upstreams of one zone drop a second attempt under one key that comes within this from the first.
-pub const DROP_WITHIN: Span = Span::from_secs(4);
+pub const DROP_WITHIN: TimeSpan = TimeSpan::from_secs(4);
 /// An attempt that is under way may still run for so long.
-pub const ATTEMPT_LIMIT: Span = Span::from_secs(2);
+pub const ATTEMPT_LIMIT: TimeSpan = TimeSpan::from_secs(2);
 /// Longer waits are counted as this.
 const LONGEST_WAIT_US: u64 = 60_000_000;
 
@@ -89,7 +89,7 @@
         }
     }
 
-    fn add(&mut self, outcome: Outcome, waited: Span) {
+    fn add(&mut self, outcome: Outcome, waited: TimeSpan) {
         match outcome {
             Outcome::Granted => self.granted += 1,
             Outcome::Found => self.found += 1,
@@ -122,7 +122,7 @@
         self.attempts.len() - 1
     }
 
-    pub fn decided(&mut self, origin: Origin, outcome: Outcome, waited: Span) {
+    pub fn decided(&mut self, origin: Origin, outcome: Outcome, waited: TimeSpan) {
         let outcomes = self.outcomes.entry(origin).or_insert_with(Outcomes::new);
         outcomes.add(outcome, waited);
     }
--- a/crates/capacity/src/fleet/traffic.rs
+++ b/crates/capacity/src/fleet/traffic.rs
@@ -1,7 +1,7 @@
 //! What members send and receive, by kind of note, and the work of their cores.
 
 use serde::Serialize;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_peers::decide::facts::Fact;
 use trailproxy_peers::decide::messages::{Message, Note};
 use trailproxy_peers::wire::Seal;
@@ -10,7 +10,7 @@
 const HEADER_BYTES: u64 = 28;
 /// The length in front of each note.
 const NOTE_LENGTH_BYTES: u64 = 2;
-const ONE_SECOND: Span = Span::from_secs(1);
+const ONE_SECOND: TimeSpan = TimeSpan::from_secs(1);
 
 /// The kinds of notes, in the order of their names here.
 pub const NOTE_KINDS: [&str; 24] = [
--- a/crates/capacity/src/phases.rs
+++ b/crates/capacity/src/phases.rs
@@ -7,18 +7,18 @@
 use crate::fleet::{Fleet, Settings, Settling};
 use serde::Serialize;
 use std::time::Instant;
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// A new fleet settles within this, or never.
-const SETTLES_WITHIN: Span = Span::from_secs(120);
+const SETTLES_WITHIN: TimeSpan = TimeSpan::from_secs(120);
 /// After that its members tell each other who is there for a while.
-const QUIET_WITHIN: Span = Span::from_secs(400);
+const QUIET_WITHIN: TimeSpan = TimeSpan::from_secs(400);
 /// Budgets are divided after this.
-const BUDGETS_DIVIDED: Span = Span::from_secs(5);
+const BUDGETS_DIVIDED: TimeSpan = TimeSpan::from_secs(5);
 /// Records and purges are forgotten a little later than their settings say.
-const FORGOTTEN_LATER: Span = Span::from_secs(3);
+const FORGOTTEN_LATER: TimeSpan = TimeSpan::from_secs(3);
 /// From the loss of members until the others are sure to know of it.
-const LOSS_KNOWN: Span = Span::from_secs(8);
+const LOSS_KNOWN: TimeSpan = TimeSpan::from_secs(8);
 /// Machines of one rack.
 const RACK: usize = 6;
 
@@ -97,43 +97,43 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lengths {
     /// Steady loads are counted for so long.
-    pub counted: Span,
+    pub counted: TimeSpan,
     /// Regions lose each other for so long.
-    pub cut: Span,
+    pub cut: TimeSpan,
     /// Machines are away for so long.
-    pub away: Span,
+    pub away: TimeSpan,
     /// All members of a rolling restart restart within this.
-    pub roll: Span,
+    pub roll: TimeSpan,
     /// Until then a disturbance is over, or called never settled.
-    pub settles: Span,
+    pub settles: TimeSpan,
 }
 
 impl Lengths {
     pub fn full() -> Lengths {
         Lengths {
-            counted: Span::from_secs(10),
-            cut: Span::from_secs(120),
-            away: Span::from_secs(10),
-            roll: Span::from_secs(60),
-            settles: Span::from_secs(120),
+            counted: TimeSpan::from_secs(10),
+            cut: TimeSpan::from_secs(120),
+            away: TimeSpan::from_secs(10),
+            roll: TimeSpan::from_secs(60),
+            settles: TimeSpan::from_secs(120),
         }
     }
 
     /// As [`Lengths::full`], with regions that lose each other for an hour.
     pub fn with_hour() -> Lengths {
         Lengths {
-            cut: Span::from_secs(3_600),
+            cut: TimeSpan::from_secs(3_600),
             ..Lengths::full()
         }
     }
 
     pub fn quick() -> Lengths {
         Lengths {
-            counted: Span::from_secs(5),
-            cut: Span::from_secs(15),
-            away: Span::from_secs(8),
-            roll: Span::from_secs(20),
-            settles: Span::from_secs(60),
+            counted: TimeSpan::from_secs(5),
+            cut: TimeSpan::from_secs(15),
+            away: TimeSpan::from_secs(8),
+            roll: TimeSpan::from_secs(20),
+            settles: TimeSpan::from_secs(60),
         }
     }
 }
@@ -207,8 +207,8 @@
             purges: phase.has_purges().then(|| reading.purges()),
             keyed: phase.has_keyed().then(|| reading.keyed()),
             budget_overruns: phase.has_budgets().then_some(fleet.budget_overruns),
-            agreed_after_s: settling.agreed.map(Span::as_secs_f64),
-            settled_after_s: settling.settled.map(Span::as_secs_f64),
+            agreed_after_s: settling.agreed.map(TimeSpan::as_secs_f64),
+            settled_after_s: settling.settled.map(TimeSpan::as_secs_f64),
             never_settled: phase.disturbs() && settling.settled.is_none(),
             timing: reading.timing(begun.elapsed().as_secs_f64()),
         }
@@ -216,7 +216,7 @@
 
     /// Starts the load of a phase and runs until what is held of it is steady.
     fn load(&self, phase: Phase, demand: &Demand, fleet: &mut Fleet) {
-        let mut steady = Span::ZERO;
+        let mut steady = TimeSpan::ZERO;
         if phase.has_budgets() {
             fleet.start_budgets();
             steady = steady.max(BUDGETS_DIVIDED);
@@ -277,7 +277,7 @@
 
     /// One member after another leaves and starts again.
     fn roll(&self, fleet: &mut Fleet) {
-        let pause = self.lengths.roll.times(1.0 / self.members as f64);
+        let pause = self.lengths.roll.mul_f64(1.0 / self.members as f64);
         for member in 0..self.members {
             fleet.leave(member);
             fleet.run(pause);
--- a/crates/capacity/tests/by_zone.rs
+++ b/crates/capacity/tests/by_zone.rs
@@ -1,12 +1,12 @@
 //! Replicas by zone: what a fleet with sites achieves, and that a dispatcher of a large fleet stays within its share.
 
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_capacity::description::Description;
 use trailproxy_capacity::figures::PhaseFigures;
 use trailproxy_capacity::fleet::member::Placement;
 use trailproxy_capacity::phases::{Lengths, Phase, Setup};
 
-const KEEP: Span = Span::from_secs(3);
+const KEEP: TimeSpan = TimeSpan::from_secs(3);
 /// What a dispatcher may send for control.
 const LIMIT_KB_PER_S: f64 = 11.0;
 /// Requests with a key that have to be certain within their wait, of clients near their earlier dispatcher.
--- a/crates/capacity/tests/repeatable.rs
+++ b/crates/capacity/tests/repeatable.rs
@@ -1,6 +1,6 @@
 //! The same seed gives the same figures, and another seed gives others.
 
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_capacity::description::Description;
 use trailproxy_capacity::figures::PhaseFigures;
 use trailproxy_capacity::fleet::member::Placement;
@@ -8,7 +8,7 @@
 
 const MEMBERS: usize = 20;
 const REQUESTS_PER_S: f64 = 400.0;
-const KEEP: Span = Span::from_secs(3);
+const KEEP: TimeSpan = TimeSpan::from_secs(3);
 
 fn run(phase: Phase, seed: u64) -> PhaseFigures {
     let mut description = Description::built_in().expect("the built-in description fits");
--- a/crates/lab/src/crossing.rs
+++ b/crates/lab/src/crossing.rs
@@ -14,7 +14,7 @@
 /// By how much more than rate and burst crossed in the worst span of this length, as a part of the rate's own KB.
 ///
 /// `steps` are totals by [`CROSSED_STEP`]; a span that lies before `from` steps is left out.
-pub fn overrun(steps: &[f64], from: usize, span: Span, kb_per_s: f64, burst_kb: f64) -> f64 {
+pub fn overrun(steps: &[f64], from: usize, span: TimeSpan, kb_per_s: f64, burst_kb: f64) -> f64 {
     let n = (span.0 / CROSSED_STEP.0).max(1) as usize;
     let may = kb_per_s * span.as_secs_f64();
     let spans = (from + n..steps.len()).map(|end| steps[end] - steps[end - n]);
@@ -154,8 +154,8 @@
         service_by_track: day.summary.service_by_track.clone(),
         rejected: day.summary.rejected,
         crossed_kb: day.crossed.moved[usize::from(zone.0)],
-        overrun_1s: overrun(&steps, from, Span::from_secs(1), rate_kb, burst),
-        overrun_10s: overrun(&steps, from, Span::from_secs(10), rate_kb, burst),
+        overrun_1s: overrun(&steps, from, TimeSpan::from_secs(1), rate_kb, burst),
+        overrun_10s: overrun(&steps, from, TimeSpan::from_secs(10), rate_kb, burst),
         account_error: account_error(&day.crossed, zone),
         rule_breaches: day.summary.rule_breaches,
         used: rate(&steps, from) / rate_kb,
@@ -253,7 +253,7 @@
     each: impl FnMut(),
 ) -> Result<Detected, String> {
     let scenario = scenario(file, text, &[("TROUBLE", format!("{trouble:?}"))])?;
-    let strike = DAWN + Span::from_secs_f64(strike_s);
+    let strike = DAWN + TimeSpan::from_secs_f64(strike_s);
     let names = |reason: &Reason| {
         matches!(
             (trouble, reason),
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -108,15 +108,15 @@
 }
 
 /// The window of the plain breaker, the share of failures that opens it, and for how long.
-const WINDOW: Span = Span::from_secs(10);
+const WINDOW: TimeSpan = TimeSpan::from_secs(10);
 const LEAST: usize = 10;
-const OPEN_FOR: Span = Span::from_secs(10);
+const OPEN_FOR: TimeSpan = TimeSpan::from_secs(10);
 /// A host below this part of its pace is left out by the oracle.
 const WELL: f64 = 0.5;
 /// Part of a cold host's told limit that all use together, and what an answer takes beside its sending.
 const COLD_USE: f64 = 0.4;
-const HOP: Span = Span::from_millis(40);
-const COME_BACK: Span = Span::from_millis(500);
+const HOP: TimeSpan = TimeSpan::from_millis(40);
+const COME_BACK: TimeSpan = TimeSpan::from_millis(500);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
@@ -232,12 +232,12 @@
         &self.terms.tracks[usize::from(access.asked.track.0)]
     }
 
-    fn send_time(&self, access: &Request) -> Span {
+    fn send_time(&self, access: &Request) -> TimeSpan {
         let kb = access
             .asked
             .size_kb
             .unwrap_or(self.terms.flow_kb_per_s * 0.05);
-        Span::from_secs_f64(kb / self.terms.flow_kb_per_s)
+        TimeSpan::from_secs_f64(kb / self.terms.flow_kb_per_s)
     }
 
     fn cold(&self, role: Role) -> Cold {
@@ -258,7 +258,7 @@
     }
 
     /// The fourth rule, for all dispatchers together: each has an equal part of a cold host's limit.
-    fn spares(&self, now: Timestamp, host: &Host, work: Span) -> bool {
+    fn spares(&self, now: Timestamp, host: &Host, work: TimeSpan) -> bool {
         self.warmth(now, host) >= 1.0
             || (self.allowance(now, host) >= 0.0
                 && self.cost(now, host, work) <= self.all(host.role))
@@ -272,7 +272,7 @@
         }
     }
 
-    fn cost(&self, now: Timestamp, host: &Host, work: Span) -> f64 {
+    fn cost(&self, now: Timestamp, host: &Host, work: TimeSpan) -> f64 {
         let cold = self.cold(host.role);
         let told = cold.fall_multiple * cold.fall_after.as_secs_f64();
         let limit = told * COLD_USE * self.warmth(now, host) * host.entry.size;
@@ -288,7 +288,7 @@
     fn usable(&self, now: Timestamp, access: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let ready = host.entry.state == HostState::Ready && !access.failed.contains(&id);
-        let work = self.send_time(access).max(Span::from_millis(20));
+        let work = self.send_time(access).max(TimeSpan::from_millis(20));
         let open = match self.policy {
             Policy::NoRamp => now < host.open_until,
             Policy::Oracle => host.pace < WELL,
@@ -407,7 +407,7 @@
             held_only: false,
             renew: track.fresh.is_some() && source != host,
         };
-        let work = self.send_time(access).max(Span::from_millis(20));
+        let work = self.send_time(access).max(TimeSpan::from_millis(20));
         let costs = [host, source].map(|id| (id, self.cost(now, &self.hosts[&id], work)));
         for (nth, (id, cost)) in costs.into_iter().enumerate() {
             let left = self.allowance(now, &self.hosts[&id]);
@@ -555,7 +555,7 @@
             Event::Purged {
                 object, group, ago, ..
             } => {
-                let forget = self.terms.purge_done.times(3.0);
+                let forget = self.terms.purge_done.mul_f64(3.0);
                 self.purges.retain(|_, &mut at| now.since(at) < forget);
                 let group = object.map_or(group, |_| GroupId::default());
                 let at = self.purges.entry((group, object)).or_default();
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -57,7 +57,7 @@
     /// This part of first tries goes to the first dispatcher that is up, beside its share of the rest.
     pub busy: f64,
     /// How long a client waits for an answer before it comes again; `None`: to its outer limit.
-    pub patience: Option<Span>,
+    pub patience: Option<TimeSpan>,
     /// At the end, so many of the last requests with keys that were done are sent again, to every dispatcher.
     pub again: usize,
     /// Where each seat finds the journal service, given where that is; `None`: there.
@@ -73,9 +73,9 @@
 #[derive(Clone)]
 pub enum Strike {
     /// Killed, and started again after the span.
-    Kill(Vec<usize>, Span),
+    Kill(Vec<usize>, TimeSpan),
     /// Stopped for the span, and then let on.
-    Pause(Vec<usize>, Span),
+    Pause(Vec<usize>, TimeSpan),
     /// Asked to end, waited for, and started again, one after the other.
     Roll(Vec<usize>),
     Reread(Vec<usize>),
@@ -103,7 +103,7 @@
 /// All is up before the day begins.
 const LEAD: Duration = Duration::from_millis(1_500);
 /// What is seen at two ends of a socket may differ by this on a busy machine.
-const SLACK: Span = Span::from_millis(200);
+const SLACK: TimeSpan = TimeSpan::from_millis(200);
 
 /// Everything that is noted, in one place.
 struct Books {
@@ -192,7 +192,7 @@
     watch: Option<Rc<RefCell<dyn Watch>>>,
     elsewhere: bool,
     busy: f64,
-    patience: Option<Span>,
+    patience: Option<TimeSpan>,
     again: usize,
     /// Requests with keys that were done, the last ones.
     done: RefCell<VecDeque<(Wish, String)>>,
@@ -609,7 +609,7 @@
             let seats = seats.iter().filter_map(|&nth| self.seats.get(nth));
             seats.cloned().collect()
         };
-        let wait = |span: Span| sleep(Duration::from_micros(span.0));
+        let wait = |span: TimeSpan| sleep(Duration::from_micros(span.0));
         match strike {
             Strike::Do(what) => what(),
             Strike::Reread(seats) => of(&seats).iter().for_each(|seat| seat.signal("HUP")),
@@ -656,7 +656,7 @@
     async fn want(self: Rc<Run>, wish: Wish) {
         let track = &self.scenario.shape.tracks[usize::from(wish.track.0)];
         let send = wish.kb / self.scenario.shape.flow_kb_per_s;
-        let due = wish.at + track.due + Span::from_secs_f64(send * track.due_stretch);
+        let due = wish.at + track.due + TimeSpan::from_secs_f64(send * track.due_stretch);
         let until = wish.at + self.scenario.limits[usize::from(wish.track.0)];
         let fingerprint = format!(
             "{:016x}{:016x}",
@@ -688,7 +688,7 @@
             let own = self
                 .scenario
                 .away
-                .times(0.75 + 0.5 * self.chance.borrow_mut().random::<f64>());
+                .mul_f64(0.75 + 0.5 * self.chance.borrow_mut().random::<f64>());
             let wait = away.unwrap_or(own);
             if tries == self.scenario.retries || self.clock.now() + wait >= until {
                 return;
@@ -720,7 +720,7 @@
         wish: Wish,
         until: Timestamp,
         fingerprint: &str,
-    ) -> (Option<Final>, Option<Span>) {
+    ) -> (Option<Final>, Option<TimeSpan>) {
         let reference = self.next.get() + 1;
         self.next.set(reference);
         let id = RequestId(reference);
@@ -788,7 +788,7 @@
         }
         let (how, away) = match reply {
             Reply::Done { .. } => (Final::Done, None),
-            Reply::Rejected { cooldown } => (Final::Rejected, cooldown.map(Span::from_millis)),
+            Reply::Rejected { cooldown } => (Final::Rejected, cooldown.map(TimeSpan::from_millis)),
             Reply::Aborted { .. } => (Final::Aborted, None),
             Reply::Broken => {
                 // With the dispatcher up, a connection that ends owes an answer.
@@ -843,8 +843,8 @@
         .clone()
         .map(|(nth, track)| {
             let (semantics, group, window) = match track.effect {
-                Effect::Idempotent => ("repeatable", "all", Span::ZERO),
-                Effect::NonIdempotent => ("once", "all", Span::ZERO),
+                Effect::Idempotent => ("repeatable", "all", TimeSpan::ZERO),
+                Effect::NonIdempotent => ("once", "all", TimeSpan::ZERO),
                 Effect::Keyed { group, window } => {
                     let group = match group {
                         RepeatGroup::All => "all",
--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -4,7 +4,7 @@
 use crate::rules::Final;
 use rand::Rng;
 use trailproxy::interface::{Attempt, Ending, Event, Load, NoteLevel, Outcome};
-use trailproxy::units::{AttemptNo, Span};
+use trailproxy::units::{AttemptNo, TimeSpan};
 use trailproxy_standins::fleet::{Answer, Pull, Said, Ticket};
 use trailproxy_standins::shape::told;
 
@@ -45,7 +45,7 @@
         let source = hand_off.fill.map(|fill| fill.source);
         self.checker
             .sent(now, hand_off.id, no.0, hand_off.host, source, wish.kb);
-        let jitter = Span(self.chance.random_range(0..200));
+        let jitter = TimeSpan(self.chance.random_range(0..200));
         self.file(now + hop + jitter, Ev::Asked(ticket));
     }
 
@@ -62,7 +62,7 @@
         let now = self.now;
         match said {
             Said::Answer(answer) => {
-                let jitter = Span(self.chance.random_range(0..200));
+                let jitter = TimeSpan(self.chance.random_range(0..200));
                 self.file(
                     now + self.scenario.hop + jitter,
                     Ev::Outcome(answer.ticket, answer),
@@ -75,20 +75,20 @@
                     let delay = self
                         .scenario
                         .list_delay
-                        .times(0.5 + self.chance.random::<f64>());
+                        .mul_f64(0.5 + self.chance.random::<f64>());
                     self.file(now + late + delay, Ev::Told(seat, entry));
                 }
             }
             Said::Purged { object, group } => {
                 self.checker.purged(now, object, group);
-                let old = self.scenario.shape.purge_done.times(4.0);
+                let old = self.scenario.shape.purge_done.mul_f64(4.0);
                 self.purged.retain(|purge| now.since(purge.2) < old);
                 self.purged.push((object, group, now));
                 for seat in 0..self.seats.len() {
                     let delay = self
                         .scenario
                         .purge_delay
-                        .times(0.5 + self.chance.random::<f64>());
+                        .mul_f64(0.5 + self.chance.random::<f64>());
                     self.file(now + delay, Ev::Purged(seat, object, group, now));
                 }
             }
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -5,7 +5,7 @@
 use crate::traffic::Wish;
 use rand::Rng;
 use trailproxy::interface::{Arrival, Effect, Event};
-use trailproxy::units::{RequestId, Span, Timestamp};
+use trailproxy::units::{RequestId, TimeSpan, Timestamp};
 
 impl World<'_> {
     pub(super) fn next_wish(&mut self, nth: usize) {
@@ -21,7 +21,7 @@
         self.next_id += 1;
         let want = Want {
             wish,
-            due: wish.at + track.due + Span::from_secs_f64(send * track.due_stretch),
+            due: wish.at + track.due + TimeSpan::from_secs_f64(send * track.due_stretch),
             until: wish.at + self.scenario.limits[usize::from(wish.track.0)],
             tries: 0,
         };
@@ -76,7 +76,7 @@
             return self.lost(id);
         }
         self.checker.taken(now, id, wish.track, limit);
-        self.file(limit + Span::from_millis(50), Ev::Overdue(id));
+        self.file(limit + TimeSpan::from_millis(50), Ev::Overdue(id));
         let size_kb = Some(wish.kb).filter(|_| wish.told);
         let (object, group, part) = (wish.object, wish.group, wish.part);
         let arrival = Arrival {
@@ -95,7 +95,7 @@
         &mut self,
         id: RequestId,
         how: Final,
-        away: Option<Span>,
+        away: Option<TimeSpan>,
         minted: Option<Timestamp>,
     ) {
         let now = self.now;
@@ -121,11 +121,11 @@
     }
 
     /// A client tries again, or gives up.
-    pub(super) fn again(&mut self, want_id: u64, may: bool, away: Option<Span>) {
+    pub(super) fn again(&mut self, want_id: u64, may: bool, away: Option<TimeSpan>) {
         let own = self
             .scenario
             .away
-            .times(0.75 + 0.5 * self.chance.random::<f64>());
+            .mul_f64(0.75 + 0.5 * self.chance.random::<f64>());
         let at = self.now + away.unwrap_or(own);
         let most = self.scenario.retries;
         match self.wants.get(&want_id) {
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -2,7 +2,7 @@
 
 use super::{CROSSED_STEP, DIVIDE_EVERY, Ev, PASS, RUN_OUT, TRUTH_EVERY, WITHDRAWN_AFTER, World};
 use trailproxy::interface::{Ending, Event, ListForm, Note};
-use trailproxy::units::{Span, ZoneId};
+use trailproxy::units::{TimeSpan, ZoneId};
 use trailproxy_standins::fleet::Answer;
 use trailproxy_standins::shape::DAWN;
 
@@ -102,7 +102,7 @@
             Ev::Tick => {
                 self.sample();
                 if now < DAWN + self.scenario.length {
-                    self.file(now + Span::from_secs(1), Ev::Tick);
+                    self.file(now + TimeSpan::from_secs(1), Ev::Tick);
                 }
             }
         }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 use trailproxy::interface::{Ending, HostEntry};
 use trailproxy::units::{
-    AttemptNo, ClassId, GroupId, ObjectId, RequestId, Span, Timestamp, WakeId, ZoneId,
+    AttemptNo, ClassId, GroupId, ObjectId, RequestId, TimeSpan, Timestamp, WakeId, ZoneId,
 };
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::following::Following;
@@ -33,13 +33,13 @@
 use trailproxy_zones::decide::rise::Rise;
 
 /// A dispatcher hears so long after a hand-off was withdrawn that it is over.
-const WITHDRAWN_AFTER: Span = Span::from_millis(5);
+const WITHDRAWN_AFTER: TimeSpan = TimeSpan::from_millis(5);
 /// The oracle is told the true state so often, and so late.
-const TRUTH_EVERY: Span = Span::from_millis(500);
+const TRUTH_EVERY: TimeSpan = TimeSpan::from_millis(500);
 /// After the last arrival a day runs on for so long at most.
-const RUN_OUT: Span = Span::from_secs(30);
+const RUN_OUT: TimeSpan = TimeSpan::from_secs(30);
 /// Purges and hosts are told to a dispatcher that starts again after this.
-const START: Span = Span::from_millis(300);
+const START: TimeSpan = TimeSpan::from_millis(300);
 
 /// A day's result.
 pub struct Day {
@@ -70,9 +70,9 @@
 }
 
 /// How finely the links' counts are kept.
-pub const CROSSED_STEP: Span = trailproxy_standins::loopback::CROSSED_EVERY;
+pub const CROSSED_STEP: TimeSpan = trailproxy_standins::loopback::CROSSED_EVERY;
 /// Dispatchers look for rises so often.
-const PASS: Span = Span::from_millis(250);
+const PASS: TimeSpan = TimeSpan::from_millis(250);
 
 enum Ev {
     Wish(usize, Wish),
@@ -85,7 +85,7 @@
     Wake(usize, u32, WakeId),
     Told(usize, HostEntry),
     Purged(usize, Option<ObjectId>, GroupId, Timestamp),
-    Final(RequestId, Final, Option<Span>, Option<Timestamp>),
+    Final(RequestId, Final, Option<TimeSpan>, Option<Timestamp>),
     Overdue(RequestId),
     Retry(u64),
     Kill(Kill),
@@ -101,8 +101,8 @@
 }
 
 /// Budgets are looked after so often, and words are so long on their way.
-const DIVIDE_EVERY: Span = Span::from_millis(100);
-const WORD_TAKES: Span = Span::from_millis(1);
+const DIVIDE_EVERY: TimeSpan = TimeSpan::from_millis(100);
+const WORD_TAKES: TimeSpan = TimeSpan::from_millis(1);
 
 fn name(seat: usize) -> String {
     format!("n{seat}")
@@ -231,7 +231,7 @@
         if self.policy == Policy::Oracle {
             self.file(DAWN, Ev::Truth);
         }
-        self.file(DAWN + Span::from_secs(1), Ev::Tick);
+        self.file(DAWN + TimeSpan::from_secs(1), Ev::Tick);
         if self.scenario.zones.is_some() && self.policy == Policy::Design {
             self.file(DAWN + PASS, Ev::Pass);
             self.file(DAWN, Ev::Read);
--- a/crates/lab/src/model/warm_up.rs
+++ b/crates/lab/src/model/warm_up.rs
@@ -3,7 +3,7 @@
 use crate::chance::mix;
 use crate::scenario::Scenario;
 use crate::traffic::{Stream, group_of};
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_standins::fleet::Fleet;
 use trailproxy_standins::shape::{DAWN, Role};
 
@@ -11,7 +11,7 @@
 pub fn warm_up(scenario: &Scenario, fleet: &mut Fleet, seed: u64) {
     let mut warm = scenario.clone();
     let seconds = 60.0;
-    warm.length = Span::from_secs_f64(seconds);
+    warm.length = TimeSpan::from_secs_f64(seconds);
     warm.bursts.clear();
     let roles = |role: Role| {
         scenario
@@ -37,7 +37,7 @@
             let age = track
                 .fresh
                 .map_or(0, |fresh| mix(wish.object.0, seed) % fresh.0.max(1));
-            let minted = DAWN - Span(age);
+            let minted = DAWN - TimeSpan(age);
             let group = group_of(wish.object);
             let order = |part: u32| {
                 move |host: &&trailproxy_standins::shape::HostShape| {
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -60,13 +60,13 @@
     pub origin_kind: KindId,
     pub flow_kb_per_s: f64,
     /// Nothing new goes to a host so long after its drain was told.
-    pub drain_within: Span,
+    pub drain_within: TimeSpan,
     /// Nothing sent so long after a purge is answered by a copy from before.
-    pub purge_grace: Span,
+    pub purge_grace: TimeSpan,
     /// Slack of all time limits, for the way between the places where things are seen.
-    pub slack: Span,
+    pub slack: TimeSpan,
     /// So long may the word of one hand-off's end come after the next one, where the two go by different ways.
-    pub overlap: Span,
+    pub overlap: TimeSpan,
     /// Slack of the fourth rule's budget, for chance.
     pub cold_slack: f64,
 }
@@ -119,7 +119,7 @@
 /// More breaches than this are counted, not kept.
 const KEPT: usize = 100;
 /// So long after its limit an access is still watched for a second answer.
-const WATCHED: Span = Span::from_secs(5);
+const WATCHED: TimeSpan = TimeSpan::from_secs(5);
 
 impl Checker {
     pub fn new(bounds: Bounds) -> Checker {
@@ -178,7 +178,7 @@
         let gone = |listed: &Listed| {
             listed
                 .drained
-                .is_some_and(|drained| at.since(drained) > Span::from_secs(60))
+                .is_some_and(|drained| at.since(drained) > TimeSpan::from_secs(60))
         };
         self.hosts.retain(|_, listed| !gone(listed));
     }
@@ -322,7 +322,7 @@
         if let Some(text) = text {
             self.breach(Rule::NoEffectTwice, Some(id), at, text);
         }
-        if two && self.bounds.overlap == Span::ZERO {
+        if two && self.bounds.overlap == TimeSpan::ZERO {
             self.two_at_once(id, at, no);
         }
         if after_limit || after_answer {
@@ -330,7 +330,7 @@
             self.breach(Rule::OneAnswer, Some(id), at, text);
         }
         if let Some(seen) = self.seen.get_mut(&id) {
-            if two && self.bounds.overlap > Span::ZERO {
+            if two && self.bounds.overlap > TimeSpan::ZERO {
                 seen.beside = Some((at, no));
             }
             seen.sent.push(Sent {
@@ -459,7 +459,7 @@
                 continue;
             };
             // The clock that mints is read to the millisecond.
-            let old = minted + Span::from_millis(1) < purged.at;
+            let old = minted + TimeSpan::from_millis(1) < purged.at;
             if old && sent > purged.told + self.bounds.purge_grace + self.bounds.slack {
                 let after = sent.since(purged.told).as_secs_f64();
                 let text = format!(
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -268,7 +268,7 @@
 pub struct Kill {
     pub at: Timestamp,
     pub share: f64,
-    pub away: Span,
+    pub away: TimeSpan,
 }
 
 impl Kill {
@@ -283,24 +283,24 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: String,
-    pub length: Span,
+    pub length: TimeSpan,
     pub counted_from: Timestamp,
     pub shape: Shape,
     /// Dispatchers by zone.
     pub seats: Vec<u32>,
     pub track_names: Vec<String>,
     pub importance: Vec<f64>,
-    pub limits: Vec<Span>,
+    pub limits: Vec<TimeSpan>,
     pub loads: Vec<Load>,
     pub bursts: Vec<Burst>,
     pub script: Vec<Cue>,
     pub kills: Vec<Kill>,
     pub retries: u32,
-    pub away: Span,
-    pub hop: Span,
-    pub list_delay: Span,
-    pub purge_delay: Span,
-    pub purge_grace: Span,
+    pub away: TimeSpan,
+    pub hop: TimeSpan,
+    pub list_delay: TimeSpan,
+    pub purge_delay: TimeSpan,
+    pub purge_grace: TimeSpan,
     pub whole_bodies: bool,
     pub terms: Terms,
     /// Budgets are divided among the dispatchers, in the model by so many voters, the first ones.
@@ -311,16 +311,16 @@
     pub zones_sheet: Option<trailproxy_zones::decide::sheet::Sheet>,
 }
 
-fn millis(section: &Section, field: &str) -> Span {
-    Span::from_secs_f64(section.number(field) / 1e3)
+fn millis(section: &Section, field: &str) -> TimeSpan {
+    TimeSpan::from_secs_f64(section.number(field) / 1e3)
 }
 
 fn at_second(section: &Section, field: &str) -> Timestamp {
-    DAWN + Span::from_secs_f64(section.number(field))
+    DAWN + TimeSpan::from_secs_f64(section.number(field))
 }
 
-fn some(span: Span) -> Option<Span> {
-    Some(span).filter(|&span| span > Span::ZERO)
+fn some(span: TimeSpan) -> Option<TimeSpan> {
+    Some(span).filter(|&span| span > TimeSpan::ZERO)
 }
 
 /// How budgets are divided in the model; on loopback a trial says it.
@@ -484,7 +484,7 @@
         };
         let mut scenario = Scenario {
             name: head.text("name").into(),
-            length: Span::from_secs_f64(head.number("seconds")),
+            length: TimeSpan::from_secs_f64(head.number("seconds")),
             counted_from: at_second(head, "from_s"),
             seats,
             track_names: sheet
@@ -508,7 +508,9 @@
                 .map_or(1, |clients| clients.whole("retries") as u32),
             away: sheet
                 .one("clients")
-                .map_or(Span::from_millis(300), |clients| millis(clients, "away_ms")),
+                .map_or(TimeSpan::from_millis(300), |clients| {
+                    millis(clients, "away_ms")
+                }),
             hop: millis(fleet, "hop_ms"),
             list_delay: millis(fleet, "list_delay_ms"),
             purge_delay: millis(fleet, "purge_delay_ms"),
@@ -568,7 +570,7 @@
             scenario.bursts.push(Burst {
                 track: track_id(section.text("track")),
                 from,
-                until: from + Span::from_secs_f64(section.number("for_s")),
+                until: from + TimeSpan::from_secs_f64(section.number("for_s")),
                 times: section.number("times"),
             });
         }
@@ -591,7 +593,7 @@
         );
         let (at, span) = (
             at_second(section, "at_s"),
-            Span::from_secs_f64(section.number("for_s")),
+            TimeSpan::from_secs_f64(section.number("for_s")),
         );
         let one = |trouble| vec![Cue { at, trouble }];
         let cues = match kind {
@@ -601,7 +603,7 @@
                 };
                 one(Trouble::Link(ZoneId(zone as u16), by.max(1e-3), span))
             }
-            "late_list" => one(Trouble::LateList(Span::from_secs_f64(by), span)),
+            "late_list" => one(Trouble::LateList(TimeSpan::from_secs_f64(by), span)),
             "purge" => {
                 let Ok(group) = target.parse::<u32>() else {
                     return Err(section.wrong("target", "the number of a group, for a purge"));
@@ -658,7 +660,7 @@
                         ),
                     };
                     Cue {
-                        at: at + Span::from_secs_f64(step * nth as f64),
+                        at: at + TimeSpan::from_secs_f64(step * nth as f64),
                         trouble,
                     }
                 };
@@ -710,10 +712,10 @@
             parent_kind: kind_of(Role::Parent),
             origin_kind: kind_of(Role::Origin),
             flow_kb_per_s: self.shape.flow_kb_per_s,
-            drain_within: Span::from_secs(2),
+            drain_within: TimeSpan::from_secs(2),
             purge_grace: self.purge_grace,
-            slack: Span::from_millis(60),
-            overlap: Span::ZERO,
+            slack: TimeSpan::from_millis(60),
+            overlap: TimeSpan::ZERO,
             cold_slack: 1.1,
         }
     }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -110,7 +110,7 @@
 const BREAKERS_KEPT: usize = 200_000;
 
 impl Tally {
-    pub fn new(importance: &[f64], from: Timestamp, length: Span) -> Tally {
+    pub fn new(importance: &[f64], from: Timestamp, length: TimeSpan) -> Tally {
         let second = Second {
             tracks: vec![(0.0, 0.0); importance.len()],
             ..Second::default()
@@ -147,7 +147,7 @@
         let zero = vec![0.0; crossed.len()];
         let old = std::mem::replace(&mut self.crossed, crossed.clone());
         let old = if old.is_empty() { zero } else { old };
-        let second = self.second(at - Span::from_millis(500));
+        let second = self.second(at - TimeSpan::from_millis(500));
         second.origin_kb += moved.origin_kb - before.origin_kb;
         second.hub_kb += moved.hub_kb - before.hub_kb;
         second.hit_kb += moved.hit_kb - before.hit_kb;
--- a/crates/lab/src/traffic.rs
+++ b/crates/lab/src/traffic.rs
@@ -116,7 +116,7 @@
             .ok()
             .filter(|_| self.load.per_s > 0.0)?;
         loop {
-            self.at = self.at + Span::from_secs_f64(gaps.sample(&mut self.chance));
+            self.at = self.at + TimeSpan::from_secs_f64(gaps.sample(&mut self.chance));
             if self.at >= self.end {
                 return None;
             }
--- a/crates/lab/tests/crossing.rs
+++ b/crates/lab/tests/crossing.rs
@@ -103,7 +103,7 @@
     ];
     let scenario = scenario("rise.star", RISE, &changes).expect("a scenario");
     let day = model::run(&scenario, Policy::Design, 1);
-    let strike = DAWN + Span::from_secs(75);
+    let strike = DAWN + TimeSpan::from_secs(75);
     let told = told(&day.crossed, Some(strike), |reason| {
         matches!(reason, Reason::HostLost(_))
     });
@@ -121,10 +121,13 @@
     assert!(account_error(&day.crossed, DEPOT) > 0.04);
     // 100 KB each tenth of a second, and once 3,000 more.
     let mut steps: Vec<f64> = (0..200).map(|n| f64::from(n) * 100.0).collect();
-    assert_eq!(overrun(&steps, 0, Span::from_secs(1), 1_000.0, 0.0), 0.0);
+    assert_eq!(
+        overrun(&steps, 0, TimeSpan::from_secs(1), 1_000.0, 0.0),
+        0.0
+    );
     steps.iter_mut().skip(100).for_each(|kb| *kb += 3_000.0);
-    assert!((overrun(&steps, 0, Span::from_secs(1), 1_000.0, 500.0) - 2.5).abs() < 1e-9);
-    assert!((overrun(&steps, 0, Span::from_secs(10), 1_000.0, 500.0) - 0.25).abs() < 1e-9);
+    assert!((overrun(&steps, 0, TimeSpan::from_secs(1), 1_000.0, 500.0) - 2.5).abs() < 1e-9);
+    assert!((overrun(&steps, 0, TimeSpan::from_secs(10), 1_000.0, 500.0) - 0.25).abs() < 1e-9);
     assert!(day_of(&scenario, &day, DEPOT, (1.0, 0.0)).overrun_1s > 1.0);
 }
 
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -156,8 +156,8 @@
         let name = &mut names[nth as usize % 20];
         let old = HostId::of_name(name);
         name.push('+');
-        let trouble = Trouble::Replace(old, HostId::of_name(name), Span::from_secs(1));
-        let at = DAWN + Span::from_millis(8_600 * (nth + 1));
+        let trouble = Trouble::Replace(old, HostId::of_name(name), TimeSpan::from_secs(1));
+        let at = DAWN + TimeSpan::from_millis(8_600 * (nth + 1));
         scenario.script.push(Cue { at, trouble });
     }
     let day = run(&scenario, Policy::Design, 1);
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -9,11 +9,11 @@
 
 fn track(effect: Effect) -> ClassTerms {
     ClassTerms {
-        due: Span::from_millis(500),
+        due: TimeSpan::from_millis(500),
         due_stretch: 1.0,
         effect,
         fresh: None,
-        grace: Span::ZERO,
+        grace: TimeSpan::ZERO,
         written: false,
     }
 }
@@ -21,12 +21,12 @@
 fn checker() -> Checker {
     let cold = Cold {
         from: 0.25,
-        warm_after: Span::from_secs(10),
+        warm_after: TimeSpan::from_secs(10),
         fall_multiple: 4.0,
-        fall_after: Span::from_secs(1),
+        fall_after: TimeSpan::from_secs(1),
         among: None,
     };
-    let window = Span::from_secs(2);
+    let window = TimeSpan::from_secs(2);
     let cell = RepeatGroup::Cell;
     let mut checker = Checker::new(Bounds {
         tracks: vec![
@@ -42,10 +42,10 @@
         parent_kind: KindId(1),
         origin_kind: KindId(2),
         flow_kb_per_s: 1_000.0,
-        drain_within: Span::from_secs(2),
-        purge_grace: Span::from_millis(500),
-        slack: Span::from_millis(50),
-        overlap: Span::ZERO,
+        drain_within: TimeSpan::from_secs(2),
+        purge_grace: TimeSpan::from_millis(500),
+        slack: TimeSpan::from_millis(50),
+        overlap: TimeSpan::ZERO,
         cold_slack: 1.1,
     });
     checker.listed(secs(0.0), entry(HOST, 0, HostState::Ready));
@@ -67,7 +67,7 @@
 }
 
 fn secs(s: f64) -> Timestamp {
-    Timestamp(0) + Span::from_secs_f64(s)
+    Timestamp(0) + TimeSpan::from_secs_f64(s)
 }
 
 fn id(n: u64) -> RequestId {
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -54,7 +54,7 @@
     /// `None`: whoever keeps it by then.
     to: Option<BTreeSet<PeerId>>,
     at: Timestamp,
-    pause: Span,
+    pause: TimeSpan,
     no: AskNo,
 }
 
@@ -62,10 +62,10 @@
 const MOST_ASKING: usize = 2_048;
 const MOST_OWED: usize = 8_192;
 /// How long an answer is of use, for what has not gone out yet.
-const FORGET: Span = Span::from_secs(4);
+const FORGET: TimeSpan = TimeSpan::from_secs(4);
 /// What is owed is told again after this, then after twice as long, up to the longest pause; then it is left.
-const AGAIN: Span = Span::from_millis(60);
-const LONGEST: Span = Span::from_secs(4);
+const AGAIN: TimeSpan = TimeSpan::from_millis(60);
+const LONGEST: TimeSpan = TimeSpan::from_secs(4);
 
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
@@ -225,7 +225,7 @@
         id: RequestId,
         place: (ZoneId, CellId),
         token: Token,
-        delay: Span,
+        delay: TimeSpan,
     ) {
         let Some(own) = self.own.get_mut(&id) else {
             return;
@@ -337,7 +337,7 @@
                 to.retain(|id| present.contains(id));
             }
             (owed.no, owed.at) = (no(), now + owed.pause);
-            owed.pause = owed.pause.times(2.0);
+            owed.pause = owed.pause.mul_f64(2.0);
             let (again, told) = (owed.at, (owed.no, owed.fact.clone(), to.clone()));
             if to.is_empty() {
                 self.owed.remove(&id);
--- a/crates/peers/src/decide/keepers.rs
+++ b/crates/peers/src/decide/keepers.rs
@@ -9,12 +9,12 @@
 use super::messages::PeerId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// So many members keep a slot. More cost messages on every claim, fewer lose a record with two that die together.
 pub const KEEP: usize = 3;
 /// So long after the fleet changed, the former keepers are asked as well: they know what the new ones still fetch.
-const FORMER: Span = Span::from_secs(5);
+const FORMER: TimeSpan = TimeSpan::from_secs(5);
 /// Slots of records with the same replicas within a zone: fewer groups mean fewer members to relay claims to.
 pub const SLOTS_IN_GROUP: u16 = 16;
 
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -4,7 +4,7 @@
 
 /// Within a zone an attempt is told to its replicas this late, so that the end of a short one goes with it: until then the
 /// claim binds others as one that may have been sent anywhere.
-const SENT_WITHIN: Span = Span::from_millis(100);
+const SENT_WITHIN: TimeSpan = TimeSpan::from_millis(100);
 
 impl Peers {
     /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
@@ -30,7 +30,7 @@
         let token = self.token();
         self.records.sent(id, place);
         let delay = match self.keepers.scope() {
-            Scope::Fleet => Span::ZERO,
+            Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
         };
         self.claims.sent(now, id, place, token, delay);
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -11,35 +11,35 @@
 use super::locality::{Distance, Locality, Topology};
 use super::messages::{Address, AskNo, Life, MemberUpdate, Note, PeerId, Standing, State};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How often one other is pinged. Shorter costs messages, longer finds a dead one later.
-pub const PERIOD: Span = Span::from_millis(400);
+pub const PERIOD: TimeSpan = TimeSpan::from_millis(400);
 /// A ping that is not answered by then goes by others; one to another region has further to go.
-const DIRECT: Span = Span::from_millis(120);
-const DIRECT_FAR: Span = Span::from_millis(240);
+const DIRECT: TimeSpan = TimeSpan::from_millis(120);
+const DIRECT_FAR: TimeSpan = TimeSpan::from_millis(240);
 /// A member that has not said where it is for so long is of a form that does not say.
-const LOCATE: Span = Span::from_secs(5);
+const LOCATE: TimeSpan = TimeSpan::from_secs(5);
 /// Others that are asked to ping one that does not answer.
 const HELPERS: usize = 3;
 /// A suspected one has this long to say that it is well, and longer in a large fleet, by the doublings of its number.
-const DOUBT: Span = Span::from_millis(900);
-const DOUBT_EACH: Span = Span::from_millis(100);
+const DOUBT: TimeSpan = TimeSpan::from_millis(900);
+const DOUBT_EACH: TimeSpan = TimeSpan::from_millis(100);
 /// A dead one is remembered for this long, and knocked at.
-const REMEMBER: Span = Span::from_secs(3_600);
+const REMEMBER: TimeSpan = TimeSpan::from_secs(3_600);
 /// How often one that is not there is knocked at.
-const KNOCK: Span = Span::from_millis(500);
+const KNOCK: TimeSpan = TimeSpan::from_millis(500);
 /// Updates in one message.
 const UPDATES: usize = 10;
 /// Updates in one message of the whole fleet, and how often it is asked for where two know different ones.
 const ROSTER: usize = 24;
-const ROSTER_EVERY: Span = Span::from_millis(500);
+const ROSTER_EVERY: TimeSpan = TimeSpan::from_millis(500);
 /// Those lost lately are told with it.
-const LATELY: Span = Span::from_secs(30);
+const LATELY: TimeSpan = TimeSpan::from_secs(30);
 /// A bound on the fleet; more are not taken in.
 pub const MOST: usize = 1_024;
 /// In the first while of its life, a process takes the name from one that had it before.
-const NEW: Span = Span::from_secs(3);
+const NEW: TimeSpan = TimeSpan::from_secs(3);
 
 #[derive(Clone, Debug)]
 pub struct Member {
@@ -195,7 +195,7 @@
             round: VecDeque::new(),
             probe: None,
             helping: BTreeMap::new(),
-            ping_at: now + PERIOD.times(chance.f64()),
+            ping_at: now + PERIOD.mul_f64(chance.f64()),
             knock_at: now,
             knock_next: chance.usize(0..1_024),
             next_no: chance.u64(0..1 << 32),
@@ -264,7 +264,7 @@
     }
 
     /// How long an answer to a ping is waited for.
-    fn direct(&self, whom: PeerId) -> Span {
+    fn direct(&self, whom: PeerId) -> TimeSpan {
         let far =
             |(own, other): (Locality, Locality)| own.distance(other) == Distance::BetweenRegions;
         match self.locality.zip(self.locality(whom)).is_some_and(far) {
@@ -623,8 +623,8 @@
         suspected.filter_map(|id| self.members.get(id))
     }
 
-    fn doubt(&self) -> Span {
-        DOUBT + DOUBT_EACH.times(f64::from(self.doublings()))
+    fn doubt(&self) -> TimeSpan {
+        DOUBT + DOUBT_EACH.mul_f64(f64::from(self.doublings()))
     }
 
     /// What is due by now.
@@ -648,11 +648,11 @@
             }
         }
         if now >= self.ping_at {
-            self.ping_at = now + PERIOD.times(0.9 + 0.2 * chance.f64());
+            self.ping_at = now + PERIOD.mul_f64(0.9 + 0.2 * chance.f64());
             self.ping(now, own, chance);
         }
         if now >= self.knock_at {
-            self.knock_at = now + KNOCK.times(0.75 + 0.5 * chance.f64());
+            self.knock_at = now + KNOCK.mul_f64(0.75 + 0.5 * chance.f64());
             self.members
                 .retain(|_, member| member.there() || now.since(member.since) < REMEMBER);
             self.index = Index::of(&self.members);
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -8,7 +8,7 @@
 use super::keepers::GroupNo;
 use super::locality::Locality;
 use serde::{Deserialize, Serialize};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// A member of the fleet, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -226,18 +226,18 @@
 impl Entry {
     pub const KEY_BYTES: usize = 5;
     /// Ages are told in such steps, so that those of the last seconds fill one byte.
-    const AGE_STEP: Span = Span::from_millis(50);
+    const AGE_STEP: TimeSpan = TimeSpan::from_millis(50);
 
-    pub fn new(key: [u8; Entry::KEY_BYTES], age: Span, claimed: bool) -> Entry {
+    pub fn new(key: [u8; Entry::KEY_BYTES], age: TimeSpan, claimed: bool) -> Entry {
         let steps = (age.0 / Entry::AGE_STEP.0).min(u64::from(u32::MAX >> 1)) as u32;
         let age = steps << 1 | u32::from(!claimed);
         Entry { key, age }
     }
 
     /// How long ago, and whether it is claimed.
-    pub fn age(&self) -> (Span, bool) {
+    pub fn age(&self) -> (TimeSpan, bool) {
         let steps = u64::from(self.age >> 1);
-        (Span(steps * Entry::AGE_STEP.0), self.age & 1 == 0)
+        (TimeSpan(steps * Entry::AGE_STEP.0), self.age & 1 == 0)
     }
 }
 
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -51,28 +51,28 @@
 use trailproxy_shared_store::decide::records::{Came, Key, Records, Step, Verdict};
 
 /// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
-pub const APART: Span = Span::from_millis(750);
+pub const APART: TimeSpan = TimeSpan::from_millis(750);
 /// How long a message may be on its way beside that: what it says may have been overtaken.
-const LATE: Span = Span::from_secs(1);
+const LATE: TimeSpan = TimeSpan::from_secs(1);
 /// One that was not run for so long was away: others may have given it up.
-const AWAY: Span = Span::from_secs(1);
+const AWAY: TimeSpan = TimeSpan::from_secs(1);
 /// A host's turn is told for so long, and holds for so long against an own list that is silent.
-pub const TURN_LASTS: Span = Span::from_secs(30);
+pub const TURN_LASTS: TimeSpan = TimeSpan::from_secs(30);
 /// A hint that is older says nothing.
-const HINT_LASTS: Span = Span::from_secs(5);
+const HINT_LASTS: TimeSpan = TimeSpan::from_secs(5);
 /// What all hear of by themselves is told by the first after a draw from this, so that hundreds don't tell it at once.
-const TELL_WITHIN: Span = Span::from_millis(300);
+const TELL_WITHIN: TimeSpan = TimeSpan::from_millis(300);
 /// How often what is new is told on, and to how many.
-const GOSSIP: Span = Span::from_millis(150);
+const GOSSIP: TimeSpan = TimeSpan::from_millis(150);
 const TELL_TO: usize = 3;
 /// Who keeps what is reckoned anew no more often: hundreds that come at once change it once.
-const FLEET: Span = Span::from_millis(100);
+const FLEET: TimeSpan = TimeSpan::from_millis(100);
 /// Rumours in a message, and remembered at once.
 const RUMOURS: usize = 20;
 const MOST_RUMOURS: usize = 8_192;
 const MOST_HINTS: usize = 1_024;
 /// One whose clock is too far off is answered no more often, and so many are remembered.
-const ANSWER_OFF_CLOCK: Span = Span::from_secs(1);
+const ANSWER_OFF_CLOCK: TimeSpan = TimeSpan::from_secs(1);
 const MOST_OFF_CLOCK: usize = 1_024;
 
 /// What is held in common, each by itself, and the bounds that the operator sets.
@@ -85,11 +85,11 @@
     /// An access with a key goes out only where the others have said that it is new, or where a repeat is dropped.
     pub refuse: bool,
     /// The longest that an access with a key waits.
-    pub wait: Span,
+    pub wait: TimeSpan,
     /// How long a record is kept: no shorter than any window and outer limit together.
-    pub keep: Span,
+    pub keep: TimeSpan,
     /// After that every copy from before a purge is gone.
-    pub purges_last: Span,
+    pub purges_last: TimeSpan,
 }
 
 /// How it stands with the others.
@@ -237,7 +237,7 @@
     pub fn new(now: Timestamp, own: Own, rules: Rules, seed: u64) -> Peers {
         let mut chance = fastrand::Rng::with_seed(seed);
         let lasts = Lasts {
-            record: rules.keep + APART.times(2.0) + LATE,
+            record: rules.keep + APART.mul_f64(2.0) + LATE,
             purge: rules.purges_last + APART,
             host: TURN_LASTS,
         };
@@ -574,7 +574,7 @@
         self.fetch(now);
         self.relay(now);
         if now >= self.gossip_at {
-            self.gossip_at = now + GOSSIP.times(0.75 + 0.5 * self.chance.f64());
+            self.gossip_at = now + GOSSIP.mul_f64(0.75 + 0.5 * self.chance.f64());
             self.gossip(now);
         }
         self.settle(now);
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// What was claimed less long ago may still be on its way to some replica of its zone.
-const SETTLED_AFTER: Span = Span::from_secs(2);
+const SETTLED_AFTER: TimeSpan = TimeSpan::from_secs(2);
 
 /// Who wrote a message, and when by its own clock.
 #[derive(Clone, Copy)]
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -17,21 +17,21 @@
 use super::locality::{NearId, Topology};
 use super::messages::{Entry, LogId, PeerId, Relay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How often each partner is told what is new, spread by a quarter. Shorter costs messages, longer leaves what another zone
 /// has just claimed unknown for longer.
-pub const EVERY: Span = Span::from_millis(200);
+pub const EVERY: TimeSpan = TimeSpan::from_millis(200);
 /// What was claimed in another zone longer ago is known here, or nothing is proved. It has room for the longest way there
 /// and back, two rounds and a lost message.
-pub const SETTLE: Span = Span::from_secs(1);
+pub const SETTLE: TimeSpan = TimeSpan::from_secs(1);
 /// Conditions hold for so long before one that was away proves anything.
-const REJOIN: Span = Span::from_secs(2);
+const REJOIN: TimeSpan = TimeSpan::from_secs(2);
 /// Where nothing was acknowledged for this long, what was not is sent again.
-const AGAIN: Span = Span::from_millis(500);
+const AGAIN: TimeSpan = TimeSpan::from_millis(500);
 /// Entries in one relay, and how soon the next one goes where there are more.
 const ENTRIES: usize = 120;
-const MORE: Span = Span::from_millis(25);
+const MORE: TimeSpan = TimeSpan::from_millis(25);
 /// Bounds on what is kept. A log that is full forgets its first entries and is not complete until they have run out;
 /// claims of others without room are not taken, and prove nothing.
 const MOST_LOGGED: usize = 65_536;
@@ -87,7 +87,7 @@
         self.base + self.entries.len() as u64
     }
 
-    fn push(&mut self, logged: Logged, lasts: Span) {
+    fn push(&mut self, logged: Logged, lasts: TimeSpan) {
         if self.entries.len() >= MOST_LOGGED
             && let Some(first) = self.entries.pop_front()
         {
@@ -97,7 +97,7 @@
         self.entries.push_back(logged);
     }
 
-    fn forget(&mut self, now: Timestamp, lasts: Span) {
+    fn forget(&mut self, now: Timestamp, lasts: TimeSpan) {
         while self
             .entries
             .front()
@@ -202,7 +202,7 @@
 pub struct Relays {
     topology: Topology,
     /// How long a claim matters.
-    lasts: Span,
+    lasts: TimeSpan,
     groups: BTreeMap<GroupNo, Group>,
     far: BTreeMap<FarKey, Kept>,
     ends: BTreeSet<(Timestamp, FarKey)>,
@@ -222,7 +222,7 @@
 }
 
 impl Relays {
-    pub fn new(now: Timestamp, topology: Topology, lasts: Span) -> Relays {
+    pub fn new(now: Timestamp, topology: Topology, lasts: TimeSpan) -> Relays {
         Relays {
             topology,
             lasts,
@@ -234,7 +234,7 @@
     }
 
     /// How long a zone has been silent before it is left out: all that was claimed there has run out.
-    fn silence(&self) -> Span {
+    fn silence(&self) -> TimeSpan {
         self.lasts + SETTLE
     }
 
@@ -347,7 +347,7 @@
         }
         let more = relays.iter().any(|(_, relay)| !relay.last);
         let every = if more { MORE } else { EVERY };
-        self.tick_at = now + every.times(0.75 + 0.5 * chance.f64());
+        self.tick_at = now + every.mul_f64(0.75 + 0.5 * chance.f64());
         relays
     }
 
@@ -420,7 +420,7 @@
         // The writer may have it by a clock that is ahead, and the entry was on its way.
         let at = now - age;
         let kept = Kept {
-            at: at - super::APART.times(2.0),
+            at: at - super::APART.mul_f64(2.0),
             ends: at + self.lasts,
         };
         if kept.ends > now {
@@ -439,13 +439,13 @@
 }
 
 impl Proof {
-    fn after(self, now: Timestamp, holds: bool, silence: Span) -> Proof {
+    fn after(self, now: Timestamp, holds: bool, silence: TimeSpan) -> Proof {
         match (self, holds) {
             (Proof::Given, true) => Proof::Given,
             (Proof::Given, false) => Proof::Lapsed { since: now },
             (Proof::Lapsed { since }, true) => {
                 // Nobody can have left this zone out yet.
-                if now.since(since) < silence.times(0.5) {
+                if now.since(since) < silence.mul_f64(0.5) {
                     return Proof::Given;
                 }
                 let (since, lapsed) = (now, since);
@@ -497,7 +497,7 @@
     }
 
     /// The zones that are heard, as a set of their places.
-    fn hears(&self, now: Timestamp, topology: &Topology, silence: Span) -> u64 {
+    fn hears(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> u64 {
         let places = topology.zones().iter().enumerate();
         let heard = |zone: &NearId| {
             self.heard
@@ -511,7 +511,7 @@
     }
 
     /// Whether all that matters is known: see the head of this module.
-    fn holds(&self, now: Timestamp, topology: &Topology, silence: Span) -> bool {
+    fn holds(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> bool {
         if !self.complete {
             return false;
         }
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -94,7 +94,7 @@
     pub(super) fn own_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         if self.facts.take(now, fact) == Some(true) && self.rumours.len() < MOST_RUMOURS {
-            let at = now + TELL_WITHIN.times(self.chance.f64());
+            let at = now + TELL_WITHIN.mul_f64(self.chance.f64());
             let left = self.tells();
             self.rumours.insert(id, Rumour { left, at });
         }
--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -8,20 +8,20 @@
 use super::facts::{Fact, FactId, Slot};
 use super::messages::{Has, Note, PeerId, Within};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// Sums are compared with one other so often, spread by a quarter; and this often while something is lacking lately.
-const EVERY: Span = Span::from_millis(500);
-const HURRY: Span = Span::from_millis(50);
-const LATELY: Span = Span::from_secs(3);
+const EVERY: TimeSpan = TimeSpan::from_millis(500);
+const HURRY: TimeSpan = TimeSpan::from_millis(50);
+const LATELY: TimeSpan = TimeSpan::from_secs(3);
 /// Whoever claims may not know yet that a slot is kept here, and tell only others: what is compared sooner after it fell
 /// here proves nothing.
-const SETTLED: Span = Span::from_secs(1);
+const SETTLED: TimeSpan = TimeSpan::from_secs(1);
 /// Of three keepers any two know all claims that stood: so many others have to be heard by one that missed some.
 const ENOUGH: usize = 2;
 /// Slots fetched at once, and how long a piece is waited for.
 const AT_ONCE: usize = 8;
-const PIECE_WITHIN: Span = Span::from_millis(150);
+const PIECE_WITHIN: TimeSpan = TimeSpan::from_millis(150);
 /// After so many unanswered questions another is asked, and after so many the slot is left for the next round.
 const SAME_AGAIN: u32 = 2;
 const GIVE_UP: u32 = 8;
@@ -78,7 +78,7 @@
     /// Others to compare with soon, as the fleet changed.
     due: VecDeque<PeerId>,
     /// How long until everything from before a moment has run out: of records, and of what all keep.
-    over: (Span, Span),
+    over: (TimeSpan, TimeSpan),
     given: (f64, Timestamp),
     turn: usize,
     pub pieces: u64,
@@ -110,7 +110,7 @@
 }
 
 impl Sync {
-    pub fn new(now: Timestamp, over: (Span, Span)) -> Sync {
+    pub fn new(now: Timestamp, over: (TimeSpan, TimeSpan)) -> Sync {
         Sync {
             lacking: Slot::all()
                 .map(|slot| (slot, Lack::new(now, Why::New)))
@@ -366,7 +366,7 @@
                 true => HURRY,
                 false => EVERY,
             };
-            self.hurry_at = now + every.times(0.75 + 0.5 * chance.f64());
+            self.hurry_at = now + every.mul_f64(0.75 + 0.5 * chance.f64());
             for &slot in self.lacking.keys() {
                 let from = others(slot);
                 // What all keep is asked of one, or hundreds would ask hundreds.
@@ -405,7 +405,7 @@
                 from.get(chance.usize(0..from.len().max(1))).copied()
             });
             let every = if self.due.is_empty() { EVERY } else { HURRY };
-            self.look_at = now + every.times(0.75 + 0.5 * chance.f64());
+            self.look_at = now + every.mul_f64(0.75 + 0.5 * chance.f64());
             let somebody = anybody.get(chance.usize(0..anybody.len().max(1)));
             for slot in Slot::all() {
                 let with = match slot.is_common() {
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -44,15 +44,15 @@
 #[test]
 #[ignore = "a measurement"]
 fn a_hundred_thousand_records_are_caught_up_with() {
-    let keep = Span::from_secs(120);
+    let keep = TimeSpan::from_secs(120);
     let mut world = World::with(3, 1, Rules { keep, ..rules() });
-    world.run(Span::from_secs(130));
+    world.run(TimeSpan::from_secs(130));
     fill(&mut world, 100_000);
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     world.kill(2);
     world.start(2);
     let took = world
-        .until(Span::from_secs(60), |world| world.whole())
+        .until(TimeSpan::from_secs(60), |world| world.whole())
         .expect("whole");
     let records = world.nodes[2]
         .peers
@@ -74,20 +74,20 @@
 fn what_three_hundred_cost_at_rest_and_how_soon_they_are_one() {
     let before = resident_mb();
     let mut world = World::new(300, 1);
-    let found = world.until(Span::from_secs(30), |world| world.agree());
+    let found = world.until(TimeSpan::from_secs(30), |world| world.agree());
     figure("found_s_at_300", found.expect("found").as_secs_f64());
-    world.run(Span::from_secs(40));
+    world.run(TimeSpan::from_secs(40));
     figure("core_mb_at_300", (resident_mb() - before) / 300.0);
     world.weighs = true;
     let (messages, bytes, begun) = (world.seen.messages, world.seen.bytes, world.now);
-    world.run(Span::from_secs(5));
+    world.run(TimeSpan::from_secs(5));
     let each = |n: u64| n as f64 / 300.0 / world.now.since(begun).as_secs_f64();
     figure("letters_per_s_at_300", each(world.seen.messages - messages));
     figure("kb_per_s_at_300", each(world.seen.bytes - bytes) / 1024.0);
     world.split(|n| n < 100, true);
-    world.run(Span::from_secs(12));
+    world.run(TimeSpan::from_secs(12));
     world.split(|n| n < 100, false);
-    let healed = world.until(Span::from_secs(30), |world| world.agree());
+    let healed = world.until(TimeSpan::from_secs(30), |world| world.agree());
     figure("heal_s_at_300", healed.expect("one").as_secs_f64());
 }
 
@@ -98,18 +98,18 @@
     let (mut took, mut differing) = (Vec::new(), 0);
     for seed in 0..100 {
         let mut world = World::new(5, seed);
-        world.run(Span::from_secs(12));
+        world.run(TimeSpan::from_secs(12));
         let few = 1 + seed as usize % 2;
         world.split(|n| n < few, true);
         for key in 0..60 {
             world.ask(key as usize % 5, key);
-            world.run(Span::from_millis(50));
+            world.run(TimeSpan::from_millis(50));
         }
         world.split(|n| n < few, false);
-        let same = world.until(Span::from_secs(20), |world| {
+        let same = world.until(TimeSpan::from_secs(20), |world| {
             world.agree() && world.differing() == 0
         });
-        took.push(same.unwrap_or(Span::from_secs(20)).as_secs_f64());
+        took.push(same.unwrap_or(TimeSpan::from_secs(20)).as_secs_f64());
         differing += world.differing();
     }
     took.sort_by(f64::total_cmp);
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -118,7 +118,7 @@
     /// Members that hold the same facts have the same sums, in whatever order they came.
     #[test]
     fn sums_follow_from_the_facts_alone(mut facts in proptest::collection::vec(one_kind(), 1..6), seed in 0..99u64) {
-        let lasts = Lasts { record: Span(1_000), purge: Span(1_000), host: Span(1_000) };
+        let lasts = Lasts { record: TimeSpan(1_000), purge: TimeSpan(1_000), host: TimeSpan(1_000) };
         let mut held = [Facts::new(lasts), Facts::new(lasts)];
         for held in &mut held {
             for fact in facts.iter().flatten() {
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -10,16 +10,16 @@
 use trailproxy_peers::decide::{Action, Rules, Stands};
 use world::*;
 
-const SECOND: Span = Span::from_secs(1);
+const SECOND: TimeSpan = TimeSpan::from_secs(1);
 
 /// A fleet that has found itself, and lacks nothing.
 fn fleet(n: usize, seed: u64) -> World {
     let mut world = World::new(n, seed);
-    world.run(Span::from_secs(10));
+    world.run(TimeSpan::from_secs(10));
     assert!(world.agree(), "all know all");
     assert!(
         world
-            .until(Span::from_secs(60), |world| world.whole())
+            .until(TimeSpan::from_secs(60), |world| world.whole())
             .is_some()
     );
     world
@@ -29,9 +29,9 @@
 fn a_fleet_finds_itself_from_three_addresses() {
     for n in [3, 16] {
         let mut world = World::new(n, 1);
-        let took = world.until(Span::from_secs(5), |world| world.agree());
+        let took = world.until(TimeSpan::from_secs(5), |world| world.agree());
         assert!(
-            took.is_some_and(|took| took < Span::from_secs(3)),
+            took.is_some_and(|took| took < TimeSpan::from_secs(3)),
             "{n}: {took:?}"
         );
     }
@@ -41,7 +41,7 @@
 fn a_change_sent_again_elsewhere_is_bound_or_answered_from_the_record() {
     let mut world = fleet(3, 2);
     world.ask(0, 7);
-    world.run(Span::from_millis(30));
+    world.run(TimeSpan::from_millis(30));
     // While it runs, the second waits for it, and is answered with its answer.
     world.ask(1, 7);
     world.run(SECOND);
@@ -57,9 +57,9 @@
     for seed in 0..40 {
         let mut world = fleet(3, seed);
         world.ask(0, 7);
-        world.run(Span((seed % 5) * 100));
+        world.run(TimeSpan((seed % 5) * 100));
         world.ask(1, 7);
-        world.run(Span::from_secs(3));
+        world.run(TimeSpan::from_secs(3));
         assert_eq!(world.repeats().len(), 0, "seed {seed}");
         assert!(!world.seen.sent.is_empty(), "seed {seed}: one goes");
     }
@@ -69,7 +69,7 @@
 fn no_access_waits_longer_than_it_may_whoever_is_slow_or_gone() {
     let mut world = fleet(5, 3);
     let slow = Way {
-        slower: Span::from_millis(400),
+        slower: TimeSpan::from_millis(400),
         ..Way::default()
     };
     for n in 1..5 {
@@ -81,7 +81,7 @@
     }
     world.run(SECOND);
     let longest = world.seen.held.iter().max().copied().unwrap_or_default();
-    assert!(longest <= WAIT + Span::from_millis(6), "{longest:?}");
+    assert!(longest <= WAIT + TimeSpan::from_millis(6), "{longest:?}");
     assert_eq!(world.seen.sent.len(), 20, "each goes alone");
 }
 
@@ -89,15 +89,15 @@
 fn one_that_is_killed_is_given_up_and_one_that_leaves_is_gone_at_once() {
     let mut world = fleet(5, 4);
     world.kill(4);
-    let took = world.until(Span::from_secs(10), |world| world.agree());
+    let took = world.until(TimeSpan::from_secs(10), |world| world.agree());
     assert!(
-        took.is_some_and(|took| took < Span::from_secs(6)),
+        took.is_some_and(|took| took < TimeSpan::from_secs(6)),
         "{took:?}"
     );
     world.leave(3);
     let took = world.until(SECOND, |world| world.agree());
     assert!(
-        took.is_some_and(|took| took < Span::from_millis(200)),
+        took.is_some_and(|took| took < TimeSpan::from_millis(200)),
         "{took:?}"
     );
 }
@@ -112,7 +112,7 @@
             ..Way::default()
         },
     );
-    world.run(Span::from_secs(10));
+    world.run(TimeSpan::from_secs(10));
     assert!(world.agree(), "0 is heard by the others, and they by it");
 }
 
@@ -129,10 +129,10 @@
         );
     }
     world.ask(2, 1);
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     assert_eq!(world.seen.sent.len(), 1);
     world.ways.clear();
-    let took = world.until(Span::from_secs(5), |world| {
+    let took = world.until(TimeSpan::from_secs(5), |world| {
         world.agree() && world.differing() == 0
     });
     assert!(took.is_some(), "they find each other again");
@@ -153,9 +153,9 @@
         world.ask(0, key);
         world.ask(5, key);
     }
-    world.run(Span::from_secs(20));
+    world.run(TimeSpan::from_secs(20));
     world.split(|n| n < 3, false);
-    let took = world.until(Span::from_secs(5), |world| {
+    let took = world.until(TimeSpan::from_secs(5), |world| {
         world.agree() && world.differing() == 0
     });
     assert!(took.is_some(), "one picture again");
@@ -179,14 +179,14 @@
 fn both_sides_hand_off_the_same_key_and_the_heal_binds_what_comes_after() {
     let mut world = fleet(6, 8);
     world.split(|n| n < 3, true);
-    world.run(Span::from_secs(6));
+    world.run(TimeSpan::from_secs(6));
     world.ask(0, 77);
     world.ask(4, 77);
     world.run(SECOND);
     // Neither side is more than half: neither has leave, both go as they would alone.
     assert!(world.seen.sent.iter().filter(|sent| sent.granted).count() <= 1);
     world.split(|n| n < 3, false);
-    world.until(Span::from_secs(5), |world| {
+    world.until(TimeSpan::from_secs(5), |world| {
         world.agree() && world.differing() == 0
     });
     let before = world.seen.sent.len();
@@ -204,16 +204,16 @@
             let mut world = fleet(n, seed);
             let few = n / 2;
             world.split(|k| k < few, true);
-            world.run(Span::from_secs(2));
+            world.run(TimeSpan::from_secs(2));
             for key in 0..60 {
                 world.ask(n - 1 - key as usize % (n - few), key);
-                world.run(Span::from_millis(5));
+                world.run(TimeSpan::from_millis(5));
             }
             world.run(SECOND);
             world.split(|k| k < few, false);
             for key in 0..60 {
                 world.ask(key as usize % few, key);
-                world.run(Span::from_millis(7));
+                world.run(TimeSpan::from_millis(7));
             }
             let repeats = world.repeats();
             assert!(repeats.is_empty(), "{n}, seed {seed}: {repeats:?}");
@@ -233,11 +233,13 @@
             ..Way::default()
         };
         world.every_way(cut);
-        world.run(Span::from_secs(8));
+        world.run(TimeSpan::from_secs(8));
         world.every_way(Way::default());
-        let took = world.until(Span::from_secs(10), |world| world.agree() && world.whole());
+        let took = world.until(TimeSpan::from_secs(10), |world| {
+            world.agree() && world.whole()
+        });
         assert!(
-            took.is_some_and(|took| took <= Span::from_secs(4)),
+            took.is_some_and(|took| took <= TimeSpan::from_secs(4)),
             "{n}: {took:?}"
         );
         world.ask(1, 7);
@@ -250,7 +252,7 @@
 fn one_that_slept_knows_it_before_it_says_anything() {
     let mut world = fleet(5, 9);
     world.pause(2, true);
-    world.run(Span::from_secs(30));
+    world.run(TimeSpan::from_secs(30));
     world.pause(2, false);
     let peers = world.nodes[2].peers.as_ref().expect("up");
     assert_eq!(peers.counts().away, 1);
@@ -259,9 +261,11 @@
         Stands::Whole,
         "what it kept may have changed"
     );
-    let took = world.until(Span::from_secs(5), |world| world.agree() && world.whole());
+    let took = world.until(TimeSpan::from_secs(5), |world| {
+        world.agree() && world.whole()
+    });
     assert!(
-        took.is_some_and(|took| took <= Span::from_secs(3)),
+        took.is_some_and(|took| took <= TimeSpan::from_secs(3)),
         "{took:?}"
     );
 }
@@ -272,17 +276,19 @@
     for key in 0..3_000 {
         world.ask(key as usize % 4, key);
         if key % 100 == 0 {
-            world.run(Span::from_millis(20));
+            world.run(TimeSpan::from_millis(20));
         }
     }
     world.run(SECOND);
     world.kill(3);
     world.start(3);
-    world.run(Span::from_millis(60));
+    world.run(TimeSpan::from_millis(60));
     world.pause(3, true);
-    world.run(Span::from_secs(3));
+    world.run(TimeSpan::from_secs(3));
     world.pause(3, false);
-    let took = world.until(Span::from_secs(5), |world| world.agree() && world.whole());
+    let took = world.until(TimeSpan::from_secs(5), |world| {
+        world.agree() && world.whole()
+    });
     assert!(took.is_some(), "whole in the end");
     assert_eq!(world.differing(), 0);
 }
@@ -300,26 +306,26 @@
     assert!(!world.whole(), "what was before may be missing");
     assert!(
         world
-            .until(Span::from_secs(60), |world| world.whole())
+            .until(TimeSpan::from_secs(60), |world| world.whole())
             .is_some()
     );
 }
 
 #[test]
 fn all_restarted_one_by_one_lose_nothing() {
-    let keep = Span::from_secs(60);
+    let keep = TimeSpan::from_secs(60);
     let mut world = World::with(5, 12, Rules { keep, ..rules() });
-    world.run(Span::from_secs(70));
+    world.run(TimeSpan::from_secs(70));
     world.ask(0, 7);
     world.purge(0, 9);
     world.run(SECOND);
     for n in 0..5 {
         world.kill(n);
-        world.run(Span::from_millis(200));
+        world.run(TimeSpan::from_millis(200));
         world.start(n);
-        let took = world.until(Span::from_secs(5), |world| world.whole());
+        let took = world.until(TimeSpan::from_secs(5), |world| world.whole());
         assert!(
-            took.is_some_and(|took| took <= Span::from_secs(2)),
+            took.is_some_and(|took| took <= TimeSpan::from_secs(2)),
             "{n} has caught up: {took:?}"
         );
     }
@@ -337,9 +343,9 @@
     let mut world = World::new(4, 13);
     world.nodes[3].id = world.nodes[2].id;
     world.kill(3);
-    world.run(Span::from_secs(6));
+    world.run(TimeSpan::from_secs(6));
     world.start(3);
-    world.run(Span::from_secs(6));
+    world.run(TimeSpan::from_secs(6));
     let stands =
         |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.stands());
     assert_eq!(stands(&world, 2), Some(Stands::Shadowed));
@@ -357,14 +363,14 @@
     world.nodes[2].faster = 0.01;
     for key in 0..40 {
         world.ask(1, key);
-        world.run(Span::from_millis(50));
+        world.run(TimeSpan::from_millis(50));
         world.ask(2, key);
-        world.run(Span::from_millis(200));
+        world.run(TimeSpan::from_millis(200));
     }
     assert_eq!(world.repeats().len(), 0);
     assert_eq!(world.seen.sent.len(), 40);
     world.nodes[1].ahead = 20_000_000;
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     let others = world.nodes[0].peers.as_ref().expect("up");
     assert!(others.counts().off_clock > 0);
     assert!(
@@ -403,7 +409,7 @@
     world.with_peers(2, |peers, now| {
         peers.listed(now, &[entry(HostState::Ready, None)], 12)
     });
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     let one = world.seen.restricted.get(&(1, 5));
     assert_eq!(
         one,
@@ -411,7 +417,7 @@
         "nobody takes a restriction back but the own list"
     );
     // A list that stays silent, or another history of the journal, holds nobody for ever.
-    world.run(Span::from_secs(31));
+    world.run(TimeSpan::from_secs(31));
     assert_eq!(world.seen.restricted.get(&(1, 5)), Some(&false));
 }
 
@@ -429,8 +435,10 @@
         size: 1.0,
         state: HostState::Ready,
     };
-    world.with_peers(4, |peers, _| peers.opened(DAWN + Span::from_secs(70), host));
-    world.run(Span::from_secs(2));
+    world.with_peers(4, |peers, _| {
+        peers.opened(DAWN + TimeSpan::from_secs(70), host)
+    });
+    world.run(TimeSpan::from_secs(2));
     let knows = |world: &World, n: usize| world.seen.purges.contains(&(n, 8));
     assert!(
         (0..16).filter(|&n| n != 3).all(|n| knows(&world, n)),
@@ -438,10 +446,10 @@
         world.seen.purges
     );
     world.with_peers(5, |peers, now| {
-        let long_past = now - Span::from_secs(200);
+        let long_past = now - TimeSpan::from_secs(200);
         peers.purged(now, Some(ObjectId(1)), GroupId(0), long_past);
     });
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     assert!(!world.seen.purges.iter().any(|&(_, object)| object == 1));
 }
 
@@ -453,7 +461,7 @@
     for key in 1_000..9_000 {
         world.ask(0, key);
     }
-    world.run(Span::from_millis(500));
+    world.run(TimeSpan::from_millis(500));
     let (own, asking, owed, _) = world.nodes[0].peers.as_ref().expect("up").kept();
     assert!(
         own <= 8_000 && asking <= 2_048 && owed <= 8_192,
@@ -494,14 +502,14 @@
         let message = lies(world.now, vec![Note::Updates(updates)]);
         world.inject(n, from, message);
     }
-    let took = world.until(Span::from_secs(5), |world| {
+    let took = world.until(TimeSpan::from_secs(5), |world| {
         world.nodes[0]
             .peers
             .as_ref()
             .is_some_and(|peers| (1..3).all(|m| peers.members().alive(world.nodes[m].id)))
     });
     assert!(
-        took.is_some_and(|took| took < Span::from_secs(3)),
+        took.is_some_and(|took| took < TimeSpan::from_secs(3)),
         "they say that they are well: {took:?}"
     );
     world.ask(1, 7);
@@ -516,9 +524,9 @@
 fn where_the_operator_has_it_so_what_nobody_is_sure_about_is_refused() {
     let refuse = true;
     let mut world = World::with(6, 19, Rules { refuse, ..rules() });
-    world.run(Span::from_secs(45));
+    world.run(TimeSpan::from_secs(45));
     world.split(|n| n < 2, true);
-    world.run(Span::from_secs(5));
+    world.run(TimeSpan::from_secs(5));
     // The larger side knows; the smaller one can't.
     world.ask(4, 1);
     world.run(SECOND);
@@ -533,7 +541,9 @@
         .collect();
     assert_eq!((went, world.seen.refused), (vec![(4, 1)], 2));
     world.split(|n| n < 2, false);
-    world.until(Span::from_secs(5), |world| world.agree() && world.whole());
+    world.until(TimeSpan::from_secs(5), |world| {
+        world.agree() && world.whole()
+    });
     world.ask(0, 2);
     world.run(SECOND);
     assert_eq!(world.seen.sent.len(), 2, "it comes again when they know");
@@ -583,7 +593,7 @@
 fn what_others_answer_is_kept_by_a_replica_that_was_not_told() {
     for seed in 0..10 {
         let mut world = World::new(3, 900 + seed);
-        world.run(Span::from_secs(12));
+        world.run(TimeSpan::from_secs(12));
         // The one that does it reaches one of the two others only.
         for way in [(0, 2), (2, 0)] {
             let cut = true;
@@ -596,16 +606,16 @@
             );
         }
         world.ask(0, 5);
-        world.run(Span::from_millis(70));
+        world.run(TimeSpan::from_millis(70));
         world.ask(2, 5);
-        world.run(Span::from_millis(3));
+        world.run(TimeSpan::from_millis(3));
         assert_eq!(
             world.seen.answered, 1,
             "seed {seed}: the one between tells it"
         );
         [0, 1].into_iter().for_each(|node| world.kill(node));
         world.ask(2, 5);
-        world.run(Span::from_millis(100));
+        world.run(TimeSpan::from_millis(100));
         assert_eq!(world.seen.answered, 2, "seed {seed}: it knows by itself");
     }
 }
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -9,7 +9,7 @@
 use trailproxy_shared_store::decide::records::{Folding, Verdict};
 use world::*;
 
-const SECOND: Span = Span::from_secs(1);
+const SECOND: TimeSpan = TimeSpan::from_secs(1);
 
 /// A name, what strikes, and what ends it.
 type Fault = (&'static str, fn(&mut World), fn(&mut World));
@@ -63,7 +63,7 @@
         |w| {
             w.every_way(Way {
                 doubled: 0.5,
-                slower: Span::from_millis(5),
+                slower: TimeSpan::from_millis(5),
                 ..Way::default()
             })
         },
@@ -73,7 +73,7 @@
         "slow",
         |w| {
             w.every_way(Way {
-                slower: Span::from_millis(60),
+                slower: TimeSpan::from_millis(60),
                 ..Way::default()
             })
         },
@@ -84,7 +84,7 @@
         |w| {
             for b in 0..w.nodes.len() {
                 let way = Way {
-                    slower: Span::from_millis(300),
+                    slower: TimeSpan::from_millis(300),
                     ..Way::default()
                 };
                 w.ways.insert((1, b), way);
@@ -133,8 +133,8 @@
 #[derive(Debug, Default)]
 struct Ran {
     repeats: usize,
-    longest: Span,
-    heals: Option<Span>,
+    longest: TimeSpan,
+    heals: Option<TimeSpan>,
     differing: usize,
     unknown: usize,
     asked: u64,
@@ -144,7 +144,7 @@
 /// Keys are asked for, and again elsewhere, while it strikes; then it ends and all is the same again.
 fn struck(n: usize, seed: u64, faults: &[Fault], planted: Option<Planted>) -> Ran {
     let mut world = World::new(n, seed);
-    world.run(Span::from_secs(12));
+    world.run(TimeSpan::from_secs(12));
     world.planted = planted;
     let mut chance = fastrand::Rng::with_seed(seed ^ 5);
     let mut ran = Ran::default();
@@ -157,7 +157,7 @@
                 world.ask(node, key);
             }
             if again == 0 {
-                world.run(Span(chance.u64(0..120_000)));
+                world.run(TimeSpan(chance.u64(0..120_000)));
             }
         }
     };
@@ -174,7 +174,7 @@
             (0..10).for_each(|key| ask(&mut world, &mut chance, &mut ran, key));
         }
     }
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     faults.iter().for_each(|(.., end)| end(&mut world));
     // Clients whose change was under way meanwhile come again in the very moment when it ends.
     for key in 12..40 {
@@ -183,15 +183,15 @@
             ran.asked += 1;
             world.ask(node, key);
         }
-        world.run(Span(chance.u64(0..12_000)));
+        world.run(TimeSpan(chance.u64(0..12_000)));
     }
-    let heals = world.until(Span::from_secs(20), |world| {
+    let heals = world.until(TimeSpan::from_secs(20), |world| {
         world.agree() && world.differing() == 0
     });
     ran.heals = heals;
     ran.differing = world.differing();
     // What was purged before the end is known to all that are there.
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     let knows =
         |world: &World, k: usize| k == n - 1 || world.seen.purges.contains(&(k, 500 + seed));
     let purger = faults
@@ -209,9 +209,9 @@
 fn holds(name: &str, ran: &Ran) {
     assert_eq!(ran.repeats, 0, "{name}: sent twice by leave: {ran:?}");
     // An access that joins another's waits longer, by a quarter of the time until it is due.
-    assert!(ran.longest <= Span::from_millis(270), "{name}: {ran:?}");
+    assert!(ran.longest <= TimeSpan::from_millis(270), "{name}: {ran:?}");
     assert!(
-        ran.heals.is_some_and(|took| took <= Span::from_secs(6)),
+        ran.heals.is_some_and(|took| took <= TimeSpan::from_secs(6)),
         "{name}: {ran:?}"
     );
     assert_eq!((ran.differing, ran.unknown), (0, 0), "{name}: {ran:?}");
@@ -249,24 +249,24 @@
 #[test]
 fn three_hundred_find_each_other_and_heal_at_a_stated_cost() {
     let mut world = World::new(300, 1);
-    let took = world.until(Span::from_secs(20), |world| world.agree());
+    let took = world.until(TimeSpan::from_secs(20), |world| world.agree());
     assert!(took.is_some(), "all know all");
-    world.run(Span::from_secs(5));
+    world.run(TimeSpan::from_secs(5));
     let (messages, begun) = (world.seen.messages, world.now);
-    world.run(Span::from_secs(3));
+    world.run(TimeSpan::from_secs(3));
     let each =
         (world.seen.messages - messages) as f64 / 300.0 / world.now.since(begun).as_secs_f64();
     assert!(each < 40.0, "{each} messages a second each at rest");
     world.purge(7, 1);
-    world.run(Span::from_secs(3));
+    world.run(TimeSpan::from_secs(3));
     let known = (0..300)
         .filter(|&n| world.seen.purges.contains(&(n, 1)))
         .count();
     assert!(known >= 299, "{known} know of a purge after 3 s");
     world.split(|n| n < 100, true);
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     world.split(|n| n < 100, false);
-    let took = world.until(Span::from_secs(15), |world| world.agree());
+    let took = world.until(TimeSpan::from_secs(15), |world| world.agree());
     assert!(took.is_some(), "one fleet again");
 }
 
@@ -288,7 +288,7 @@
             ran.repeats > 0
         }),
         (Planted::IncarnationTwice, "cut in two", |ran| {
-            ran.heals.is_none_or(|took| took > Span::from_secs(6))
+            ran.heals.is_none_or(|took| took > TimeSpan::from_secs(6))
         }),
     ];
     figure("planted", cases.len() as f64);
@@ -339,7 +339,7 @@
         fn deliver(&mut self, nth: usize, lost: bool) {
             let (from, to, message) = self.flying.remove(nth);
             if !lost {
-                self.now = self.now + Span(100);
+                self.now = self.now + TimeSpan(100);
                 let address = self.peers[from].members().own().address;
                 self.peers[to].heard(self.now, address, message);
                 self.act(to);
@@ -367,8 +367,8 @@
         went: vec![false; 3],
     };
     // Until they know each other and nothing older can be missing.
-    while small.now.since(DAWN) < Span::from_secs(15) {
-        small.now = small.now + Span::from_millis(20);
+    while small.now.since(DAWN) < TimeSpan::from_secs(15) {
+        small.now = small.now + TimeSpan::from_millis(20);
         for n in 0..3 {
             small.peers[n].advance(small.now);
             small.act(n);
@@ -398,7 +398,7 @@
             }
         }
         let mut next = small.clone();
-        next.now = next.now + Span::from_millis(11);
+        next.now = next.now + TimeSpan::from_millis(11);
         for n in 0..3 {
             next.peers[n].advance(next.now);
             next.act(n);
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -13,9 +13,9 @@
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
-pub const WAIT: Span = Span::from_millis(20);
-pub const WINDOW: Span = Span::from_secs(4);
-pub const LIMIT: Span = Span::from_secs(2);
+pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
+pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
+pub const LIMIT: TimeSpan = TimeSpan::from_secs(2);
 pub const DAWN: Timestamp = Timestamp(1_700_000_000_000_000);
 
 pub fn rules() -> Rules {
@@ -26,8 +26,8 @@
         hints: true,
         refuse: false,
         wait: WAIT,
-        keep: Span::from_secs(8),
-        purges_last: Span::from_secs(30),
+        keep: TimeSpan::from_secs(8),
+        purges_last: TimeSpan::from_secs(30),
     }
 }
 
@@ -38,7 +38,7 @@
     /// Shares of messages, and a delay beside the usual one, at the mean.
     pub lost: f64,
     pub doubled: f64,
-    pub slower: Span,
+    pub slower: TimeSpan,
 }
 
 /// What is done wrong on purpose, by changing what one says to others.
@@ -101,7 +101,7 @@
     pub answered: u64,
     pub refused: u64,
     /// How long each access with a key was held.
-    pub held: Vec<Span>,
+    pub held: Vec<TimeSpan>,
     pub purges: BTreeSet<(usize, u64)>,
     pub hints: BTreeSet<(usize, u64)>,
     pub restricted: BTreeMap<(usize, u64), bool>,
@@ -122,23 +122,23 @@
     by_address: BTreeMap<Address, usize>,
     next: u64,
     /// How long a hand-off runs.
-    pub runs: Span,
+    pub runs: TimeSpan,
     /// Whether messages are put into bytes to know their size.
     pub weighs: bool,
     /// How far apart events of one node may be seen: timers are looked at so often.
-    pub step: Span,
+    pub step: TimeSpan,
     zones: Vec<NearId>,
 }
 
 /// How long a message is on its way, without faults: from, and at the most.
-fn travel(distance: Distance) -> (Span, Span) {
+fn travel(distance: Distance) -> (TimeSpan, TimeSpan) {
     let (least, most) = match distance {
         Distance::Site => (100, 400),
         Distance::Zone => (700, 1_500),
         Distance::Region => (5_000, 10_000),
         Distance::BetweenRegions => (30_000, 80_000),
     };
-    (Span(least), Span(most))
+    (TimeSpan(least), TimeSpan(most))
 }
 
 fn address(n: usize) -> Address {
@@ -171,9 +171,9 @@
             flying: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
             next: 0,
-            runs: Span::from_millis(60),
+            runs: TimeSpan::from_millis(60),
             weighs: false,
-            step: Span::from_millis(5),
+            step: TimeSpan::from_millis(5),
             zones: Vec::new(),
         };
         world.fill(n, |_| None);
@@ -190,7 +190,7 @@
     ) -> World {
         let mut world = World::with(0, seed, rules);
         world.by_address = (0..n).map(|n| (address(n), n)).collect();
-        world.step = Span::from_millis(1);
+        world.step = TimeSpan::from_millis(1);
         world.zones = zones;
         world.fill(n, place);
         world
@@ -407,13 +407,13 @@
         }
     }
 
-    fn usual(&mut self, from: usize, to: usize) -> Span {
+    fn usual(&mut self, from: usize, to: usize) -> TimeSpan {
         let places = self.nodes[from].locality.zip(self.nodes[to].locality);
         let (least, most) = match places {
             Some((from, to)) => travel(from.distance(to)),
-            None => (Span(200), Span(500)),
+            None => (TimeSpan(200), TimeSpan(500)),
         };
-        least + (most - least).times(self.chance.f64())
+        least + (most - least).mul_f64(self.chance.f64())
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
@@ -430,7 +430,7 @@
         let copies = 1 + usize::from(self.chance.f64() < way.doubled);
         for _ in 0..copies {
             let usual = self.usual(from, to);
-            let slower = way.slower.times(-(1.0 - self.chance.f64()).ln());
+            let slower = way.slower.mul_f64(-(1.0 - self.chance.f64()).ln());
             self.next += 1;
             let at = self.now + usual + slower;
             self.flying
@@ -456,7 +456,7 @@
         let folded = self.folding.key(ClassId(0), &key.to_string());
         let eager = self.planted == Some(Planted::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
-            peers.come(now, id, folded, now + Span::from_secs(1));
+            peers.come(now, id, folded, now + TimeSpan::from_secs(1));
         }
         if eager {
             // It goes as if it had been alone, and says so afterwards.
@@ -550,7 +550,7 @@
     }
 
     /// Time goes on by this.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         let step = self.step;
         while self.now < end {
@@ -630,13 +630,17 @@
     }
 
     /// Runs until this holds; how long that took, `None` where it does not in `most`.
-    pub fn until(&mut self, most: Span, mut holds: impl FnMut(&mut World) -> bool) -> Option<Span> {
+    pub fn until(
+        &mut self,
+        most: TimeSpan,
+        mut holds: impl FnMut(&mut World) -> bool,
+    ) -> Option<TimeSpan> {
         let begun = self.now;
         while self.now.since(begun) < most {
             if holds(self) {
                 return Some(self.now.since(begun));
             }
-            self.run(Span::from_millis(50));
+            self.run(TimeSpan::from_millis(50));
         }
         None
     }
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -8,15 +8,15 @@
 use trailproxy_peers::decide::relay::SETTLE;
 use world::*;
 
-const SECOND: Span = Span::from_secs(1);
+const SECOND: TimeSpan = TimeSpan::from_secs(1);
 /// What a keyed request may wait; two zones of one region are further apart.
-const SHORT_WAIT: Span = Span::from_millis(5);
+const SHORT_WAIT: TimeSpan = TimeSpan::from_millis(5);
 /// All from before a start has run out, and replicas have joined.
-const UNTIL_WHOLE: Span = Span::from_secs(14);
+const UNTIL_WHOLE: TimeSpan = TimeSpan::from_secs(14);
 /// All that was claimed in a zone that is silent has run out.
-const UNTIL_LEFT_OUT: Span = Span::from_secs(13);
+const UNTIL_LEFT_OUT: TimeSpan = TimeSpan::from_secs(13);
 /// A client that comes again in another zone does so no sooner.
-const ELSEWHERE: Span = Span(SETTLE.0 + 100_000);
+const ELSEWHERE: TimeSpan = TimeSpan(SETTLE.0 + 100_000);
 const ZONES: usize = 6;
 
 fn zone_name(zone: usize) -> String {
@@ -67,10 +67,10 @@
     let (mut asked, before) = (0, world.seen.sent.len());
     for node in nodes {
         world.ask(node, first_key + node as u64);
-        world.run(Span::from_millis(20));
+        world.run(TimeSpan::from_millis(20));
         asked += 1;
     }
-    world.run(Span::from_millis(50));
+    world.run(TimeSpan::from_millis(50));
     let granted = world.seen.sent[before..].iter().filter(|sent| sent.granted);
     (granted.count(), asked)
 }
@@ -103,12 +103,12 @@
     for (key, again) in [(1, 6), (2, 1), (3, 2), (4, 5)] {
         world.ask(0, key);
         world.run(if again == 6 {
-            Span::from_millis(10)
+            TimeSpan::from_millis(10)
         } else {
             ELSEWHERE
         });
         world.ask(again, key);
-        world.run(Span::from_millis(200));
+        world.run(TimeSpan::from_millis(200));
     }
     for (key, again) in [(1, 6), (2, 1), (3, 2), (4, 5)] {
         let sent = sent(&world, key);
@@ -129,7 +129,7 @@
     world.free(0, 1);
     world.run(ELSEWHERE);
     world.ask(3, 1);
-    world.run(Span::from_millis(50));
+    world.run(TimeSpan::from_millis(50));
     assert!(
         sent(&world, 1).contains(&(3, true)),
         "{:?}",
@@ -152,14 +152,14 @@
         world.ask(one, 2_000 + key as u64);
         world.run(ELSEWHERE);
         world.ask(other, 2_000 + key as u64);
-        world.run(Span::from_millis(100));
+        world.run(TimeSpan::from_millis(100));
     }
     let (granted, asked) = granted_at(&mut world, (0..18).filter(|&node| !apart(node)), 3_000);
     assert_eq!((granted, asked), (12, 12), "four zones of six go on");
     let (granted, _) = granted_at(&mut world, (0..18).filter(|&node| apart(node)), 3_100);
     assert_eq!(granted, 0, "two of six do not");
     world.split(apart, false);
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     let (granted, asked) = granted_at(&mut world, 0..18, 4_000);
     assert_eq!(granted, asked, "all are one again");
     assert!(world.repeats().is_empty(), "{:?}", world.repeats().first());
@@ -170,13 +170,13 @@
     let mut world = whole(18, 5);
     let lost = |node: usize| node % ZONES == 2;
     world.ask(2, 1);
-    world.run(Span::from_millis(8));
+    world.run(TimeSpan::from_millis(8));
     (0..18)
         .filter(|&node| lost(node))
         .for_each(|node| world.kill(node));
     world.run(ELSEWHERE);
     world.ask(3, 1);
-    world.run(Span::from_millis(50));
+    world.run(TimeSpan::from_millis(50));
     assert!(
         !sent(&world, 1).contains(&(3, true)),
         "it may have run in the zone that is gone"
@@ -188,7 +188,7 @@
     (0..18)
         .filter(|&node| lost(node))
         .for_each(|node| world.start(node));
-    world.run(Span::from_secs(20));
+    world.run(TimeSpan::from_secs(20));
     let (granted, asked) = granted_at(&mut world, 0..18, 2_000);
     assert_eq!(granted, asked);
 }
@@ -202,7 +202,7 @@
     for key in 0..30 {
         world.ask(zone[key as usize % 3], key);
     }
-    world.run(Span::from_millis(8));
+    world.run(TimeSpan::from_millis(8));
     for node in zone {
         world.kill(node);
         world.start(node);
@@ -211,7 +211,7 @@
     for key in 0..30 {
         world.ask(1 + key as usize % 5, key);
     }
-    world.run(Span::from_millis(50));
+    world.run(TimeSpan::from_millis(50));
     world.repeats().len()
 }
 
@@ -233,7 +233,7 @@
         world.ask(6, key);
         world.run(ELSEWHERE);
         world.ask(9, key);
-        world.run(Span::from_millis(50));
+        world.run(TimeSpan::from_millis(50));
     }
     world.repeats().len()
 }
@@ -265,13 +265,13 @@
         let mut world = whole(18, 100 + seed);
         let key = seed;
         world.ask(0, key);
-        world.run(Span::from_millis(30));
+        world.run(TimeSpan::from_millis(30));
         // A rack: two of the three members of a zone, not the one that asked.
         [6, 12].into_iter().for_each(|node| world.kill(node));
         world.run(ELSEWHERE);
         [0, 1, 3].into_iter().for_each(|node| {
             world.ask(node, key);
-            world.run(Span::from_millis(50));
+            world.run(TimeSpan::from_millis(50));
         });
         let again = sent(&world, key)
             .into_iter()
@@ -299,7 +299,7 @@
     world.run(ELSEWHERE);
     world.ask(2, 1);
     world.ask(0, 2);
-    world.run(Span::from_millis(50));
+    world.run(TimeSpan::from_millis(50));
     assert!(!sent(&world, 1).contains(&(2, true)));
     assert!(!sent(&world, 2).contains(&(0, true)));
 }
@@ -308,7 +308,7 @@
 fn a_member_that_moved_to_another_zone_under_its_name_is_a_replica_there() {
     let mut world = whole(18, 7);
     world.ask(6, 1);
-    world.run(Span::from_millis(30));
+    world.run(TimeSpan::from_millis(30));
     world.kill(6);
     world.nodes[6].locality = Some(place(1));
     world.start(6);
@@ -331,7 +331,7 @@
         world.ask(node, key);
         world.run(ELSEWHERE);
         world.ask((node + 5) % 18, key);
-        world.run(Span::from_millis(150));
+        world.run(TimeSpan::from_millis(150));
     };
     for node in (0..18).filter(|&node| old(node)) {
         world.kill(node);
@@ -491,7 +491,7 @@
             world.every_way(Way {
                 lost: 0.1,
                 doubled: 0.1,
-                slower: Span::from_millis(10),
+                slower: TimeSpan::from_millis(10),
                 ..Way::default()
             });
         },
@@ -500,7 +500,7 @@
 ];
 
 /// Clients that come again: at once in the same zone, or elsewhere once what was claimed can be known there.
-fn clients(world: &mut World, span: Span, next_key: &mut u64) {
+fn clients(world: &mut World, span: TimeSpan, next_key: &mut u64) {
     let end = world.now + span;
     let members = world.nodes.len();
     while world.now < end {
@@ -510,20 +510,20 @@
             let node = world.chance.usize(0..members);
             world.ask(node, *next_key);
             first.push((node, *next_key));
-            let pause = Span((world.chance.f64() * 20_000.0) as u64);
+            let pause = TimeSpan((world.chance.f64() * 20_000.0) as u64);
             world.run(pause);
         }
         for &(node, key) in first.iter().take(3) {
             let same_zone = (node + ZONES * world.chance.usize(1..3)) % members;
             world.ask(same_zone, key);
-            world.run(Span::from_millis(3));
+            world.run(TimeSpan::from_millis(3));
         }
         world.run(ELSEWHERE);
         for &(_, key) in &first {
             let elsewhere = world.chance.usize(0..members);
             world.ask(elsewhere, key);
         }
-        world.run(Span::from_millis(150));
+        world.run(TimeSpan::from_millis(150));
     }
 }
 
@@ -546,12 +546,12 @@
     FAULTS[faults[0]].1(&mut world, seed);
     clients(&mut world, long, &mut key);
     FAULTS[faults[1]].1(&mut world, seed + 3);
-    clients(&mut world, Span::from_secs(3), &mut key);
+    clients(&mut world, TimeSpan::from_secs(3), &mut key);
     for fault in faults {
         FAULTS[fault].2(&mut world, seed);
     }
-    clients(&mut world, Span::from_secs(8), &mut key);
-    world.run(Span::from_secs(16));
+    clients(&mut world, TimeSpan::from_secs(8), &mut key);
+    world.run(TimeSpan::from_secs(16));
     let (granted, asked) = granted_at(&mut world, 0..18, 1_000_000);
     (world.repeats().len(), granted as f64 / asked as f64)
 }
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -27,11 +27,11 @@
     pub hints: bool,
     pub purges: bool,
     /// The longest that an access waits for an answer; an answer that takes longer is late.
-    pub wait: Span,
+    pub wait: TimeSpan,
     /// How long a record is kept: no shorter than any window and outer limit together.
-    pub keep: Span,
+    pub keep: TimeSpan,
     /// After that every copy from before a purge is gone.
-    pub purges_last: Span,
+    pub purges_last: TimeSpan,
 }
 
 /// One operation under way.
@@ -58,7 +58,7 @@
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
-        ago: Span,
+        ago: TimeSpan,
     },
     Hinted {
         host: HostId,
@@ -107,15 +107,15 @@
 /// Operations under way at once; more are left out, so that a silent store costs no memory.
 const MOST_OUT: usize = 1_024;
 /// An operation does nothing at the store so long after it was asked: its caller has given it up.
-const APPLY_WITHIN: Span = Span::from_millis(800);
+const APPLY_WITHIN: TimeSpan = TimeSpan::from_millis(800);
 /// Between two questions for the epoch: a store that answers them with nonsense is not asked in a circle.
-const OPEN_EVERY: Span = Span::from_millis(200);
+const OPEN_EVERY: TimeSpan = TimeSpan::from_millis(200);
 /// How often the own box is looked into: often enough for a question and its answer within half a second.
-const FETCH_EVERY: Span = Span::from_millis(100);
+const FETCH_EVERY: TimeSpan = TimeSpan::from_millis(100);
 /// What was posted and not taken is of no use after this.
-const WORDS_LAST: Span = Span::from_secs(2);
+const WORDS_LAST: TimeSpan = TimeSpan::from_secs(2);
 /// An answer is waited for, to know what became of an operation, for this long.
-const FORGET: Span = Span::from_secs(4);
+const FORGET: TimeSpan = TimeSpan::from_secs(4);
 
 #[derive(Clone, Debug)]
 struct Pending {
@@ -239,7 +239,7 @@
     pub fn hand_off(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
         if let Some(key) = self.records.sent(id, place) {
             let (token, keep) = (self.token(id), self.rules.keep);
-            let ago = Span::ZERO;
+            let ago = TimeSpan::ZERO;
             let op = Op::Sent {
                 key,
                 token,
@@ -267,7 +267,13 @@
     }
 
     /// A purge was heard of, not from the store.
-    pub fn purged(&mut self, now: Timestamp, object: Option<ObjectId>, group: GroupId, ago: Span) {
+    pub fn purged(
+        &mut self,
+        now: Timestamp,
+        object: Option<ObjectId>,
+        group: GroupId,
+        ago: TimeSpan,
+    ) {
         if self.rules.purges {
             let group = object.map_or(group, |_| GroupId::default());
             let drawn = self.chance.f64();
@@ -447,7 +453,7 @@
         self.epoch.count = self.epoch.count.max(said.count);
     }
 
-    fn told(&mut self, now: Timestamp, asked: Timestamp, word: Word, ago: Span) {
+    fn told(&mut self, now: Timestamp, asked: Timestamp, word: Word, ago: TimeSpan) {
         let wanted = match word {
             Word::Purged { .. } => self.rules.purges,
             Word::Opened { .. } => self.rules.hints,
@@ -455,7 +461,7 @@
         // A purge is taken to be as late as it can have been, by whole milliseconds of the store's clock, so that no
         // copy from before it passes; a hint as early.
         let (ago, heard) = match word {
-            Word::Purged { .. } => (ago - Span::from_millis(1), now),
+            Word::Purged { .. } => (ago - TimeSpan::from_millis(1), now),
             Word::Opened { .. } => (ago, asked),
         };
         let at = Timestamp(heard.0.saturating_sub(ago.0));
@@ -592,7 +598,7 @@
     fn tell(&mut self, now: Timestamp) {
         if self.rules.purges || self.rules.hints {
             for (word, ago) in self.news.take(now) {
-                let (same, keep) = (news::SAME, self.rules.purges_last + Span::from_secs(5));
+                let (same, keep) = (news::SAME, self.rules.purges_last + TimeSpan::from_secs(5));
                 self.counts.told += 1;
                 self.ask(
                     now,
@@ -618,7 +624,7 @@
         let Some(own) = self.own.filter(|_| now >= self.fetch_at) else {
             return;
         };
-        self.fetch_at = now + FETCH_EVERY.times(0.75 + 0.5 * self.chance.f64());
+        self.fetch_at = now + FETCH_EVERY.mul_f64(0.75 + 0.5 * self.chance.f64());
         if self.epoch.open && self.trust.may_send(now) {
             self.ask(now, What::Fetch, Op::Fetch { own });
         }
--- a/crates/shared-store/src/decide/news.rs
+++ b/crates/shared-store/src/decide/news.rs
@@ -18,13 +18,13 @@
 }
 
 /// A hint that is older says nothing: the design's own breakers know better by then.
-const HINT_LASTS: Span = Span::from_secs(5);
+const HINT_LASTS: TimeSpan = TimeSpan::from_secs(5);
 /// A purge told at nearly the same moment by another is the same.
-pub const SAME: Span = Span::from_millis(250);
+pub const SAME: TimeSpan = TimeSpan::from_millis(250);
 /// How often the store is asked, spread by half of it; also the sign of life on an idle day.
-const EVERY: Span = Span::from_millis(400);
+const EVERY: TimeSpan = TimeSpan::from_millis(400);
 /// One who heard of a purge waits up to this long whether another tells it: hundreds hear of it at once.
-const TELL_WITHIN: Span = Span::from_millis(300);
+const TELL_WITHIN: TimeSpan = TimeSpan::from_millis(300);
 /// Words remembered, so that each is passed on once. More purges than that come at the cost of telling some twice.
 const MOST: usize = 8_192;
 
@@ -35,12 +35,12 @@
     /// What is to be told, and when.
     telling: BTreeMap<Word, (Timestamp, Timestamp)>,
     ask_at: Timestamp,
-    purges_last: Span,
+    purges_last: TimeSpan,
 }
 
 impl News {
     /// `purges_last`: after that every copy from before a purge is gone.
-    pub fn new(now: Timestamp, purges_last: Span) -> News {
+    pub fn new(now: Timestamp, purges_last: TimeSpan) -> News {
         News {
             known: BTreeMap::new(),
             telling: BTreeMap::new(),
@@ -49,7 +49,7 @@
         }
     }
 
-    fn lasts(&self, word: Word) -> Span {
+    fn lasts(&self, word: Word) -> TimeSpan {
         match word {
             Word::Purged { .. } => self.purges_last,
             Word::Opened { .. } => HINT_LASTS,
@@ -82,7 +82,7 @@
     pub fn happened(&mut self, now: Timestamp, word: Word, at: Timestamp, drawn: f64) {
         if self.learn(now, word, at) && self.telling.len() < MOST {
             let when = match word {
-                Word::Purged { .. } => now + TELL_WITHIN.times(drawn),
+                Word::Purged { .. } => now + TELL_WITHIN.mul_f64(drawn),
                 Word::Opened { .. } => now,
             };
             self.telling.insert(word, (when, at));
@@ -111,13 +111,13 @@
     pub fn asks(&mut self, now: Timestamp, drawn: f64) -> bool {
         let due = now >= self.ask_at;
         if due {
-            self.ask_at = now + EVERY.times(0.75 + 0.5 * drawn);
+            self.ask_at = now + EVERY.mul_f64(0.75 + 0.5 * drawn);
         }
         due
     }
 
     /// What is to be told by now, with how long ago it happened. What got old while the store was away is dropped.
-    pub fn take(&mut self, now: Timestamp) -> Vec<(Word, Span)> {
+    pub fn take(&mut self, now: Timestamp) -> Vec<(Word, TimeSpan)> {
         let due = self.telling.iter().filter(|(_, (when, _))| now >= *when);
         let due: Vec<(Word, Timestamp)> = due.map(|(&word, &(_, at))| (word, at)).collect();
         self.telling.retain(|_, (when, _)| now < *when);
@@ -133,7 +133,7 @@
             self.known.iter().map(|(&word, &at)| (word, at)).collect();
         for (word, at) in known {
             if now.since(at) < self.lasts(word) {
-                let when = now + TELL_WITHIN.times(chance.f64());
+                let when = now + TELL_WITHIN.mul_f64(chance.f64());
                 self.telling.insert(word, (when, at));
             }
         }
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -21,38 +21,36 @@
     Claim {
         key: Key,
         token: u64,
-        keep: Span,
+        keep: TimeSpan,
     },
     Sent {
         key: Key,
         token: u64,
         place: (ZoneId, CellId),
-        ago: Span,
-        keep: Span,
+        ago: TimeSpan,
+        keep: TimeSpan,
     },
     Ended {
         key: Key,
         token: u64,
         came: Came,
         place: Option<(ZoneId, CellId)>,
-        keep: Span,
+        keep: TimeSpan,
     },
     /// Another subsystem's words for one dispatcher, to be had until they are taken or have run out.
     Post {
         to: BoxId,
         from: BoxId,
         bytes: Vec<u8>,
-        keep: Span,
+        keep: TimeSpan,
     },
     /// All that was posted for this one.
-    Fetch {
-        own: BoxId,
-    },
+    Fetch { own: BoxId },
     Tell {
         word: Word,
-        ago: Span,
-        same: Span,
-        keep: Span,
+        ago: TimeSpan,
+        same: TimeSpan,
+        keep: TimeSpan,
     },
     News {
         /// By the server's clock, in milliseconds.
@@ -65,13 +63,13 @@
 pub enum Answer {
     Opened {
         epoch: u64,
-        age: Span,
+        age: TimeSpan,
     },
     Mine,
     Found(Record),
     Posted(Vec<(BoxId, Vec<u8>)>),
     /// What was told, with how long ago it happened.
-    News(Vec<(Word, Span)>),
+    News(Vec<(Word, TimeSpan)>),
     Taken,
     /// Its time was over: it did nothing and never will.
     TooLate,
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -65,7 +65,7 @@
     pub stand: Stand,
     pub place: Option<(ZoneId, CellId)>,
     /// How long ago the first hand-off was claimed, by the store's clock.
-    pub age: Span,
+    pub age: TimeSpan,
     /// The answer, where it is small enough to be kept.
     pub body: Option<Vec<u8>>,
 }
@@ -94,10 +94,10 @@
 const WAIT_PART: f64 = 0.02;
 const JOIN_PART: f64 = 0.25;
 /// How often one that joins asks again, at first and at most.
-const JOIN_EVERY: Span = Span::from_millis(10);
-const JOIN_SLOWEST: Span = Span::from_millis(160);
+const JOIN_EVERY: TimeSpan = TimeSpan::from_millis(10);
+const JOIN_SLOWEST: TimeSpan = TimeSpan::from_millis(160);
 /// By how much the clocks of two stores, of which one takes the other's place, may differ.
-pub const CLOCKS_APART: Span = Span::from_millis(500);
+pub const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(500);
 /// Longer answers are not kept.
 pub const MOST_BODY: usize = 512;
 
@@ -106,7 +106,7 @@
     /// It waits for the claim's answer.
     Asking,
     /// Another has it under way.
-    Joining { again: Timestamp, every: Span },
+    Joining { again: Timestamp, every: TimeSpan },
     /// It is with the decisions.
     Gone,
 }
@@ -171,16 +171,16 @@
         id: RequestId,
         key: Key,
         due: Timestamp,
-        wait: Option<Span>,
+        wait: Option<TimeSpan>,
     ) -> Vec<Step> {
         let left = due.since(now);
-        let until = now + wait.map_or(Span::ZERO, |most| most.min(left.times(WAIT_PART)));
+        let until = now + wait.map_or(TimeSpan::ZERO, |most| most.min(left.mul_f64(WAIT_PART)));
         let waits = until > now;
         let own = Own {
             key,
             phase: if waits { Phase::Asking } else { Phase::Gone },
             until,
-            join_until: now + left.times(JOIN_PART),
+            join_until: now + left.mul_f64(JOIN_PART),
             claimed: false,
             place: None,
             earlier: None,
@@ -238,7 +238,7 @@
             }
             (Stand::Claimed | Stand::Sent, _) if now < own.join_until => {
                 let every = match own.phase {
-                    Phase::Joining { every, .. } => every.times(2.0).min(JOIN_SLOWEST),
+                    Phase::Joining { every, .. } => every.mul_f64(2.0).min(JOIN_SLOWEST),
                     _ => JOIN_EVERY,
                 };
                 let again = (now + every).min(own.join_until);
--- a/crates/shared-store/src/decide/trust.rs
+++ b/crates/shared-store/src/decide/trust.rs
@@ -8,7 +8,7 @@
 //! begins a new one, in which a missing record may be one that was lost: only when everything that could have been
 //! written before has run out does "not found" mean "never there".
 
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
@@ -78,14 +78,14 @@
 /// So many operations in a row have to come in time before accesses wait again: fewer flap.
 const PROOFS: u32 = 8;
 /// A store that owes an answer and says nothing for so long is left.
-const SILENT: Span = Span::from_secs(1);
+const SILENT: TimeSpan = TimeSpan::from_secs(1);
 /// The first pause before a new connection and the longest. Each is drawn between half and the whole of it.
-const FIRST_PAUSE: Span = Span::from_millis(200);
-const LONGEST_PAUSE: Span = Span::from_secs(8);
+const FIRST_PAUSE: TimeSpan = TimeSpan::from_millis(200);
+const LONGEST_PAUSE: TimeSpan = TimeSpan::from_secs(8);
 /// A connection that held for so long begins again with the first pause.
-const HELD: Span = Span::from_secs(10);
+const HELD: TimeSpan = TimeSpan::from_secs(10);
 /// When hundreds find a store back at once, each begins with the little that it asks before, at a point of this.
-const SPREAD: Span = Span::from_secs(2);
+const SPREAD: TimeSpan = TimeSpan::from_secs(2);
 
 /// One dispatcher's trust in the store.
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
     /// When something was heard last, and since when an answer is owed.
     heard: Timestamp,
     owed: Option<Timestamp>,
-    pause: Span,
+    pause: TimeSpan,
     connect_at: Option<Timestamp>,
     since: Timestamp,
     /// What it does not know says nothing before this.
@@ -177,7 +177,7 @@
         (self.heard, self.owed, self.connect_at) = (now, None, None);
         // The very first connection of a process waits for nothing: it starts apart from the others anyway.
         let first = self.pause == FIRST_PAUSE && self.whole_at.is_none();
-        self.quiet_until = now + SPREAD.times(if first { 0.0 } else { drawn });
+        self.quiet_until = now + SPREAD.mul_f64(if first { 0.0 } else { drawn });
         self.turn(now, Trust::Returning, Cause::Connected)
     }
 
@@ -187,15 +187,15 @@
             self.pause = FIRST_PAUSE;
         }
         if self.connect_at.is_none() {
-            self.connect_at = Some(now + self.pause.times(0.5 + 0.5 * drawn));
-            self.pause = self.pause.times(2.0).min(LONGEST_PAUSE);
+            self.connect_at = Some(now + self.pause.mul_f64(0.5 + 0.5 * drawn));
+            self.pause = self.pause.mul_f64(2.0).min(LONGEST_PAUSE);
         }
         (self.owed, self.whole_at) = (None, None);
         self.turn(now, Trust::Alone, cause)
     }
 
     /// The store told its epoch, which is so old; what was written before it has run out `over` after its birth.
-    pub fn epoch(&mut self, now: Timestamp, age: Span, over: Span) {
+    pub fn epoch(&mut self, now: Timestamp, age: TimeSpan, over: TimeSpan) {
         self.whole_at = Some(now + (over - age));
     }
 
--- a/crates/shared-store/src/sheet.rs
+++ b/crates/shared-store/src/sheet.rs
@@ -2,7 +2,7 @@
 
 use crate::decide::Rules;
 use serde::{Deserialize, Serialize};
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// The section `store`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -30,8 +30,8 @@
 impl Sheet {
     /// The longest of all windows with an outer limit behind it, and the time after which no copy from before a purge is
     /// left, are the deployment's.
-    pub fn rules(&self, longest_window: Span, purges_last: Span) -> Result<Rules, String> {
-        let keep = Span::from_secs_f64(self.keep_s);
+    pub fn rules(&self, longest_window: TimeSpan, purges_last: TimeSpan) -> Result<Rules, String> {
+        let keep = TimeSpan::from_secs_f64(self.keep_s);
         if self.records && keep < longest_window {
             let (line, column) = self.place;
             let least = longest_window.as_secs_f64();
@@ -46,9 +46,9 @@
             words: self.words,
             hints: self.hints,
             purges: self.purges,
-            wait: Span::from_secs_f64(self.wait_ms / 1_000.0),
+            wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
             keep,
-            purges_last: purges_last.times(3.0),
+            purges_last: purges_last.mul_f64(3.0),
         })
     }
 }
--- a/crates/shared-store/src/words.rs
+++ b/crates/shared-store/src/words.rs
@@ -173,7 +173,7 @@
     pub not_after_ms: u64,
 }
 
-fn ms(span: Span) -> u64 {
+fn ms(span: TimeSpan) -> u64 {
     span.0.div_ceil(1_000)
 }
 
@@ -345,7 +345,7 @@
     let [what, count, clock, rest @ ..] = parts.as_slice() else {
         return None;
     };
-    let span = |value: &Value| Some(Span(value.number()?.checked_mul(1_000)?));
+    let span = |value: &Value| Some(TimeSpan(value.number()?.checked_mul(1_000)?));
     let answer = match (what.text()?, rest) {
         ("opened", [epoch, age]) => Answer::Opened {
             epoch: epoch.number()?,
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -8,13 +8,13 @@
 use trailproxy_shared_store::decide::trust::Trust;
 use world::*;
 
-const LEFT: Span = Span::from_secs(1);
+const LEFT: TimeSpan = TimeSpan::from_secs(1);
 
 /// Two dispatchers, both together with the store.
 fn pair(seed: u64) -> World {
     let mut world = World::new(2, seed);
     assert!(
-        world.together(Span::from_secs(20)),
+        world.together(TimeSpan::from_secs(20)),
         "both trust a store that is well"
     );
     world
@@ -27,9 +27,9 @@
 #[test]
 fn a_store_is_trusted_only_when_nothing_from_before_can_be_missing() {
     let mut world = World::new(1, 1);
-    world.run(Span::from_secs(5));
+    world.run(TimeSpan::from_secs(5));
     assert_eq!(world.trust(0), Trust::Returning);
-    world.run(Span::from_secs(3));
+    world.run(TimeSpan::from_secs(3));
     assert_eq!(world.trust(0), Trust::Together);
 }
 
@@ -37,13 +37,13 @@
 fn a_retry_elsewhere_is_answered_from_the_record() {
     let mut world = pair(2);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     assert_eq!(world.verdict(0, first), Some(&Verdict::Go));
     world.sent(0, first, 0);
     world.ended(0, first, done(b"accepted"));
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     assert_eq!(
         world.verdict(1, again),
         Some(&Verdict::Answer(b"accepted".to_vec()))
@@ -54,14 +54,14 @@
 fn a_retry_elsewhere_joins_what_is_under_way() {
     let mut world = pair(3);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     world.sent(0, first, 0);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(40));
+    world.run(TimeSpan::from_millis(40));
     assert_eq!(world.verdict(1, again), None, "it waits for the first");
     world.ended(0, first, done(b"accepted"));
-    world.run(Span::from_millis(200));
+    world.run(TimeSpan::from_millis(200));
     assert_eq!(
         world.verdict(1, again),
         Some(&Verdict::Answer(b"accepted".to_vec()))
@@ -72,12 +72,12 @@
 fn what_does_not_end_is_left_to_the_rules_with_its_place() {
     let mut world = pair(4);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     world.sent(0, first, 3);
     let sent = world.now;
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(260));
+    world.run(TimeSpan::from_millis(260));
     assert_eq!(
         world.verdict(1, again),
         Some(&Verdict::Go),
@@ -98,9 +98,9 @@
 fn a_claim_without_a_place_may_have_run_anywhere() {
     let mut world = pair(5);
     world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(300));
+    world.run(TimeSpan::from_millis(300));
     let earlier = world.members[1].sharing.earlier(again).expect("the claim");
     assert_eq!(earlier.place, None);
     assert!(!RepeatGroup::Cell.covers(earlier.place, (ZoneId(0), CellId(0))));
@@ -110,11 +110,11 @@
 fn what_never_ran_leaves_no_record() {
     let mut world = pair(6);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     world.ended(0, first, Came::NeverRan);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
     assert_eq!(world.members[1].sharing.earlier(again), None);
 }
@@ -124,17 +124,20 @@
     let mut world = pair(7);
     world.way.answers = false;
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(6));
+    world.run(TimeSpan::from_millis(6));
     assert_eq!(
         world.verdict(0, first),
         Some(&Verdict::Go),
         "it goes without, in time"
     );
     let went = world.members[0].decided[&first][0].0;
-    assert!(went.since(world.now) == Span::ZERO && world.now.since(went) <= Span::from_millis(3));
+    assert!(
+        went.since(world.now) == TimeSpan::ZERO
+            && world.now.since(went) <= TimeSpan::from_millis(3)
+    );
     world.way.answers = true;
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(300));
+    world.run(TimeSpan::from_millis(300));
     assert!(
         world.members[1].sharing.earlier(again).is_some(),
         "the claim stands all the same"
@@ -145,13 +148,13 @@
 fn an_answer_that_comes_after_the_fall_back_binds_and_answers_nothing() {
     let mut world = pair(8);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     world.sent(0, first, 0);
     world.ended(0, first, done(b"accepted"));
-    world.run(Span::from_millis(2));
-    world.way.back = Span::from_millis(30);
+    world.run(TimeSpan::from_millis(2));
+    world.way.back = TimeSpan::from_millis(30);
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(60));
+    world.run(TimeSpan::from_millis(60));
     assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
     let earlier = world.members[1].sharing.earlier(again);
     assert!(earlier.is_some(), "its next hand-off is bound by it");
@@ -162,7 +165,7 @@
     for seed in 0..20 {
         let mut world = pair(100 + seed);
         let ids = [0, 1].map(|nth| world.come(nth, "order-1", LEFT));
-        world.run(Span::from_millis(300));
+        world.run(TimeSpan::from_millis(300));
         let bound = [0, 1].map(|nth| world.members[nth].sharing.earlier(ids[nth]).is_some());
         assert_eq!(
             bound.iter().filter(|bound| **bound).count(),
@@ -176,13 +179,13 @@
 fn a_store_wiped_between_check_and_send_is_not_believed_on() {
     let mut world = pair(9);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     world.stores[0].wipe();
     world.sent(0, first, 0);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     assert_eq!(world.trust(0), Trust::Returning);
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(10));
+    world.run(TimeSpan::from_millis(10));
     // It goes the way it would alone; and nobody waits for a store that may have forgotten.
     assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
     assert_eq!(world.trust(1), Trust::Returning);
@@ -197,11 +200,11 @@
 #[test]
 fn a_budget_goes_by_the_store_to_where_it_is_needed_and_back() {
     let mut world = World::new(3, 11);
-    assert!(world.together(Span::from_secs(20)));
+    assert!(world.together(TimeSpan::from_secs(20)));
     let run = |world: &mut World, needs: [f64; 3]| {
         for _ in 0..40 {
             (0..3).for_each(|nth| world.needs(nth, needs[nth]));
-            world.run(Span::from_millis(200));
+            world.run(TimeSpan::from_millis(200));
         }
     };
     run(&mut world, [0.02, 0.02, 0.9]);
@@ -216,7 +219,7 @@
 fn a_store_that_is_silent_rolled_back_or_empty_leaves_floors_and_never_more_than_the_whole() {
     for strike in 0..3 {
         let mut world = World::new(3, 20 + strike);
-        assert!(world.together(Span::from_secs(20)));
+        assert!(world.together(TimeSpan::from_secs(20)));
         for tick in 0..120 {
             (0..3).for_each(|nth| world.needs(nth, 0.9));
             match tick {
@@ -232,14 +235,14 @@
                 }
                 _ => {}
             }
-            world.run(Span::from_millis(100));
+            world.run(TimeSpan::from_millis(100));
         }
         assert!(
             world.most_part <= 1.0 + 1e-6,
             "{strike}: {}",
             world.most_part
         );
-        world.run(Span::from_secs(12));
+        world.run(TimeSpan::from_secs(12));
         (0..3).for_each(|nth| world.needs(nth, 0.9));
         let sum: f64 = (0..3).map(|nth| world.part(nth)).sum();
         assert!(sum > 0.8, "{strike}: {sum} is in use again");
@@ -251,41 +254,41 @@
     for ahead in [-500, 500] {
         let mut world = World::new(2, 13);
         world.reborn(false, ahead);
-        assert!(world.together(Span::from_secs(20)));
+        assert!(world.together(TimeSpan::from_secs(20)));
         let first = world.come(0, "order-1", LEFT);
-        world.run(Span::from_millis(2));
+        world.run(TimeSpan::from_millis(2));
         world.sent(0, first, 0);
         let sent = world.now;
-        world.run(Span::from_millis(2));
+        world.run(TimeSpan::from_millis(2));
         let again = world.come(1, "order-1", LEFT);
-        world.run(Span::from_millis(300));
+        world.run(TimeSpan::from_millis(300));
         let earlier = world.members[1].sharing.earlier(again).expect("found");
-        assert!(earlier.first <= sent && sent.since(earlier.first) <= Span::from_millis(520));
+        assert!(earlier.first <= sent && sent.since(earlier.first) <= TimeSpan::from_millis(520));
     }
 }
 
 #[test]
 fn a_store_at_fifty_times_its_latency_holds_up_nobody() {
     let mut world = pair(14);
-    world.way.back = Span::from_millis(15);
+    world.way.back = TimeSpan::from_millis(15);
     let mut waits = Vec::new();
     for nth in 0..40 {
         let come = world.now;
         let id = world.come(0, &format!("order-{nth}"), LEFT);
-        world.run(Span::from_millis(25));
+        world.run(TimeSpan::from_millis(25));
         waits.push(world.members[0].decided[&id][0].0.since(come));
     }
     assert!(
-        waits.iter().all(|wait| *wait <= WAIT + Span(100)),
+        waits.iter().all(|wait| *wait <= WAIT + TimeSpan(100)),
         "{waits:?}"
     );
     assert!(
-        waits[8..].iter().all(|wait| *wait == Span::ZERO),
+        waits[8..].iter().all(|wait| *wait == TimeSpan::ZERO),
         "it is doubted by then"
     );
     assert_eq!(world.trust(0), Trust::Doubtful);
     world.way = Way::GOOD;
-    world.run(Span::from_secs(6));
+    world.run(TimeSpan::from_secs(6));
     assert_eq!(world.trust(0), Trust::Together);
 }
 
@@ -293,7 +296,7 @@
 fn a_silent_store_is_left_within_two_seconds() {
     let mut world = pair(15);
     world.way.paused = true;
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     assert_eq!([0, 1].map(|nth| world.trust(nth)), [Trust::Alone; 2]);
     let come = world.now;
     let id = world.come(0, "order-1", LEFT);
@@ -304,22 +307,22 @@
 fn a_window_that_ends_while_the_store_is_away_has_ended() {
     let mut world = pair(16);
     let first = world.come(0, "order-1", LEFT);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     world.sent(0, first, 0);
-    world.run(Span::from_millis(2));
+    world.run(TimeSpan::from_millis(2));
     let sent = world.now;
     // The connections break, the data stays.
     world.way.reached = false;
     [0, 1].into_iter().for_each(|nth| world.cut(nth));
-    world.run(Span::from_secs(3));
+    world.run(TimeSpan::from_secs(3));
     world.way.reached = true;
-    assert!(world.together(Span::from_secs(12)));
+    assert!(world.together(TimeSpan::from_secs(12)));
     let again = world.come(1, "order-1", LEFT);
-    world.run(Span::from_millis(300));
+    world.run(TimeSpan::from_millis(300));
     if let Some(earlier) = world.members[1].sharing.earlier(again) {
         assert!(earlier.first <= sent);
         assert!(
-            world.now >= earlier.first + Span::from_secs(2),
+            world.now >= earlier.first + TimeSpan::from_secs(2),
             "a window of two seconds is over"
         );
     }
@@ -331,10 +334,10 @@
     let (object, now) = (Some(ObjectId(99)), world.now);
     world.members[0]
         .sharing
-        .purged(now, object, GroupId(0), Span::from_millis(50));
-    world.run(Span::from_secs(2));
+        .purged(now, object, GroupId(0), TimeSpan::from_millis(50));
+    world.run(TimeSpan::from_secs(2));
     world.restart(1);
-    world.run(Span::from_secs(1));
+    world.run(TimeSpan::from_secs(1));
     let purges = &world.members[1].purges;
     assert_eq!(purges.len(), 1, "told once");
     assert_eq!(purges[0].1, object);
@@ -352,8 +355,8 @@
         let now = world.now;
         world.members[0]
             .sharing
-            .purged(now, Some(ObjectId(99)), GroupId(0), Span::ZERO);
-        world.run(Span::from_secs(2));
+            .purged(now, Some(ObjectId(99)), GroupId(0), TimeSpan::ZERO);
+        world.run(TimeSpan::from_secs(2));
     }
     assert_eq!(world.members[1].purges.len(), 2);
     assert_eq!(world.members[0].purges.len(), 0, "who knew it is not told");
@@ -374,30 +377,30 @@
     };
     let now = world.now;
     world.members[0].sharing.opened(now, entry);
-    world.run(Span::from_secs(1));
+    world.run(TimeSpan::from_secs(1));
     assert_eq!(world.members[1].hints.len(), 1);
     assert!(world.members[0].hints.is_empty());
-    world.run(Span::from_secs(6));
+    world.run(TimeSpan::from_secs(6));
     world.restart(1);
-    world.run(Span::from_secs(2));
+    world.run(TimeSpan::from_secs(2));
     assert!(world.members[1].hints.is_empty());
 }
 
 #[test]
 fn hundreds_do_not_fall_upon_a_store_that_is_back() {
     let mut world = World::new(60, 20);
-    assert!(world.together(Span::from_secs(20)));
+    assert!(world.together(TimeSpan::from_secs(20)));
     // What all ask together in a tenth of a second, on a quiet day: five seconds of it.
     let begun = world.now.0 / 100_000 + 1;
-    world.run(Span::from_secs(5));
+    world.run(TimeSpan::from_secs(5));
     let usual: u64 = world.asked_in.range(begun..).map(|(_, &n)| n).sum::<u64>() / 50;
     world.way.reached = false;
     world.reborn(false, 0);
-    world.run(Span::from_secs(3));
+    world.run(TimeSpan::from_secs(3));
     world.way.reached = true;
     let back = world.now.0 / 100_000;
     world.asked_in.clear();
-    world.run(Span::from_secs(12));
+    world.run(TimeSpan::from_secs(12));
     let most = world
         .asked_in
         .range(back..)
@@ -408,7 +411,7 @@
         most <= 3 * usual,
         "{most} in a tenth of a second, {usual} usually"
     );
-    assert!(world.together(Span::from_secs(20)));
+    assert!(world.together(TimeSpan::from_secs(20)));
 }
 
 #[test]
@@ -431,7 +434,7 @@
     world.stores[0].most_keys = 0;
     for nth in 0..4 {
         let id = world.come(0, &format!("key-{nth}"), LEFT);
-        world.run(Span::from_millis(2));
+        world.run(TimeSpan::from_millis(2));
         assert_eq!(world.verdict(0, id), Some(&Verdict::Go));
     }
     assert_eq!(world.trust(0), Trust::Doubtful);
@@ -453,13 +456,13 @@
         ..rules()
     };
     let mut world = World::by(1, 23, none);
-    world.run(Span::from_secs(8));
+    world.run(TimeSpan::from_secs(8));
     let before = world.members[0].sharing.counts().asked;
     let id = world.come(0, "order-1", LEFT);
     let now = world.now;
     world.members[0]
         .sharing
-        .purged(now, None, GroupId(1), Span::ZERO);
+        .purged(now, None, GroupId(1), TimeSpan::ZERO);
     assert_eq!(world.verdict(0, id), Some(&Verdict::Go));
     assert_eq!(world.members[0].sharing.counts().asked, before);
 }
--- a/crates/shared-store/tests/sweep.rs
+++ b/crates/shared-store/tests/sweep.rs
@@ -11,8 +11,8 @@
 use trailproxy_standins::redis::Mistake;
 use world::*;
 
-const WINDOW: Span = Span::from_secs(2);
-const LEFT: Span = Span::from_secs(1);
+const WINDOW: TimeSpan = TimeSpan::from_secs(2);
+const LEFT: TimeSpan = TimeSpan::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Strike {
@@ -39,7 +39,10 @@
         Nothing => {}
         Pause => world.way.paused = true,
         NoAnswers => world.way.answers = false,
-        Slow => (world.way.there, world.way.back) = (Span::from_millis(5), Span::from_millis(10)),
+        Slow => {
+            (world.way.there, world.way.back) =
+                (TimeSpan::from_millis(5), TimeSpan::from_millis(10))
+        }
         Wipe => world.stores[0].wipe(),
         RollBack => world.reborn(true, 0),
         Restart => world.reborn(false, 0),
@@ -70,7 +73,7 @@
     accesses: usize,
     undecided: usize,
     /// The longest that an access was held which nothing was found of.
-    held: Span,
+    held: TimeSpan,
     /// Cells in which each key took effect, of hand-offs that a belief in the store allowed.
     believed: BTreeMap<String, BTreeSet<u16>>,
     most_part: f64,
@@ -88,7 +91,7 @@
         self.undecided > 0
             || self.forbidden() > 0
             || self.most_part > 1.0 + 1e-6
-            || self.held > WAIT + Span(200)
+            || self.held > WAIT + TimeSpan(200)
     }
 }
 
@@ -105,7 +108,7 @@
 fn play(seed: u64, first: Strike, second: Strike, mistake: Option<Mistake>) -> Tally {
     let mut world = World::new(3, seed);
     let mut tally = Tally::default();
-    assert!(world.together(Span::from_secs(20)));
+    assert!(world.together(TimeSpan::from_secs(20)));
     world
         .stores
         .iter_mut()
@@ -137,7 +140,7 @@
             tally.accesses += 1;
             let first = !open.iter().any(|open| open.mark == mark);
             if first {
-                again.push((now + Span::from_millis(60), (nth + 1) % 3, mark.clone()));
+                again.push((now + TimeSpan::from_millis(60), (nth + 1) % 3, mark.clone()));
             }
             open.push(Open {
                 nth,
@@ -147,7 +150,7 @@
                 ends: None,
             });
         }
-        world.run(Span::from_millis(10));
+        world.run(TimeSpan::from_millis(10));
         let now = world.now;
         for one in &mut open {
             let Some(decided) = world.members[one.nth].decided.get(&one.id) else {
@@ -185,7 +188,7 @@
                             .or_default()
                             .insert(cell);
                     }
-                    now + Span::from_millis(world.chance.u64(5..120))
+                    now + TimeSpan::from_millis(world.chance.u64(5..120))
                 }
             });
         }
@@ -195,7 +198,7 @@
         }
         open.retain(|one| !over(one));
     }
-    world.run(Span::from_secs(1));
+    world.run(TimeSpan::from_secs(1));
     tally.undecided = open
         .iter()
         .filter(|one| world.verdict(one.nth, one.id).is_none())
@@ -293,11 +296,11 @@
             Move::Answer(nth) => self.world.answer_next(nth, false),
             Move::Lose(nth) => self.world.answer_next(nth, true),
             Move::Wait => {
-                self.world.pass(Span::from_millis(1));
+                self.world.pass(TimeSpan::from_millis(1));
                 true
             }
             Move::Late => {
-                self.world.pass(Span::from_millis(300));
+                self.world.pass(TimeSpan::from_millis(300));
                 true
             }
             Move::Wipe => {
@@ -343,9 +346,9 @@
 
 fn case(mistake: Option<Mistake>) -> Case {
     let mut world = World::new(2, 5);
-    assert!(world.together(Span::from_secs(20)));
+    assert!(world.together(TimeSpan::from_secs(20)));
     // Nothing else is under way.
-    world.run(Span::from_millis(3));
+    world.run(TimeSpan::from_millis(3));
     world.snapshot = Some(world.stores[0].clone());
     world.stores[0].mistake = mistake;
     let open = [0, 1].map(|nth| (nth, world.come(nth, "order-1", LEFT), false));
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use trailproxy_shared_store::words::{Under, Value, request, said};
 use trailproxy_standins::redis::{self, Redis};
 
-pub const WAIT: Span = Span::from_millis(4);
+pub const WAIT: TimeSpan = TimeSpan::from_millis(4);
 pub const BUDGET: &str = "budget";
 
 pub fn rules() -> Rules {
@@ -23,8 +23,8 @@
         hints: true,
         purges: true,
         wait: WAIT,
-        keep: Span::from_secs(6),
-        purges_last: Span::from_secs(20),
+        keep: TimeSpan::from_secs(6),
+        purges_last: TimeSpan::from_secs(20),
     }
 }
 
@@ -67,7 +67,7 @@
     /// Accesses that were decided, how, and how often.
     pub decided: BTreeMap<RequestId, Vec<(Timestamp, Verdict)>>,
     pub turns: Vec<(Timestamp, Trust, &'static str)>,
-    pub purges: Vec<(Timestamp, Option<ObjectId>, Span)>,
+    pub purges: Vec<(Timestamp, Option<ObjectId>, TimeSpan)>,
     pub hints: Vec<(Timestamp, HostId)>,
     /// Whether an access was decided by what the store had answered.
     pub believed: BTreeMap<RequestId, bool>,
@@ -76,10 +76,10 @@
 /// How the way to the store is now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Way {
-    pub there: Span,
-    pub back: Span,
+    pub there: TimeSpan,
+    pub back: TimeSpan,
     /// On top, drawn evenly up to this, on the way back.
-    pub more: Span,
+    pub more: TimeSpan,
     pub answers: bool,
     pub paused: bool,
     pub reached: bool,
@@ -87,9 +87,9 @@
 
 impl Way {
     pub const GOOD: Way = Way {
-        there: Span(100),
-        back: Span(100),
-        more: Span(100),
+        there: TimeSpan(100),
+        back: TimeSpan(100),
+        more: TimeSpan(100),
         answers: true,
         paused: false,
         reached: true,
@@ -147,8 +147,8 @@
             floors: 0.25,
             tickets: 64,
             voters: voters as u8,
-            lasts: Span::from_secs(2),
-            guard: Span::ZERO,
+            lasts: TimeSpan::from_secs(2),
+            guard: TimeSpan::ZERO,
         };
         let (name, whole) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
@@ -224,7 +224,7 @@
         self.pump(nth);
     }
 
-    pub fn come(&mut self, nth: usize, mark: &str, left: Span) -> RequestId {
+    pub fn come(&mut self, nth: usize, mark: &str, left: TimeSpan) -> RequestId {
         self.next_access += 1;
         let id = RequestId(self.next_access);
         let due = self.now + left;
@@ -266,7 +266,7 @@
             for act in acts {
                 let member = &mut self.members[nth];
                 match act {
-                    Act::Connect => member.connecting = Some(now + Span::from_millis(1)),
+                    Act::Connect => member.connecting = Some(now + TimeSpan::from_millis(1)),
                     Act::Disconnect => {
                         member.connected = false;
                         member.back.clear();
@@ -373,7 +373,7 @@
         };
         if self.way.answers && self.members[nth].connected {
             let drawn = self.chance.f64();
-            let at = self.now + self.way.back + self.way.more.times(drawn);
+            let at = self.now + self.way.back + self.way.more.mul_f64(drawn);
             self.members[nth].back.push_back((at, asked.id, reply));
         }
     }
@@ -398,7 +398,7 @@
     fn step(&mut self, end: Timestamp) {
         let dues: Vec<_> = (0..self.members.len()).map(|nth| self.due(nth)).collect();
         let next = dues.iter().flatten().min().copied();
-        self.now = next.map_or(end, |at| at.max(self.now + Span(1)).min(end));
+        self.now = next.map_or(end, |at| at.max(self.now + TimeSpan(1)).min(end));
         for (nth, due) in dues.into_iter().enumerate() {
             if due.is_none_or(|at| at > self.now) {
                 continue;
@@ -451,7 +451,7 @@
         }
     }
 
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         while self.now < end {
             self.step(end);
@@ -459,7 +459,7 @@
     }
 
     /// Until all are together, within so long.
-    pub fn together(&mut self, within: Span) -> bool {
+    pub fn together(&mut self, within: TimeSpan) -> bool {
         let end = self.now + within;
         while self.now < end {
             self.step(end);
@@ -494,7 +494,7 @@
         any
     }
 
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: TimeSpan) {
         self.now = self.now + span;
         for nth in 0..self.members.len() {
             self.members[nth].sharing.advance(self.now);
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_lab::rules::Final;
 use trailproxy_lab::traffic::Wish;
 use trailproxy_standins::client::take_messages;
@@ -27,7 +27,7 @@
 const ANSWER_CROSSES: Duration = Duration::from_millis(400);
 const MOST_BYTES: usize = 4 << 20;
 /// Requests that come later than this after SIGTERM are not owed an answer.
-const TAKEN_BEHIND_THE_END: Span = Span::from_millis(700);
+const TAKEN_BEHIND_THE_END: TimeSpan = TimeSpan::from_millis(700);
 
 /// What a client does with a request.
 #[derive(Clone, Copy, Debug)]
@@ -156,7 +156,7 @@
             };
             let sent = Instant::now();
             let sent_at = self.oracle.now();
-            let deadline = sent_at + Span(question.allow.as_micros() as u64);
+            let deadline = sent_at + TimeSpan(question.allow.as_micros() as u64);
             if !crossed {
                 self.oracle.asks(Asking {
                     reference,
--- a/crates/soak/src/oracle.rs
+++ b/crates/soak/src/oracle.rs
@@ -10,20 +10,20 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trailproxy::interface::HostEntry;
-use trailproxy::units::{AttemptNo, ClassId, GroupId, ObjectId, RequestId, Span, Timestamp};
+use trailproxy::units::{AttemptNo, ClassId, GroupId, ObjectId, RequestId, TimeSpan, Timestamp};
 use trailproxy_lab::rules::{Bounds, Checker, Final};
 use trailproxy_lab::scenario::Scenario;
 use trailproxy_standins::loopback::Clock;
 use trailproxy_standins::shape::DAWN;
 
 /// What is seen at two ends of a socket may differ by this on a busy machine.
-pub const NOISE: Span = Span::from_millis(100);
+pub const NOISE: TimeSpan = TimeSpan::from_millis(100);
 /// The operators' bound for an attempt behind its client's leaving.
-const GONE_WITHIN: Span = Span::from_millis(100);
+const GONE_WITHIN: TimeSpan = TimeSpan::from_millis(100);
 /// The operators' slack of a deadline that is passed on.
-const DEADLINE_SLACK: Span = Span::from_millis(150);
+const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(150);
 /// Later than this behind its deadline, an answer is as good as none.
-pub const ANSWER_WITHIN: Span = Span::from_millis(500);
+pub const ANSWER_WITHIN: TimeSpan = TimeSpan::from_millis(500);
 /// So many breaches are told in full.
 const TOLD: usize = 200;
 
@@ -296,7 +296,7 @@
             let what = format!("{name}: an attempt {late:.3} s after its client had gone");
             book.breach(Promise::NothingForTheGone, now, what);
         }
-        let passed_on = now + Span(pull.ttl.as_micros() as u64);
+        let passed_on = now + TimeSpan(pull.ttl.as_micros() as u64);
         if passed_on > deadline + DEADLINE_SLACK + NOISE {
             let over = passed_on.since(deadline).as_secs_f64();
             let what = format!("{name}: its server was given {over:.3} s more than its client");
@@ -316,8 +316,9 @@
         let no = asked.attempts.saturating_sub(1);
         asked.minted = minted.map(|ms| {
             let since_dawn = Duration::from_millis(ms.saturating_sub(begun));
-            let before_dawn = Span::from_millis(begun.saturating_sub(ms));
-            Timestamp(DAWN.0.saturating_sub(before_dawn.0)) + Span(since_dawn.as_micros() as u64)
+            let before_dawn = TimeSpan::from_millis(begun.saturating_sub(ms));
+            Timestamp(DAWN.0.saturating_sub(before_dawn.0))
+                + TimeSpan(since_dawn.as_micros() as u64)
         });
         book.checker.ended(now, RequestId(reference), no, never_ran);
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -3,7 +3,7 @@
 use fastrand::Rng;
 use std::fmt;
 use std::time::Duration;
-use trailproxy::units::{GroupId, Span, Timestamp};
+use trailproxy::units::{GroupId, TimeSpan, Timestamp};
 use trailproxy_lab::scenario::{KINDS, Scenario};
 use trailproxy_lab::traffic::GROUPS;
 use trailproxy_standins::shape::{Cue, DAWN, HostShape, Role, Trouble as FleetTrouble};
@@ -130,8 +130,8 @@
 /// A trouble, when, for how long and at which dispatchers.
 #[derive(Clone, Debug)]
 pub struct Event {
-    pub at: Span,
-    pub lasts: Span,
+    pub at: TimeSpan,
+    pub lasts: TimeSpan,
     pub who: Vec<usize>,
     pub trouble: Trouble,
 }
@@ -188,8 +188,8 @@
                 continue;
             }
             events.push(Event {
-                at: Span::from_secs_f64(at),
-                lasts: Span::from_secs_f64(lasts),
+                at: TimeSpan::from_secs_f64(at),
+                lasts: TimeSpan::from_secs_f64(lasts),
                 who: some(&mut chance, size.dispatchers),
                 trouble: draw(&mut chance, kind),
             });
@@ -279,7 +279,7 @@
 
 fn server_trouble(chance: &mut Rng, hosts: &[HostShape], at: f64, lasts: f64) -> Vec<Cue> {
     let host = &hosts[chance.usize(..hosts.len())];
-    let (id, span) = (host.id, Span::from_secs_f64(lasts));
+    let (id, span) = (host.id, TimeSpan::from_secs_f64(lasts));
     let origin = host.role == Role::Origin;
     let trouble = match chance.u8(..10) {
         0..3 => return purges(chance, at),
@@ -288,7 +288,7 @@
         4 => FleetTrouble::Silence(id, span),
         5 => FleetTrouble::Garbage(id, 0.2, span),
         6 => FleetTrouble::Resets(id, 0.3, span),
-        7 => FleetTrouble::LateList(Span::from_millis(chance.u64(100..1500)), span),
+        7 => FleetTrouble::LateList(TimeSpan::from_millis(chance.u64(100..1500)), span),
         _ => FleetTrouble::Slow(id, 4.0 + chance.f64() * 20.0, span),
     };
     let at = moment(at);
@@ -306,5 +306,5 @@
 }
 
 fn moment(seconds: f64) -> Timestamp {
-    DAWN + Span::from_secs_f64(seconds)
+    DAWN + TimeSpan::from_secs_f64(seconds)
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_fault_control::{Control, VARIABLE};
 
 /// A dispatcher is ready within this.
@@ -243,7 +243,7 @@
 
     /// Stops it for a while.
     pub async fn pause(&self, lasts: Duration) {
-        let until = self.oracle.now() + Span(lasts.as_micros() as u64);
+        let until = self.oracle.now() + TimeSpan(lasts.as_micros() as u64);
         self.paused_until.set(Some(until));
         self.admitted.set(false);
         self.signal(libc::SIGSTOP);
@@ -255,13 +255,13 @@
     /// For how long it is stopped still.
     pub fn pause_left(&self) -> Duration {
         let until = self.paused_until.get();
-        let left = until.map_or(Span::ZERO, |until| until.since(self.oracle.now()));
+        let left = until.map_or(TimeSpan::ZERO, |until| until.since(self.oracle.now()));
         Duration::from_micros(left.0)
     }
 
     /// Whether it was stopped at some time since, so that it could not answer in time.
     pub fn was_paused_since(&self, at: Timestamp) -> bool {
-        let longest = Span(self.longest_deadline.as_micros() as u64);
+        let longest = TimeSpan(self.longest_deadline.as_micros() as u64);
         self.paused_until
             .get()
             .is_some_and(|until| until + longest > at)
--- a/crates/soak/src/rogue.rs
+++ b/crates/soak/src/rogue.rs
@@ -9,14 +9,14 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::sleep;
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_lab::traffic::Wish;
 
 /// Requests that one of them sends at once.
 const FLOOD: u64 = 40;
 
 /// None of them takes longer to write a request.
-const SLOWEST_WRITE: Span = Span::from_secs(2);
+const SLOWEST_WRITE: TimeSpan = TimeSpan::from_secs(2);
 
 /// What the requests of one are made of.
 #[derive(Clone)]
@@ -87,7 +87,7 @@
             kb: self.wish.kb,
             dispatcher: self.dispatcher,
             // Its time counts from the last byte, and some write slowly.
-            deadline: oracle.now() + Span(self.allow.as_micros() as u64) + SLOWEST_WRITE,
+            deadline: oracle.now() + TimeSpan(self.allow.as_micros() as u64) + SLOWEST_WRITE,
         });
         oracle.excused(reference);
         let question = Question {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,7 +16,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::interface::Effect;
-use trailproxy::units::{HostId, Span, Timestamp, ZoneId};
+use trailproxy::units::{HostId, TimeSpan, Timestamp, ZoneId};
 use trailproxy_fault_control::{Control, Kind as Call};
 use trailproxy_lab::chance::mix;
 use trailproxy_lab::loopback::settings;
@@ -40,9 +40,9 @@
 /// The second half of a configuration follows after this.
 const HALF_WRITTEN: Duration = Duration::from_millis(150);
 /// What discovery has to tell counts as told so long after at the latest.
-const TOLD_AT_LAST: Span = Span::from_secs(7);
+const TOLD_AT_LAST: TimeSpan = TimeSpan::from_secs(7);
 /// Discovery is called again within this once it is back.
-const CALLED_AGAIN: Span = Span::from_secs(1);
+const CALLED_AGAIN: TimeSpan = TimeSpan::from_secs(1);
 const LOOK_AT_ITSELF: Duration = Duration::from_millis(10);
 const CHECK_EVERY: Duration = Duration::from_millis(100);
 /// References of requests begin here, and those of clients that misbehave there.
--- a/crates/soak/tests/oracle.rs
+++ b/crates/soak/tests/oracle.rs
@@ -1,7 +1,7 @@
 //! The oracle finds what it is there to find: each story plants one mistake.
 
 use std::time::Duration;
-use trailproxy::units::{ClassId, GroupId, ObjectId, Span};
+use trailproxy::units::{ClassId, GroupId, ObjectId, TimeSpan};
 use trailproxy_lab::rules::Final;
 use trailproxy_soak::oracle::{Asking, Oracle, Promise};
 use trailproxy_soak::plan::{Kind, Plan, Size};
@@ -33,7 +33,7 @@
         }
     }
 
-    fn asks(&self, reference: u64, class: ClassId, allow: Span) {
+    fn asks(&self, reference: u64, class: ClassId, allow: TimeSpan) {
         self.oracle.asks(Asking {
             reference,
             class,
@@ -64,7 +64,7 @@
     }
 }
 
-const SECOND: Span = Span::from_secs(1);
+const SECOND: TimeSpan = TimeSpan::from_secs(1);
 
 #[test]
 fn a_request_that_is_served_in_time_breaks_nothing() {
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -64,7 +64,7 @@
     pub ending: Ending,
     pub note: Note,
     /// Time to the first byte from the source, or to the fill's failure.
-    pub waited: Option<Span>,
+    pub waited: Option<TimeSpan>,
     /// When the origin gave out the copy that was answered.
     pub minted: Option<Timestamp>,
     /// Transfers on the zone's link over those that fit.
@@ -99,7 +99,7 @@
     /// Flows, and a fetch, that are not over yet.
     pending: u8,
     note: Note,
-    waited: Option<Span>,
+    waited: Option<TimeSpan>,
     minted: Option<Timestamp>,
 }
 
@@ -112,7 +112,7 @@
     group: GroupId,
     kb: f64,
     rank: u8,
-    oldest: Option<Span>,
+    oldest: Option<TimeSpan>,
     held_only: bool,
     shared: bool,
     waiters: Vec<Waiter>,
@@ -171,10 +171,10 @@
 }
 
 /// Two spans of this are between the word of a drain and the end of the process.
-const DRAIN: Span = Span::from_secs(2);
+const DRAIN: TimeSpan = TimeSpan::from_secs(2);
 /// A renewal of what did not change moves this part of it.
 const UNCHANGED: f64 = 0.05;
-const COLD_STEP: Span = Span::from_millis(250);
+const COLD_STEP: TimeSpan = TimeSpan::from_millis(250);
 /// From this part of its fresh time on, a copy is renewed behind.
 const RENEW_FROM: f64 = 0.8;
 
@@ -189,7 +189,7 @@
     /// When each pipe next has a transfer over: servers first, then links.
     due: BTreeSet<(Timestamp, usize)>,
     due_of: Vec<Option<Timestamp>>,
-    late_list: (Span, Timestamp),
+    late_list: (TimeSpan, Timestamp),
     chance: StdRng,
     next: u64,
     said: Vec<Said>,
@@ -238,7 +238,7 @@
             fetches: BTreeMap::new(),
             timers: BTreeMap::new(),
             due: BTreeSet::new(),
-            late_list: (Span::ZERO, Timestamp(0)),
+            late_list: (TimeSpan::ZERO, Timestamp(0)),
             chance: StdRng::seed_from_u64(seed),
             next: 0,
             said: Vec::new(),
@@ -269,11 +269,11 @@
     }
 
     /// How much later than usual the list is told now.
-    pub fn list_delay(&self, now: Timestamp) -> Span {
+    pub fn list_delay(&self, now: Timestamp) -> TimeSpan {
         if now < self.late_list.1 {
             self.late_list.0
         } else {
-            Span::ZERO
+            TimeSpan::ZERO
         }
     }
 
@@ -425,10 +425,10 @@
         crosses.then_some(self.servers.len() + zone_at)
     }
 
-    fn way(&self, from: usize, to: ZoneId) -> Span {
+    fn way(&self, from: usize, to: ZoneId) -> TimeSpan {
         let there = self.servers[from].shape.zone;
         if there == to {
-            Span::ZERO
+            TimeSpan::ZERO
         } else {
             self.shape.zones[usize::from(to.0)].distance
         }
@@ -458,7 +458,7 @@
         self.jobs.insert(pull.ticket, job);
         self.servers[at].jobs.insert(pull.ticket);
         let way = self.way(at, pull.zone);
-        if way == Span::ZERO {
+        if way == TimeSpan::ZERO {
             return self.job_comes(pull.ticket);
         }
         self.timer(self.now + way, Timer::JobComes(pull.ticket));
@@ -485,7 +485,7 @@
         ticket: Ticket,
         ending: Ending,
         note: Note,
-        waited: Option<Span>,
+        waited: Option<TimeSpan>,
         minted: Option<Timestamp>,
         link_full: f64,
     ) {
@@ -609,7 +609,7 @@
     }
 
     /// Whether a fetch under way can bring no copy that is older than this.
-    fn joins(&self, id: FetchId, oldest: Option<Span>) -> bool {
+    fn joins(&self, id: FetchId, oldest: Option<TimeSpan>) -> bool {
         let Some(fetch) = self.fetches.get(&id) else {
             return false;
         };
@@ -627,7 +627,7 @@
         at: usize,
         part: PartOf,
         track: ClassId,
-        oldest: Option<Span>,
+        oldest: Option<TimeSpan>,
     ) -> (Option<Copy>, Option<Copy>) {
         let held = self.servers[at].store.look(part);
         let limit = oldest.or(self.track(track).fresh);
@@ -644,7 +644,7 @@
         let age = self.now.since(copy.minted);
         let fresh = self.track(pull.track).fresh;
         let stale = fresh.is_some_and(|fresh| age > fresh);
-        let ageing = fresh.is_some_and(|fresh| age > fresh.times(RENEW_FROM));
+        let ageing = fresh.is_some_and(|fresh| age > fresh.mul_f64(RENEW_FROM));
         let renews = |fill: &Fill| fill.renew && ageing && fill.source != pull.host;
         let idle = !self.servers[at].fetching.contains_key(&part);
         if let Some(fill) = fill.filter(renews).filter(|_| idle) {
@@ -680,7 +680,7 @@
         self.timer(self.now + wait, Timer::JobBegins(ticket));
     }
 
-    fn first_byte(&mut self, at: usize) -> Span {
+    fn first_byte(&mut self, at: usize) -> TimeSpan {
         let jitter = 0.8 + 0.4 * self.chance.random::<f64>();
         let server = &self.servers[at];
         let slow = if self.now < server.ills.slow.1 {
@@ -688,7 +688,7 @@
         } else {
             1.0
         };
-        server.shape.first_byte.times(slow * jitter)
+        server.shape.first_byte.mul_f64(slow * jitter)
     }
 
     fn job_begins(&mut self, ticket: Ticket) {
@@ -724,7 +724,7 @@
         group: GroupId,
         kb: f64,
         rank: u8,
-        oldest: Option<Span>,
+        oldest: Option<TimeSpan>,
         held_only: bool,
         shared: bool,
     ) -> Option<FetchId> {
@@ -1049,7 +1049,7 @@
         self.touch(at);
     }
 
-    fn down(&mut self, id: HostId, away: Span) {
+    fn down(&mut self, id: HostId, away: TimeSpan) {
         let Some(&at) = self.places.get(&id) else {
             return;
         };
@@ -1129,7 +1129,7 @@
                     .get(&id)
                     .is_some_and(|&at| self.servers[at].life == life);
                 if same {
-                    self.down(id, Span::from_secs(2));
+                    self.down(id, TimeSpan::from_secs(2));
                 }
             }
             Timer::Warm(id, life) => {
@@ -1209,7 +1209,7 @@
                 let steps = 20;
                 for step in 1..=steps {
                     self.timer(
-                        now + span.times(f64::from(step) / f64::from(steps)),
+                        now + span.mul_f64(f64::from(step) / f64::from(steps)),
                         Timer::Pace(id),
                     );
                 }
@@ -1228,7 +1228,7 @@
                 }
             }
             Trouble::Replace(old, new, away) => {
-                self.down(old, Span::from_secs(1 << 30));
+                self.down(old, TimeSpan::from_secs(1 << 30));
                 if let Some(at) = self.places.remove(&old) {
                     let gone = HostEntry {
                         state: HostState::Gone,
@@ -1253,7 +1253,7 @@
                     let wait = self
                         .shape
                         .purge_done
-                        .times(0.05 + 0.9 * self.chance.random::<f64>());
+                        .mul_f64(0.05 + 0.9 * self.chance.random::<f64>());
                     self.timer(now + wait, Timer::Purge(host, object, group, now));
                 }
                 self.said.push(Said::Purged { object, group });
@@ -1281,7 +1281,7 @@
         }
     }
 
-    fn warmth(&self, now: Timestamp, from: f64, after: Span) -> f64 {
+    fn warmth(&self, now: Timestamp, from: f64, after: TimeSpan) -> f64 {
         let age = self.started.map(|at| now.since(at).as_secs_f64());
         let risen = age.map_or(1.0, |age| (age / after.as_secs_f64().max(1e-3)).min(1.0));
         from + (1.0 - from) * risen
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -41,7 +41,7 @@
 
     /// Before the day begins, its beginning.
     pub fn now(&self) -> Timestamp {
-        DAWN + Span(self.start.elapsed().as_micros() as u64)
+        DAWN + TimeSpan(self.start.elapsed().as_micros() as u64)
     }
 
     pub fn instant(&self, at: Timestamp) -> Instant {
@@ -89,7 +89,7 @@
 }
 
 /// How often the links' counters are read.
-pub const CROSSED_EVERY: Span = Span::from_millis(100);
+pub const CROSSED_EVERY: TimeSpan = TimeSpan::from_millis(100);
 
 /// How objects and tracks are named on the wire, and how bytes are scaled.
 #[derive(Clone, Debug)]
@@ -100,8 +100,8 @@
     pub scale: f64,
     pub notes: NoteLevel,
     /// How late the journal service tells things.
-    pub list_delay: Span,
-    pub purge_delay: Span,
+    pub list_delay: TimeSpan,
+    pub purge_delay: TimeSpan,
 }
 
 /// What an access was asked for: the wire does not tell hosts the size and the group.
@@ -490,7 +490,7 @@
 
 impl Owner {
     async fn run(mut self, mut inbox: UnboundedReceiver<ToFleet>) {
-        let mut sample_at = self.clock.now() + Span::from_secs(1);
+        let mut sample_at = self.clock.now() + TimeSpan::from_secs(1);
         let mut crossed_at = DAWN;
         loop {
             let now = self.clock.now();
@@ -502,7 +502,7 @@
                 self.see(now, Seen::Crossed(crossed.collect()));
             }
             if now >= sample_at {
-                sample_at = sample_at + Span::from_secs(1);
+                sample_at = sample_at + TimeSpan::from_secs(1);
                 let crossed = zones.clone().map(|zone| self.fleet.crossed_kb(zone));
                 self.see(now, Seen::Moved(self.fleet.moved(), crossed.collect()));
                 let whole = zones.map(|zone| self.fleet.crossed_whole_kb(zone).to_vec());
@@ -609,7 +609,7 @@
             rank: field("tier")
                 .and_then(|tier| tier.parse().ok())
                 .unwrap_or(0),
-            oldest: millis("fresh").map(Span::from_millis),
+            oldest: millis("fresh").map(TimeSpan::from_millis),
             join: has("merge"),
             held_only: has("local"),
             renew: has("revalidate"),
@@ -623,7 +623,7 @@
             renew: false,
         };
         let fill = fill.or(millis("fresh").map(|ms| Fill {
-            oldest: Some(Span::from_millis(ms)),
+            oldest: Some(TimeSpan::from_millis(ms)),
             ..plain
         }));
         self.next += 1;
