--- a/crates/standins/src/pipe.rs
+++ b/crates/standins/src/pipe.rs
@@ -1,7 +1,7 @@
 //! A capacity that all transfers under way share fairly, each up to a pace of its own.
 //!
 //! ```
-//! use trailproxy::units::{Timestamp, Span};
+//! use trailproxy::units::{Timestamp, TimeSpan};
 //! use trailproxy_standins::pipe::Pipe;
 //! let mut pipe: Pipe<u32> = Pipe::new(1_000.0, 800.0);
 //! pipe.add(Timestamp(0), 1, 400.0);
@@ -13,7 +13,7 @@
 //! ```
 
 use std::collections::{BTreeMap, BTreeSet};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// Kilobytes on a scale that all transfers climb alike, in billionths, so that they can be ordered.
 type Height = u128;
@@ -89,7 +89,7 @@
         let &(end, _) = self.ends.first()?;
         let left = (end as f64 / SCALE - self.height).max(0.0);
         let each = self.each();
-        (each > 0.0).then(|| self.at + Span((left / each * 1e6).ceil() as u64))
+        (each > 0.0).then(|| self.at + TimeSpan((left / each * 1e6).ceil() as u64))
     }
 
     /// The transfers that are over by now, in the order in which they ended.
--- a/crates/standins/src/redis.rs
+++ b/crates/standins/src/redis.rs
@@ -5,7 +5,7 @@
 //! and putting an old copy under another run id in its place is a failover to a replica that lagged.
 
 use std::collections::BTreeMap;
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// What a server answers.
 #[derive(Clone, Debug, PartialEq)]
@@ -521,20 +521,20 @@
 /// How long answers take, drawn for each.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Delay {
-    pub least: Span,
+    pub least: TimeSpan,
     /// The mean of what comes on top, exponentially spread.
-    pub mean_more: Span,
+    pub mean_more: TimeSpan,
 }
 
 impl Delay {
     pub const NONE: Delay = Delay {
-        least: Span::ZERO,
-        mean_more: Span::ZERO,
+        least: TimeSpan::ZERO,
+        mean_more: TimeSpan::ZERO,
     };
 
     /// `drawn` is from 0 to 1.
-    pub fn draw(&self, drawn: f64) -> Span {
+    pub fn draw(&self, drawn: f64) -> TimeSpan {
         let more = -(1.0 - drawn.clamp(0.0, 0.999_999)).ln();
-        self.least + self.mean_more.times(more)
+        self.least + self.mean_more.mul_f64(more)
     }
 }
--- a/crates/standins/src/redis_server.rs
+++ b/crates/standins/src/redis_server.rs
@@ -8,7 +8,7 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use trailproxy::units::{Span, Timestamp};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// What goes wrong, and for how long it is to.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -18,7 +18,7 @@
     /// What is asked is applied, and no answer comes.
     DropAnswers,
     /// What is asked is applied only after so long, and answered then.
-    ApplyAfter(Span),
+    ApplyAfter(TimeSpan),
     /// Answers take longer.
     Slow(Delay),
     /// Connections are closed, and new ones too.
--- a/crates/standins/src/shape.rs
+++ b/crates/standins/src/shape.rs
@@ -13,7 +13,7 @@
     /// What the link into the zone carries, in KB/s; all fills from outside share it.
     pub link_kb_per_s: f64,
     /// One way from here to the hubs.
-    pub distance: Span,
+    pub distance: TimeSpan,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -34,7 +34,7 @@
     pub size: f64,
     pub room_kb: f64,
     /// Until the first byte where it holds the object.
-    pub first_byte: Span,
+    pub first_byte: TimeSpan,
     /// Requests that it has in work at most; more are turned away.
     pub places: usize,
 }
@@ -50,16 +50,16 @@
     pub cold_cache: Cold,
     pub cold_parent: Cold,
     /// By then every copy from before a purge is dropped.
-    pub purge_done: Span,
+    pub purge_done: TimeSpan,
     /// A fill that has not begun by then is given up.
-    pub fill_within: Span,
+    pub fill_within: TimeSpan,
     /// From a host's end to its place on the list.
-    pub noticed_after: Span,
+    pub noticed_after: TimeSpan,
     /// The origin falls over when asked for more than this many times what it can do, for as long as a cold parent
     /// bears it; `None`: never.
     pub origin_bears: Option<f64>,
     /// How long a host that fell over is away.
-    pub fallen_for: Span,
+    pub fallen_for: TimeSpan,
 }
 
 impl Shape {
@@ -75,27 +75,27 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trouble {
     /// The process ends; its connections are reset. It comes back empty after the span.
-    Crash(HostId, Span),
+    Crash(HostId, TimeSpan),
     /// It says nothing for the span and takes no new connection, then goes on.
-    Silence(HostId, Span),
+    Silence(HostId, TimeSpan),
     /// First bytes take this many times as long, for the span.
-    Slow(HostId, f64, Span),
+    Slow(HostId, f64, TimeSpan),
     /// Fills from it never begin, for the span; what it is asked directly it answers.
-    Stall(HostId, Span),
+    Stall(HostId, TimeSpan),
     /// This share of its answers is unreadable, for the span.
-    Garbage(HostId, f64, Span),
+    Garbage(HostId, f64, TimeSpan),
     /// This share of what it is asked ends with a reset, for the span.
-    Resets(HostId, f64, Span),
+    Resets(HostId, f64, TimeSpan),
     /// Its capacity falls evenly to this part of the whole over the span; then it dies and is replaced.
-    Ageing(HostId, f64, Span),
+    Ageing(HostId, f64, TimeSpan),
     /// Drains for two spans of 2 s, restarts, and comes back cold after the span.
-    Roll(HostId, Span),
+    Roll(HostId, TimeSpan),
     /// Gone for good; a new host with the second id takes its place, and address, after the span.
-    Replace(HostId, HostId, Span),
+    Replace(HostId, HostId, TimeSpan),
     /// The link into a zone carries this part of its rate, for the span.
-    Link(ZoneId, f64, Span),
+    Link(ZoneId, f64, TimeSpan),
     /// The list is told this much later, for the second span.
-    LateList(Span, Span),
+    LateList(TimeSpan, TimeSpan),
     Purge(Option<ObjectId>, GroupId),
 }
 
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -16,7 +16,7 @@
     let zone = |name: &str, link| Zone {
         name: name.into(),
         link_kb_per_s: link,
-        distance: Span::from_millis(10),
+        distance: TimeSpan::from_millis(10),
     };
     let host = |id, role, zone| HostShape {
         id,
@@ -26,22 +26,22 @@
         cell: CellId(0),
         size: 4.0,
         room_kb: 10_000.0,
-        first_byte: Span::from_millis(10),
+        first_byte: TimeSpan::from_millis(10),
         places: 8,
     };
-    let track = |fresh: Option<Span>, written| ClassTerms {
-        due: Span::from_millis(500),
+    let track = |fresh: Option<TimeSpan>, written| ClassTerms {
+        due: TimeSpan::from_millis(500),
         due_stretch: 1.0,
         effect: Effect::Idempotent,
         fresh,
-        grace: Span::from_secs(60),
+        grace: TimeSpan::from_secs(60),
         written,
     };
     let cold = Cold {
         from: 0.25,
-        warm_after: Span::from_secs(10),
+        warm_after: TimeSpan::from_secs(10),
         fall_multiple: 4.0,
-        fall_after: Span::from_secs(1),
+        fall_after: TimeSpan::from_secs(1),
         among: None,
     };
     Shape {
@@ -51,16 +51,19 @@
             host(PARENT, Role::Parent, 0),
             host(ORIGIN, Role::Origin, 0),
         ],
-        tracks: vec![track(Some(Span::from_secs(5)), false), track(None, true)],
+        tracks: vec![
+            track(Some(TimeSpan::from_secs(5)), false),
+            track(None, true),
+        ],
         flow_kb_per_s: 1_000.0,
         fill_kb_per_s: 1_500.0,
         cold_cache: cold,
         cold_parent: cold,
-        purge_done: Span::from_secs(2),
-        fill_within: Span::from_secs(2),
-        noticed_after: Span::from_secs(1),
+        purge_done: TimeSpan::from_secs(2),
+        fill_within: TimeSpan::from_secs(2),
+        noticed_after: TimeSpan::from_secs(1),
         origin_bears: None,
-        fallen_for: Span::from_secs(5),
+        fallen_for: TimeSpan::from_secs(5),
     }
 }
 
@@ -99,7 +102,7 @@
 }
 
 fn secs(s: f64) -> Timestamp {
-    Timestamp(0) + Span::from_secs_f64(s)
+    Timestamp(0) + TimeSpan::from_secs_f64(s)
 }
 
 /// Asks, and lets time pass until this second.
@@ -154,7 +157,7 @@
 fn a_crash_loses_what_is_open_and_comes_back_empty() {
     let cue = Cue {
         at: secs(1.05),
-        trouble: Trouble::Crash(CACHE, Span::from_secs(2)),
+        trouble: Trouble::Crash(CACHE, TimeSpan::from_secs(2)),
     };
     let mut fleet = fleet(&[cue]);
     ask(&mut fleet, 0.0, pull(1, 5, 100.0), 1.0);
@@ -174,7 +177,7 @@
 fn the_list_tells_a_roll_from_its_drain_to_its_return() {
     let cue = Cue {
         at: secs(1.0),
-        trouble: Trouble::Roll(CACHE, Span::from_secs(1)),
+        trouble: Trouble::Roll(CACHE, TimeSpan::from_secs(1)),
     };
     let mut fleet = fleet(&[cue]);
     let mut states = Vec::new();
@@ -195,7 +198,7 @@
 fn a_silent_host_answers_when_it_goes_on() {
     let cue = Cue {
         at: secs(0.0),
-        trouble: Trouble::Silence(CACHE, Span::from_secs(3)),
+        trouble: Trouble::Silence(CACHE, TimeSpan::from_secs(3)),
     };
     let mut fleet = fleet(&[cue]);
     assert!(ask(&mut fleet, 0.5, pull(1, 5, 10.0), 2.9).is_empty());
@@ -206,7 +209,7 @@
 fn a_stalled_parent_is_given_up_after_the_fills_limit() {
     let cue = Cue {
         at: secs(0.0),
-        trouble: Trouble::Stall(PARENT, Span::from_secs(30)),
+        trouble: Trouble::Stall(PARENT, TimeSpan::from_secs(30)),
     };
     let mut fleet = fleet(&[cue]);
     let said = ask(&mut fleet, 0.5, pull(1, 5, 10.0), 4.0);
@@ -221,7 +224,7 @@
 fn a_cold_host_falls_over_when_given_too_much() {
     let cue = Cue {
         at: secs(0.0),
-        trouble: Trouble::Crash(CACHE, Span::from_secs(1)),
+        trouble: Trouble::Crash(CACHE, TimeSpan::from_secs(1)),
     };
     let mut fleet = fleet(&[cue]);
     fleet.advance(secs(1.5));
@@ -267,7 +270,7 @@
     let new = HostId(77);
     let cue = Cue {
         at: secs(1.02),
-        trouble: Trouble::Replace(CACHE, new, Span::from_secs(1)),
+        trouble: Trouble::Replace(CACHE, new, TimeSpan::from_secs(1)),
     };
     let mut fleet = fleet(&[cue]);
     let lost = ask(&mut fleet, 1.0, pull(1, 5, 500.0), 1.5);
@@ -296,7 +299,7 @@
     };
     let narrow = Cue {
         at: secs(0.3),
-        trouble: Trouble::Link(ZoneId(1), 0.1, Span::from_secs(2)),
+        trouble: Trouble::Link(ZoneId(1), 0.1, TimeSpan::from_secs(2)),
     };
     let (wide, narrow) = (time(&[]), time(&[narrow]));
     assert!((1.0..1.2).contains(&wide), "{wide}");
@@ -312,7 +315,7 @@
     ) {
         let hosts = [CACHE, PARENT, ORIGIN];
         let script: Vec<Cue> = strikes.iter().map(|&(at, kind, host)| {
-            let (host, span) = (hosts[host], Span::from_secs(2));
+            let (host, span) = (hosts[host], TimeSpan::from_secs(2));
             let trouble = match kind {
                 0 => Trouble::Crash(host, span),
                 1 => Trouble::Silence(host, span),
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -25,9 +25,9 @@
     pub zone_names: Vec<String>,
     pub kind_names: Vec<String>,
     /// The longest outer limit of all tracks.
-    pub longest_limit: Span,
-    pub dial_within: Span,
-    pub idle_close: Span,
+    pub longest_limit: TimeSpan,
+    pub dial_within: TimeSpan,
+    pub idle_close: TimeSpan,
     pub max_streams: usize,
     pub max_open: usize,
 }
@@ -147,8 +147,8 @@
             .ok_or_else(|| Unreadable(format!("setting {path} is {text:?}; accepted are {list}")))
     }
 
-    fn span(&self, path: &str) -> Read1<Span> {
-        Ok(Span(self.must(path)?))
+    fn span(&self, path: &str) -> Read1<TimeSpan> {
+        Ok(TimeSpan(self.must(path)?))
     }
 
     fn list<T: FromStr>(&self, path: &str) -> Read1<Vec<T>> {
@@ -201,8 +201,8 @@
             due: self.span(&own("on_time_us"))?,
             due_stretch: self.or(&own("aim_stretch"), 0.0)?,
             effect,
-            fresh: (fresh > 0).then_some(Span(fresh)),
-            grace: Span(of_family("usable_after_us")?),
+            fresh: (fresh > 0).then_some(TimeSpan(fresh)),
+            grace: TimeSpan(of_family("usable_after_us")?),
             written: self
                 .list("family_info.never_kept")?
                 .get(i)
@@ -307,7 +307,7 @@
         list_on_request: lines.text("membership_mode") == Some("on_request"),
         cold_cache,
         cold_parent,
-        purge_done: Span(lines.or("family_info.cleared_within_us", 0)?),
+        purge_done: TimeSpan(lines.or("family_info.cleared_within_us", 0)?),
     };
     Ok((terms, reports))
 }
@@ -321,7 +321,7 @@
         track_names: names.map(|path| lines.must(&path)).collect::<Read1<_>>()?,
         zone_names: lines.list("failure_domains")?,
         kind_names: lines.list("machine_types")?,
-        longest_limit: limits.into_iter().max().unwrap_or(Span::ZERO),
+        longest_limit: limits.into_iter().max().unwrap_or(TimeSpan::ZERO),
         dial_within: lines.span("ceilings.dial_timeout_us")?,
         idle_close: lines.span("ceilings.idle_close_us")?,
         max_streams: lines.must("ceilings.max_streams")?,
--- a/crates/terms/tests/forms.rs
+++ b/crates/terms/tests/forms.rs
@@ -52,7 +52,7 @@
         "link_kb_per_s: Some(35168.5)",
         "group: Zone",
         "\"small_file\"",
-        "Span(5000000)",
+        "TimeSpan(5000000)",
     ] {
         assert!(both[0].contains(told), "{told} in {}", both[0]);
     }
--- a/crates/trailproxy-cli/src/capacity.rs
+++ b/crates/trailproxy-cli/src/capacity.rs
@@ -85,7 +85,7 @@
     let mut description = description.map_err(|wrong| wrong.to_string())?;
     let members = checked_size(task.members.unwrap_or(description.members))?;
     if task.quick {
-        let short = trailproxy::units::Span::from_secs(QUICK_KEEP_S);
+        let short = trailproxy::units::TimeSpan::from_secs(QUICK_KEEP_S);
         let demand = &mut description.demand;
         demand.keep = demand.keep.min(short);
         demand.purges_last = demand.purges_last.min(short);
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -715,7 +715,7 @@
         id,
         come: Instant::now(),
         reference: passed("ref")?.into(),
-        left: Span::from_secs_f64(allow / 1000.0),
+        left: TimeSpan::from_secs_f64(allow / 1000.0),
         track,
         object: object_id(named("lookup")?)?,
         object_text: passed("lookup")?,
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -8,7 +8,7 @@
 use trailproxy::interface::{Arrival, Effect, Event};
 use trailproxy::policy::permits;
 use trailproxy::policy::refusals::GiveUpReason;
-use trailproxy::units::{RequestId, Span, Timestamp};
+use trailproxy::units::{RequestId, TimeSpan, Timestamp};
 
 impl Dispatch {
     /// Drops what of a request is not begun, also where the settings allow no withdrawal of what is. Whether any
@@ -142,7 +142,7 @@
         else {
             return;
         };
-        if now.since(request.limit) > Span::from_millis(50) {
+        if now.since(request.limit) > TimeSpan::from_millis(50) {
             count(&self.counts.late_finals);
         }
         let call = request.call.id;
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::interface::{Ending, Note};
 use trailproxy::policy::permits;
-use trailproxy::units::{HostId, Span, Timestamp};
+use trailproxy::units::{HostId, TimeSpan, Timestamp};
 
 /// The bytes of an object, by the protocol, and of the words beside it.
 const LONGEST_WORD: usize = 240_000;
@@ -623,7 +623,7 @@
         note,
         waited: waited
             .filter(|ms| *ms > 0.0)
-            .map(|ms: f64| Span::from_secs_f64(ms / 1000.0)),
+            .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
         report: read_report(fields),
         body: (word == b"data").then(|| Parcel::new(body, held)),
         minted: named("minted").and_then(stamp_of_ms),
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -52,7 +52,7 @@
     pub id: CallId,
     pub come: Instant,
     pub reference: Rc<str>,
-    pub left: Span,
+    pub left: TimeSpan,
     pub track: ClassId,
     pub object: ObjectId,
     pub object_text: String,
@@ -90,7 +90,7 @@
     /// The copy that the client holds is the one that would be served.
     Same,
     Refused {
-        come_back: Option<Span>,
+        come_back: Option<TimeSpan>,
     },
     Failed,
 }
@@ -175,7 +175,7 @@
 pub struct Answer {
     pub ending: Ending,
     pub note: Note,
-    pub waited: Option<Span>,
+    pub waited: Option<TimeSpan>,
     pub report: Vec<f64>,
     /// The bytes where it is done; `None`: the client's copy is the one.
     pub body: Option<Parcel>,
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -10,7 +10,7 @@
 use tokio::process::Command;
 use tokio::time::timeout;
 use trailproxy::interface::{Effect, Terms};
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
 use trailproxy_peers::config::{Addresses, Config as PeersConfig};
 use trailproxy_peers::decide::locality::Topology;
@@ -56,17 +56,17 @@
 pub struct Against {
     pub names: Names,
     /// The longest window of a track with its outer limit.
-    pub longest_window: Span,
-    pub purges_last: Span,
+    pub longest_window: TimeSpan,
+    pub purges_last: TimeSpan,
     /// Where this one is written to by the others, where the environment or the configuration says so.
     pub peers: Option<String>,
 }
 
 /// How long a record of a keyed request has to be kept at least.
-pub fn longest_window(terms: &Terms, longest_limit: Span) -> Span {
+pub fn longest_window(terms: &Terms, longest_limit: TimeSpan) -> TimeSpan {
     let windows = terms.tracks.iter().map(|track| match track.effect {
         Effect::Keyed { window, .. } => window,
-        _ => Span::ZERO,
+        _ => TimeSpan::ZERO,
     });
     windows.max().unwrap_or_default() + longest_limit
 }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -33,7 +33,7 @@
         told: PeersTold,
         peers: Peers,
         (socket, to): (Rc<UdpSocket>, mpsc::Sender<ToPeers>),
-        dues: Vec<Span>,
+        dues: Vec<TimeSpan>,
         log: Logger,
     ) -> Peered {
         Peered {
@@ -169,7 +169,7 @@
                     self.waiting.due(Due::Tell(Event::Purged {
                         object,
                         group,
-                        ago: Span::ZERO,
+                        ago: TimeSpan::ZERO,
                         stamp: Some(at),
                     }));
                 }
--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -10,7 +10,7 @@
 use trailproxy::policy::system_errors::{
     START_AGAIN, START_AGAIN_AT_MOST, START_IS_TAKEN_FOR, start_tries_for,
 };
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 /// Why a step has not been done.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
         let span = match self {
             StepError::System(_, error) => start_tries_for(errno(error)),
             StepError::HalfWritten(_) => START_IS_TAKEN_FOR,
-            StepError::Unfit(_) => Span::ZERO,
+            StepError::Unfit(_) => TimeSpan::ZERO,
         };
         Duration::from_micros(span.0)
     }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -233,7 +233,7 @@
         config: Sheet,
         sharing: Sharing,
         to: mpsc::Sender<ToStore>,
-        dues: Vec<Span>,
+        dues: Vec<TimeSpan>,
         log: Logger,
     ) -> Shared {
         Shared {
@@ -396,7 +396,7 @@
         self.zones.sent(now, crossing);
     }
 
-    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<Span> {
+    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         self.zones.come_back(now, track)
     }
 }
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -7,7 +7,7 @@
 use slog::{Logger, info};
 use std::time::Duration;
 use trailproxy::interface::Ending;
-use trailproxy::units::{HostId, Span};
+use trailproxy::units::{HostId, TimeSpan};
 
 const VARIABLE: &str = "RELAY_TRACE";
 
@@ -27,7 +27,7 @@
     }
 
     /// A request was read whole.
-    pub fn taken(&self, call: &Call, left: Span) {
+    pub fn taken(&self, call: &Call, left: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "taken", "ref" => &*call.reference, "client" => call.id.client.0,
                 "left_ms" => left.0 / 1000);
@@ -56,7 +56,7 @@
         }
     }
 
-    pub fn ended(&self, call: &Call, id: AttemptId, ending: Ending, took: Span) {
+    pub fn ended(&self, call: &Call, id: AttemptId, ending: Ending, took: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.no.0,
                 "ending" => format!("{ending:?}"), "took_ms" => took.0 / 1000);
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -21,13 +21,13 @@
     held: BTreeMap<RequestId, Arrival>,
     hosts: BTreeMap<HostId, (ZoneId, CellId)>,
     /// By track.
-    dues: Vec<Span>,
+    dues: Vec<TimeSpan>,
     out: VecDeque<Due>,
 }
 
 impl Waiting {
     /// `dues`: by track.
-    pub fn new(dues: Vec<Span>) -> Waiting {
+    pub fn new(dues: Vec<TimeSpan>) -> Waiting {
         Waiting {
             held: BTreeMap::new(),
             hosts: BTreeMap::new(),
--- a/crates/trailproxyd/tests/store.rs
+++ b/crates/trailproxyd/tests/store.rs
@@ -7,7 +7,7 @@
 use stage::*;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 use trailproxy_standins::redis::{Delay, Redis};
 use trailproxy_standins::redis_server::{Fault, RedisServer};
 
@@ -67,11 +67,11 @@
 
 const FAULTS: [Strike; 11] = [
     ("slow", |store| {
-        let (least, mean_more) = (Span::from_millis(30), Span::from_millis(10));
+        let (least, mean_more) = (TimeSpan::from_millis(30), TimeSpan::from_millis(10));
         store.fault(Fault::Slow(Delay { least, mean_more }), LASTS);
     }),
     ("late", |store| {
-        store.fault(Fault::ApplyAfter(Span::from_millis(60)), LASTS)
+        store.fault(Fault::ApplyAfter(TimeSpan::from_millis(60)), LASTS)
     }),
     ("no-memory", |store| store.fault(Fault::NoMemory, LASTS)),
     ("pause", |store| store.fault(Fault::Pause, LASTS)),
--- a/crates/trials/src/decide/keys.rs
+++ b/crates/trials/src/decide/keys.rs
@@ -90,7 +90,7 @@
     places: BTreeMap<HostId, (ZoneId, CellId)>,
     keys: BTreeMap<String, OfKey>,
     by_id: BTreeMap<RequestId, String>,
-    slack: Span,
+    slack: TimeSpan,
 }
 
 impl Keys {
@@ -98,7 +98,7 @@
     pub fn new(
         tracks: Vec<ClassTerms>,
         places: BTreeMap<HostId, (ZoneId, CellId)>,
-        slack: Span,
+        slack: TimeSpan,
     ) -> Keys {
         Keys {
             tracks,
--- a/crates/trials/src/play.rs
+++ b/crates/trials/src/play.rs
@@ -23,7 +23,7 @@
 use trailproxy_standins::shape::DAWN;
 
 /// What is seen at two ends of a socket may differ by this on a busy machine.
-const SLACK: Span = Span::from_millis(200);
+const SLACK: TimeSpan = TimeSpan::from_millis(200);
 
 /// What crossed, by the count of the links, against the scenario's first budget with a rate.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -51,15 +51,15 @@
             .position(|zone| zone.name == limit.into)?;
         let steps = steps.iter().filter_map(|step| step.get(zone).copied());
         let steps: Vec<f64> = steps.collect();
-        let worst = |span: Span| {
+        let worst = |span: TimeSpan| {
             let n = (span.0 / CROSSED_STEP.0).max(1) as usize;
             let may = limit.kb_per_s * span.as_secs_f64() + limit.burst_kb;
             let crossed = |end: usize| steps[end] - steps[end.saturating_sub(n)];
             (0..steps.len()).map(crossed).fold(0.0, f64::max) / may
         };
         Some(OfBudget {
-            worst_1s: worst(Span::from_secs(1)),
-            worst_10s: worst(Span::from_secs(10)),
+            worst_1s: worst(TimeSpan::from_secs(1)),
+            worst_10s: worst(TimeSpan::from_secs(10)),
             used: rate(&steps, step(scenario.counted_from)) / limit.kb_per_s,
         })
     }
@@ -218,8 +218,8 @@
 fn to_store(strike: &Strike) -> Option<Struck> {
     let lasts = Duration::from_secs_f64(strike.for_s);
     let (least, mean_more) = (
-        Span::from_secs_f64(strike.amount / 1e3),
-        Span::from_millis(10),
+        TimeSpan::from_secs_f64(strike.amount / 1e3),
+        TimeSpan::from_millis(10),
     );
     let fault = match strike.what {
         What::StoreSlow => Fault::Slow(Delay { least, mean_more }),
@@ -244,8 +244,8 @@
 ) -> Vec<(Timestamp, loopback::Strike)> {
     let mut all = Vec::new();
     for strike in &trial.strikes {
-        let at = DAWN + Span::from_secs_f64(strike.at_s);
-        let lasts = Span::from_secs_f64(strike.for_s);
+        let at = DAWN + TimeSpan::from_secs_f64(strike.at_s);
+        let lasts = TimeSpan::from_secs_f64(strike.for_s);
         let who = strike.who.clone();
         match strike.what {
             What::Kill => all.push((at, loopback::Strike::Kill(who.clone(), lasts))),
@@ -353,7 +353,7 @@
         watch: Some(watch.clone()),
         elsewhere: true,
         busy: trial.busy,
-        patience: Some(Span::from_secs_f64(trial.patience_ms / 1e3)),
+        patience: Some(TimeSpan::from_secs_f64(trial.patience_ms / 1e3)),
         again: trial.again,
         lead: Duration::from_secs_f64(trial.lead_s),
     };
@@ -364,7 +364,7 @@
         .iter()
         .fold((0, 0), |sum, of| (sum.0 + of.letters, sum.1 + of.bytes));
     let each = seconds * seats.max(1) as f64;
-    let end = DAWN + scenario.length + Span::from_millis(1);
+    let end = DAWN + scenario.length + TimeSpan::from_millis(1);
     let count = watch.borrow().0.count(end);
     let summary = day.summary;
     Ok(Outcome {
--- a/crates/zones/src/decide/account.rs
+++ b/crates/zones/src/decide/account.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
-use trailproxy::units::{ClassId, Span, Timestamp, ZoneId};
+use trailproxy::units::{ClassId, TimeSpan, Timestamp, ZoneId};
 
 /// Why bytes crossed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -200,7 +200,7 @@
     }
 
     /// The sums of the last whole seconds before `now`, at most [`SECONDS`] less one.
-    pub fn within(&self, now: Timestamp, span: Span) -> Sums {
+    pub fn within(&self, now: Timestamp, span: TimeSpan) -> Sums {
         let (until, n) = (second(now), (span.0 / 1_000_000).max(1));
         let mut sums = Sums::new();
         let oldest = self.newest + 1 - (self.seconds.len() as u64).min(self.newest + 1);
--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -11,7 +11,7 @@
 //! besides go on by a part of the burst while large ones wait for a debt to be paid.
 
 use std::cell::Cell;
-use trailproxy::units::{Span, Timestamp, ZoneId};
+use trailproxy::units::{TimeSpan, Timestamp, ZoneId};
 
 /// What goes first, and everything else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 }
 
 /// How long a size that was turned away is saved up for after it was last asked.
-const WANTED_FOR: Span = Span::from_secs(2);
+const WANTED_FOR: TimeSpan = TimeSpan::from_secs(2);
 
 #[derive(Debug)]
 struct Bucket {
@@ -67,7 +67,7 @@
 }
 
 /// How soon what was wanted is half forgotten. Shorter follows chance, longer holds on to parts that others need.
-const WANTED_HALVES: Span = Span::from_secs(1);
+const WANTED_HALVES: TimeSpan = TimeSpan::from_secs(1);
 
 /// What was wanted lately, whether it had room or not: KB a second, and of that what goes first.
 #[derive(Clone, Copy, Debug, Default)]
@@ -292,7 +292,7 @@
         let (kb, asked) = self.wanted.get();
         let rate = self.common.rate.max(1e-9);
         // As long as it takes to save it up, or with a few objects a minute nothing large ever went.
-        let long = WANTED_FOR + Span::from_secs_f64(kb / rate);
+        let long = WANTED_FOR + TimeSpan::from_secs_f64(kb / rate);
         if now.since(asked) <= long { kb } else { 0.0 }
     }
 
@@ -353,11 +353,11 @@
     }
 
     /// How long until something plain has room again; `None`: it has.
-    pub fn full_for(&self, now: Timestamp) -> Option<Span> {
+    pub fn full_for(&self, now: Timestamp) -> Option<TimeSpan> {
         let wanted = self.wanted(now) * (1.0 - self.part);
         let level = self.common.level + self.common.rate * now.since(self.at).as_secs_f64();
         let lacks = wanted.max(0.0) - level;
-        (lacks > 0.0).then(|| Span::from_secs_f64(lacks / self.common.rate.max(1e-6)))
+        (lacks > 0.0).then(|| TimeSpan::from_secs_f64(lacks / self.common.rate.max(1e-6)))
     }
 
     /// KB saved in all buckets, for reports and checks.
@@ -383,7 +383,7 @@
     step_at: Timestamp,
 }
 
-const STEP: Span = Span::from_secs(1);
+const STEP: TimeSpan = TimeSpan::from_secs(1);
 const RISES: f64 = 1.05;
 const FALLS: f64 = 0.85;
 /// Below this part of the best pace a link counts as full: two fills that share it run at half.
@@ -394,8 +394,8 @@
 
 impl Learner {
     /// A fill of so many KB took so long from its first byte on.
-    pub fn filled(&mut self, kb: f64, took: Span) {
-        if kb < TELLS_KB || took == Span::ZERO {
+    pub fn filled(&mut self, kb: f64, took: TimeSpan) {
+        if kb < TELLS_KB || took == TimeSpan::ZERO {
             return;
         }
         let pace = kb / took.as_secs_f64();
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -9,7 +9,7 @@
 const PARTS: usize = 20_000;
 const PURGES: usize = 4_096;
 /// A purge explains refills for so long, and a gone host.
-const EXPLAINS: Span = Span::from_secs(60);
+const EXPLAINS: TimeSpan = TimeSpan::from_secs(60);
 /// Renewals come from this part of the fresh time on.
 const RENEWS_FROM: f64 = 0.75;
 
@@ -154,7 +154,7 @@
         self.newer.get(&part).or(self.older.get(&part)).copied()
     }
 
-    pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<Span>) -> Why {
+    pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<TimeSpan>) -> Why {
         let Some(seen) = self.seen((crossing.asked.object, crossing.asked.part)) else {
             return Why::of(Cause::First);
         };
@@ -183,7 +183,7 @@
                 ..Why::of(Cause::HostLost)
             };
         }
-        let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.times(RENEWS_FROM));
+        let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.mul_f64(RENEWS_FROM));
         Why::of(match (crossing.hand_off.0 > 0, aged) {
             (true, _) => Cause::Retry,
             (_, true) => Cause::Renewal,
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -23,7 +23,7 @@
     /// Tracks that go first beside the written, fingerprinted and binding ones.
     pub first: Vec<ClassId>,
     pub alarm: Option<Alarm>,
-    pub report_every: Span,
+    pub report_every: TimeSpan,
 }
 
 impl Default for Rules {
@@ -32,7 +32,7 @@
             limits: Vec::new(),
             first: Vec::new(),
             alarm: Some(Alarm::default()),
-            report_every: Span::from_secs(10),
+            report_every: TimeSpan::from_secs(10),
         }
     }
 }
@@ -40,7 +40,7 @@
 /// How much the newest outcome counts in the share of accesses that crossed.
 const GAIN: f64 = 0.03;
 /// What one answer takes beside its sending, where only its time tells a hit from a fill.
-const HOP: Span = Span::from_millis(40);
+const HOP: TimeSpan = TimeSpan::from_millis(40);
 /// Ways that are watched; traffic is booked for all.
 const MOST_WATCHED: usize = 64;
 /// Rises kept until they are taken.
@@ -61,7 +61,7 @@
 struct OfTrack {
     class: Class,
     written: bool,
-    fresh: Option<Span>,
+    fresh: Option<TimeSpan>,
 }
 
 /// Account, budgets and watches of one dispatcher.
@@ -347,7 +347,7 @@
         let told = flying.crossing.kb.max(0.0);
         let kb = outcome.came_kb.unwrap_or(told);
         let sure = flying.why.cause == Cause::Straight;
-        let alone = Span::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
+        let alone = TimeSpan::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
         match (outcome.ending, outcome.note) {
             // Of what is written, the request crosses and not its answer.
             (Ending::Done, _) if flying.why.cause == Cause::Written => (told, true),
@@ -525,7 +525,7 @@
             .insert((crossing.asked.id, crossing.hand_off), flying);
     }
 
-    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<Span> {
+    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let own = |budget: &&Budget| budget.limit.to == self.zone;
         let plain = self.class(track) == Class::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
--- a/crates/zones/src/decide/rise.rs
+++ b/crates/zones/src/decide/rise.rs
@@ -34,7 +34,7 @@
     }
 }
 
-pub const SLOT: Span = Span::from_millis(500);
+pub const SLOT: TimeSpan = TimeSpan::from_millis(500);
 /// Slots that make up the usual, and the newest that are left out of it, as a rise may have begun in them.
 const USUAL: usize = 120;
 const LATELY: usize = 6;
--- a/crates/zones/src/decide/sheet.rs
+++ b/crates/zones/src/decide/sheet.rs
@@ -161,7 +161,7 @@
                 })
         };
         let mut rules = Rules {
-            report_every: Span::from_secs_f64(self.report_s),
+            report_every: TimeSpan::from_secs_f64(self.report_s),
             alarm: self.alarm,
             ..Rules::default()
         };
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -7,7 +7,7 @@
 use crate::decide::sheet::Names;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use trailproxy::units::{ClassId, Span, Timestamp, ZoneId};
+use trailproxy::units::{ClassId, TimeSpan, Timestamp, ZoneId};
 
 /// One line of the account since the dispatcher's start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -84,7 +84,7 @@
             };
         let mut ways: BTreeMap<(ZoneId, ZoneId), [f64; 3]> = BTreeMap::new();
         for (nth, s) in [1, 10, 60].into_iter().enumerate() {
-            for (key, sum) in account.within(now, Span::from_secs(s)) {
+            for (key, sum) in account.within(now, TimeSpan::from_secs(s)) {
                 ways.entry((key.from, key.to)).or_default()[nth] += sum.kb;
             }
         }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -75,7 +75,7 @@
             account.book(now, Moved { key, kb, from, until });
         }
         let all: f64 = moves.iter().map(|(_, _, kb)| kb).sum();
-        let seconds = account.within(now, Span::from_secs(60))[&key];
+        let seconds = account.within(now, TimeSpan::from_secs(60))[&key];
         prop_assert!((seconds.kb - all).abs() < 1e-3 * all.max(1.0), "{} {all}", seconds.kb);
         prop_assert_eq!(seconds.moves, moves.len() as u64);
         prop_assert!((account.totals()[&key].kb - all).abs() < 1e-6 * all.max(1.0));
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -40,11 +40,11 @@
 
 fn terms(seats: u32) -> Terms {
     let video = ClassTerms {
-        due: Span::from_millis(400),
+        due: TimeSpan::from_millis(400),
         due_stretch: 2.0,
         effect: Effect::Idempotent,
         fresh: None,
-        grace: Span::ZERO,
+        grace: TimeSpan::ZERO,
         written: false,
     };
     let order = ClassTerms {
@@ -54,9 +54,9 @@
     };
     let cold = Cold {
         from: 0.25,
-        warm_after: Span::from_secs(10),
+        warm_after: TimeSpan::from_secs(10),
         fall_multiple: 2.0,
-        fall_after: Span::from_secs(1),
+        fall_after: TimeSpan::from_secs(1),
         among: None,
     };
     Terms {
@@ -80,7 +80,7 @@
         list_on_request: false,
         cold_cache: cold,
         cold_parent: cold,
-        purge_done: Span::from_secs(6),
+        purge_done: TimeSpan::from_secs(6),
     }
 }
 
@@ -124,7 +124,7 @@
         self.next += 1;
         let asked = Arrival {
             id: RequestId(self.next),
-            left: Span::from_secs(3),
+            left: TimeSpan::from_secs(3),
             track,
             object: ObjectId(object),
             group: GroupId((object % 8) as u32),
@@ -157,7 +157,7 @@
             id: way.asked.id,
             hand_off: way.hand_off,
             ending,
-            took: Span::from_millis(took),
+            took: TimeSpan::from_millis(took),
             closed: ending == Ending::Done,
             note,
             waited: None,
@@ -328,11 +328,11 @@
 fn a_learned_rate_falls_when_fills_slow_down_and_rises_while_some_are_turned_away() {
     let mut learner = Learner::default();
     let between = (100.0, 10_000.0);
-    learner.filled(100.0, Span::from_millis(50));
+    learner.filled(100.0, TimeSpan::from_millis(50));
     learner.refused();
     let risen = learner.step(at(1_000), 1_000.0, between);
     assert_eq!(risen, Some(1_050.0));
-    learner.filled(100.0, Span::from_millis(200));
+    learner.filled(100.0, TimeSpan::from_millis(200));
     let fallen = learner.step(at(2_000), 1_050.0, between);
     assert!(fallen.is_some_and(|rate| rate < 1_000.0), "{fallen:?}");
     assert_eq!(learner.step(at(3_000), 150.0, between), Some(150.0));
@@ -399,7 +399,7 @@
     let purge = Event::Purged {
         object: None,
         group: GroupId(2),
-        ago: Span::ZERO,
+        ago: TimeSpan::ZERO,
         stamp: None,
     };
     desk.zones.heard(at(200), &purge);
@@ -502,9 +502,9 @@
             until,
         },
     );
-    let second = account.within(at(4_000), Span::from_secs(1));
+    let second = account.within(at(4_000), TimeSpan::from_secs(1));
     assert!((second[&key].kb - 50.0).abs() < 1e-6, "{second:?}");
-    let four = account.within(at(4_000), Span::from_secs(10));
+    let four = account.within(at(4_000), TimeSpan::from_secs(10));
     assert!((four[&key].kb - 300.0).abs() < 1e-6, "{four:?}");
     // A clock that goes back books into its newest second, one that leaps forgets seconds and no totals.
     account.book(
@@ -519,7 +519,7 @@
     account.advance(at(4_000 + SECONDS * 2_000));
     assert!(
         account
-            .within(at(4_000 + SECONDS * 2_000), Span::from_secs(60))
+            .within(at(4_000 + SECONDS * 2_000), TimeSpan::from_secs(60))
             .is_empty()
     );
     assert_eq!(account.totals()[&key].kb, 305.0);
@@ -610,7 +610,7 @@
         let event = Event::Purged {
             object: None,
             group: GroupId((n % 8) as u32),
-            ago: Span::ZERO,
+            ago: TimeSpan::ZERO,
             stamp: None,
         };
         desk.zones.heard(at(ms), &event);
@@ -680,7 +680,7 @@
         let event = Event::Purged {
             object: Some(ObjectId(n)),
             group: GroupId(0),
-            ago: Span::ZERO,
+            ago: TimeSpan::ZERO,
             stamp: None,
         };
         desk.zones.heard(at(n * 10), &event);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -31,13 +31,13 @@
     pub max_hand_offs: usize,
     pub may_withdraw: bool,
     /// The longest time for which a client stays away when told to; `None` where it can't be told.
-    pub longest_away: Option<Span>,
+    pub longest_away: Option<TimeSpan>,
     /// Whether the host list has to be asked for.
     pub list_on_request: bool,
     pub cold_cache: Cold,
     pub cold_parent: Cold,
     /// By then every copy from before a purge is dropped.
-    pub purge_done: Span,
+    pub purge_done: TimeSpan,
 }
 
 /// How a host that has just started behaves.
@@ -46,10 +46,10 @@
     /// The least share of its capacity with which it starts.
     pub from: f64,
     /// It is warm after this, rising evenly at the slowest.
-    pub warm_after: Span,
+    pub warm_after: TimeSpan,
     /// It falls over at this multiple of its present capacity, kept up for `fall_after`.
     pub fall_multiple: f64,
-    pub fall_after: Span,
+    pub fall_after: TimeSpan,
     /// Among how many what it may be given is divided, where that follows need: 1 over this dispatcher's part. `None`:
     /// evenly among all dispatchers that use such a host.
     pub among: Option<f64>,
@@ -57,14 +57,14 @@
 
 #[derive(Clone, Debug)]
 pub struct ClassTerms {
-    pub due: Span,
+    pub due: TimeSpan,
     /// The due time grows by this many times the access's own sending time.
     pub due_stretch: f64,
     pub effect: Effect,
     /// How long a copy is fresh; `None`: until it is purged.
-    pub fresh: Option<Span>,
+    pub fresh: Option<TimeSpan>,
     /// How much older than fresh a copy may be when asked for.
-    pub grace: Span,
+    pub grace: TimeSpan,
     /// Runs at the origin and leaves no copy.
     pub written: bool,
 }
@@ -76,7 +76,7 @@
     /// Repeats are dropped within a group of hosts, for a while from the first hand-off.
     Keyed {
         group: RepeatGroup,
-        window: Span,
+        window: TimeSpan,
     },
     NonIdempotent,
 }
@@ -150,7 +150,7 @@
         object: Option<ObjectId>,
         group: GroupId,
         /// How long ago at least, on the caller's clock.
-        ago: Span,
+        ago: TimeSpan,
         /// When, as it was stamped by another machine's clock: copies are held against it by their own stamps.
         stamp: Option<Timestamp>,
     },
@@ -190,7 +190,7 @@
 pub struct Arrival {
     pub id: RequestId,
     /// How long the client will wait.
-    pub left: Span,
+    pub left: TimeSpan,
     pub track: ClassId,
     pub object: ObjectId,
     pub group: GroupId,
@@ -203,12 +203,12 @@
     pub id: RequestId,
     pub hand_off: AttemptNo,
     pub ending: Ending,
-    pub took: Span,
+    pub took: TimeSpan,
     /// The access needs no final answer any more.
     pub closed: bool,
     pub note: Note,
     /// Time to the first byte from the source, or to the fill's failure, where it is told.
-    pub waited: Option<Span>,
+    pub waited: Option<TimeSpan>,
     pub load: Load,
     /// Whether anything was done for its client before, so that its accesses are known to make sense.
     pub proven: bool,
@@ -278,7 +278,7 @@
     /// Final: trying again is harmless.
     Refuse {
         id: RequestId,
-        come_back: Option<Span>,
+        come_back: Option<TimeSpan>,
         why: GiveUpReason,
     },
     /// Final: promises nothing.
@@ -319,7 +319,7 @@
     /// 0: not kept; 1 to 3: the rank at which it is.
     pub rank: u8,
     /// The oldest copy that will do; `None`: as old as the track allows when fresh.
-    pub oldest: Option<Span>,
+    pub oldest: Option<TimeSpan>,
     pub join: bool,
     /// The source gives only what it holds.
     pub held_only: bool,
@@ -357,7 +357,7 @@
     /// This goes out now.
     fn sent(&mut self, _now: Timestamp, _crossing: &Crossing) {}
     /// After how long a client of this track had better come again; `None`: nothing was in its way here.
-    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<Span> {
+    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
         None
     }
 }
@@ -401,7 +401,7 @@
         self.iter_mut().for_each(|on| on.sent(now, crossing));
     }
 
-    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<Span> {
+    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         self.as_ref()?.come_back(now, track)
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -20,16 +20,16 @@
 const SPILL_AT: f64 = 3.0;
 /// Added to a sending time of guessed size. Lower lets large ones crowd caches, higher rejects small.
 const GUESS_MARGIN: f64 = 1.3;
-const HOP: Span = Span::from_millis(40); // what an answer takes besides its sending
-const FILL_WAIT: Span = Span::from_millis(100); // what a fill takes besides its sending
+const HOP: TimeSpan = TimeSpan::from_millis(40); // what an answer takes besides its sending
+const FILL_WAIT: TimeSpan = TimeSpan::from_millis(100); // what a fill takes besides its sending
 /// A hand-off is overdue after this many times its predicted sending and the longer of a part of the track's
 /// due time and so many usual waits for a fill. Lower blames the slow; higher holds on to the silent.
 const PATIENCE: f64 = 1.5;
 const WAIT_OF_DUE: f64 = 0.6;
 const USUAL_WAITS: f64 = 3.0;
-const ORIGIN_WAIT: Span = Span::from_millis(60); // between two hand-offs of an access to the origin
+const ORIGIN_WAIT: TimeSpan = TimeSpan::from_millis(60); // between two hand-offs of an access to the origin
 /// What was known of a host is forgotten so long after it left the list; a late list may name it once more.
-const FORGET: Span = Span::from_secs(60);
+const FORGET: TimeSpan = TimeSpan::from_secs(60);
 const SEEN: usize = 50_000; // so many objects seen are remembered, before all are forgotten
 /// How much faster than an answer a fill runs at least: a fuller link delays answers. Higher fills the link.
 const FILL_PACE: f64 = 1.75;
@@ -39,7 +39,7 @@
 const SLOWNESS_GAIN: f64 = 0.1;
 /// How often a host is probed; what a cache and a parent of untold size is taken for, and for how many busy
 /// seconds that counts. Probes cost hosts work; a larger guess risks cold hosts, a smaller one rejects.
-const PROBE_EVERY: Span = Span::from_secs(2);
+const PROBE_EVERY: TimeSpan = TimeSpan::from_secs(2);
 const FIRST_SIZES: [f64; 3] = [4.0, 16.0, 16.0];
 const FIRST_COUNTS: f64 = 3.0;
 /// Busy seconds remembered of a kind.
@@ -230,8 +230,8 @@
     }
 
     /// By then no host has a copy from before a purge.
-    fn forgets_purges_after(&self) -> Span {
-        self.terms.purge_done.times(3.0)
+    fn forgets_purges_after(&self) -> TimeSpan {
+        self.terms.purge_done.mul_f64(3.0)
     }
 
     /// The purges of an object and of its group that still bind.
@@ -385,7 +385,7 @@
         let next = all().filter(|id| **id > self.probed).min().or(all().min());
         self.probed = next.copied().unwrap_or_default();
         (self.actions).extend(next.map(|&host| Action::Probe { host }));
-        self.probe_at = now + PROBE_EVERY.times(1.0 / all().count().max(1) as f64);
+        self.probe_at = now + PROBE_EVERY.mul_f64(1.0 / all().count().max(1) as f64);
     }
 
     fn arrive(&mut self, now: Timestamp, asked: Arrival) {
@@ -398,7 +398,7 @@
         let access = Request {
             asked,
             send,
-            due: limit.min(now + track.due + Span::from_secs_f64(send * track.due_stretch)),
+            due: limit.min(now + track.due + TimeSpan::from_secs_f64(send * track.due_stretch)),
             limit,
             tries: Vec::new(),
             lacking: false,
@@ -481,11 +481,11 @@
         let own = host == source;
         let answered = matches!(ending, Done | Error | Full | Missed);
         let hit = matches!(outcome.note, Note::Hit | Note::Stale);
-        let filled = size_kb.is_none() || took > Span::from_secs_f64(send) + HOP;
-        let per = |span: Span| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
+        let filled = size_kb.is_none() || took > TimeSpan::from_secs_f64(send) + HOP;
+        let per = |span: TimeSpan| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
         let per_byte = per(took);
         let latency = outcome.waited.map_or(per_byte, |waited| waited.0 as f64);
-        let alone = Span::from_secs_f64(send * self.stretch(now, &self.hosts[&host])) + HOP;
+        let alone = TimeSpan::from_secs_f64(send * self.stretch(now, &self.hosts[&host])) + HOP;
         let of_cache = self.hosts[&host].role == Role::Cache;
         self.at_caches.add(now, if of_cache { -1.0 } else { 0.0 });
         if let Some(host) = self.hosts.get_mut(&host) {
@@ -562,7 +562,7 @@
         attempt.blamed = true;
         let attempt = *attempt;
         let Plan { host, source, .. } = attempt.plan;
-        let lately = attempt.sent + now.since(attempt.sent).times(0.5);
+        let lately = attempt.sent + now.since(attempt.sent).mul_f64(0.5);
         let quiet = |id: &HostId| self.hosts[id].heard <= lately;
         let others = !self.parents.iter().all(quiet);
         let alone = others && quiet(&source) && self.parents.contains(&source);
@@ -772,7 +772,7 @@
         let parents = self.in_hash_order(access, Role::Parent);
         let parent = parents.into_iter().find(has_room);
         let source = parent.or(self.origin.filter(has_room))?;
-        let crowd = Span::from_secs_f64(access.send * self.link_crowd().max(1.0)) + FILL_WAIT;
+        let crowd = TimeSpan::from_secs_f64(access.send * self.link_crowd().max(1.0)) + FILL_WAIT;
         (now + crowd <= access.due).then_some(source)
     }
 
@@ -805,7 +805,7 @@
         let slow = |id: &HostId| stretch(id) * self.hosts[id].slowness(now);
         let margin = access.asked.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
         let told = self.terms.sizes_tell && access.asked.size_kb.is_some();
-        let takes = |id: &HostId| Span::from_secs_f64(access.send * stretch(id) * margin) + HOP;
+        let takes = |id: &HostId| TimeSpan::from_secs_f64(access.send * stretch(id) * margin) + HOP;
         let timely = |id: &HostId| self.track(access).written || now + takes(id) <= access.due;
         let near = |id: &HostId| slow(id) <= SPILL_AT && (!told || timely(id));
         let first = |id: &&HostId| near(id) && self.open_to(now, access, **id);
@@ -836,13 +836,13 @@
     }
 
     /// Rule 5: the oldest copy that will do, given the latest purge of the object or its group.
-    fn oldest(&self, now: Timestamp, access: &Request, stale: bool) -> Option<Span> {
+    fn oldest(&self, now: Timestamp, access: &Request, stale: bool) -> Option<TimeSpan> {
         let track = self.track(access);
         let since = self
             .purges_of(now, access)
             .map(|purge| now.since(purge.at))
             .min();
-        let grace = track.grace.times(f64::from(u8::from(stale)));
+        let grace = track.grace.mul_f64(f64::from(u8::from(stale)));
         let aged = track.fresh.filter(|_| stale || since.is_some());
         let aged = aged.map(|fresh| fresh + grace);
         since.into_iter().chain(aged).min()
@@ -921,10 +921,10 @@
             renew: track.fresh.is_some() && !stale,
         };
         let fill = Some(fill).filter(|_| host.role != Role::Origin);
-        let sending = Span::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
+        let sending = TimeSpan::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
         let usual = self.waits.above(2).map_or(0.0, |wait| wait * USUAL_WAITS);
-        let wait = track.due.times(WAIT_OF_DUE).max(Span(usual as u64));
-        let overdue_at = now + sending.times(PATIENCE) + wait;
+        let wait = track.due.mul_f64(WAIT_OF_DUE).max(TimeSpan(usual as u64));
+        let overdue_at = now + sending.mul_f64(PATIENCE) + wait;
         let fills = if of_cache { self.missing } else { 1.0 };
         let none = written || own && of_cache;
         let missing = if none { 0.0 } else { fills };
@@ -961,11 +961,11 @@
     }
 
     /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
-    pub fn come_back(&mut self, now: Timestamp, track: ClassId) -> Option<Span> {
+    pub fn come_back(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let longest = self.terms.longest_away?;
         let full = self.crossings.come_back(now, track);
         let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
-        Some(usual.times(0.75 + 0.5 * self.chance.f64()).min(longest))
+        Some(usual.mul_f64(0.75 + 0.5 * self.chance.f64()).min(longest))
     }
 
     /// The final answer where nothing more can be done: a rejection where trying again is harmless.
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,7 +1,7 @@
 //! The design's breaker, one for each cache, parent and origin: a sliding window of first-byte latencies, a time open, one
 //! trial, then a rising share.
 
-use crate::units::{Span, Timestamp};
+use crate::units::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 /// The design's window, in slots of a second.
@@ -9,11 +9,11 @@
 /// A window of fewer fills says nothing.
 pub(crate) const LEAST_FILLS: u32 = 10;
 /// How long a host stays open at first. Longer starves a healed host, shorter costs trials.
-pub(crate) const OPEN_FOR: Span = Span::from_secs(10);
+pub(crate) const OPEN_FOR: TimeSpan = TimeSpan::from_secs(10);
 /// A trial's first byte must come within this; the share it leads to, and how soon that doubles.
-pub(crate) const TRIAL_WITHIN: Span = Span::from_secs(1);
+pub(crate) const TRIAL_WITHIN: TimeSpan = TimeSpan::from_secs(1);
 pub(crate) const FIRST_SHARE: f64 = 0.05;
-pub(crate) const DOUBLING: Span = Span::from_secs(2);
+pub(crate) const DOUBLING: TimeSpan = TimeSpan::from_secs(2);
 /// Failures in a row open a breaker from this weight on, or leave a crowded host this part of its share:
 /// a hard one has 4, one overdue, lost or maybe another's 2, a slow one 1. Lower acts on chance, higher late.
 pub(crate) const RUN_ACTS: u32 = 10;
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -2,13 +2,13 @@
 
 use super::breaker::{Breaker, Phase};
 use crate::interface::{Cold, HostEntry, HostState};
-use crate::units::{Span, Timestamp};
+use crate::units::{TimeSpan, Timestamp};
 
 /// Part of a cold host's told limit that all use together. Higher risks it, lower warms it later.
 pub(crate) const COLD_USE: f64 = 0.4;
 pub(crate) const SAVED: f64 = 1.5; // such parts that are saved up: higher risks it in a crowd, lower leaves them unused
 /// How soon averages over time are half forgotten.
-pub(crate) const HALVES: Span = Span::from_secs(2);
+pub(crate) const HALVES: TimeSpan = TimeSpan::from_secs(2);
 /// Up to AT_EASE hits come at full pace; a reckoned crowd counts in part.
 pub(crate) const AT_EASE: f64 = 0.6;
 pub(crate) const ALL_IN_USE: f64 = 0.95;
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -5,13 +5,13 @@
 //! connection or for room in a buffer, and count what they find to have been done against a rule.
 
 use crate::interface::Effect;
-use crate::units::{CellId, Span, Timestamp, ZoneId};
+use crate::units::{CellId, TimeSpan, Timestamp, ZoneId};
 
 /// A client that has ended its side of the connection counts as gone after this: what it sent just before may still begin,
 /// as nobody can tell a close from a half-close. The operators allow 0.1 s; the rest is for the way to the host.
-pub const CLIENT_GONE_AFTER: Span = Span::from_millis(50);
+pub const CLIENT_GONE_AFTER: TimeSpan = TimeSpan::from_millis(50);
 /// By how much a deadline that is passed on may exceed what the client has left by the time it is written.
-pub const DEADLINE_SLACK: Span = Span::from_millis(100);
+pub const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(100);
 
 /// Why something may not be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
 }
 
 /// The operators' own bound for a client that has closed, which no attempt may begin behind.
-const CLIENT_GONE_AT_MOST: Span = Span::from_millis(100);
+const CLIENT_GONE_AT_MOST: TimeSpan = TimeSpan::from_millis(100);
 
 /// Whether an attempt that began now broke a rule, by the operators' own bounds. The check behind the act.
 pub fn begun_against_a_rule(now: Timestamp, facts: &SendFacts) -> bool {
@@ -160,7 +160,7 @@
 }
 
 /// The deadline to pass on with an attempt that is written now: what the client has left.
-pub fn deadline_to_pass(now: Timestamp, deadline: Timestamp) -> Span {
+pub fn deadline_to_pass(now: Timestamp, deadline: Timestamp) -> TimeSpan {
     deadline.since(now)
 }
 
--- a/src/policy/refusals.rs
+++ b/src/policy/refusals.rs
@@ -1,9 +1,9 @@
 //! Why a request gets no answer but a refusal or a failure, and when its client had better come back.
 
-use crate::units::Span;
+use crate::units::TimeSpan;
 
 /// How long a client that was refused stays away, where nothing else says how long.
-pub const COME_BACK: Span = Span::from_millis(500);
+pub const COME_BACK: TimeSpan = TimeSpan::from_millis(500);
 
 /// Why nothing more is tried for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/policy/stamps.rs
+++ b/src/policy/stamps.rs
@@ -5,22 +5,22 @@
 //! since, which is where the stamps' own clock has got to at least. An age that is too short is safe: a purge binds for
 //! longer, and a host counts as cold for longer, each for a bounded time.
 
-use crate::units::{Span, Timestamp};
+use crate::units::{TimeSpan, Timestamp};
 
 /// The stamps heard so far, as far as they bound the time.
 ///
 /// ```
 /// use trailproxy::policy::stamps::Stamps;
-/// use trailproxy::units::{Timestamp, Span};
-/// let (stamp, hour) = (Timestamp(10_000_000_000), Span::from_secs(3_600));
+/// use trailproxy::units::{Timestamp, TimeSpan};
+/// let (stamp, hour) = (Timestamp(10_000_000_000), TimeSpan::from_secs(3_600));
 /// // The own clock is an hour ahead: what was stamped just now is not an hour old.
 /// let mut stamps = Stamps::default();
 /// let now = stamp + hour;
 /// stamps.heard(now, stamp);
-/// assert_eq!(stamps.least_age(now, stamp), Span::ZERO);
+/// assert_eq!(stamps.least_age(now, stamp), TimeSpan::ZERO);
 /// // Another stamp, five seconds newer, shows that the first was five seconds old.
-/// stamps.heard(now, stamp + Span::from_secs(5));
-/// assert_eq!(stamps.least_age(now, stamp), Span::from_secs(5));
+/// stamps.heard(now, stamp + TimeSpan::from_secs(5));
+/// assert_eq!(stamps.least_age(now, stamp), TimeSpan::from_secs(5));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stamps {
@@ -43,7 +43,7 @@
     }
 
     /// How long ago a stamp was made, at least.
-    pub fn least_age(&self, now: Timestamp, stamp: Timestamp) -> Span {
+    pub fn least_age(&self, now: Timestamp, stamp: Timestamp) -> TimeSpan {
         let reached = self.reached(now).unwrap_or(stamp);
         reached.min(now).since(stamp)
     }
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -2,7 +2,7 @@
 //!
 //! One table for each kind of call. What is not in a table counts as lasting. The numbers are those of Linux.
 
-use crate::units::Span;
+use crate::units::TimeSpan;
 use libc::{
     EADDRINUSE, EADDRNOTAVAIL, EAGAIN, EALREADY, ECONNABORTED, EHOSTDOWN, EHOSTUNREACH,
     EINPROGRESS, EINTR, EIO, EMFILE, ENETDOWN, ENETUNREACH, ENFILE, ENOBUFS, ENOENT, ENOMEM,
@@ -10,9 +10,9 @@
 };
 
 /// How long a call waits that found the system out of memory, buffers or descriptors.
-pub const LACK_PASSES: Span = Span::from_millis(5);
+pub const LACK_PASSES: TimeSpan = TimeSpan::from_millis(5);
 /// How long a connection that failed for a reason on this side waits to be dialled again.
-pub const DIAL_AGAIN: Span = Span::from_millis(10);
+pub const DIAL_AGAIN: TimeSpan = TimeSpan::from_millis(10);
 
 /// What a read or a write on a connection that failed does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,23 +83,23 @@
 ///
 /// ```
 /// use trailproxy::policy::system_errors::start_tries_for;
-/// use trailproxy::units::Span;
+/// use trailproxy::units::TimeSpan;
 /// assert!(start_tries_for(libc::ENFILE) > start_tries_for(libc::EADDRINUSE));
-/// assert_eq!(start_tries_for(libc::EACCES), Span::ZERO);
+/// assert_eq!(start_tries_for(libc::EACCES), TimeSpan::ZERO);
 /// ```
-pub fn start_tries_for(errno: i32) -> Span {
+pub fn start_tries_for(errno: i32) -> TimeSpan {
     match errno {
         EINTR | EAGAIN | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC | EIO => START_LACKS_FOR,
         // A predecessor may be about to end, a network about to come up, a file about to be put in its place.
         EADDRINUSE | EADDRNOTAVAIL | ENOENT | ESTALE => START_IS_TAKEN_FOR,
-        _ => Span::ZERO,
+        _ => TimeSpan::ZERO,
     }
 }
 
 /// A lack of descriptors, buffers or memory passes within this, or the start has failed.
-const START_LACKS_FOR: Span = Span::from_secs(20);
+const START_LACKS_FOR: TimeSpan = TimeSpan::from_secs(20);
 /// An address in use, or a file that is missing, is somebody else's business after this.
-pub const START_IS_TAKEN_FOR: Span = Span::from_secs(2);
+pub const START_IS_TAKEN_FOR: TimeSpan = TimeSpan::from_secs(2);
 /// Between two tries of a step of the start, growing up to the longest.
-pub const START_AGAIN: Span = Span::from_millis(20);
-pub const START_AGAIN_AT_MOST: Span = Span::from_millis(500);
+pub const START_AGAIN: TimeSpan = TimeSpan::from_millis(20);
+pub const START_AGAIN_AT_MOST: TimeSpan = TimeSpan::from_millis(500);
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,17 +1,17 @@
 //! Points in time, spans of time and one type for each kind of id.
 //!
 //! ```
-//! use trailproxy::units::{Timestamp, Span};
-//! let later = Timestamp(5_000) + Span::from_millis(2);
-//! assert_eq!(later.since(Timestamp(5_000)), Span(2_000));
-//! assert_eq!(Timestamp(5_000).since(later), Span::ZERO);
+//! use trailproxy::units::{Timestamp, TimeSpan};
+//! let later = Timestamp(5_000) + TimeSpan::from_millis(2);
+//! assert_eq!(later.since(Timestamp(5_000)), TimeSpan(2_000));
+//! assert_eq!(Timestamp(5_000).since(later), TimeSpan::ZERO);
 //! ```
 //!
 //! A point and a span can't be mixed up:
 //!
 //! ```compile_fail
-//! use trailproxy::units::{Timestamp, Span};
-//! let wrong: Span = Timestamp(1) + Span(1);
+//! use trailproxy::units::{Timestamp, TimeSpan};
+//! let wrong: TimeSpan = Timestamp(1) + TimeSpan(1);
 //! ```
 
 use std::ops::{Add, AddAssign, Sub};
@@ -22,70 +22,70 @@
 
 /// A length of time, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub u64);
+pub struct TimeSpan(pub u64);
 
-impl Span {
-    pub const ZERO: Span = Span(0);
+impl TimeSpan {
+    pub const ZERO: TimeSpan = TimeSpan(0);
 
-    pub const fn from_millis(ms: u64) -> Span {
-        Span(ms * 1_000)
+    pub const fn from_millis(ms: u64) -> TimeSpan {
+        TimeSpan(ms * 1_000)
     }
 
-    pub const fn from_secs(s: u64) -> Span {
-        Span(s * 1_000_000)
+    pub const fn from_secs(s: u64) -> TimeSpan {
+        TimeSpan(s * 1_000_000)
     }
 
     /// Negative and unordered figures give the empty span.
-    pub fn from_secs_f64(s: f64) -> Span {
-        Span((s.max(0.0) * 1e6) as u64)
+    pub fn from_secs_f64(s: f64) -> TimeSpan {
+        TimeSpan((s.max(0.0) * 1e6) as u64)
     }
 
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    pub fn times(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor.max(0.0)) as u64)
+    pub fn mul_f64(self, factor: f64) -> TimeSpan {
+        TimeSpan((self.0 as f64 * factor.max(0.0)) as u64)
     }
 }
 
 impl Timestamp {
     /// The span from `earlier` to this moment; empty if `earlier` is later.
-    pub fn since(self, earlier: Timestamp) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: Timestamp) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Timestamp {
+impl Add<TimeSpan> for Timestamp {
     type Output = Timestamp;
-    fn add(self, span: Span) -> Timestamp {
+    fn add(self, span: TimeSpan) -> Timestamp {
         Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Timestamp {
+impl Sub<TimeSpan> for Timestamp {
     type Output = Timestamp;
-    fn sub(self, span: Span) -> Timestamp {
+    fn sub(self, span: TimeSpan) -> Timestamp {
         Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, other: Span) -> Span {
-        Span(self.0.saturating_add(other.0))
+impl Add for TimeSpan {
+    type Output = TimeSpan;
+    fn add(self, other: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0.saturating_add(other.0))
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+impl Sub for TimeSpan {
+    type Output = TimeSpan;
+    fn sub(self, other: TimeSpan) -> TimeSpan {
+        TimeSpan(self.0.saturating_sub(other.0))
     }
 }
 
-impl AddAssign for Span {
-    fn add_assign(&mut self, other: Span) {
+impl AddAssign for TimeSpan {
+    fn add_assign(&mut self, other: TimeSpan) {
         *self = *self + other;
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -13,7 +13,7 @@
 const COLD: HostId = CACHES[0];
 const START: Timestamp = Timestamp(1_000_000_000);
 /// How long a cold host is watched: as long as it takes to warm up.
-const WATCHED: Span = Span::from_secs(30);
+const WATCHED: TimeSpan = TimeSpan::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Traffic {
@@ -118,7 +118,7 @@
     // Of no matter here: nothing is late, and the link has room.
     // What is guessed before any is seen is twice the mean.
     terms.tracks.truncate(1);
-    terms.tracks[0].due = Span::from_secs_f64(mean_work(case, &terms) * 4.0);
+    terms.tracks[0].due = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
     terms.tracks[0].due_stretch = 50.0;
     terms
 }
@@ -149,7 +149,7 @@
     } else {
         0.0
     };
-    let told_at = (START + Span::from_secs_f64(late)).max(now);
+    let told_at = (START + TimeSpan::from_secs_f64(late)).max(now);
     let list = entries(case, now, now >= told_at);
     let form = ListForm::Whole;
     // Before it is told, the host is not on its list.
@@ -216,8 +216,8 @@
     let (mut now, mut next_id, mut wanted) = (before, 0, 0.0);
     // Asked, and sent on.
     let (mut large_ones, mut all_ones) = ([0.0; 2], [0.0; 2]);
-    let step = Span::from_millis(10);
-    let restart_at = START + Span::from_secs(5);
+    let step = TimeSpan::from_millis(10);
+    let restart_at = START + TimeSpan::from_secs(5);
     while now < START + WATCHED {
         let was = now;
         now = now + step;
@@ -237,7 +237,7 @@
             let due = std::mem::replace(&mut process.wakes, later);
             events.extend(due.iter().map(|_| Event::Woken { wake: WakeId(0) }));
             while let Some((_, id, hand_off)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
-                let took = Span::from_millis(40);
+                let took = TimeSpan::from_millis(40);
                 let (ending, note) = (Ending::Done, Note::Hit);
                 events.push(Event::Outcome(Outcome {
                     id,
@@ -275,7 +275,7 @@
                 large_ones[0] += f64::from(u8::from(large));
                 events.push(Event::Arrived(Arrival {
                     id: RequestId(next_id),
-                    left: Span::from_secs(60),
+                    left: TimeSpan::from_secs(60),
                     track: READS,
                     object: ObjectId(chance.u64(..)),
                     group: GroupId(0),
@@ -292,7 +292,7 @@
             for action in process.dispatcher.settle(now) {
                 match action {
                     Action::Attempt(hand_off) => {
-                        let done = now + Span::from_millis(40);
+                        let done = now + TimeSpan::from_millis(40);
                         process.out.push_back((done, hand_off.id, AttemptNo(0)));
                         let work = process.works[&hand_off.id];
                         all_ones[1] += 1.0;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -18,7 +18,7 @@
 struct Notes {
     full: bool,
     full_from: Vec<HostId>,
-    away: Option<Span>,
+    away: Option<TimeSpan>,
     sent: Vec<Crossing>,
     heard: usize,
 }
@@ -39,7 +39,7 @@
         self.0.borrow_mut().sent.push(*crossing);
     }
 
-    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<Span> {
+    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
         self.0.borrow().away
     }
 }
@@ -74,7 +74,7 @@
         let id = RequestId(self.next);
         let arrival = Arrival {
             id,
-            left: Span::from_secs(3),
+            left: TimeSpan::from_secs(3),
             track,
             object: ObjectId(object),
             group: GroupId(1),
@@ -155,7 +155,7 @@
     let fill = hand_off.fill.expect("told how old a copy may be");
     assert_eq!(fill.source, hand_off.host);
     // Fresh for 8 s and 20 s of grace.
-    assert_eq!(fill.oldest, Some(Span::from_secs(28)));
+    assert_eq!(fill.oldest, Some(TimeSpan::from_secs(28)));
     assert!(desk.gate.0.borrow().sent.is_empty());
     let actions = desk.end(id, 0, Ending::Done, Note::Stale);
     assert!(handed(&actions).is_none());
@@ -164,12 +164,12 @@
 #[test]
 fn what_is_not_held_is_rejected_at_once_with_the_time_that_the_link_needs() {
     let mut desk = Desk::new(Terms {
-        longest_away: Some(Span::from_secs(10)),
+        longest_away: Some(TimeSpan::from_secs(10)),
         ..terms()
     });
     {
         let mut notes = desk.gate.0.borrow_mut();
-        (notes.full, notes.away) = (true, Some(Span::from_secs(4)));
+        (notes.full, notes.away) = (true, Some(TimeSpan::from_secs(4)));
     }
     let (id, _) = desk.arrive(READS, 5);
     let actions = desk.end(id, 0, Ending::Missed, Note::Untold);
@@ -183,7 +183,7 @@
         panic!("{actions:?}");
     };
     assert!(
-        (Span::from_secs(3)..=Span::from_secs(5)).contains(&away),
+        (TimeSpan::from_secs(3)..=TimeSpan::from_secs(5)).contains(&away),
         "{away:?}"
     );
 }
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -12,8 +12,8 @@
 pub const PARENTS: [HostId; 2] = [HostId(21), HostId(22)];
 pub const ORIGIN: HostId = HostId(31);
 
-pub fn ms(ms: u64) -> Span {
-    Span::from_millis(ms)
+pub fn ms(ms: u64) -> TimeSpan {
+    TimeSpan::from_millis(ms)
 }
 
 pub fn terms() -> Terms {
@@ -21,17 +21,17 @@
         due: ms(400),
         due_stretch: 2.0,
         effect: Effect::Idempotent,
-        fresh: Some(Span::from_secs(8)),
-        grace: Span::from_secs(20),
+        fresh: Some(TimeSpan::from_secs(8)),
+        grace: TimeSpan::from_secs(20),
         written: false,
     };
     let written = ClassTerms {
         written: true,
         fresh: None,
-        grace: Span::ZERO,
+        grace: TimeSpan::ZERO,
         ..reads.clone()
     };
-    let (group, window) = (RepeatGroup::Zone, Span::from_secs(2));
+    let (group, window) = (RepeatGroup::Zone, TimeSpan::from_secs(2));
     let by_mark = Effect::Keyed { group, window };
     let changes = ClassTerms {
         effect: by_mark,
@@ -43,9 +43,9 @@
     };
     let cold = Cold {
         from: 0.25,
-        warm_after: Span::from_secs(10),
+        warm_after: TimeSpan::from_secs(10),
         fall_multiple: 2.0,
-        fall_after: Span::from_secs(1),
+        fall_after: TimeSpan::from_secs(1),
         among: None,
     };
     Terms {
@@ -65,11 +65,11 @@
         notes: NoteLevel::All,
         max_hand_offs: 6,
         may_withdraw: true,
-        longest_away: Some(Span::from_secs(1)),
+        longest_away: Some(TimeSpan::from_secs(1)),
         list_on_request: false,
         cold_cache: cold,
         cold_parent: cold,
-        purge_done: Span::from_secs(6),
+        purge_done: TimeSpan::from_secs(6),
     }
 }
 
@@ -171,7 +171,7 @@
     }
 
     /// Time passes, and every wake-up that was asked for comes in its turn.
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: TimeSpan) {
         let end = self.now + span;
         while let Some(at) = self.wakes.iter().copied().filter(|&at| at <= end).min() {
             self.wakes.retain(|&wake| wake > at);
@@ -198,7 +198,7 @@
             ObjectId(object),
             GroupId(object as u32 % 4),
         );
-        let left = Span::from_secs(3);
+        let left = TimeSpan::from_secs(3);
         self.event(Event::Arrived(Arrival {
             id,
             left,
@@ -211,7 +211,7 @@
         id
     }
 
-    pub fn answer(&mut self, id: RequestId, ending: Ending, note: Note, took: Span) {
+    pub fn answer(&mut self, id: RequestId, ending: Ending, note: Note, took: TimeSpan) {
         let of_access = self.handed.iter().filter(|hand_off| hand_off.id == id);
         let hand_off = AttemptNo(of_access.count() as u8 - 1);
         let closed = ending == Ending::Done;
@@ -230,7 +230,7 @@
         }));
     }
 
-    pub fn play(&mut self, object: u64, ending: Ending, note: Note, took: Span) -> RequestId {
+    pub fn play(&mut self, object: u64, ending: Ending, note: Note, took: TimeSpan) -> RequestId {
         let id = self.arrive(READS, object);
         self.pass(took);
         self.answer(id, ending, note, took);
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -22,9 +22,9 @@
 }
 
 /// What becomes of a change whose key another sent to this place, so long ago, on a track with this group.
-fn change_after(group: RepeatGroup, place: Option<(u16, u16)>, ago: Span) -> Vec<Action> {
+fn change_after(group: RepeatGroup, place: Option<(u16, u16)>, ago: TimeSpan) -> Vec<Action> {
     let mut terms = terms();
-    let window = Span::from_secs(2);
+    let window = TimeSpan::from_secs(2);
     terms.tracks[1].effect = Effect::Keyed { group, window };
     let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
     let first = Timestamp(START.0 - ago.0);
@@ -45,7 +45,7 @@
         START,
         Event::Arrived(Arrival {
             id: RequestId(1),
-            left: Span::from_secs(3),
+            left: TimeSpan::from_secs(3),
             track: CHANGES,
             object: ObjectId(7),
             group: GroupId(0),
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -6,7 +6,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 
-fn fills(stage: &mut Stage, objects: &[u64], took: Span) {
+fn fills(stage: &mut Stage, objects: &[u64], took: TimeSpan) {
     for &object in objects {
         stage.play(object, Ending::Done, Note::Filled, took);
     }
@@ -15,7 +15,7 @@
 fn heard(stage: &mut Stage) -> Vec<u64> {
     let objects = stage.objects_of(PARENTS[0], 1000, 70);
     fills(stage, &objects[..30], ms(30));
-    stage.pass(Span::from_secs(11));
+    stage.pass(TimeSpan::from_secs(11));
     objects[30..].to_vec()
 }
 
@@ -81,10 +81,10 @@
 fn an_open_parent_returns_by_one_trial_and_a_rising_share() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    stage.pass(Span::from_secs(7));
+    stage.pass(TimeSpan::from_secs(7));
     let early = stage.arrive(READS, rest[0]);
     assert_eq!(stage.source(early), PARENTS[1], "still open");
-    stage.pass(Span::from_secs(4));
+    stage.pass(TimeSpan::from_secs(4));
     let trial = stage.arrive(READS, rest[1]);
     assert_eq!(stage.source(trial), PARENTS[0], "the trial");
     let beside = stage.arrive(READS, rest[2]);
@@ -105,7 +105,7 @@
     stage.pass(ms(4100));
     let later = share(&mut stage);
     assert!((25..60).contains(&later), "about a fifth: {later}");
-    stage.pass(Span::from_secs(10));
+    stage.pass(TimeSpan::from_secs(10));
     assert_eq!(share(&mut stage), 200);
 }
 
@@ -113,7 +113,7 @@
 fn a_failed_trial_opens_again() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    stage.pass(Span::from_secs(11));
+    stage.pass(TimeSpan::from_secs(11));
     stage.play(rest[1], Ending::Error, Note::SourceLost, ms(40));
     let id = stage.arrive(READS, rest[2]);
     assert_eq!(stage.source(id), PARENTS[1]);
@@ -123,7 +123,7 @@
 fn a_trial_that_hits_leaves_the_next_to_try() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    stage.pass(Span::from_secs(11));
+    stage.pass(TimeSpan::from_secs(11));
     stage.play(rest[1], Ending::Done, Note::Hit, ms(5));
     let id = stage.arrive(READS, rest[2]);
     assert_eq!(stage.source(id), PARENTS[0]);
@@ -145,7 +145,7 @@
     let id = stage.arrive(READS, 77);
     let fill = stage.last(id).fill.expect("a plain look");
     assert_eq!(fill.source, stage.last(id).host, "no fill");
-    assert_eq!(fill.oldest, Some(Span::from_secs(28)));
+    assert_eq!(fill.oldest, Some(TimeSpan::from_secs(28)));
     stage.answer(id, Ending::Missed, Note::Untold, ms(5));
     assert!(stage.rejected(id));
 }
@@ -273,7 +273,7 @@
     assert!((20..80).contains(&may_reach_origin(&mut stage)));
     let id = stage.arrive(ORDERS, 9);
     assert_eq!(stage.last(id).host, ORIGIN, "written accesses still go");
-    stage.pass(Span::from_secs(4));
+    stage.pass(TimeSpan::from_secs(4));
     assert_eq!(may_reach_origin(&mut stage), 100);
     assert!(stage.logged.is_empty());
 }
@@ -498,7 +498,7 @@
 fn a_restarted_host_is_not_held_to_its_predecessor() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    let started = Some(stage.now - Span::from_secs(20));
+    let started = Some(stage.now - TimeSpan::from_secs(20));
     stage.list(
         ListForm::Changes,
         vec![HostEntry {
@@ -520,7 +520,7 @@
     stage.pass(ms(1));
     assert!(stage.aborted(id));
     stage.answer(id, Ending::TimedOut, Note::Untold, ms(3000));
-    stage.pass(Span::from_secs(5));
+    stage.pass(TimeSpan::from_secs(5));
     assert_eq!((stage.finals[&id].len(), stage.count(id)), (1, 1));
 }
 
@@ -531,7 +531,7 @@
     stage.event(Event::Left { id });
     assert_eq!(stage.withdrawn, [id]);
     stage.answer(id, Ending::Error, Note::Untold, ms(30));
-    stage.pass(Span::from_secs(5));
+    stage.pass(TimeSpan::from_secs(5));
     assert!(stage.finals.is_empty());
     assert_eq!(stage.count(id), 1);
 }
@@ -544,7 +544,7 @@
         id,
         hand_off: AttemptNo(0),
     });
-    stage.pass(Span::from_secs(5));
+    stage.pass(TimeSpan::from_secs(5));
     assert!(stage.withdrawn.is_empty() && stage.finals.is_empty());
 }
 
@@ -558,7 +558,7 @@
     stage.list(ListForm::Whole, vec![entry(PARENTS[0]), entry(ORIGIN)]);
     let id = stage.arrive(READS, 3);
     assert!(stage.rejected(id));
-    let soon = |span: Span| span <= Span::from_secs(1);
+    let soon = |span: TimeSpan| span <= TimeSpan::from_secs(1);
     let answer = &stage.finals[&id][0];
     assert!(matches!(answer, Action::Refuse { come_back: Some(span), .. } if soon(*span)));
 }
@@ -584,7 +584,7 @@
         let mut stage = Stage::new(terms());
         let id = stage.arrive(ORDERS, 3);
         stage.answer(id, ending, Note::Untold, ms(50));
-        stage.pass(Span::from_secs(1));
+        stage.pass(TimeSpan::from_secs(1));
         assert_eq!(stage.count(id), 1, "{ending:?}");
         assert!(stage.aborted(id), "{ending:?}");
     }
@@ -701,7 +701,7 @@
         ago: ms(500),
         stamp: None,
     });
-    stage.pass(Span::from_secs(1));
+    stage.pass(TimeSpan::from_secs(1));
     let oldest = |stage: &mut Stage, object| {
         let id = stage.arrive(READS, object);
         stage.last(id).fill.expect("a plain look").oldest
@@ -780,7 +780,7 @@
     let sent = |id: &&RequestId| stage.count(**id) > 0;
     let (taken, left): (Vec<_>, Vec<_>) = ids.iter().partition(sent);
     assert!(!taken.is_empty() && left.iter().all(|&&id| stage.rejected(id)));
-    stage.pass(Span::from_secs(3));
+    stage.pass(TimeSpan::from_secs(3));
     assert!(ids.iter().all(|id| stage.finals[id].len() == 1));
 }
 
@@ -840,7 +840,7 @@
         ..entry(open)
     };
     stage.list(ListForm::Changes, vec![gone]);
-    stage.pass(Span::from_secs(100));
+    stage.pass(TimeSpan::from_secs(100));
     stage.list(ListForm::Changes, Vec::new());
     stage.answer(id, Ending::Lost, Note::Untold, ms(10));
     stage.list(ListForm::Changes, Vec::new());
@@ -860,13 +860,13 @@
         ..entry(host)
     });
     stage.list(ListForm::Changes, gone.collect());
-    let opened = |stage: &mut Stage, from: u64, took: Span| {
+    let opened = |stage: &mut Stage, from: u64, took: TimeSpan| {
         for object in from..from + 300 {
             if stage.logged.is_empty() {
                 stage.play(object, Ending::Done, Note::Hit, took);
             }
         }
-        stage.pass(Span::from_secs(11));
+        stage.pass(TimeSpan::from_secs(11));
         !stage.logged.is_empty()
     };
     assert!(!opened(&mut stage, 1, ms(1)));
@@ -900,7 +900,7 @@
         let share = (3.0 * size * busy * 0.2 / 0.05 / 10.0).round() as u64;
         for _ in 0..share {
             object += 1;
-            stage.play(object, Ending::Done, Note::Hit, Span::ZERO);
+            stage.play(object, Ending::Done, Note::Hit, TimeSpan::ZERO);
         }
         stage.pass(ms(200));
         let hosts: Vec<HostId> = stage.probed[told..].iter().map(|probed| probed.1).collect();
@@ -949,14 +949,14 @@
 #[test]
 fn every_cache_and_parent_is_probed_in_its_turn_and_no_other() {
     let mut stage = Stage::new(probing());
-    stage.pass(Span::from_secs(20));
+    stage.pass(TimeSpan::from_secs(20));
     for host in CACHES.iter().chain(&PARENTS) {
         let times = stage.probed.iter().filter(|(_, probed)| probed == host);
         assert!((9..=11).contains(&times.count()), "{:?}", stage.probed);
     }
     assert!(stage.probed.iter().all(|(_, host)| *host != ORIGIN));
     let mut silent = Stage::new(one_of_many());
-    silent.pass(Span::from_secs(20));
+    silent.pass(TimeSpan::from_secs(20));
     assert!(silent.probed.is_empty());
 }
 
@@ -1047,7 +1047,7 @@
         oldest.is_some_and(|oldest| oldest <= ms(5_000)),
         "{oldest:?}"
     );
-    stage.pass(Span::from_secs(3));
+    stage.pass(TimeSpan::from_secs(3));
     assert!(!stage.probed.is_empty(), "and it probes from now on");
 }
 
@@ -1071,7 +1071,7 @@
     let mut stage = Stage::new(one_of_many());
     let cold = CACHES.map(|host| started(&stage, host)).to_vec();
     stage.list(ListForm::Changes, cold);
-    stage.pass(Span::from_secs(2));
+    stage.pass(TimeSpan::from_secs(2));
     let first = burst(&mut stage);
     assert!(first > 0, "something is let through");
     stage.dispatcher.follow(stage.now, one_of_many());
@@ -1122,7 +1122,7 @@
         ..entry(host)
     });
     stage.list(ListForm::Changes, cold.to_vec());
-    stage.pass(Span::from_secs(2));
+    stage.pass(TimeSpan::from_secs(2));
     assert!(burst(&mut stage) > 0, "something is let through");
     for among in [2.0, 200.0, 1.0] {
         stage.dispatcher.divide(stage.now, Some(among), Some(among));
--- a/tests/system_errors.rs
+++ b/tests/system_errors.rs
@@ -4,7 +4,7 @@
 use trailproxy::policy::system_errors::{
     AcceptError, ConnectError, StreamError, of_accept, of_connect, of_stream, start_tries_for,
 };
-use trailproxy::units::Span;
+use trailproxy::units::TimeSpan;
 
 #[test]
 fn errors_of_reads_and_writes() {
@@ -102,15 +102,15 @@
     let lasting = [EACCES, EPERM, EINVAL, EAFNOSUPPORT, EISDIR, ENOTDIR];
     for errno in passing {
         let tried = start_tries_for(errno);
-        let in_time = Span::from_secs(10) <= tried && tried <= Span::from_secs(30);
+        let in_time = TimeSpan::from_secs(10) <= tried && tried <= TimeSpan::from_secs(30);
         assert!(in_time, "errno {errno}");
     }
     for errno in others {
         let tried = start_tries_for(errno);
-        let short = Span::ZERO < tried && tried < Span::from_secs(10);
+        let short = TimeSpan::ZERO < tried && tried < TimeSpan::from_secs(10);
         assert!(short, "errno {errno}");
     }
     for errno in lasting {
-        assert_eq!(start_tries_for(errno), Span::ZERO, "errno {errno}");
+        assert_eq!(start_tries_for(errno), TimeSpan::ZERO, "errno {errno}");
     }
 }
