--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -115,8 +115,8 @@
         1090 => Event::Left {
             id: RequestId(f.u64()?),
         },
-        1100 => Event::Woken {
-            wake: WakeId(f.u32()?),
+        1100 => Event::TimerFired {
+            timer: TimerId(f.u32()?),
         },
         _ => return Err(format!("unknown event code {code}").into()),
     }))
@@ -270,7 +270,7 @@
         Action::Withdraw { id, hand_off } => {
             reply.record(1030, who).u64(id.0).u8(hand_off.0);
         }
-        Action::Wake { at, wake } => {
+        Action::SetTimer { at, timer: wake } => {
             reply.record(1040, who).u64(at.0).u32(wake.0);
         }
         Action::Probe { host } => {
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -550,7 +550,7 @@
             }
             Event::Begun { id, .. } | Event::Left { id } => self.close(id),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
-            Event::Woken { .. } => self.armed = None,
+            Event::TimerFired { .. } => self.armed = None,
             Event::Probed { .. } | Event::Hinted { .. } => {}
             Event::Purged {
                 object, group, ago, ..
@@ -575,9 +575,9 @@
         let next = self.limits.first().map(|&(at, _)| at);
         if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
             self.armed = Some(at);
-            self.actions.push(Action::Wake {
+            self.actions.push(Action::SetTimer {
                 at,
-                wake: WakeId(0),
+                timer: TimerId(0),
             });
         }
         std::mem::take(&mut self.actions)
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -142,7 +142,7 @@
                     self.file(now + hop, Ev::Withdrawn(ticket));
                 }
             }
-            Action::Wake { at, wake } => {
+            Action::SetTimer { at, timer: wake } => {
                 let life = self.seats[seat].life;
                 self.file(at.max(now), Ev::Wake(seat, life, wake));
             }
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -32,7 +32,7 @@
             Ev::Outcome(ticket, answer) => self.outcome(ticket, answer),
             Ev::Wake(seat, life, wake) => {
                 if self.seats[seat].life == life {
-                    self.tell(seat, Event::Woken { wake });
+                    self.tell(seat, Event::TimerFired { timer: wake });
                 }
             }
             Ev::Told(seat, entry) => {
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 use trailproxy::interface::{Ending, HostEntry};
 use trailproxy::units::{
-    AttemptNo, ClassId, GroupId, ObjectId, RequestId, TimeSpan, Timestamp, WakeId, ZoneId,
+    AttemptNo, ClassId, GroupId, ObjectId, RequestId, TimeSpan, TimerId, Timestamp, ZoneId,
 };
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::following::Following;
@@ -82,7 +82,7 @@
     Asked(Ticket),
     Withdrawn(Ticket),
     Outcome(Ticket, Answer),
-    Wake(usize, u32, WakeId),
+    Wake(usize, u32, TimerId),
     Told(usize, HostEntry),
     Purged(usize, Option<ObjectId>, GroupId, Timestamp),
     Final(RequestId, Final, Option<TimeSpan>, Option<Timestamp>),
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -24,7 +24,7 @@
                 Action::Withdraw { id, hand_off: no } => {
                     self.pools.kill(AttemptId { request: id, no });
                 }
-                Action::Wake { at, wake } => {
+                Action::SetTimer { at, timer: wake } => {
                     self.state.wakes.insert((at, wake));
                 }
                 Action::Probe { host } => self.pools.probe(host),
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -26,7 +26,7 @@
 use trailproxy::interface::{Effect, Event, Terms};
 use trailproxy::logic::Dispatcher;
 use trailproxy::policy::stamps::Stamps;
-use trailproxy::units::{AttemptNo, HostId, RequestId, Timestamp, WakeId};
+use trailproxy::units::{AttemptNo, HostId, RequestId, TimerId, Timestamp};
 use trailproxy_terms::Reports;
 
 /// Requests still come for so long after the signal to end.
@@ -95,7 +95,7 @@
     fading: VecDeque<(Timestamp, Rc<str>)>,
     clients: BTreeMap<ClientId, Client>,
     limits: BTreeSet<(Timestamp, RequestId)>,
-    wakes: BTreeSet<(Timestamp, WakeId)>,
+    wakes: BTreeSet<(Timestamp, TimerId)>,
     next: u64,
     /// The last place in the journal, and the stamps that it has told.
     place: u64,
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use trailproxy::interface::{Ending, Event};
-use trailproxy::units::{AttemptNo, RequestId, Timestamp, WakeId};
+use trailproxy::units::{AttemptNo, RequestId, TimerId, Timestamp};
 
 impl Dispatch {
     pub(super) fn longest_limit(&self) -> Duration {
@@ -51,11 +51,11 @@
                 self.ended(now, attempt, None, Answer::bare(Ending::TimedOut));
             }
             // The decisions give the final answer, woken by their own timer or by this.
-            self.tell(now, Event::Woken { wake: WakeId(0) });
+            self.tell(now, Event::TimerFired { timer: TimerId(0) });
         }
         while let Some(&(at, wake)) = self.state.wakes.first().filter(|(at, _)| *at <= now) {
             self.state.wakes.remove(&(at, wake));
-            self.tell(now, Event::Woken { wake });
+            self.tell(now, Event::TimerFired { timer: wake });
         }
     }
 }
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -452,7 +452,7 @@
             | Event::Begun { .. }
             | Event::Probed { .. }
             | Event::Hinted { .. }
-            | Event::Woken { .. } => {}
+            | Event::TimerFired { .. } => {}
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -132,8 +132,8 @@
     Left {
         id: RequestId,
     },
-    Woken {
-        wake: WakeId,
+    TimerFired {
+        timer: TimerId,
     },
     /// How a probe ended, and what the host told by it.
     Probed {
@@ -290,9 +290,9 @@
         id: RequestId,
         hand_off: AttemptNo,
     },
-    Wake {
+    SetTimer {
         at: Timestamp,
-        wake: WakeId,
+        timer: TimerId,
     },
     FollowList,
     /// Asks a host for its load.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -202,7 +202,7 @@
             Event::Probed { host, ending, load } => self.probed(now, host, ending, load),
             Event::Hinted { host } => (self.hosts.get_mut(&host).into_iter())
                 .for_each(|host| host.breaker.run = host.breaker.run.max(RUN_ACTS - 1)),
-            Event::Woken { .. } => self.armed = self.armed.filter(|&at| at > now),
+            Event::TimerFired { .. } => self.armed = self.armed.filter(|&at| at > now),
             Event::Purged {
                 object,
                 group,
@@ -655,9 +655,9 @@
         let timed = self.timed.first().map(|&(at, _)| at);
         let next = timed.into_iter().chain(probe).min();
         if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
-            let wake = WakeId(0);
+            let wake = TimerId(0);
             self.armed = Some(at);
-            self.actions.push(Action::Wake { at, wake });
+            self.actions.push(Action::SetTimer { at, timer: wake });
         }
         std::mem::take(&mut self.actions)
     }
--- a/src/units.rs
+++ b/src/units.rs
@@ -118,7 +118,7 @@
     /// A set of caches that share the fingerprints they have seen.
     CellId(u16);
     /// Names a wake-up that was asked for.
-    WakeId(u32);
+    TimerId(u32);
 }
 
 impl HostId {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -235,7 +235,7 @@
             }
             let later = process.wakes.split_off(&Timestamp(now.0 + 1));
             let due = std::mem::replace(&mut process.wakes, later);
-            events.extend(due.iter().map(|_| Event::Woken { wake: WakeId(0) }));
+            events.extend(due.iter().map(|_| Event::TimerFired { timer: TimerId(0) }));
             while let Some((_, id, hand_off)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
                 let took = TimeSpan::from_millis(40);
                 let (ending, note) = (Ending::Done, Note::Hit);
@@ -301,7 +301,7 @@
                             outside.takes(now, work, &terms);
                         }
                     }
-                    Action::Wake { at, .. } => {
+                    Action::SetTimer { at, .. } => {
                         process.wakes.insert(at);
                     }
                     _ => {}
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -198,7 +198,7 @@
     // It is looked at again a little after the origin failed.
     desk.now = desk.now + ms(100);
     desk.dispatcher
-        .take(desk.now, Event::Woken { wake: WakeId(0) });
+        .take(desk.now, Event::TimerFired { timer: TimerId(0) });
     let actions = desk.dispatcher.settle(desk.now);
     assert!(
         actions
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -162,7 +162,7 @@
                     self.finals.entry(id).or_default().push(action);
                 }
                 Action::Withdraw { id, .. } => self.withdrawn.push(id),
-                Action::Wake { at, .. } => self.wakes.push(at),
+                Action::SetTimer { at, .. } => self.wakes.push(at),
                 Action::Log { text } => self.logged.push(text),
                 Action::Probe { host } => self.probed.push((self.now, host)),
                 Action::FollowList => {}
@@ -176,7 +176,7 @@
         while let Some(at) = self.wakes.iter().copied().filter(|&at| at <= end).min() {
             self.wakes.retain(|&wake| wake > at);
             self.now = self.now.max(at);
-            self.event(Event::Woken { wake: WakeId(0) });
+            self.event(Event::TimerFired { timer: TimerId(0) });
         }
         self.now = end;
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -569,7 +569,7 @@
     let id = stage.play(3, Ending::Done, Note::Hit, ms(20));
     stage.answer(id, Ending::TimedOut, Note::Untold, ms(30));
     stage.event(Event::Left { id: RequestId(999) });
-    stage.event(Event::Woken { wake: WakeId(77) });
+    stage.event(Event::TimerFired { timer: TimerId(77) });
     assert!(stage.finals.is_empty());
 }
 
