--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -52,7 +52,7 @@
             let seed = f.u64()?;
             let read = read_terms(&Lines::from_text(f.text()?));
             let (terms, reports) = read.map_err(|Unreadable(why)| Malformed(why))?;
-            let tracks = terms.tracks.len();
+            let tracks = terms.classes.len();
             let dispatcher = Dispatcher::with(Free, terms, seed);
             let seat = Seat {
                 dispatcher,
--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -50,12 +50,15 @@
         now: Timestamp,
         sheet: Sheet,
         own: (HolderId, LifeId),
-        terms: &Terms,
+        terms: &DispatcherSettings,
         seed: u64,
     ) -> Following {
         let voters = sheet.voters.iter();
         let voters = voters.map(|name| HolderId::of_name(name)).collect();
-        let seats = terms.seats.get(usize::from(terms.zone.0)).copied();
+        let seats = terms
+            .dispatchers_by_zone
+            .get(usize::from(terms.zone.0))
+            .copied();
         Following {
             own,
             shares: Shares::new(own.0, own.1, voters, seed),
--- a/crates/capacity-live/src/hollow.rs
+++ b/crates/capacity-live/src/hollow.rs
@@ -68,7 +68,7 @@
                 watched: addresses.to_vec(),
                 keep_s: plan.keep_s,
                 wait_ms: WAIT_MS,
-                purges_last_s: surroundings.scenario.terms.purge_done.as_secs_f64() * 3.0,
+                purges_last_s: surroundings.scenario.terms.purge_propagation.as_secs_f64() * 3.0,
             };
             let worker = Worker::start(&place.hollow, &order).await?;
             fleet.workers.push(worker);
--- a/crates/capacity-live/src/surroundings.rs
+++ b/crates/capacity-live/src/surroundings.rs
@@ -129,7 +129,7 @@
         tracks: scenario.track_names.clone(),
         zones: zones.map(|zone| zone.name.clone()).collect(),
         scale: SCALE,
-        notes: scenario.terms.notes,
+        notes: scenario.terms.note_level,
         list_delay: scenario.list_delay,
         purge_delay: scenario.purge_delay,
     }
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -95,7 +95,12 @@
     }
 
     /// A decider for one dispatcher.
-    pub fn decider(self, terms: Terms, rules: Option<&Rules>, seed: u64) -> Box<dyn Decider> {
+    pub fn decider(
+        self,
+        terms: DispatcherSettings,
+        rules: Option<&Rules>,
+        seed: u64,
+    ) -> Box<dyn Decider> {
         match self {
             Policy::Design => {
                 // Its points in the budgets are drawn apart from the decisions' own chance.
@@ -156,7 +161,7 @@
 /// One dispatcher under a plain policy.
 pub struct Baseline {
     policy: Policy,
-    terms: Terms,
+    terms: DispatcherSettings,
     chance: fastrand::Rng,
     seats: f64,
     hosts: BTreeMap<HostId, Host>,
@@ -169,8 +174,11 @@
 }
 
 impl Baseline {
-    pub fn new(policy: Policy, terms: Terms, seed: u64) -> Baseline {
-        let seats = terms.seats.get(usize::from(terms.zone.0)).copied();
+    pub fn new(policy: Policy, terms: DispatcherSettings, seed: u64) -> Baseline {
+        let seats = terms
+            .dispatchers_by_zone
+            .get(usize::from(terms.zone.0))
+            .copied();
         Baseline {
             policy,
             chance: fastrand::Rng::with_seed(seed),
@@ -229,22 +237,22 @@
     }
 
     fn track(&self, access: &Request) -> &ClassTerms {
-        &self.terms.tracks[usize::from(access.asked.track.0)]
+        &self.terms.classes[usize::from(access.asked.track.0)]
     }
 
     fn send_time(&self, access: &Request) -> TimeSpan {
         let kb = access
             .asked
             .size_kb
-            .unwrap_or(self.terms.flow_kb_per_s * 0.05);
-        TimeSpan::from_secs_f64(kb / self.terms.flow_kb_per_s)
+            .unwrap_or(self.terms.stream_kb_per_s * 0.05);
+        TimeSpan::from_secs_f64(kb / self.terms.stream_kb_per_s)
     }
 
     fn cold(&self, role: Role) -> Cold {
         if role == Role::Cache {
-            self.terms.cold_cache
+            self.terms.cache_slow_start
         } else {
-            self.terms.cold_parent
+            self.terms.parent_slow_start
         }
     }
 
@@ -360,7 +368,7 @@
         if access.tries.iter().any(|t| t.out) && now < access.limit {
             return;
         }
-        if now >= access.limit || access.tries.len() >= self.terms.max_hand_offs {
+        if now >= access.limit || access.tries.len() >= self.terms.max_attempts {
             return self.give_up(id);
         }
         let written = self.track(access).written;
@@ -369,7 +377,7 @@
         let origin = self.order(now, id, Role::Origin).first().copied();
         let (host, source) = match (written, caches.first(), parents.first().copied().or(origin)) {
             (true, cache, _) => {
-                let host = if self.terms.straight {
+                let host = if self.terms.allows_direct {
                     origin
                 } else {
                     cache.copied()
@@ -377,7 +385,10 @@
                 (host, origin)
             }
             (false, Some(&cache), source) => (Some(cache), source.or(Some(cache))),
-            (false, None, source) => (source.filter(|_| self.terms.straight), origin.or(source)),
+            (false, None, source) => (
+                source.filter(|_| self.terms.allows_direct),
+                origin.or(source),
+            ),
         };
         let (Some(host), Some(source)) = (host, source) else {
             return self.give_up(id);
@@ -403,7 +414,7 @@
             source,
             rank: u8::from(!written),
             oldest,
-            join: self.terms.joins && source != host,
+            join: self.terms.joins_fills && source != host,
             held_only: false,
             renew: track.fresh.is_some() && source != host,
         };
@@ -442,7 +453,7 @@
         let harmless = permits::may_refuse(self.track(access).effect, ran);
         let come_back = self
             .terms
-            .longest_away
+            .max_retry_after
             .map(|longest| COME_BACK.min(longest));
         self.actions.push(if harmless {
             let why = GiveUpReason::NoHostInTime;
@@ -455,7 +466,7 @@
     }
 
     fn close(&mut self, id: RequestId) {
-        let may = self.terms.may_withdraw;
+        let may = self.terms.may_cancel;
         if let Some(access) = self.accesses.get_mut(&id) {
             access.ended = true;
             for (no, attempt) in access
@@ -555,7 +566,7 @@
             Event::Purged {
                 object, group, ago, ..
             } => {
-                let forget = self.terms.purge_done.mul_f64(3.0);
+                let forget = self.terms.purge_propagation.mul_f64(3.0);
                 self.purges.retain(|_, &mut at| now.since(at) < forget);
                 let group = object.map_or(group, |_| GroupId::default());
                 let at = self.purges.entry((group, object)).or_default();
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -242,7 +242,7 @@
             .map(|zone| zone.name.clone())
             .collect(),
         scale: scale(&scenario),
-        notes: scenario.terms.notes,
+        notes: scenario.terms.note_level,
         list_delay: scenario.list_delay,
         purge_delay: scenario.purge_delay,
     };
@@ -868,7 +868,7 @@
         .iter()
         .map(|zone| zone.link_kb_per_s)
         .collect();
-    let notes = match terms.notes {
+    let notes = match terms.note_level {
         trailproxy::interface::NoteLevel::All => "all",
         trailproxy::interface::NoteLevel::Hits => "hit",
         trailproxy::interface::NoteLevel::None => "none",
@@ -886,27 +886,27 @@
         "weights": "nominal",
         "classes": classes,
         "ceilings": {
-            "max_attempts": terms.max_hand_offs, "max_open": 20_000, "max_streams": 32,
-            "cancel": terms.may_withdraw, "retry_after": terms.longest_away.is_some(),
-            "max_retry_after_us": terms.longest_away.map_or(0, |away| away.0),
+            "max_attempts": terms.max_attempts, "max_open": 20_000, "max_streams": 32,
+            "cancel": terms.may_cancel, "retry_after": terms.max_retry_after.is_some(),
+            "max_retry_after_us": terms.max_retry_after.map_or(0, |away| away.0),
             "dial_timeout_us": 400_000, "idle_close_us": 30_000_000,
         },
         "rules": {
-            "start_capacity": terms.cold_cache.from, "cold_us": terms.cold_cache.warm_after.0,
-            "overload_factor": terms.cold_cache.fall_multiple, "tip_after_us": terms.cold_cache.fall_after.0,
+            "start_capacity": terms.cache_slow_start.from, "cold_us": terms.cache_slow_start.warm_after.0,
+            "overload_factor": terms.cache_slow_start.fall_multiple, "tip_after_us": terms.cache_slow_start.fall_after.0,
             "stop_sending_within_us": 2_000_000,
         },
         "family_info": {
             "second_tier_kind": terms.parent_kind.map_or(-1, |kind| i64::from(kind.0)),
             "master_kind": terms.origin_kind.map_or(-1, |kind| i64::from(kind.0)),
-            "parent_starts_at": terms.cold_parent.from, "parent_ramp_us": terms.cold_parent.warm_after.0,
-            "upper_fall_multiple": terms.cold_parent.fall_multiple,
-            "stream_kb_per_s": terms.flow_kb_per_s, "feed_kb_per_s": links,
+            "parent_starts_at": terms.parent_slow_start.from, "parent_ramp_us": terms.parent_slow_start.warm_after.0,
+            "upper_fall_multiple": terms.parent_slow_start.fall_multiple,
+            "stream_kb_per_s": terms.stream_kb_per_s, "feed_kb_per_s": links,
             "seats_by_zone": scenario.seats, "note_level": notes,
-            "straight": terms.straight, "joins": terms.joins,
+            "straight": terms.allows_direct, "joins": terms.joins_fills,
             "max_age_us": of(&|track| track.fresh.map_or(0, |fresh| fresh.0)),
             "usable_after_us": of(&|track| track.grace.0),
-            "never_kept": written, "cleared_within_us": terms.purge_done.0,
+            "never_kept": written, "cleared_within_us": terms.purge_propagation.0,
         },
         "report": {"via": "silent", "fields": []},
     })
--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -121,7 +121,7 @@
                 );
             }
         }
-        let notes = self.scenario.terms.notes;
+        let notes = self.scenario.terms.note_level;
         let outcome = Outcome {
             id,
             hand_off: out.no,
@@ -131,7 +131,8 @@
             note: told(notes, answer.note),
             waited: answer.waited.filter(|_| notes == NoteLevel::All),
             load: Load {
-                link_full: Some(answer.link_full).filter(|_| self.scenario.terms.link_told),
+                link_full: Some(answer.link_full)
+                    .filter(|_| self.scenario.terms.link_load_reported),
                 ..Load::default()
             },
             proven: true,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -302,7 +302,7 @@
     pub purge_delay: TimeSpan,
     pub purge_grace: TimeSpan,
     pub whole_bodies: bool,
-    pub terms: Terms,
+    pub terms: DispatcherSettings,
     /// Budgets are divided among the dispatchers, in the model by so many voters, the first ones.
     pub divided: Option<Divided>,
     /// Traffic between zones is accounted for, and kept within these limits.
@@ -455,32 +455,32 @@
                 .any(|host| host.role == role)
                 .then(|| kind_of(role))
         };
-        let terms = Terms {
+        let terms = DispatcherSettings {
             zone: ZoneId(0),
             dispatchers: seats.iter().sum(),
-            seats: seats.clone(),
+            dispatchers_by_zone: seats.clone(),
             parent_kind: has(Role::Parent),
             origin_kind: has(Role::Origin),
-            tracks,
-            flow_kb_per_s: shape.flow_kb_per_s,
+            classes: tracks,
+            stream_kb_per_s: shape.flow_kb_per_s,
             link_kb_per_s: None,
-            link_told: fleet.flag("link_told"),
-            sizes_tell: true,
-            probes: false,
-            joins: fleet.flag("joins"),
-            straight: fleet.flag("straight"),
-            notes: match fleet.text("notes") {
+            link_load_reported: fleet.flag("link_told"),
+            capacities_reported: true,
+            probes_enabled: false,
+            joins_fills: fleet.flag("joins"),
+            allows_direct: fleet.flag("straight"),
+            note_level: match fleet.text("notes") {
                 "all" => NoteLevel::All,
                 "hits" => NoteLevel::Hits,
                 _ => NoteLevel::None,
             },
-            max_hand_offs: fleet.whole("max_hand_offs") as usize,
-            may_withdraw: fleet.flag("withdraw"),
-            longest_away: some(millis(fleet, "longest_away_ms")),
-            list_on_request: false,
-            cold_cache: shape.cold_cache,
-            cold_parent: shape.cold_parent,
-            purge_done: shape.purge_done,
+            max_attempts: fleet.whole("max_hand_offs") as usize,
+            may_cancel: fleet.flag("withdraw"),
+            max_retry_after: some(millis(fleet, "longest_away_ms")),
+            host_list_on_request: false,
+            cache_slow_start: shape.cold_cache,
+            parent_slow_start: shape.cold_parent,
+            purge_propagation: shape.purge_done,
         };
         let mut scenario = Scenario {
             name: head.text("name").into(),
@@ -672,10 +672,10 @@
     }
 
     /// What a dispatcher in a zone is told when it starts.
-    pub fn terms(&self, zone: ZoneId) -> Terms {
+    pub fn terms(&self, zone: ZoneId) -> DispatcherSettings {
         let link = self.shape.zones[usize::from(zone.0)].link_kb_per_s;
         let link_kb_per_s = Some(link).filter(|&kb| kb > 0.0);
-        Terms {
+        DispatcherSettings {
             zone,
             link_kb_per_s,
             ..self.terms.clone()
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -173,7 +173,7 @@
         let mut scenario = scenario(size)?;
         let descriptors = DESCRIPTORS[chance.usize(..DESCRIPTORS.len())];
         // Some deployments take no request back.
-        scenario.terms.may_withdraw = chance.u8(..4) > 0;
+        scenario.terms.may_cancel = chance.u8(..4) > 0;
         let busy = (size.seconds - QUIET_AT_FIRST - QUIET_AT_LAST).max(1.0);
         let mut events = Vec::new();
         let mut covered = 0.0;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -94,7 +94,7 @@
                 .map(|zone| zone.name.clone())
                 .collect(),
             scale: SCALE,
-            notes: scenario.terms.notes,
+            notes: scenario.terms.note_level,
             list_delay: scenario.list_delay,
             purge_delay: scenario.purge_delay,
         };
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads the start settings into [`Terms`], from `path=value` lines or from nested JSON.
+//! Reads the start settings into [`DispatcherSettings`], from `path=value` lines or from nested JSON.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 
 type Read1<T> = Result<T, Unreadable>;
 
-/// What a socket layer needs of the settings besides [`Terms`].
+/// What a socket layer needs of the settings besides [`DispatcherSettings`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     pub track_names: Vec<String>,
@@ -237,7 +237,7 @@
 }
 
 /// The terms, and what load reports hold.
-pub fn read_terms(lines: &Lines) -> Read1<(Terms, Reports)> {
+pub fn read_terms(lines: &Lines) -> Read1<(DispatcherSettings, Reports)> {
     let zone: u16 = lines.must("az")?;
     let cold_cache = lines.cold(
         "rules.start_capacity",
@@ -277,37 +277,37 @@
         busy_at: at("util"),
         link_full_at: at("x1"),
     };
-    let terms = Terms {
+    let terms = DispatcherSettings {
         zone: ZoneId(zone),
         dispatchers: lines.must("balancers")?,
-        seats: lines.list("family_info.seats_by_zone")?,
+        dispatchers_by_zone: lines.list("family_info.seats_by_zone")?,
         parent_kind,
         origin_kind: lines.kind("family_info.master_kind")?,
-        tracks: (0..class_count)
+        classes: (0..class_count)
             .map(|i| lines.track(i))
             .collect::<Read1<_>>()?,
-        flow_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
+        stream_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
         link_kb_per_s: links.get(usize::from(zone)).copied().filter(|&kb| kb > 0.0),
-        link_told: reports.link_full_at.is_some(),
-        probes,
-        sizes_tell: lines.one_of("weights", &WEIGHTS)? != Some("silent"),
-        joins: lines.or("family_info.joins", false)?,
-        straight: lines.or("family_info.straight", false)?,
-        notes: match lines.text("family_info.note_level") {
+        link_load_reported: reports.link_full_at.is_some(),
+        probes_enabled: probes,
+        capacities_reported: lines.one_of("weights", &WEIGHTS)? != Some("silent"),
+        joins_fills: lines.or("family_info.joins", false)?,
+        allows_direct: lines.or("family_info.straight", false)?,
+        note_level: match lines.text("family_info.note_level") {
             Some("all") => NoteLevel::All,
             Some("hit") => NoteLevel::Hits,
             _ => NoteLevel::None,
         },
-        max_hand_offs: lines.must("ceilings.max_attempts")?,
-        may_withdraw: lines.or("ceilings.cancel", false)?,
-        longest_away: match retry_after {
+        max_attempts: lines.must("ceilings.max_attempts")?,
+        may_cancel: lines.or("ceilings.cancel", false)?,
+        max_retry_after: match retry_after {
             true => Some(lines.span("ceilings.max_retry_after_us")?),
             false => None,
         },
-        list_on_request: lines.text("membership_mode") == Some("on_request"),
-        cold_cache,
-        cold_parent,
-        purge_done: TimeSpan(lines.or("family_info.cleared_within_us", 0)?),
+        host_list_on_request: lines.text("membership_mode") == Some("on_request"),
+        cache_slow_start: cold_cache,
+        parent_slow_start: cold_parent,
+        purge_propagation: TimeSpan(lines.or("family_info.cleared_within_us", 0)?),
     };
     Ok((terms, reports))
 }
--- a/crates/terms/tests/forms.rs
+++ b/crates/terms/tests/forms.rs
@@ -111,7 +111,7 @@
         read_terms(&Lines::from_json(&settings)).expect("terms")
     };
     let (terms, reports) = read("pull", true);
-    assert!(terms.probes && terms.link_told && !terms.sizes_tell);
+    assert!(terms.probes_enabled && terms.link_load_reported && !terms.capacities_reported);
     let load = reports.load(&[3.0, 0.5, 1.25, 0.7]);
     assert_eq!((load.busy, load.link_full), (Some(0.5), Some(1.25)));
     assert_eq!(
@@ -120,8 +120,8 @@
         "no share is below zero"
     );
     let (terms, reports) = read("pull", false);
-    assert!(!terms.probes && !terms.link_told);
+    assert!(!terms.probes_enabled && !terms.link_load_reported);
     assert_eq!(reports.load(&[3.0, 0.5, 1.25, 0.7]).busy, None);
     let (terms, _) = read("piggyback", true);
-    assert!(!terms.probes && terms.link_told);
+    assert!(!terms.probes_enabled && terms.link_load_reported);
 }
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
-use trailproxy::interface::{Effect, Event, Terms};
+use trailproxy::interface::{DispatcherSettings, Effect, Event};
 use trailproxy::logic::Dispatcher;
 use trailproxy::policy::stamps::Stamps;
 use trailproxy::units::{AttemptNo, HostId, RequestId, TimerId, Timestamp};
@@ -72,7 +72,7 @@
 pub struct Dispatch {
     pub decisions: Dispatcher<Subsystems>,
     /// What tells of traffic between zones, with what a new account of it is made of.
-    pub accounts: Option<(Accounts, Terms, u64)>,
+    pub accounts: Option<(Accounts, DispatcherSettings, u64)>,
     pub pools: Pools,
     pub clock: Clock,
     pub reports: Reports,
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -9,7 +9,7 @@
 use local_channel::mpsc;
 use slog::{info, warn};
 use tokio::time::Instant;
-use trailproxy::interface::{Crossings, Event, ListForm, Terms};
+use trailproxy::interface::{Crossings, DispatcherSettings, Event, ListForm};
 use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::PeerId;
@@ -25,9 +25,13 @@
 impl Dispatch {
     /// Other settings, with the same tracks, zone, kinds and bounds: what is open goes on. Budgets of traffic
     /// between zones start afresh, when the operator's file is read again behind this.
-    pub(super) fn follow(&mut self, now: Timestamp, (terms, reports): (Terms, Reports)) {
-        info!(self.log, "settings followed"; "probes" => terms.probes, "sizes_told" => terms.sizes_tell,
-            "link_told" => terms.link_told, "straight" => terms.straight, "open" => self.state.requests.len());
+    pub(super) fn follow(
+        &mut self,
+        now: Timestamp,
+        (terms, reports): (DispatcherSettings, Reports),
+    ) {
+        info!(self.log, "settings followed"; "probes" => terms.probes_enabled, "sizes_told" => terms.capacities_reported,
+            "link_told" => terms.link_load_reported, "straight" => terms.allows_direct, "open" => self.state.requests.len());
         self.reports = reports;
         if let Some((_, known, _)) = &mut self.accounts {
             *known = terms.clone();
@@ -83,7 +87,7 @@
         };
         let config = &told.config;
         let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, terms.purge_done)?;
+        let rules = config.rules(longest, terms.purge_propagation)?;
         let listen = told.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
@@ -114,7 +118,7 @@
             asked,
             log.clone(),
         ));
-        let dues = terms.tracks.iter().map(|track| track.due).collect();
+        let dues = terms.classes.iter().map(|track| track.due).collect();
         let core = Peers::new(now, own, rules, drawn);
         let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
         let (form, entries) = (ListForm::Whole, self.pools.entries());
@@ -137,7 +141,7 @@
         let ended = shared.take();
         if let Some(config) = told {
             let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-            match config.rules(longest, terms.purge_done) {
+            match config.rules(longest, terms.purge_propagation) {
                 Ok(rules) => {
                     // Never the same for two processes, or one would take another's records for its own.
                     let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
@@ -150,7 +154,7 @@
                         log.clone(),
                     ));
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
-                    let dues = terms.tracks.iter().map(|track| track.due).collect();
+                    let dues = terms.classes.iter().map(|track| track.due).collect();
                     let mut begun =
                         Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
                     let (form, entries) = (ListForm::Whole, self.pools.entries());
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -19,7 +19,7 @@
         now: Timestamp,
         config: Sheet,
         own: (PeerId, Life),
-        terms: &Terms,
+        terms: &DispatcherSettings,
         seed: u64,
         log: Logger,
     ) -> Divided {
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -26,7 +26,7 @@
     Server(FromServer),
     Journal(Entry),
     /// Other settings hold from now on.
-    Terms(Box<(Terms, Reports)>),
+    Terms(Box<(DispatcherSettings, Reports)>),
     /// The operator's file was read again.
     Operator(Told),
     Store(FromStore),
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::process::Command;
 use tokio::time::timeout;
-use trailproxy::interface::{Effect, Terms};
+use trailproxy::interface::{DispatcherSettings, Effect};
 use trailproxy::units::TimeSpan;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
 use trailproxy_peers::config::{Addresses, Config as PeersConfig};
@@ -63,8 +63,8 @@
 }
 
 /// How long a record of a keyed request has to be kept at least.
-pub fn longest_window(terms: &Terms, longest_limit: TimeSpan) -> TimeSpan {
-    let windows = terms.tracks.iter().map(|track| match track.effect {
+pub fn longest_window(terms: &DispatcherSettings, longest_limit: TimeSpan) -> TimeSpan {
+    let windows = terms.classes.iter().map(|track| match track.effect {
         Effect::Keyed { window, .. } => window,
         _ => TimeSpan::ZERO,
     });
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use slog::{Logger, info, warn};
 use tokio::signal::unix::Signal;
-use trailproxy::interface::Terms;
+use trailproxy::interface::DispatcherSettings;
 use trailproxy_terms::Bounds;
 
 /// Where what a new configuration says goes.
@@ -70,7 +70,7 @@
 /// settings that are followed have in common with them.
 pub struct Running {
     pub file: Value,
-    pub terms: Terms,
+    pub terms: DispatcherSettings,
     pub bounds: Bounds,
 }
 
@@ -78,8 +78,9 @@
     /// Why other settings can't be followed without a new start: requests that are open, and host entries that
     /// are known, name tracks, zones and kinds by their places, and sockets keep their bounds.
     fn differs(&self, start: &Start) -> Option<&'static str> {
-        let effects = |terms: &Terms| terms.tracks.iter().map(|t| t.effect).collect::<Vec<_>>();
-        let kinds = |terms: &Terms| (terms.parent_kind, terms.origin_kind, terms.zone);
+        let effects =
+            |terms: &DispatcherSettings| terms.classes.iter().map(|t| t.effect).collect::<Vec<_>>();
+        let kinds = |terms: &DispatcherSettings| (terms.parent_kind, terms.origin_kind, terms.zone);
         if self.bounds != start.bounds {
             Some("names of tracks, zones or kinds, outer limits, or bounds of sockets")
         } else if effects(&self.terms) != effects(&start.terms) {
@@ -121,4 +122,4 @@
 }
 
 /// Settings to follow, as the file has them and as they are read.
-type Other = (Value, (Terms, trailproxy_terms::Reports));
+type Other = (Value, (DispatcherSettings, trailproxy_terms::Reports));
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -40,7 +40,7 @@
     let against = operator::Against {
         names: names.clone(),
         longest_window: operator::longest_window(&start.terms, start.bounds.longest_limit),
-        purges_last: start.terms.purge_done,
+        purges_last: start.terms.purge_propagation,
         peers: start.peers.clone(),
     };
     let told = tokio::select! {
@@ -113,7 +113,7 @@
     }
     let effects = start
         .terms
-        .tracks
+        .classes
         .iter()
         .map(|track| track.effect)
         .collect();
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use trailproxy::interface::Terms;
+use trailproxy::interface::DispatcherSettings;
 use trailproxy_terms::{Bounds, Lines, Reports, Unreadable, read_bounds, read_terms};
 
 pub struct Start {
@@ -23,7 +23,7 @@
     pub known_until: u64,
     /// Entries that can't be read, which are passed over.
     pub known_unread: usize,
-    pub terms: Terms,
+    pub terms: DispatcherSettings,
     pub reports: Reports,
     pub bounds: Bounds,
     pub names: Rc<Names>,
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -162,7 +162,7 @@
         now: Timestamp,
         config: Option<&BudgetsSheet>,
         (name, fresh): (&str, Life),
-        (terms, seed): (&Terms, u64),
+        (terms, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
         let own = self.own(name, fresh);
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -103,7 +103,7 @@
 
 impl Zones {
     /// `terms` as the decisions have them; the seed draws this dispatcher's points in its budgets.
-    pub fn new(terms: &Terms, rules: Rules, seed: u64) -> Zones {
+    pub fn new(terms: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
         let of_track = |track: &ClassTerms| OfTrack {
             class: class_of(track),
             written: track.written,
@@ -111,23 +111,23 @@
         };
         let mut zones = Zones {
             zone: terms.zone,
-            seats: terms.seats.clone(),
+            seats: terms.dispatchers_by_zone.clone(),
             dispatchers: terms.dispatchers,
-            notes: terms.notes,
-            flow_kb_per_s: terms.flow_kb_per_s,
-            tracks: terms.tracks.iter().map(of_track).collect(),
+            notes: terms.note_level,
+            flow_kb_per_s: terms.stream_kb_per_s,
+            tracks: terms.classes.iter().map(of_track).collect(),
             chance: fastrand::Rng::with_seed(seed),
             budgets: Vec::new(),
             learners: Vec::new(),
             account: Account::default(),
             memory: Memory::new(terms.parent_kind, terms.origin_kind),
             flying: BTreeMap::new(),
-            crossed: vec![Cause::ALL.map(first_guess); terms.tracks.len()],
+            crossed: vec![Cause::ALL.map(first_guess); terms.classes.len()],
             watches: BTreeMap::new(),
             told: Vec::new(),
             refused: RefCell::default(),
             last_refused: Cell::new(None),
-            turned_away: RefCell::new(vec![(0, 0.0); terms.tracks.len()]),
+            turned_away: RefCell::new(vec![(0, 0.0); terms.classes.len()]),
             rules: Rules {
                 limits: Vec::new(),
                 ..rules.clone()
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -38,7 +38,7 @@
     }
 }
 
-fn terms(seats: u32) -> Terms {
+fn terms(seats: u32) -> DispatcherSettings {
     let video = ClassTerms {
         due: TimeSpan::from_millis(400),
         due_stretch: 2.0,
@@ -59,28 +59,28 @@
         fall_after: TimeSpan::from_secs(1),
         among: None,
     };
-    Terms {
+    DispatcherSettings {
         zone: DEPOT,
         dispatchers: seats,
-        seats: vec![0, seats],
+        dispatchers_by_zone: vec![0, seats],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        tracks: vec![video, order],
-        flow_kb_per_s: 1_000.0,
+        classes: vec![video, order],
+        stream_kb_per_s: 1_000.0,
         link_kb_per_s: None,
-        link_told: false,
-        sizes_tell: true,
-        probes: false,
-        joins: true,
-        straight: true,
-        notes: NoteLevel::All,
-        max_hand_offs: 6,
-        may_withdraw: true,
-        longest_away: None,
-        list_on_request: false,
-        cold_cache: cold,
-        cold_parent: cold,
-        purge_done: TimeSpan::from_secs(6),
+        link_load_reported: false,
+        capacities_reported: true,
+        probes_enabled: false,
+        joins_fills: true,
+        allows_direct: true,
+        note_level: NoteLevel::All,
+        max_attempts: 6,
+        may_cancel: true,
+        max_retry_after: None,
+        host_list_on_request: false,
+        cache_slow_start: cold,
+        parent_slow_start: cold,
+        purge_propagation: TimeSpan::from_secs(6),
     }
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -5,39 +5,39 @@
 
 /// What a dispatcher is told when it starts.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct DispatcherSettings {
     pub zone: ZoneId,
     /// Dispatchers in all zones together.
     pub dispatchers: u32,
     /// Dispatchers by zone; empty where it is not told.
-    pub seats: Vec<u32>,
+    pub dispatchers_by_zone: Vec<u32>,
     pub parent_kind: Option<KindId>,
     pub origin_kind: Option<KindId>,
-    pub tracks: Vec<ClassTerms>,
+    pub classes: Vec<ClassTerms>,
     /// Top pace of one answer; host sizes count answers at this pace.
-    pub flow_kb_per_s: f64,
+    pub stream_kb_per_s: f64,
     /// What the own zone's link for fills carries; `None` where it is not told.
     pub link_kb_per_s: Option<f64>,
     /// Whether caches tell how full it is.
-    pub link_told: bool,
+    pub link_load_reported: bool,
     /// Whether hosts tell their load when probed, and only then.
-    pub probes: bool,
+    pub probes_enabled: bool,
     /// Whether the sizes of hosts tell something.
-    pub sizes_tell: bool,
-    pub joins: bool,
+    pub capacities_reported: bool,
+    pub joins_fills: bool,
     /// Whether parents and the origin take accesses themselves.
-    pub straight: bool,
-    pub notes: NoteLevel,
-    pub max_hand_offs: usize,
-    pub may_withdraw: bool,
+    pub allows_direct: bool,
+    pub note_level: NoteLevel,
+    pub max_attempts: usize,
+    pub may_cancel: bool,
     /// The longest time for which a client stays away when told to; `None` where it can't be told.
-    pub longest_away: Option<TimeSpan>,
+    pub max_retry_after: Option<TimeSpan>,
     /// Whether the host list has to be asked for.
-    pub list_on_request: bool,
-    pub cold_cache: Cold,
-    pub cold_parent: Cold,
+    pub host_list_on_request: bool,
+    pub cache_slow_start: Cold,
+    pub parent_slow_start: Cold,
     /// By then every copy from before a purge is dropped.
-    pub purge_done: TimeSpan,
+    pub purge_propagation: TimeSpan,
 }
 
 /// How a host that has just started behaves.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -104,7 +104,7 @@
 pub struct Dispatcher<C = Free> {
     /// What crosses between zones, and whether there is room for more.
     pub crossings: C,
-    terms: Terms,
+    terms: DispatcherSettings,
     chance: fastrand::Rng,
     hosts: BTreeMap<HostId, Host>,
     caches: Vec<HostId>,
@@ -144,13 +144,13 @@
 }
 
 /// Dispatchers in the own zone, or in all where that is not told.
-fn seats(terms: &Terms) -> f64 {
-    let own = terms.seats.get(usize::from(terms.zone.0));
+fn seats(terms: &DispatcherSettings) -> f64 {
+    let own = terms.dispatchers_by_zone.get(usize::from(terms.zone.0));
     f64::from(own.copied().unwrap_or(terms.dispatchers).max(1))
 }
 
 impl<C: Crossings + Others> Dispatcher<C> {
-    pub fn with(crossings: C, terms: Terms, seed: u64) -> Dispatcher<C> {
+    pub fn with(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
         let first_guess = |track: &ClassTerms| (track.due.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
             crossings,
@@ -165,7 +165,7 @@
             armed: None,
             purges: BTreeMap::new(),
             seen: BTreeSet::new(),
-            sending: terms.tracks.iter().map(first_guess).collect(),
+            sending: terms.classes.iter().map(first_guess).collect(),
             pooled: Default::default(),
             waits: Histogram::default(),
             fills: Level::default(),
@@ -176,7 +176,7 @@
             learnt: BTreeMap::new(),
             probe_at: Timestamp::default(),
             probed: HostId::default(),
-            actions: Vec::from_iter(terms.list_on_request.then_some(Action::FollowList)),
+            actions: Vec::from_iter(terms.host_list_on_request.then_some(Action::FollowList)),
             terms,
         }
     }
@@ -231,7 +231,7 @@
 
     /// By then no host has a copy from before a purge.
     fn forgets_purges_after(&self) -> TimeSpan {
-        self.terms.purge_done.mul_f64(3.0)
+        self.terms.purge_propagation.mul_f64(3.0)
     }
 
     /// The purges of an object and of its group that still bind.
@@ -262,14 +262,14 @@
     }
 
     fn list(&mut self, now: Timestamp, form: ListForm, entries: Vec<HostEntry>) {
-        if form == ListForm::Failed && self.terms.list_on_request {
+        if form == ListForm::Failed && self.terms.host_list_on_request {
             self.actions.push(Action::FollowList);
         }
         let all = self.hosts.values_mut().filter(|_| form == ListForm::Whole);
         all.for_each(|host| host.list_as(now, HostState::Gone));
         let mean = self.mean_send();
         let (all, own) = (f64::from(self.terms.dispatchers.max(1)), seats(&self.terms));
-        let (parent, cache) = (self.terms.cold_parent, self.terms.cold_cache);
+        let (parent, cache) = (self.terms.parent_slow_start, self.terms.cache_slow_start);
         for entry in entries {
             let (role, cold, dispatchers) = match Some(entry.kind) {
                 kind if kind == self.terms.parent_kind => (Role::Parent, parent, all),
@@ -298,7 +298,7 @@
             (host.cold, host.dispatchers) = (cold, dispatchers);
             let first = (FIRST_SIZES[role as usize] * FIRST_COUNTS, FIRST_COUNTS);
             let learnt = *self.learnt.entry(entry.kind).or_insert(first);
-            let told = Some(entry.size).filter(|_| self.terms.sizes_tell);
+            let told = Some(entry.size).filter(|_| self.terms.capacities_reported);
             host.size = told.unwrap_or(learnt.0 / learnt.1);
             if before != Some(entry.stamp) {
                 // A fresh process: what its predecessor did is no fault of it. Each dispatcher begins
@@ -340,7 +340,8 @@
             let kept = if learnt.1 > REMEMBERED { 0.5 } else { 1.0 };
             *learnt = (learnt.0 * kept + done, learnt.1 * kept + spent);
             let size = learnt.0 / learnt.1;
-            let untold = |host: &&mut Host| host.entry.kind == kind && !self.terms.sizes_tell;
+            let untold =
+                |host: &&mut Host| host.entry.kind == kind && !self.terms.capacities_reported;
             (self.hosts.values_mut().filter(untold)).for_each(|host| host.size = size);
             self.zone_size = self.caches.iter().map(|id| self.hosts[id].size).sum();
         }
@@ -348,13 +349,13 @@
 
     /// Other terms hold from now on, with the same tracks, zone and effects. What is open, the list with its
     /// rules, purges and breakers stay; what was measured in another unit is learnt afresh.
-    pub fn follow(&mut self, now: Timestamp, terms: Terms) {
-        let paced = |terms: &Terms| (terms.flow_kb_per_s, terms.sizes_tell);
+    pub fn follow(&mut self, now: Timestamp, terms: DispatcherSettings) {
+        let paced = |terms: &DispatcherSettings| (terms.stream_kb_per_s, terms.capacities_reported);
         if paced(&terms) != paced(&self.terms) {
             self.learnt.clear();
             (self.sending.iter_mut()).for_each(|(sum, n)| (*sum, *n) = (*sum / *n, 1.0));
         }
-        if terms.notes != self.terms.notes {
+        if terms.note_level != self.terms.note_level {
             self.pooled = Default::default();
             (self.hosts.values_mut()).for_each(|host| host.breaker.usual = Default::default());
         }
@@ -367,7 +368,10 @@
 
     /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
     pub fn divide(&mut self, now: Timestamp, caches: Option<f64>, parents: Option<f64>) {
-        (self.terms.cold_cache.among, self.terms.cold_parent.among) = (caches, parents);
+        (
+            self.terms.cache_slow_start.among,
+            self.terms.parent_slow_start.among,
+        ) = (caches, parents);
         let mean = self.mean_send();
         for host in self.hosts.values_mut() {
             let (before, allowance) = (host.among(), host.allowance(now, mean));
@@ -379,7 +383,7 @@
     /// One host after another is asked for its load, each as often as the others.
     fn probe(&mut self, now: Timestamp) {
         let all = || self.caches.iter().chain(&self.parents);
-        if !self.terms.probes || now < self.probe_at {
+        if !self.terms.probes_enabled || now < self.probe_at {
             return;
         }
         let next = all().filter(|id| **id > self.probed).min().or(all().min());
@@ -389,8 +393,8 @@
     }
 
     fn arrive(&mut self, now: Timestamp, asked: Arrival) {
-        let track = &self.terms.tracks[usize::from(asked.track.0)];
-        let told = asked.size_kb.map(|kb| kb / self.terms.flow_kb_per_s);
+        let track = &self.terms.classes[usize::from(asked.track.0)];
+        let told = asked.size_kb.map(|kb| kb / self.terms.stream_kb_per_s);
         let (sum, n) = &mut self.sending[usize::from(asked.track.0)];
         (*sum, *n) = told.map_or((*sum, *n), |send| (*sum + send, *n + 1.0));
         let send = told.unwrap_or(*sum / *n);
@@ -428,7 +432,7 @@
     }
 
     fn track(&self, access: &Request) -> &ClassTerms {
-        &self.terms.tracks[usize::from(access.asked.track.0)]
+        &self.terms.classes[usize::from(access.asked.track.0)]
     }
 
     fn try_mut(&mut self, id: RequestId, no: AttemptNo) -> Option<&mut Try> {
@@ -444,7 +448,7 @@
     }
 
     fn withdraw(&mut self, id: RequestId, no: usize) {
-        let (hand_off, may) = (AttemptNo(no as u8), self.terms.may_withdraw);
+        let (hand_off, may) = (AttemptNo(no as u8), self.terms.may_cancel);
         let free = |t: &&mut Try| may && t.out && !t.withdrawn;
         if let Some(attempt) = self.try_mut(id, hand_off).filter(free) {
             attempt.withdrawn = true;
@@ -517,7 +521,7 @@
             }
         }
         let good = |latency| Some(Good(latency));
-        let untold = self.terms.notes != NoteLevel::All;
+        let untold = self.terms.note_level != NoteLevel::All;
         let (bad, vague, crowded) = (Some(Bad), Some(Vague), Some(Crowded));
         let alive = good(None).filter(|_| answered);
         let (of_host, of_source, of_origin) = match (ending, outcome.note) {
@@ -651,7 +655,7 @@
             }
         }
         self.probe(now);
-        let probe = Some(self.probe_at).filter(|_| self.terms.probes);
+        let probe = Some(self.probe_at).filter(|_| self.terms.probes_enabled);
         let timed = self.timed.first().map(|&(at, _)| at);
         let next = timed.into_iter().chain(probe).min();
         if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
@@ -674,13 +678,13 @@
             }
             let lost = [attempt.plan.host, attempt.plan.source].map(|id| self.hosts[&id].sick());
             let lost = lost.contains(&true) || self.origin_hides(&attempt);
-            let again = self.terms.may_withdraw && self.track(access).effect == Effect::Idempotent;
+            let again = self.terms.may_cancel && self.track(access).effect == Effect::Idempotent;
             if lost && again && !attempt.withdrawn && attempt.trial_of.is_none() {
                 return Step::Withdraw(no);
             }
             return Step::Wait(access.limit);
         }
-        if access.tries.len() >= self.terms.max_hand_offs {
+        if access.tries.len() >= self.terms.max_attempts {
             return Step::GiveUp(GiveUpReason::AttemptsUsed);
         }
         let last = (access.tries.last()).filter(|last| Some(last.plan.host) == self.origin);
@@ -701,7 +705,7 @@
             _ => (&self.parents, 0),
         };
         let score = |id: &HostId| {
-            let size = Some(self.hosts[id].size).filter(|_| self.terms.sizes_tell);
+            let size = Some(self.hosts[id].size).filter(|_| self.terms.capacities_reported);
             let spread = point(access.asked.object, part, *id, 1);
             (-spread.max(1e-12).ln() / size.unwrap_or(1.0).max(0.01), *id)
         };
@@ -734,7 +738,7 @@
         if access.lacking && origin.is_none_or(|id| !self.hosts[&id].sick()) {
             return Err(GiveUpReason::NobodyHoldsIt);
         }
-        if (access.lacking || written) && self.terms.straight {
+        if (access.lacking || written) && self.terms.allows_direct {
             let plan = open.map(|host| Plan { host, source: host });
             return plan.ok_or(GiveUpReason::OriginShut);
         }
@@ -748,7 +752,8 @@
         let no_use = |id| self.hosts[&id].sick() || !self.has_budget(now, id, self.work(access));
         let lost = |id: &HostId| access.failed_at(*id) || no_use(*id);
         let Some(host) = cache else {
-            let straight = source.filter(|_| self.terms.straight && self.caches.iter().all(lost));
+            let straight =
+                source.filter(|_| self.terms.allows_direct && self.caches.iter().all(lost));
             let host = straight.ok_or(GiveUpReason::NoHostInTime)?;
             let source = open.unwrap_or(host);
             return Ok(Plan { host, source });
@@ -778,9 +783,12 @@
 
     /// Fills on the zone's link over those that fit at the pace of an answer.
     fn link_crowd(&self) -> f64 {
-        let carries = self.terms.link_kb_per_s.filter(|_| !self.terms.link_told);
+        let carries = self
+            .terms
+            .link_kb_per_s
+            .filter(|_| !self.terms.link_load_reported);
         let each = self.fills.usual * (self.fills.now + 1.0) / (self.fills.usual + 1.0);
-        let under_way = (each + 1.0) * seats(&self.terms) * self.terms.flow_kb_per_s;
+        let under_way = (each + 1.0) * seats(&self.terms) * self.terms.stream_kb_per_s;
         carries.map_or(self.link_told / FILL_PACE, |carries| under_way / carries)
     }
 
@@ -804,7 +812,7 @@
         let stretch = |id: &HostId| self.stretch(now, &self.hosts[id]);
         let slow = |id: &HostId| stretch(id) * self.hosts[id].slowness(now);
         let margin = access.asked.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
-        let told = self.terms.sizes_tell && access.asked.size_kb.is_some();
+        let told = self.terms.capacities_reported && access.asked.size_kb.is_some();
         let takes = |id: &HostId| TimeSpan::from_secs_f64(access.send * stretch(id) * margin) + HOP;
         let timely = |id: &HostId| self.track(access).written || now + takes(id) <= access.due;
         let near = |id: &HostId| slow(id) <= SPILL_AT && (!told || timely(id));
@@ -856,7 +864,7 @@
         let straight = at != own;
         let (source, from) = if straight { (host, at) } else { (source, fill) };
         let (asked, hand_off) = (access.asked, AttemptNo(access.tries.len() as u8));
-        let usual = access.send * self.terms.flow_kb_per_s;
+        let usual = access.send * self.terms.stream_kb_per_s;
         (from != own).then(|| Crossing {
             asked,
             hand_off,
@@ -865,7 +873,7 @@
             from,
             to: own,
             kb: asked.size_kb.unwrap_or(usual),
-            join: self.terms.joins && !straight && !self.track(access).written,
+            join: self.terms.joins_fills && !straight && !self.track(access).written,
         })
     }
 
@@ -916,7 +924,7 @@
             source: plan.source,
             rank: u8::from(!written) + u8::from(seen),
             oldest: self.oldest(now, access, stale),
-            join: self.terms.joins && !own,
+            join: self.terms.joins_fills && !own,
             held_only,
             renew: track.fresh.is_some() && !stale,
         };
@@ -962,7 +970,7 @@
 
     /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
     pub fn come_back(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
-        let longest = self.terms.longest_away?;
+        let longest = self.terms.max_retry_after?;
         let full = self.crossings.come_back(now, track);
         let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
         Some(usual.mul_f64(0.75 + 0.5 * self.chance.f64()).min(longest))
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -73,8 +73,8 @@
 }
 
 impl Outside {
-    fn takes(&mut self, now: Timestamp, work: f64, terms: &Terms) {
-        let cold = &terms.cold_cache;
+    fn takes(&mut self, now: Timestamp, work: f64, terms: &DispatcherSettings) {
+        let cold = &terms.cache_slow_start;
         self.recent.push_back((now, work));
         self.sum += work;
         self.given += work;
@@ -109,23 +109,23 @@
     rate: f64,
 }
 
-fn case_terms(case: Case) -> Terms {
+fn case_terms(case: Case) -> DispatcherSettings {
     let mut terms = terms();
     terms.dispatchers = case.processes;
-    terms.seats = vec![0, case.processes];
-    terms.cold_cache.warm_after = WATCHED;
-    terms.straight = !case.all_cold;
+    terms.dispatchers_by_zone = vec![0, case.processes];
+    terms.cache_slow_start.warm_after = WATCHED;
+    terms.allows_direct = !case.all_cold;
     // Of no matter here: nothing is late, and the link has room.
     // What is guessed before any is seen is twice the mean.
-    terms.tracks.truncate(1);
-    terms.tracks[0].due = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
-    terms.tracks[0].due_stretch = 50.0;
+    terms.classes.truncate(1);
+    terms.classes[0].due = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
+    terms.classes[0].due_stretch = 50.0;
     terms
 }
 
 /// The mean work of a request, in seconds of sending at full pace.
-fn mean_work(case: Case, terms: &Terms) -> f64 {
-    let cold = &terms.cold_cache;
+fn mean_work(case: Case, terms: &DispatcherSettings) -> f64 {
+    let cold = &terms.cache_slow_start;
     let told = cold.fall_multiple * cold.from * cold.fall_after.as_secs_f64() * entry(COLD).size;
     told / case.bears
 }
@@ -141,7 +141,7 @@
     all.map(of).collect()
 }
 
-fn begin(case: Case, terms: &Terms, seed: u64, now: Timestamp, rate: f64) -> Process {
+fn begin(case: Case, terms: &DispatcherSettings, seed: u64, now: Timestamp, rate: f64) -> Process {
     let mut chance = fastrand::Rng::with_seed(seed);
     let mut dispatcher = Dispatcher::with(Free, terms.clone(), seed);
     let late = if case.told_late {
@@ -178,7 +178,7 @@
     let mut chance = fastrand::Rng::with_seed(seed);
     let terms = case_terms(case);
     let mean = mean_work(case, &terms);
-    let span = terms.cold_cache.fall_after.as_secs_f64();
+    let span = terms.cache_slow_start.fall_after.as_secs_f64();
     let n = case.processes as usize;
     let weights: Vec<f64> = (0..n)
         .map(|i| {
@@ -280,7 +280,7 @@
                     object: ObjectId(chance.u64(..)),
                     group: GroupId(0),
                     part: 0,
-                    size_kb: Some(size * mean * terms.flow_kb_per_s),
+                    size_kb: Some(size * mean * terms.stream_kb_per_s),
                 }));
             }
             if events.is_empty() {
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -52,7 +52,7 @@
 }
 
 impl Desk {
-    fn new(terms: Terms) -> Desk {
+    fn new(terms: DispatcherSettings) -> Desk {
         let gate = Gate::default();
         let mut dispatcher = Dispatcher::with(gate.clone(), terms, 1);
         let now = Timestamp(1_000_000_000);
@@ -163,8 +163,8 @@
 
 #[test]
 fn what_is_not_held_is_rejected_at_once_with_the_time_that_the_link_needs() {
-    let mut desk = Desk::new(Terms {
-        longest_away: Some(TimeSpan::from_secs(10)),
+    let mut desk = Desk::new(DispatcherSettings {
+        max_retry_after: Some(TimeSpan::from_secs(10)),
         ..terms()
     });
     {
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -16,7 +16,7 @@
     TimeSpan::from_millis(ms)
 }
 
-pub fn terms() -> Terms {
+pub fn terms() -> DispatcherSettings {
     let reads = ClassTerms {
         due: ms(400),
         due_stretch: 2.0,
@@ -48,28 +48,28 @@
         fall_after: TimeSpan::from_secs(1),
         among: None,
     };
-    Terms {
+    DispatcherSettings {
         zone: ZoneId(1),
         dispatchers: 1,
-        seats: vec![0, 1],
+        dispatchers_by_zone: vec![0, 1],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        tracks: vec![reads, changes, orders],
-        flow_kb_per_s: 1000.0,
+        classes: vec![reads, changes, orders],
+        stream_kb_per_s: 1000.0,
         link_kb_per_s: None,
-        link_told: true,
-        sizes_tell: true,
-        probes: false,
-        joins: true,
-        straight: true,
-        notes: NoteLevel::All,
-        max_hand_offs: 6,
-        may_withdraw: true,
-        longest_away: Some(TimeSpan::from_secs(1)),
-        list_on_request: false,
-        cold_cache: cold,
-        cold_parent: cold,
-        purge_done: TimeSpan::from_secs(6),
+        link_load_reported: true,
+        capacities_reported: true,
+        probes_enabled: false,
+        joins_fills: true,
+        allows_direct: true,
+        note_level: NoteLevel::All,
+        max_attempts: 6,
+        may_cancel: true,
+        max_retry_after: Some(TimeSpan::from_secs(1)),
+        host_list_on_request: false,
+        cache_slow_start: cold,
+        parent_slow_start: cold,
+        purge_propagation: TimeSpan::from_secs(6),
     }
 }
 
@@ -93,10 +93,10 @@
 }
 
 /// One of 200 dispatchers, ten in its zone.
-pub fn one_of_many() -> Terms {
-    Terms {
+pub fn one_of_many() -> DispatcherSettings {
+    DispatcherSettings {
         dispatchers: 200,
-        seats: vec![0, 10],
+        dispatchers_by_zone: vec![0, 10],
         ..terms()
     }
 }
@@ -116,11 +116,11 @@
 }
 
 impl Stage {
-    pub fn new(terms: Terms) -> Stage {
+    pub fn new(terms: DispatcherSettings) -> Stage {
         Stage::seeded(terms, 1)
     }
 
-    pub fn seeded(terms: Terms, seed: u64) -> Stage {
+    pub fn seeded(terms: DispatcherSettings, seed: u64) -> Stage {
         let mut stage = Stage {
             dispatcher: Dispatcher::with(Free, terms, seed),
             now: Timestamp(100_000_000),
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -25,7 +25,7 @@
 fn change_after(group: RepeatGroup, place: Option<(u16, u16)>, ago: TimeSpan) -> Vec<Action> {
     let mut terms = terms();
     let window = TimeSpan::from_secs(2);
-    terms.tracks[1].effect = Effect::Keyed { group, window };
+    terms.classes[1].effect = Effect::Keyed { group, window };
     let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
     let first = Timestamp(START.0 - ago.0);
     let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
@@ -141,7 +141,7 @@
     let first = Timestamp(START.0 - 1);
     for place in [None, Some((ZoneId(0), CellId(0)))] {
         let mut terms = terms();
-        terms.tracks[1].effect = Effect::NonIdempotent;
+        terms.classes[1].effect = Effect::NonIdempotent;
         let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
         let actions = change(&mut dispatcher);
         assert!(!went(&actions) && aborted(&actions), "{actions:?}");
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -338,8 +338,8 @@
 #[test]
 fn a_crowded_cache_spills_to_the_next_and_a_hopeless_access_is_rejected() {
     let straight = false;
-    let mut stage = Stage::new(Terms {
-        straight,
+    let mut stage = Stage::new(DispatcherSettings {
+        allows_direct: straight,
         ..terms()
     });
     let mut hosts = vec![];
@@ -360,9 +360,9 @@
 
 /// Where a large access goes whose first cache has so much to do that it would be late there, and small ones not.
 fn large_beside_a_crowd(sizes_tell: bool, crowd: usize) -> (HostId, Option<HostId>) {
-    let mut stage = Stage::new(Terms {
-        sizes_tell,
-        straight: false,
+    let mut stage = Stage::new(DispatcherSettings {
+        capacities_reported: sizes_tell,
+        allows_direct: false,
         ..terms()
     });
     let crowd: Vec<_> = (0..crowd).map(|_| stage.arrive(READS, 3)).collect();
@@ -442,7 +442,10 @@
 #[test]
 fn without_notes_and_sizes_a_parent_that_answers_is_not_blamed() {
     let notes = NoteLevel::None;
-    let mut stage = Stage::new(Terms { notes, ..terms() });
+    let mut stage = Stage::new(DispatcherSettings {
+        note_level: notes,
+        ..terms()
+    });
     for object in 0..60 {
         let id = stage.arrive_part(READS, object, 0, None);
         let slow = stage.arrive_part(READS, object + 100, 0, None);
@@ -551,8 +554,8 @@
 #[test]
 fn without_a_ready_cache_the_access_is_rejected_at_once() {
     let straight = false;
-    let mut stage = Stage::new(Terms {
-        straight,
+    let mut stage = Stage::new(DispatcherSettings {
+        allows_direct: straight,
         ..terms()
     });
     stage.list(ListForm::Whole, vec![entry(PARENTS[0]), entry(ORIGIN)]);
@@ -613,8 +616,8 @@
 
 #[test]
 fn a_fingerprinted_access_stays_in_its_group_and_window() {
-    let via_cache = || Terms {
-        straight: false,
+    let via_cache = || DispatcherSettings {
+        allows_direct: false,
         ..terms()
     };
     let mut stage = Stage::new(via_cache());
@@ -786,8 +789,8 @@
 
 #[test]
 fn a_few_own_fills_at_once_are_no_full_link() {
-    let mut stage = Stage::new(Terms {
-        link_told: false,
+    let mut stage = Stage::new(DispatcherSettings {
+        link_load_reported: false,
         link_kb_per_s: Some(10_000.0),
         ..one_of_many()
     });
@@ -850,7 +853,7 @@
 /// At a high rate a hit comes in a millisecond, and ten that take three must not close a healthy cache.
 #[test]
 fn hits_within_their_prediction_open_no_cache() {
-    let mut stage = Stage::new(Terms {
+    let mut stage = Stage::new(DispatcherSettings {
         parent_kind: None,
         origin_kind: None,
         ..terms()
@@ -875,10 +878,10 @@
 }
 
 /// One of ten dispatchers at a zone whose hosts tell their load when probed, and whose list tells no sizes.
-fn probing() -> Terms {
-    Terms {
-        probes: true,
-        sizes_tell: false,
+fn probing() -> DispatcherSettings {
+    DispatcherSettings {
+        probes_enabled: true,
+        capacities_reported: false,
         ..one_of_many()
     }
 }
@@ -932,8 +935,8 @@
 fn where_sizes_are_not_told_they_are_learnt_from_how_busy_hosts_are() {
     let taken = |sizes_tell: bool| {
         [3.0, 12.0].map(|size| {
-            let mut stage = Stage::new(Terms {
-                sizes_tell,
+            let mut stage = Stage::new(DispatcherSettings {
+                capacities_reported: sizes_tell,
                 ..probing()
             });
             learn_size(&mut stage, size, 0.5);
@@ -980,8 +983,8 @@
 /// Where fills usually take longer than a part of the due time, that alone is no failure of the origin.
 #[test]
 fn fills_that_always_take_long_thin_out_nothing() {
-    let mut stage = Stage::new(Terms {
-        notes: NoteLevel::Hits,
+    let mut stage = Stage::new(DispatcherSettings {
+        note_level: NoteLevel::Hits,
         ..terms()
     });
     for object in 0..30 {
@@ -1001,8 +1004,8 @@
 #[test]
 fn a_cache_that_says_it_is_free_is_no_crowd_however_many_wait_for_fills_there() {
     let waiting = |busy: f64| {
-        let mut stage = Stage::new(Terms {
-            probes: true,
+        let mut stage = Stage::new(DispatcherSettings {
+            probes_enabled: true,
             ..one_of_many()
         });
         for host in CACHES {
