--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -248,7 +248,7 @@
         TimeSpan::from_secs_f64(kb / self.terms.stream_kb_per_s)
     }
 
-    fn cold(&self, role: Role) -> Cold {
+    fn cold(&self, role: Role) -> SlowStart {
         if role == Role::Cache {
             self.terms.cache_slow_start
         } else {
@@ -260,9 +260,9 @@
         let cold = self.cold(host.role);
         let age = host.entry.started.map(|at| now.since(at).as_secs_f64());
         let risen = age.map_or(1.0, |age| {
-            (age / cold.warm_after.as_secs_f64().max(1e-3)).min(1.0)
+            (age / cold.duration.as_secs_f64().max(1e-3)).min(1.0)
         });
-        cold.from + (1.0 - cold.from) * risen
+        cold.initial_capacity + (1.0 - cold.initial_capacity) * risen
     }
 
     /// The fourth rule, for all dispatchers together: each has an equal part of a cold host's limit.
@@ -282,13 +282,13 @@
 
     fn cost(&self, now: Timestamp, host: &Host, work: TimeSpan) -> f64 {
         let cold = self.cold(host.role);
-        let told = cold.fall_multiple * cold.fall_after.as_secs_f64();
+        let told = cold.overload_factor * cold.overload_window.as_secs_f64();
         let limit = told * COLD_USE * self.warmth(now, host) * host.entry.size;
         work.as_secs_f64() * self.all(host.role) / limit.max(1e-9)
     }
 
     fn allowance(&self, now: Timestamp, host: &Host) -> f64 {
-        let span = self.cold(host.role).fall_after.as_secs_f64().max(1e-3);
+        let span = self.cold(host.role).overload_window.as_secs_f64().max(1e-3);
         (host.allowance.0 + now.since(host.allowance.1).as_secs_f64() / span).min(1.0)
     }
 
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use trailproxy::interface::{ClassTerms, Cold, Effect, HostEntry, HostState, RepeatGroup};
+use trailproxy::interface::{ClassTerms, Effect, HostEntry, HostState, RepeatGroup, SlowStart};
 use trailproxy::units::*;
 
 /// One of the five rules.
@@ -54,8 +54,8 @@
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub tracks: Vec<ClassTerms>,
-    pub cold_cache: Cold,
-    pub cold_parent: Cold,
+    pub cold_cache: SlowStart,
+    pub cold_parent: SlowStart,
     pub parent_kind: KindId,
     pub origin_kind: KindId,
     pub flow_kb_per_s: f64,
@@ -387,23 +387,23 @@
         } else {
             self.bounds.cold_cache
         };
-        let risen = at.since(started).as_secs_f64() / cold.warm_after.as_secs_f64().max(1e-3);
+        let risen = at.since(started).as_secs_f64() / cold.duration.as_secs_f64().max(1e-3);
         if risen >= 1.0 {
             self.cold.remove(&host);
             return;
         }
-        let warmth = cold.from + (1.0 - cold.from) * risen;
+        let warmth = cold.initial_capacity + (1.0 - cold.initial_capacity) * risen;
         let work = work_kb / self.bounds.flow_kb_per_s;
         let given = self.cold.entry(host).or_default();
         given.push_back((at, work));
         while given
             .front()
-            .is_some_and(|&(old, _)| at.since(old) > cold.fall_after)
+            .is_some_and(|&(old, _)| at.since(old) > cold.overload_window)
         {
             given.pop_front();
         }
         let sum: f64 = given.iter().map(|(_, work)| work).sum();
-        let most = cold.fall_multiple * warmth * entry.size * cold.fall_after.as_secs_f64();
+        let most = cold.overload_factor * warmth * entry.size * cold.overload_window.as_secs_f64();
         if sum > most.max(work) * self.bounds.cold_slack {
             given.clear();
             let text = format!(
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -721,13 +721,13 @@
     }
 }
 
-fn cold(fleet: &Section, from: &str, warm: &str, multiple: &str) -> Cold {
-    Cold {
-        from: fleet.number(from),
-        warm_after: millis(fleet, warm),
-        fall_multiple: fleet.number(multiple),
-        fall_after: millis(fleet, "cold_within_ms"),
-        among: None,
+fn cold(fleet: &Section, from: &str, warm: &str, multiple: &str) -> SlowStart {
+    SlowStart {
+        initial_capacity: fleet.number(from),
+        duration: millis(fleet, warm),
+        overload_factor: fleet.number(multiple),
+        overload_window: millis(fleet, "cold_within_ms"),
+        shared_by: None,
     }
 }
 
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -19,12 +19,12 @@
 }
 
 fn checker() -> Checker {
-    let cold = Cold {
-        from: 0.25,
-        warm_after: TimeSpan::from_secs(10),
-        fall_multiple: 4.0,
-        fall_after: TimeSpan::from_secs(1),
-        among: None,
+    let cold = SlowStart {
+        initial_capacity: 0.25,
+        duration: TimeSpan::from_secs(10),
+        overload_factor: 4.0,
+        overload_window: TimeSpan::from_secs(1),
+        shared_by: None,
     };
     let window = TimeSpan::from_secs(2);
     let cell = RepeatGroup::Cell;
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1005,11 +1005,11 @@
         let cold = self.shape.cold(self.servers[at].shape.role);
         let (now, work) = (self.now, kb / self.shape.flow_kb_per_s);
         let server = &mut self.servers[at];
-        let warmth = server.warmth(now, cold.from, cold.warm_after);
+        let warmth = server.warmth(now, cold.initial_capacity, cold.duration);
         let origin = server.shape.role == Role::Origin;
         let multiple = match (origin, self.shape.origin_bears) {
             (true, Some(bears)) => bears,
-            (false, _) if warmth < 1.0 => cold.fall_multiple,
+            (false, _) if warmth < 1.0 => cold.overload_factor,
             _ => {
                 server.given.clear();
                 return false;
@@ -1019,12 +1019,12 @@
         while server
             .given
             .front()
-            .is_some_and(|&(at, _)| now.since(at) > cold.fall_after)
+            .is_some_and(|&(at, _)| now.since(at) > cold.overload_window)
         {
             server.given.pop_front();
         }
         let sum: f64 = server.given.iter().map(|(_, work)| work).sum();
-        let bears = multiple * server.shape.size * warmth * cold.fall_after.as_secs_f64();
+        let bears = multiple * server.shape.size * warmth * cold.overload_window.as_secs_f64();
         let falls = sum > bears.max(work);
         if falls {
             let (id, away) = (server.shape.id, self.shape.fallen_for);
@@ -1043,7 +1043,7 @@
         let (now, flow) = (self.now, self.shape.flow_kb_per_s);
         let server = &mut self.servers[at];
         let silent = now < server.ills.silent;
-        let warmth = server.warmth(now, cold.from, cold.warm_after);
+        let warmth = server.warmth(now, cold.initial_capacity, cold.duration);
         let rate = server.shape.size * flow * warmth * server.vigour(now);
         server.out.set_rate(now, if silent { 0.0 } else { rate });
         self.touch(at);
@@ -1139,7 +1139,8 @@
                 self.pace(id);
                 let cold = self.shape.cold(self.servers[at].shape.role);
                 let server = &self.servers[at];
-                if server.life == life && server.warmth(self.now, cold.from, cold.warm_after) < 1.0
+                if server.life == life
+                    && server.warmth(self.now, cold.initial_capacity, cold.duration) < 1.0
                 {
                     self.timer(self.now + COLD_STEP, Timer::Warm(id, life));
                 }
--- a/crates/standins/src/shape.rs
+++ b/crates/standins/src/shape.rs
@@ -1,7 +1,7 @@
 //! What a fleet is made of, and what is to happen to it.
 
 use std::fmt;
-use trailproxy::interface::{ClassTerms, Cold, Note, NoteLevel};
+use trailproxy::interface::{ClassTerms, Note, NoteLevel, SlowStart};
 use trailproxy::units::*;
 
 /// A day begins at this point in time, so that copies may be older than the day.
@@ -47,8 +47,8 @@
     /// KB/s of one answer, and of one fill, at most.
     pub flow_kb_per_s: f64,
     pub fill_kb_per_s: f64,
-    pub cold_cache: Cold,
-    pub cold_parent: Cold,
+    pub cold_cache: SlowStart,
+    pub cold_parent: SlowStart,
     /// By then every copy from before a purge is dropped.
     pub purge_done: TimeSpan,
     /// A fill that has not begun by then is given up.
@@ -63,7 +63,7 @@
 }
 
 impl Shape {
-    pub fn cold(&self, role: Role) -> Cold {
+    pub fn cold(&self, role: Role) -> SlowStart {
         match role {
             Role::Cache => self.cold_cache,
             _ => self.cold_parent,
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The stand-ins by themselves: what hosts do when they are asked, filled, struck and brought back.
 
 use proptest::prelude::*;
-use trailproxy::interface::{ClassTerms, Cold, Effect, Ending, Fill, HostState, Note};
+use trailproxy::interface::{ClassTerms, Effect, Ending, Fill, HostState, Note, SlowStart};
 use trailproxy::units::*;
 use trailproxy_standins::fleet::{Answer, Fleet, Pull, Said, Ticket};
 use trailproxy_standins::pipe::Pipe;
@@ -37,12 +37,12 @@
         grace: TimeSpan::from_secs(60),
         written,
     };
-    let cold = Cold {
-        from: 0.25,
-        warm_after: TimeSpan::from_secs(10),
-        fall_multiple: 4.0,
-        fall_after: TimeSpan::from_secs(1),
-        among: None,
+    let cold = SlowStart {
+        initial_capacity: 0.25,
+        duration: TimeSpan::from_secs(10),
+        overload_factor: 4.0,
+        overload_window: TimeSpan::from_secs(1),
+        shared_by: None,
     };
     Shape {
         zones: vec![zone("hub", 0.0), zone("depot", 2_000.0)],
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -167,13 +167,13 @@
             .map(KindId))
     }
 
-    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> Read1<Cold> {
-        Ok(Cold {
-            from: self.must(from)?,
-            warm_after: self.span(warm)?,
-            fall_multiple: self.must(multiple)?,
-            fall_after: self.span(after)?,
-            among: None,
+    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> Read1<SlowStart> {
+        Ok(SlowStart {
+            initial_capacity: self.must(from)?,
+            duration: self.span(warm)?,
+            overload_factor: self.must(multiple)?,
+            overload_window: self.span(after)?,
+            shared_by: None,
         })
     }
 
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -52,12 +52,12 @@
         written: true,
         ..video.clone()
     };
-    let cold = Cold {
-        from: 0.25,
-        warm_after: TimeSpan::from_secs(10),
-        fall_multiple: 2.0,
-        fall_after: TimeSpan::from_secs(1),
-        among: None,
+    let cold = SlowStart {
+        initial_capacity: 0.25,
+        duration: TimeSpan::from_secs(10),
+        overload_factor: 2.0,
+        overload_window: TimeSpan::from_secs(1),
+        shared_by: None,
     };
     DispatcherSettings {
         zone: DEPOT,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -34,25 +34,25 @@
     pub max_retry_after: Option<TimeSpan>,
     /// Whether the host list has to be asked for.
     pub host_list_on_request: bool,
-    pub cache_slow_start: Cold,
-    pub parent_slow_start: Cold,
+    pub cache_slow_start: SlowStart,
+    pub parent_slow_start: SlowStart,
     /// By then every copy from before a purge is dropped.
     pub purge_propagation: TimeSpan,
 }
 
 /// How a host that has just started behaves.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct SlowStart {
     /// The least share of its capacity with which it starts.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this, rising evenly at the slowest.
-    pub warm_after: TimeSpan,
-    /// It falls over at this multiple of its present capacity, kept up for `fall_after`.
-    pub fall_multiple: f64,
-    pub fall_after: TimeSpan,
+    pub duration: TimeSpan,
+    /// It falls over at this multiple of its present capacity, kept up for `overload_window`.
+    pub overload_factor: f64,
+    pub overload_window: TimeSpan,
     /// Among how many what it may be given is divided, where that follows need: 1 over this dispatcher's part. `None`:
     /// evenly among all dispatchers that use such a host.
-    pub among: Option<f64>,
+    pub shared_by: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -369,13 +369,13 @@
     /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
     pub fn divide(&mut self, now: Timestamp, caches: Option<f64>, parents: Option<f64>) {
         (
-            self.terms.cache_slow_start.among,
-            self.terms.parent_slow_start.among,
+            self.terms.cache_slow_start.shared_by,
+            self.terms.parent_slow_start.shared_by,
         ) = (caches, parents);
         let mean = self.mean_send();
         for host in self.hosts.values_mut() {
             let (before, allowance) = (host.among(), host.allowance(now, mean));
-            host.cold.among = [caches, parents][usize::from(host.role != Role::Cache)];
+            host.cold.shared_by = [caches, parents][usize::from(host.role != Role::Cache)];
             host.allowance = ((allowance * host.among() / before).min(SAVED), now);
         }
     }
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -1,7 +1,7 @@
 //! What is known of one host: its breaker, how crowded and how warm it is, and what it may still be given while it is cold.
 
 use super::breaker::{Breaker, Phase};
-use crate::interface::{Cold, HostEntry, HostState};
+use crate::interface::{HostEntry, HostState, SlowStart};
 use crate::units::{TimeSpan, Timestamp};
 
 /// Part of a cold host's told limit that all use together. Higher risks it, lower warms it later.
@@ -42,7 +42,7 @@
 pub(crate) struct Host {
     pub(crate) entry: HostEntry,
     pub(crate) role: Role,
-    pub(crate) cold: Cold,
+    pub(crate) cold: SlowStart,
     pub(crate) dispatchers: f64,
     pub(crate) breaker: Breaker,
     pub(crate) heard: Timestamp,
@@ -87,24 +87,25 @@
 
     /// The part of its capacity that it can surely give now.
     pub(crate) fn warmth(&self, now: Timestamp) -> f64 {
-        let warm_after = self.cold.warm_after.as_secs_f64().max(0.001);
+        let warm_after = self.cold.duration.as_secs_f64().max(0.001);
         let risen = |at| now.since(at).as_secs_f64() / warm_after;
-        self.cold.from + (1.0 - self.cold.from) * self.entry.started.map_or(1.0, risen).min(1.0)
+        self.cold.initial_capacity
+            + (1.0 - self.cold.initial_capacity) * self.entry.started.map_or(1.0, risen).min(1.0)
     }
 
     /// Work as a part of what this dispatcher may give it within the span of rule 4 while it is cold.
     pub(crate) fn cost(&self, now: Timestamp, work: f64) -> f64 {
-        let told = self.cold.fall_multiple * self.cold.fall_after.as_secs_f64();
+        let told = self.cold.overload_factor * self.cold.overload_window.as_secs_f64();
         work * self.among() / (told * COLD_USE * self.warmth(now) * self.size)
     }
 
     pub(crate) fn among(&self) -> f64 {
-        self.cold.among.unwrap_or(self.dispatchers)
+        self.cold.shared_by.unwrap_or(self.dispatchers)
     }
 
     /// Where parts are less than a call of mean work, who does not use its turn has let it pass to another.
     pub(crate) fn allowance(&self, now: Timestamp, mean: f64) -> f64 {
-        let span = self.cold.fall_after.as_secs_f64().max(0.001);
+        let span = self.cold.overload_window.as_secs_f64().max(0.001);
         let saved = self.allowance.0 + now.since(self.allowance.1).as_secs_f64() / span - SAVED;
         let turn = self.cost(now, mean).max(1.0);
         SAVED + saved - turn * (saved / turn).ceil().max(0.0)
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -80,17 +80,17 @@
         self.given += work;
         while let Some((_, old)) = self
             .recent
-            .pop_front_if(|(at, _)| now.since(*at) > cold.fall_after)
+            .pop_front_if(|(at, _)| now.since(*at) > cold.overload_window)
         {
             self.sum -= old;
         }
-        let age = now.since(START).as_secs_f64() / cold.warm_after.as_secs_f64();
-        let warmth = cold.from + (1.0 - cold.from) * age.min(1.0);
-        let n = self.case.bears * warmth / cold.from;
+        let age = now.since(START).as_secs_f64() / cold.duration.as_secs_f64();
+        let warmth = cold.initial_capacity + (1.0 - cold.initial_capacity) * age.min(1.0);
+        let n = self.case.bears * warmth / cold.initial_capacity;
         let may = n + 2.0 * n.sqrt() + 2.0;
         let share = self.sum / may;
         self.worst = self.worst.max(share);
-        let apart = |at: Timestamp| now.since(at) > cold.fall_after;
+        let apart = |at: Timestamp| now.since(at) > cold.overload_window;
         if share > 1.0 && self.last_over.is_none_or(apart) {
             self.over += 1;
             self.last_over = Some(now);
@@ -113,7 +113,7 @@
     let mut terms = terms();
     terms.dispatchers = case.processes;
     terms.dispatchers_by_zone = vec![0, case.processes];
-    terms.cache_slow_start.warm_after = WATCHED;
+    terms.cache_slow_start.duration = WATCHED;
     terms.allows_direct = !case.all_cold;
     // Of no matter here: nothing is late, and the link has room.
     // What is guessed before any is seen is twice the mean.
@@ -126,7 +126,10 @@
 /// The mean work of a request, in seconds of sending at full pace.
 fn mean_work(case: Case, terms: &DispatcherSettings) -> f64 {
     let cold = &terms.cache_slow_start;
-    let told = cold.fall_multiple * cold.from * cold.fall_after.as_secs_f64() * entry(COLD).size;
+    let told = cold.overload_factor
+        * cold.initial_capacity
+        * cold.overload_window.as_secs_f64()
+        * entry(COLD).size;
     told / case.bears
 }
 
@@ -178,7 +181,7 @@
     let mut chance = fastrand::Rng::with_seed(seed);
     let terms = case_terms(case);
     let mean = mean_work(case, &terms);
-    let span = terms.cache_slow_start.fall_after.as_secs_f64();
+    let span = terms.cache_slow_start.overload_window.as_secs_f64();
     let n = case.processes as usize;
     let weights: Vec<f64> = (0..n)
         .map(|i| {
