--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -236,7 +236,7 @@
             .retain(|id, host| host.entry.state != HostState::Gone || named.contains(id));
     }
 
-    fn track(&self, access: &Request) -> &ClassTerms {
+    fn track(&self, access: &Request) -> &ClassSettings {
         &self.terms.classes[usize::from(access.asked.track.0)]
     }
 
@@ -371,7 +371,7 @@
         if now >= access.limit || access.tries.len() >= self.terms.max_attempts {
             return self.give_up(id);
         }
-        let written = self.track(access).written;
+        let written = self.track(access).is_write;
         let caches = self.order(now, id, Role::Cache);
         let parents = self.order(now, id, Role::Parent);
         let origin = self.order(now, id, Role::Origin).first().copied();
@@ -409,14 +409,14 @@
         let since = keys
             .iter()
             .filter_map(|key| Some(now.since(*self.purges.get(key)?)));
-        let oldest = since.chain(track.fresh).min();
+        let oldest = since.chain(track.fresh_for).min();
         let fill = Fill {
             source,
             rank: u8::from(!written),
             oldest,
             join: self.terms.joins_fills && source != host,
             held_only: false,
-            renew: track.fresh.is_some() && source != host,
+            renew: track.fresh_for.is_some() && source != host,
         };
         let work = self.send_time(access).max(TimeSpan::from_millis(20));
         let costs = [host, source].map(|id| (id, self.cost(now, &self.hosts[&id], work)));
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -656,7 +656,7 @@
     async fn want(self: Rc<Run>, wish: Wish) {
         let track = &self.scenario.shape.tracks[usize::from(wish.track.0)];
         let send = wish.kb / self.scenario.shape.flow_kb_per_s;
-        let due = wish.at + track.due + TimeSpan::from_secs_f64(send * track.due_stretch);
+        let due = wish.at + track.target + TimeSpan::from_secs_f64(send * track.target_stretch);
         let until = wish.at + self.scenario.limits[usize::from(wish.track.0)];
         let fingerprint = format!(
             "{:016x}{:016x}",
@@ -753,7 +753,7 @@
                 .borrow_mut()
                 .asked(now, id, fingerprint, wish.track, nth);
         }
-        let body = if track.written {
+        let body = if track.is_write {
             (wish.kb * 1024.0 * scale(&self.scenario)).clamp(1.0, 48_000.0) as usize
         } else {
             0
@@ -808,7 +808,7 @@
             }
         };
         let copy = minted
-            .filter(|_| !track.written)
+            .filter(|_| !track.is_write)
             .map(|minted| (wish.object, wish.group, minted));
         if keyed && how == Final::Done && self.again > 0 {
             let mut done = self.done.borrow_mut();
@@ -855,10 +855,10 @@
                 }
             };
             json!({
-                "name": scenario.track_names[nth], "on_time_us": track.due.0,
+                "name": scenario.track_names[nth], "on_time_us": track.target.0,
                 "hard_limit_us": scenario.limits[nth].0, "importance": scenario.importance[nth],
                 "semantics": semantics, "group": group, "repeat_window_us": window.0,
-                "aim_stretch": track.due_stretch,
+                "aim_stretch": track.target_stretch,
             })
         })
         .collect();
@@ -873,10 +873,10 @@
         trailproxy::interface::NoteLevel::Hits => "hit",
         trailproxy::interface::NoteLevel::None => "none",
     };
-    let of = |value: &dyn Fn(&trailproxy::interface::ClassTerms) -> u64| -> Vec<u64> {
+    let of = |value: &dyn Fn(&trailproxy::interface::ClassSettings) -> u64| -> Vec<u64> {
         tracks.clone().map(|(_, track)| value(track)).collect()
     };
-    let written: Vec<bool> = tracks.clone().map(|(_, track)| track.written).collect();
+    let written: Vec<bool> = tracks.clone().map(|(_, track)| track.is_write).collect();
     json!({
         "az": zone.0,
         "balancers": terms.dispatchers,
@@ -904,8 +904,8 @@
             "stream_kb_per_s": terms.stream_kb_per_s, "feed_kb_per_s": links,
             "seats_by_zone": scenario.seats, "note_level": notes,
             "straight": terms.allows_direct, "joins": terms.joins_fills,
-            "max_age_us": of(&|track| track.fresh.map_or(0, |fresh| fresh.0)),
-            "usable_after_us": of(&|track| track.grace.0),
+            "max_age_us": of(&|track| track.fresh_for.map_or(0, |fresh| fresh.0)),
+            "usable_after_us": of(&|track| track.stale_grace.0),
             "never_kept": written, "cleared_within_us": terms.purge_propagation.0,
         },
         "report": {"via": "silent", "fields": []},
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -21,7 +21,7 @@
         self.next_id += 1;
         let want = Want {
             wish,
-            due: wish.at + track.due + TimeSpan::from_secs_f64(send * track.due_stretch),
+            due: wish.at + track.target + TimeSpan::from_secs_f64(send * track.target_stretch),
             until: wish.at + self.scenario.limits[usize::from(wish.track.0)],
             tries: 0,
         };
--- a/crates/lab/src/model/warm_up.rs
+++ b/crates/lab/src/model/warm_up.rs
@@ -23,7 +23,7 @@
     for nth in 0..warm.loads.len() {
         warm.loads[nth].from = DAWN;
         let track = &scenario.shape.tracks[usize::from(warm.loads[nth].track.0)];
-        if track.written {
+        if track.is_write {
             continue;
         }
         let mut drawn = 0;
@@ -35,7 +35,7 @@
             let part = (wish.object, wish.part);
             // A copy's age is drawn evenly over its fresh time: older ones would have been renewed.
             let age = track
-                .fresh
+                .fresh_for
                 .map_or(0, |fresh| mix(wish.object.0, seed) % fresh.0.max(1));
             let minted = DAWN - TimeSpan(age);
             let group = group_of(wish.object);
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use trailproxy::interface::{ClassTerms, Effect, HostEntry, HostState, RepeatGroup, SlowStart};
+use trailproxy::interface::{ClassSettings, Effect, HostEntry, HostState, RepeatGroup, SlowStart};
 use trailproxy::units::*;
 
 /// One of the five rules.
@@ -53,7 +53,7 @@
 /// What the rules are held against, in the terms' words.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    pub tracks: Vec<ClassTerms>,
+    pub tracks: Vec<ClassSettings>,
     pub cold_cache: SlowStart,
     pub cold_parent: SlowStart,
     pub parent_kind: KindId,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -423,7 +423,7 @@
                 return Err(section.wrong("dispatchers", "none in a zone that has no cache"));
             }
         }
-        let tracks: Vec<ClassTerms> = sheet.all("track").map(track).collect();
+        let tracks: Vec<ClassSettings> = sheet.all("track").map(track).collect();
         for section in sheet.all("track") {
             if section.number("due_ms") > section.number("limit_ms") {
                 return Err(section.wrong("due_ms", "a due time no longer than limit_ms"));
@@ -739,10 +739,10 @@
     }
 }
 
-fn track(section: &Section) -> ClassTerms {
-    ClassTerms {
-        due: millis(section, "due_ms"),
-        due_stretch: section.number("stretch"),
+fn track(section: &Section) -> ClassSettings {
+    ClassSettings {
+        target: millis(section, "due_ms"),
+        target_stretch: section.number("stretch"),
         effect: match section.text("effect") {
             "retriable" => Effect::Idempotent,
             "binding" => Effect::NonIdempotent,
@@ -755,8 +755,8 @@
                 window: millis(section, "window_ms"),
             },
         },
-        fresh: some(millis(section, "fresh_ms")),
-        grace: millis(section, "grace_ms"),
-        written: section.flag("written"),
+        fresh_for: some(millis(section, "fresh_ms")),
+        stale_grace: millis(section, "grace_ms"),
+        is_write: section.flag("written"),
     }
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -7,14 +7,14 @@
 const HOST: HostId = HostId(1);
 const OTHER: HostId = HostId(2);
 
-fn track(effect: Effect) -> ClassTerms {
-    ClassTerms {
-        due: TimeSpan::from_millis(500),
-        due_stretch: 1.0,
+fn track(effect: Effect) -> ClassSettings {
+    ClassSettings {
+        target: TimeSpan::from_millis(500),
+        target_stretch: 1.0,
         effect,
-        fresh: None,
-        grace: TimeSpan::ZERO,
-        written: false,
+        fresh_for: None,
+        stale_grace: TimeSpan::ZERO,
+        is_write: false,
     }
 }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -218,7 +218,7 @@
             limit
         };
         let keyed = matches!(scenario.shape.tracks[class].effect, Effect::Keyed { .. });
-        let written = scenario.shape.tracks[class].written;
+        let written = scenario.shape.tracks[class].is_write;
         let question = Question {
             class: &scenario.track_names[class],
             wish,
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -527,7 +527,7 @@
         self.say(ticket, ending, note, job.waited, minted, full);
     }
 
-    fn track(&self, track: ClassId) -> &trailproxy::interface::ClassTerms {
+    fn track(&self, track: ClassId) -> &trailproxy::interface::ClassSettings {
         &self.shape.tracks[usize::from(track.0)]
     }
 
@@ -554,7 +554,7 @@
         if self.given(at, pull.kb) {
             return;
         }
-        let written = self.track(pull.track).written;
+        let written = self.track(pull.track).is_write;
         if role == Role::Origin {
             return self.job_from(ticket, at, Note::Untold, self.now);
         }
@@ -567,7 +567,7 @@
             return self.answer(ticket, Ending::Missed, Note::Untold);
         };
         let under_way = self.servers[at].fetching.get(&part).copied();
-        let bound = fill.oldest.or(self.track(pull.track).fresh);
+        let bound = fill.oldest.or(self.track(pull.track).fresh_for);
         let joined = under_way
             .filter(|id| (fill.join || role == Role::Parent) && !written && self.joins(*id, bound));
         let fetch = match joined {
@@ -630,7 +630,7 @@
         oldest: Option<TimeSpan>,
     ) -> (Option<Copy>, Option<Copy>) {
         let held = self.servers[at].store.look(part);
-        let limit = oldest.or(self.track(track).fresh);
+        let limit = oldest.or(self.track(track).fresh_for);
         let young = |copy: &Copy| limit.is_none_or(|limit| self.now.since(copy.minted) <= limit);
         (held.filter(young), held)
     }
@@ -642,7 +642,7 @@
             .store
             .used(part, fill.map_or(0, |fill| fill.rank));
         let age = self.now.since(copy.minted);
-        let fresh = self.track(pull.track).fresh;
+        let fresh = self.track(pull.track).fresh_for;
         let stale = fresh.is_some_and(|fresh| age > fresh);
         let ageing = fresh.is_some_and(|fresh| age > fresh.mul_f64(RENEW_FROM));
         let renews = |fill: &Fill| fill.renew && ageing && fill.source != pull.host;
--- a/crates/standins/src/shape.rs
+++ b/crates/standins/src/shape.rs
@@ -1,7 +1,7 @@
 //! What a fleet is made of, and what is to happen to it.
 
 use std::fmt;
-use trailproxy::interface::{ClassTerms, Note, NoteLevel, SlowStart};
+use trailproxy::interface::{ClassSettings, Note, NoteLevel, SlowStart};
 use trailproxy::units::*;
 
 /// A day begins at this point in time, so that copies may be older than the day.
@@ -43,7 +43,7 @@
 pub struct Shape {
     pub zones: Vec<Zone>,
     pub hosts: Vec<HostShape>,
-    pub tracks: Vec<ClassTerms>,
+    pub tracks: Vec<ClassSettings>,
     /// KB/s of one answer, and of one fill, at most.
     pub flow_kb_per_s: f64,
     pub fill_kb_per_s: f64,
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The stand-ins by themselves: what hosts do when they are asked, filled, struck and brought back.
 
 use proptest::prelude::*;
-use trailproxy::interface::{ClassTerms, Effect, Ending, Fill, HostState, Note, SlowStart};
+use trailproxy::interface::{ClassSettings, Effect, Ending, Fill, HostState, Note, SlowStart};
 use trailproxy::units::*;
 use trailproxy_standins::fleet::{Answer, Fleet, Pull, Said, Ticket};
 use trailproxy_standins::pipe::Pipe;
@@ -29,13 +29,13 @@
         first_byte: TimeSpan::from_millis(10),
         places: 8,
     };
-    let track = |fresh: Option<TimeSpan>, written| ClassTerms {
-        due: TimeSpan::from_millis(500),
-        due_stretch: 1.0,
+    let track = |fresh: Option<TimeSpan>, written| ClassSettings {
+        target: TimeSpan::from_millis(500),
+        target_stretch: 1.0,
         effect: Effect::Idempotent,
-        fresh,
-        grace: TimeSpan::from_secs(60),
-        written,
+        fresh_for: fresh,
+        stale_grace: TimeSpan::from_secs(60),
+        is_write: written,
     };
     let cold = SlowStart {
         initial_capacity: 0.25,
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -177,7 +177,7 @@
         })
     }
 
-    fn track(&self, i: usize) -> Read1<ClassTerms> {
+    fn track(&self, i: usize) -> Read1<ClassSettings> {
         let own = |name: &str| format!("classes.{i}.{name}");
         let of_family = |name: &str| -> Read1<u64> {
             let all = self.list(&format!("family_info.{name}"))?;
@@ -197,13 +197,13 @@
             other => return Err(format!("unknown semantics {other:?} of class {i}").into()),
         };
         let fresh = of_family("max_age_us")?;
-        Ok(ClassTerms {
-            due: self.span(&own("on_time_us"))?,
-            due_stretch: self.or(&own("aim_stretch"), 0.0)?,
+        Ok(ClassSettings {
+            target: self.span(&own("on_time_us"))?,
+            target_stretch: self.or(&own("aim_stretch"), 0.0)?,
             effect,
-            fresh: (fresh > 0).then_some(TimeSpan(fresh)),
-            grace: TimeSpan(of_family("usable_after_us")?),
-            written: self
+            fresh_for: (fresh > 0).then_some(TimeSpan(fresh)),
+            stale_grace: TimeSpan(of_family("usable_after_us")?),
+            is_write: self
                 .list("family_info.never_kept")?
                 .get(i)
                 .copied()
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -118,7 +118,7 @@
             asked,
             log.clone(),
         ));
-        let dues = terms.classes.iter().map(|track| track.due).collect();
+        let dues = terms.classes.iter().map(|track| track.target).collect();
         let core = Peers::new(now, own, rules, drawn);
         let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
         let (form, entries) = (ListForm::Whole, self.pools.entries());
@@ -154,7 +154,7 @@
                         log.clone(),
                     ));
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
-                    let dues = terms.classes.iter().map(|track| track.due).collect();
+                    let dues = terms.classes.iter().map(|track| track.target).collect();
                     let mut begun =
                         Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
                     let (form, entries) = (ListForm::Whole, self.pools.entries());
--- a/crates/trials/src/decide/keys.rs
+++ b/crates/trials/src/decide/keys.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use std::collections::BTreeMap;
-use trailproxy::interface::{ClassTerms, Effect};
+use trailproxy::interface::{ClassSettings, Effect};
 use trailproxy::units::*;
 use trailproxy_lab::rules::Final;
 use trailproxy_standins::shape::DAWN;
@@ -86,7 +86,7 @@
 
 /// Everything by key. Bounded by the length of a run.
 pub struct Keys {
-    tracks: Vec<ClassTerms>,
+    tracks: Vec<ClassSettings>,
     places: BTreeMap<HostId, (ZoneId, CellId)>,
     keys: BTreeMap<String, OfKey>,
     by_id: BTreeMap<RequestId, String>,
@@ -96,7 +96,7 @@
 impl Keys {
     /// `slack`: by which what is seen at two ends may be apart.
     pub fn new(
-        tracks: Vec<ClassTerms>,
+        tracks: Vec<ClassSettings>,
         places: BTreeMap<HostId, (ZoneId, CellId)>,
         slack: TimeSpan,
     ) -> Keys {
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -104,10 +104,10 @@
 impl Zones {
     /// `terms` as the decisions have them; the seed draws this dispatcher's points in its budgets.
     pub fn new(terms: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
-        let of_track = |track: &ClassTerms| OfTrack {
+        let of_track = |track: &ClassSettings| OfTrack {
             class: class_of(track),
-            written: track.written,
-            fresh: track.fresh,
+            written: track.is_write,
+            fresh: track.fresh_for,
         };
         let mut zones = Zones {
             zone: terms.zone,
@@ -421,8 +421,8 @@
 }
 
 /// Orders and all that may not simply run again go first.
-pub fn class_of(track: &ClassTerms) -> Class {
-    match track.written || track.effect != Effect::Idempotent {
+pub fn class_of(track: &ClassSettings) -> Class {
+    match track.is_write || track.effect != Effect::Idempotent {
         true => Class::First,
         false => Class::Plain,
     }
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -39,17 +39,17 @@
 }
 
 fn terms(seats: u32) -> DispatcherSettings {
-    let video = ClassTerms {
-        due: TimeSpan::from_millis(400),
-        due_stretch: 2.0,
+    let video = ClassSettings {
+        target: TimeSpan::from_millis(400),
+        target_stretch: 2.0,
         effect: Effect::Idempotent,
-        fresh: None,
-        grace: TimeSpan::ZERO,
-        written: false,
+        fresh_for: None,
+        stale_grace: TimeSpan::ZERO,
+        is_write: false,
     };
-    let order = ClassTerms {
+    let order = ClassSettings {
         effect: Effect::NonIdempotent,
-        written: true,
+        is_write: true,
         ..video.clone()
     };
     let cold = SlowStart {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -13,7 +13,7 @@
     pub dispatchers_by_zone: Vec<u32>,
     pub parent_kind: Option<KindId>,
     pub origin_kind: Option<KindId>,
-    pub classes: Vec<ClassTerms>,
+    pub classes: Vec<ClassSettings>,
     /// Top pace of one answer; host sizes count answers at this pace.
     pub stream_kb_per_s: f64,
     /// What the own zone's link for fills carries; `None` where it is not told.
@@ -56,17 +56,17 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct ClassTerms {
-    pub due: TimeSpan,
+pub struct ClassSettings {
+    pub target: TimeSpan,
     /// The due time grows by this many times the access's own sending time.
-    pub due_stretch: f64,
+    pub target_stretch: f64,
     pub effect: Effect,
     /// How long a copy is fresh; `None`: until it is purged.
-    pub fresh: Option<TimeSpan>,
+    pub fresh_for: Option<TimeSpan>,
     /// How much older than fresh a copy may be when asked for.
-    pub grace: TimeSpan,
+    pub stale_grace: TimeSpan,
     /// Runs at the origin and leaves no copy.
-    pub written: bool,
+    pub is_write: bool,
 }
 
 /// Whether an access may run again.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -151,7 +151,7 @@
 
 impl<C: Crossings + Others> Dispatcher<C> {
     pub fn with(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
-        let first_guess = |track: &ClassTerms| (track.due.as_secs_f64() * 0.5, 1.0);
+        let first_guess = |track: &ClassSettings| (track.target.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
             crossings,
             chance: fastrand::Rng::with_seed(seed),
@@ -402,7 +402,8 @@
         let access = Request {
             asked,
             send,
-            due: limit.min(now + track.due + TimeSpan::from_secs_f64(send * track.due_stretch)),
+            due: limit
+                .min(now + track.target + TimeSpan::from_secs_f64(send * track.target_stretch)),
             limit,
             tries: Vec::new(),
             lacking: false,
@@ -431,7 +432,7 @@
         host.warmth(now) >= 1.0 || bears() && host.allowance(now, self.mean_send()) >= 0.0
     }
 
-    fn track(&self, access: &Request) -> &ClassTerms {
+    fn track(&self, access: &Request) -> &ClassSettings {
         &self.terms.classes[usize::from(access.asked.track.0)]
     }
 
@@ -717,7 +718,7 @@
     fn open_to(&self, now: Timestamp, access: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let share = match host.role {
-            Role::Origin if self.track(access).written => host.breaker.share().ceil(),
+            Role::Origin if self.track(access).is_write => host.breaker.share().ceil(),
             // There a share is one of bytes: what is large is left out first.
             Role::Origin => host.breaker.share().powf(access.send / self.mean_send()),
             _ => host.breaker.share().min(host.warmth(now)),
@@ -733,7 +734,7 @@
             host.into_iter().for_each(|host| host.breaker.advance(now));
         }
         let access = &self.accesses[&id];
-        let (written, origin) = (self.track(access).written, self.origin);
+        let (written, origin) = (self.track(access).is_write, self.origin);
         let open = origin.filter(|&id| self.open_to(now, access, id));
         if access.lacking && origin.is_none_or(|id| !self.hosts[&id].sick()) {
             return Err(GiveUpReason::NobodyHoldsIt);
@@ -814,7 +815,7 @@
         let margin = access.asked.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
         let told = self.terms.capacities_reported && access.asked.size_kb.is_some();
         let takes = |id: &HostId| TimeSpan::from_secs_f64(access.send * stretch(id) * margin) + HOP;
-        let timely = |id: &HostId| self.track(access).written || now + takes(id) <= access.due;
+        let timely = |id: &HostId| self.track(access).is_write || now + takes(id) <= access.due;
         let near = |id: &HostId| slow(id) <= SPILL_AT && (!told || timely(id));
         let first = |id: &&HostId| near(id) && self.open_to(now, access, **id);
         let usable = |id: &&HostId| !access.failed_at(**id) && !self.hosts[id].sick();
@@ -850,8 +851,8 @@
             .purges_of(now, access)
             .map(|purge| now.since(purge.at))
             .min();
-        let grace = track.grace.mul_f64(f64::from(u8::from(stale)));
-        let aged = track.fresh.filter(|_| stale || since.is_some());
+        let grace = track.stale_grace.mul_f64(f64::from(u8::from(stale)));
+        let aged = track.fresh_for.filter(|_| stale || since.is_some());
         let aged = aged.map(|fresh| fresh + grace);
         since.into_iter().chain(aged).min()
     }
@@ -873,7 +874,7 @@
             from,
             to: own,
             kb: asked.size_kb.unwrap_or(usual),
-            join: self.terms.joins_fills && !straight && !self.track(access).written,
+            join: self.terms.joins_fills && !straight && !self.track(access).is_write,
         })
     }
 
@@ -908,7 +909,7 @@
         if !self.passes(now, access, &plan) {
             return self.give_up(now, id, GiveUpReason::NotPermitted);
         }
-        let written = self.track(access).written;
+        let written = self.track(access).is_write;
         if self.seen.len() >= SEEN {
             self.seen.clear();
         }
@@ -926,12 +927,15 @@
             oldest: self.oldest(now, access, stale),
             join: self.terms.joins_fills && !own,
             held_only,
-            renew: track.fresh.is_some() && !stale,
+            renew: track.fresh_for.is_some() && !stale,
         };
         let fill = Some(fill).filter(|_| host.role != Role::Origin);
         let sending = TimeSpan::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
         let usual = self.waits.above(2).map_or(0.0, |wait| wait * USUAL_WAITS);
-        let wait = track.due.mul_f64(WAIT_OF_DUE).max(TimeSpan(usual as u64));
+        let wait = track
+            .target
+            .mul_f64(WAIT_OF_DUE)
+            .max(TimeSpan(usual as u64));
         let overdue_at = now + sending.mul_f64(PATIENCE) + wait;
         let fills = if of_cache { self.missing } else { 1.0 };
         let none = written || own && of_cache;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -118,8 +118,8 @@
     // Of no matter here: nothing is late, and the link has room.
     // What is guessed before any is seen is twice the mean.
     terms.classes.truncate(1);
-    terms.classes[0].due = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
-    terms.classes[0].due_stretch = 50.0;
+    terms.classes[0].target = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
+    terms.classes[0].target_stretch = 50.0;
     terms
 }
 
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -17,27 +17,27 @@
 }
 
 pub fn terms() -> DispatcherSettings {
-    let reads = ClassTerms {
-        due: ms(400),
-        due_stretch: 2.0,
+    let reads = ClassSettings {
+        target: ms(400),
+        target_stretch: 2.0,
         effect: Effect::Idempotent,
-        fresh: Some(TimeSpan::from_secs(8)),
-        grace: TimeSpan::from_secs(20),
-        written: false,
+        fresh_for: Some(TimeSpan::from_secs(8)),
+        stale_grace: TimeSpan::from_secs(20),
+        is_write: false,
     };
-    let written = ClassTerms {
-        written: true,
-        fresh: None,
-        grace: TimeSpan::ZERO,
+    let written = ClassSettings {
+        is_write: true,
+        fresh_for: None,
+        stale_grace: TimeSpan::ZERO,
         ..reads.clone()
     };
     let (group, window) = (RepeatGroup::Zone, TimeSpan::from_secs(2));
     let by_mark = Effect::Keyed { group, window };
-    let changes = ClassTerms {
+    let changes = ClassSettings {
         effect: by_mark,
         ..written.clone()
     };
-    let orders = ClassTerms {
+    let orders = ClassSettings {
         effect: Effect::NonIdempotent,
         ..written
     };
