--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -124,9 +124,9 @@
 
 fn hosts(f: &mut Fields) -> Read1<Event> {
     let form = match f.u8()? {
-        0 | 1 => ListForm::Whole,
-        2 => ListForm::Changes,
-        3 => ListForm::Failed,
+        0 | 1 => HostListKind::Full,
+        2 => HostListKind::Delta,
+        3 => HostListKind::Failed,
         other => return Err(format!("unknown form {other} of a list").into()),
     };
     f.u64()?;
@@ -135,7 +135,10 @@
     for _ in 0..n {
         entries.push(entry(f)?);
     }
-    Ok(Event::Hosts { form, entries })
+    Ok(Event::HostList {
+        kind: form,
+        entries,
+    })
 }
 
 fn entry(f: &mut Fields) -> Read1<HostEntry> {
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -202,8 +202,8 @@
         }
     }
 
-    fn list(&mut self, now: Timestamp, form: ListForm, entries: Vec<HostEntry>) {
-        if form == ListForm::Whole {
+    fn list(&mut self, now: Timestamp, form: HostListKind, entries: Vec<HostEntry>) {
+        if form == HostListKind::Full {
             self.hosts
                 .values_mut()
                 .for_each(|host| host.entry.state = HostState::Gone);
@@ -542,7 +542,10 @@
 impl Decider for Baseline {
     fn take(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::Hosts { form, entries } => self.list(now, form, entries),
+            Event::HostList {
+                kind: form,
+                entries,
+            } => self.list(now, form, entries),
             Event::Arrived(asked) => {
                 let limit = now + asked.left;
                 let (tries, failed) = (Vec::new(), BTreeSet::new());
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -5,7 +5,7 @@
 use crate::rules::Final;
 use crate::scenario::Kill;
 use crate::tally::Cause;
-use trailproxy::interface::{Action, Ending, Event, ListForm};
+use trailproxy::interface::{Action, Ending, Event, HostListKind};
 use trailproxy::units::RequestId;
 use trailproxy_budgets::decide::following::Following;
 use trailproxy_budgets::decide::{HolderId, LifeId};
@@ -24,8 +24,8 @@
         let entries = self.fleet.list();
         decider.take(
             self.now,
-            Event::Hosts {
-                form: ListForm::Whole,
+            Event::HostList {
+                kind: HostListKind::Full,
                 entries,
             },
         );
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -1,7 +1,7 @@
 //! One event of the queue after another.
 
 use super::{CROSSED_STEP, DIVIDE_EVERY, Ev, PASS, RUN_OUT, TRUTH_EVERY, WITHDRAWN_AFTER, World};
-use trailproxy::interface::{Ending, Event, ListForm, Note};
+use trailproxy::interface::{Ending, Event, HostListKind, Note};
 use trailproxy::units::{TimeSpan, ZoneId};
 use trailproxy_standins::fleet::Answer;
 use trailproxy_standins::shape::DAWN;
@@ -39,8 +39,8 @@
                 let entries = vec![entry];
                 self.tell(
                     seat,
-                    Event::Hosts {
-                        form: ListForm::Changes,
+                    Event::HostList {
+                        kind: HostListKind::Delta,
                         entries,
                     },
                 );
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -62,8 +62,8 @@
                     count(&self.counts.bad_entries);
                 }
                 let entries: Vec<HostEntry> = members.iter().map(|member| member.entry).collect();
-                let told = Event::Hosts {
-                    form,
+                let told = Event::HostList {
+                    kind: form,
                     entries: entries.clone(),
                 };
                 self.tell(now, told);
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -9,7 +9,7 @@
 use local_channel::mpsc;
 use slog::{info, warn};
 use tokio::time::Instant;
-use trailproxy::interface::{Crossings, DispatcherSettings, Event, ListForm};
+use trailproxy::interface::{Crossings, DispatcherSettings, Event, HostListKind};
 use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::PeerId;
@@ -121,9 +121,12 @@
         let dues = terms.classes.iter().map(|track| track.target).collect();
         let core = Peers::new(now, own, rules, drawn);
         let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
-        let (form, entries) = (ListForm::Whole, self.pools.entries());
+        let (form, entries) = (HostListKind::Full, self.pools.entries());
         begun.listed(now, &entries, self.state.place);
-        begun.heard(&Event::Hosts { form, entries });
+        begun.heard(&Event::HostList {
+            kind: form,
+            entries,
+        });
         self.decisions.crossings.peers = Some(begun);
         Ok(())
     }
@@ -157,8 +160,14 @@
                     let dues = terms.classes.iter().map(|track| track.target).collect();
                     let mut begun =
                         Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
-                    let (form, entries) = (ListForm::Whole, self.pools.entries());
-                    begun.heard(now, &Event::Hosts { form, entries });
+                    let (form, entries) = (HostListKind::Full, self.pools.entries());
+                    begun.heard(
+                        now,
+                        &Event::HostList {
+                            kind: form,
+                            entries,
+                        },
+                    );
                     *shared = Some(begun);
                 }
                 Err(why) => warn!(self.log, "operator's file refused"; "why" => why),
@@ -191,9 +200,15 @@
             Some(zones) => zones.change(now, rules),
             None => {
                 let mut zones = Zones::new(terms, rules, *seed);
-                let form = ListForm::Whole;
+                let form = HostListKind::Full;
                 let entries = self.pools.entries();
-                zones.heard(now, &Event::Hosts { form, entries });
+                zones.heard(
+                    now,
+                    &Event::HostList {
+                        kind: form,
+                        entries,
+                    },
+                );
                 *crossings = Some(zones);
             }
         }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -5,7 +5,7 @@
 use crate::messages::Reply;
 use crate::waiting::Due;
 use slog::info;
-use trailproxy::interface::{Arrival, Event, HostState, ListForm};
+use trailproxy::interface::{Arrival, Event, HostListKind, HostState};
 use trailproxy::units::{HostId, Timestamp};
 
 impl Dispatch {
@@ -60,7 +60,13 @@
             entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
         }
         info!(self.log, "host restricted"; "host" => format!("{:x}", host.0), "by_others" => told.is_some());
-        let (form, entries) = (ListForm::Changes, vec![entry]);
-        self.tell(now, Event::Hosts { form, entries });
+        let (form, entries) = (HostListKind::Delta, vec![entry]);
+        self.tell(
+            now,
+            Event::HostList {
+                kind: form,
+                entries,
+            },
+        );
     }
 }
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
-use trailproxy::interface::{HostEntry, HostState, ListForm};
+use trailproxy::interface::{HostEntry, HostListKind, HostState};
 use trailproxy::units::*;
 use trailproxy_terms::Bounds;
 
@@ -82,8 +82,8 @@
         }
         let hosts = json.get("hosts")?;
         let form = match hosts.get("complete").and_then(Value::as_bool) {
-            Some(true) => ListForm::Whole,
-            _ => ListForm::Changes,
+            Some(true) => HostListKind::Full,
+            _ => HostListKind::Delta,
         };
         let members = hosts.get("members")?.as_array()?;
         let told = members.len();
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -291,7 +291,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     Hosts {
-        form: ListForm,
+        form: HostListKind,
         members: Vec<Member>,
         /// Members that can't be read, which are passed over.
         unread: usize,
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -113,8 +113,8 @@
 
     /// Takes a change of the host list. Pools go by host: another host may come to a gone one's address.
     /// What waits for a host that is not ready any more is recalled by the one who sent it.
-    pub fn list(&mut self, form: ListForm, members: &[Member]) {
-        if form == ListForm::Whole {
+    pub fn list(&mut self, form: HostListKind, members: &[Member]) {
+        if form == HostListKind::Full {
             let gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
             self.pools.values_mut().for_each(gone);
         }
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -69,7 +69,7 @@
     }
 
     pub fn heard(&mut self, event: &Event) {
-        let Event::Hosts { entries, .. } = event else {
+        let Event::HostList { entries, .. } = event else {
             return;
         };
         for entry in entries {
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -86,13 +86,13 @@
             + self.filling.len()
     }
 
-    pub fn list(&mut self, now: Timestamp, form: ListForm, entries: &[HostEntry]) {
+    pub fn list(&mut self, now: Timestamp, form: HostListKind, entries: &[HostEntry]) {
         let gone = |known: &mut Known| {
             if known.state != HostState::Gone {
                 (known.state, known.left) = (HostState::Gone, now);
             }
         };
-        if form == ListForm::Whole {
+        if form == HostListKind::Full {
             self.hosts.values_mut().for_each(gone);
         }
         for entry in entries {
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -437,7 +437,10 @@
             .iter_mut()
             .for_each(|budget| budget.advance(now));
         match event {
-            Event::Hosts { form, entries } => self.memory.list(now, *form, entries),
+            Event::HostList {
+                kind: form,
+                entries,
+            } => self.memory.list(now, *form, entries),
             Event::Purged {
                 object, group, ago, ..
             } => self.memory.purged(now - *ago, *object, *group),
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -115,8 +115,14 @@
         let entries = hosts
             .map(|host| entry(host, HostState::Ready, None))
             .to_vec();
-        let form = ListForm::Whole;
-        zones.heard(at(0), &Event::Hosts { form, entries });
+        let form = HostListKind::Full;
+        zones.heard(
+            at(0),
+            &Event::HostList {
+                kind: form,
+                entries,
+            },
+        );
         Desk { zones, next: 0 }
     }
 
@@ -405,9 +411,15 @@
     desk.zones.heard(at(200), &purge);
     desk.play(210, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::Purge), 10.0);
-    let form = ListForm::Changes;
+    let form = HostListKind::Delta;
     let entries = vec![entry(CACHES[0], HostState::Ready, Some(at(300)))];
-    desk.zones.heard(at(310), &Event::Hosts { form, entries });
+    desk.zones.heard(
+        at(310),
+        &Event::HostList {
+            kind: form,
+            entries,
+        },
+    );
     desk.play(320, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::HostLost), 10.0);
     let order = desk.way(ORDER, 9, 4.0);
@@ -576,9 +588,15 @@
 fn a_lost_host_is_named_within_three_seconds() {
     let told = rise(|desk, ms, n| {
         if ms == 60_000 {
-            let form = ListForm::Changes;
+            let form = HostListKind::Delta;
             let entries = vec![entry(CACHES[0], HostState::Gone, None)];
-            desk.zones.heard(at(ms), &Event::Hosts { form, entries });
+            desk.zones.heard(
+                at(ms),
+                &Event::HostList {
+                    kind: form,
+                    entries,
+                },
+            );
         }
         // What it had is filled at the other one.
         let mut way = desk.way(VIDEO, (n % 20) * 2, 50.0);
@@ -586,12 +604,12 @@
         desk.zones.sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(50.0));
         // Named once each: what is filled there has its new home.
-        let form = ListForm::Changes;
+        let form = HostListKind::Delta;
         let lost = entry(CACHES[1], HostState::Ready, Some(at(ms)));
         desk.zones.heard(
             at(ms),
-            &Event::Hosts {
-                form,
+            &Event::HostList {
+                kind: form,
                 entries: vec![lost],
             },
         );
@@ -685,11 +703,16 @@
         };
         desk.zones.heard(at(n * 10), &event);
         if n % 100 == 0 {
-            let form = ListForm::Changes;
+            let form = HostListKind::Delta;
             let host = HostId(100_000 + n);
             let entries = vec![entry(host, HostState::Gone, None)];
-            desk.zones
-                .heard(at(n * 10), &Event::Hosts { form, entries });
+            desk.zones.heard(
+                at(n * 10),
+                &Event::HostList {
+                    kind: form,
+                    entries,
+                },
+            );
             desk.zones.advance(at(n * 10));
         }
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -117,8 +117,8 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Hosts {
-        form: ListForm,
+    HostList {
+        kind: HostListKind,
         entries: Vec<HostEntry>,
     },
     Arrived(Arrival),
@@ -157,9 +157,9 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
-    Whole,
-    Changes,
+pub enum HostListKind {
+    Full,
+    Delta,
     /// Asking for the list failed; the old one holds.
     Failed,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -190,7 +190,10 @@
     pub fn take(&mut self, now: Timestamp, event: Event) {
         self.crossings.heard(now, &event);
         match event {
-            Event::Hosts { form, entries } => self.list(now, form, entries),
+            Event::HostList {
+                kind: form,
+                entries,
+            } => self.list(now, form, entries),
             Event::Arrived(arrival) => self.arrive(now, arrival),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
             Event::Begun { id, hand_off } => {
@@ -261,11 +264,14 @@
         binding.all(|purge| purge.stamp.is_none_or(|stamp| minted > stamp))
     }
 
-    fn list(&mut self, now: Timestamp, form: ListForm, entries: Vec<HostEntry>) {
-        if form == ListForm::Failed && self.terms.host_list_on_request {
+    fn list(&mut self, now: Timestamp, form: HostListKind, entries: Vec<HostEntry>) {
+        if form == HostListKind::Failed && self.terms.host_list_on_request {
             self.actions.push(Action::FollowList);
         }
-        let all = self.hosts.values_mut().filter(|_| form == ListForm::Whole);
+        let all = self
+            .hosts
+            .values_mut()
+            .filter(|_| form == HostListKind::Full);
         all.for_each(|host| host.list_as(now, HostState::Gone));
         let mean = self.mean_send();
         let (all, own) = (f64::from(self.terms.dispatchers.max(1)), seats(&self.terms));
@@ -363,7 +369,7 @@
         (self.link_told, self.probe_at) = (0.0, now);
         self.terms = terms;
         let entries = self.hosts.values().map(|host| host.entry).collect();
-        self.list(now, ListForm::Changes, entries);
+        self.list(now, HostListKind::Delta, entries);
     }
 
     /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -154,15 +154,15 @@
     };
     let told_at = (START + TimeSpan::from_secs_f64(late)).max(now);
     let list = entries(case, now, now >= told_at);
-    let form = ListForm::Whole;
+    let form = HostListKind::Full;
     // Before it is told, the host is not on its list.
     let entries = list
         .into_iter()
         .filter(|e| e.host != COLD || now >= told_at);
     dispatcher.take(
         now,
-        Event::Hosts {
-            form,
+        Event::HostList {
+            kind: form,
             entries: entries.collect(),
         },
     );
@@ -230,8 +230,11 @@
             }
             let mut events = Vec::new();
             if was < process.told_at && now >= process.told_at {
-                let (form, entries) = (ListForm::Whole, entries(case, now, true));
-                events.push(Event::Hosts { form, entries });
+                let (form, entries) = (HostListKind::Full, entries(case, now, true));
+                events.push(Event::HostList {
+                    kind: form,
+                    entries,
+                });
                 if case.planted {
                     outside.takes(now, 1.0, &terms);
                 }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -58,8 +58,14 @@
         let now = Timestamp(1_000_000_000);
         let hosts = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
         let entries = hosts.map(|&host| entry(host)).collect();
-        let form = ListForm::Whole;
-        dispatcher.take(now, Event::Hosts { form, entries });
+        let form = HostListKind::Full;
+        dispatcher.take(
+            now,
+            Event::HostList {
+                kind: form,
+                entries,
+            },
+        );
         dispatcher.settle(now);
         Desk {
             gate,
@@ -220,9 +226,14 @@
         state: HostState::Gone,
         ..entry(host)
     });
-    let (form, entries) = (ListForm::Changes, entries.to_vec());
-    desk.dispatcher
-        .take(desk.now, Event::Hosts { form, entries });
+    let (form, entries) = (HostListKind::Delta, entries.to_vec());
+    desk.dispatcher.take(
+        desk.now,
+        Event::HostList {
+            kind: form,
+            entries,
+        },
+    );
     let (_, actions) = desk.arrive(READS, 5);
     let way = desk
         .gate
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -135,12 +135,15 @@
             next: 0,
         };
         let all = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
-        stage.list(ListForm::Whole, all.map(|&host| entry(host)).collect());
+        stage.list(HostListKind::Full, all.map(|&host| entry(host)).collect());
         stage
     }
 
-    pub fn list(&mut self, form: ListForm, entries: Vec<HostEntry>) {
-        self.event(Event::Hosts { form, entries });
+    pub fn list(&mut self, form: HostListKind, entries: Vec<HostEntry>) {
+        self.event(Event::HostList {
+            kind: form,
+            entries,
+        });
     }
 
     pub fn event(&mut self, event: Event) {
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -39,8 +39,14 @@
         .chain(&PARENTS)
         .chain([&ORIGIN])
         .map(|&host| entry(host));
-    let (form, entries) = (ListForm::Whole, entries.collect());
-    dispatcher.take(START, Event::Hosts { form, entries });
+    let (form, entries) = (HostListKind::Full, entries.collect());
+    dispatcher.take(
+        START,
+        Event::HostList {
+            kind: form,
+            entries,
+        },
+    );
     dispatcher.take(
         START,
         Event::Arrived(Arrival {
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -386,7 +386,7 @@
 #[test]
 fn where_every_cache_is_lost_accesses_go_straight_to_their_parent() {
     let mut stage = Stage::new(terms());
-    stage.list(ListForm::Whole, vec![entry(PARENTS[0]), entry(ORIGIN)]);
+    stage.list(HostListKind::Full, vec![entry(PARENTS[0]), entry(ORIGIN)]);
     let id = stage.arrive(READS, 3);
     assert_eq!(stage.last(id).host, PARENTS[0]);
     assert_eq!(stage.source(id), ORIGIN);
@@ -503,7 +503,7 @@
     let rest = open_by_slow_fills(&mut stage);
     let started = Some(stage.now - TimeSpan::from_secs(20));
     stage.list(
-        ListForm::Changes,
+        HostListKind::Delta,
         vec![HostEntry {
             started,
             stamp: started,
@@ -558,7 +558,7 @@
         allows_direct: straight,
         ..terms()
     });
-    stage.list(ListForm::Whole, vec![entry(PARENTS[0]), entry(ORIGIN)]);
+    stage.list(HostListKind::Full, vec![entry(PARENTS[0]), entry(ORIGIN)]);
     let id = stage.arrive(READS, 3);
     assert!(stage.rejected(id));
     let soon = |span: TimeSpan| span <= TimeSpan::from_secs(1);
@@ -640,7 +640,7 @@
         ..entry(host)
     };
     stage.list(
-        ListForm::Changes,
+        HostListKind::Delta,
         vec![draining(CACHES[0]), draining(PARENTS[0])],
     );
     for object in 0..30 {
@@ -654,7 +654,7 @@
 fn a_host_that_vanishes_from_a_whole_list_is_gone() {
     let mut stage = Stage::new(terms());
     let left = [CACHES[1], CACHES[2], PARENTS[1], ORIGIN];
-    stage.list(ListForm::Whole, left.map(entry).to_vec());
+    stage.list(HostListKind::Full, left.map(entry).to_vec());
     for object in 0..30 {
         let id = stage.play(object, Ending::Done, Note::Hit, ms(5));
         assert!(left.contains(&stage.last(id).host) && left.contains(&stage.source(id)));
@@ -670,7 +670,7 @@
         stamp: started,
         ..entry(host)
     });
-    stage.list(ListForm::Changes, cold.to_vec());
+    stage.list(HostListKind::Delta, cold.to_vec());
     let (mut at_cache, mut at_parent) = (0.0, 0.0);
     for object in 0..400 {
         let id = stage.arrive_part(READS, object, 0, Some(100.0));
@@ -730,7 +730,7 @@
     for seed in 0..200 {
         let mut stage = Stage::seeded(one_of_many(), seed);
         let cold = large_cold_parent(stage.now);
-        stage.list(ListForm::Changes, vec![cold]);
+        stage.list(HostListKind::Delta, vec![cold]);
         let before = seconds;
         for object in seed * 100..seed * 100 + 40 {
             let id = stage.arrive_part(READS, object, 0, Some(200.0));
@@ -755,7 +755,7 @@
         kind: KindId(0),
         ..entry(HostId(host))
     });
-    stage.list(ListForm::Changes, others.collect());
+    stage.list(HostListKind::Delta, others.collect());
     let mut out = vec![];
     for object in 0..200 {
         out.push(stage.arrive(READS, object));
@@ -778,7 +778,7 @@
         stamp: started,
         ..entry(host)
     });
-    stage.list(ListForm::Changes, struck.to_vec());
+    stage.list(HostListKind::Delta, struck.to_vec());
     let ids: Vec<_> = (0..300).map(|object| stage.arrive(READS, object)).collect();
     let sent = |id: &&RequestId| stage.count(**id) > 0;
     let (taken, left): (Vec<_>, Vec<_>) = ids.iter().partition(sent);
@@ -833,8 +833,8 @@
             state: HostState::Gone,
             ..fresh
         };
-        stage.list(ListForm::Changes, vec![fresh]);
-        stage.list(ListForm::Changes, vec![gone]);
+        stage.list(HostListKind::Delta, vec![fresh]);
+        stage.list(HostListKind::Delta, vec![gone]);
         stage.pass(ms(500));
     }
     assert!(stage.dispatcher.hosts_kept() <= listed + 125);
@@ -842,11 +842,11 @@
         state: HostState::Gone,
         ..entry(open)
     };
-    stage.list(ListForm::Changes, vec![gone]);
+    stage.list(HostListKind::Delta, vec![gone]);
     stage.pass(TimeSpan::from_secs(100));
-    stage.list(ListForm::Changes, Vec::new());
+    stage.list(HostListKind::Delta, Vec::new());
     stage.answer(id, Ending::Lost, Note::Untold, ms(10));
-    stage.list(ListForm::Changes, Vec::new());
+    stage.list(HostListKind::Delta, Vec::new());
     assert_eq!(stage.dispatcher.hosts_kept(), listed - 1);
 }
 
@@ -862,7 +862,7 @@
         state: HostState::Gone,
         ..entry(host)
     });
-    stage.list(ListForm::Changes, gone.collect());
+    stage.list(HostListKind::Delta, gone.collect());
     let opened = |stage: &mut Stage, from: u64, took: TimeSpan| {
         for object in from..from + 300 {
             if stage.logged.is_empty() {
@@ -1029,7 +1029,7 @@
         state: HostState::Draining,
         ..entry(CACHES[0])
     };
-    stage.list(ListForm::Changes, vec![drains]);
+    stage.list(HostListKind::Delta, vec![drains]);
     stage.event(Event::Purged {
         object: Some(ObjectId(5)),
         group: GroupId(0),
@@ -1073,7 +1073,7 @@
     };
     let mut stage = Stage::new(one_of_many());
     let cold = CACHES.map(|host| started(&stage, host)).to_vec();
-    stage.list(ListForm::Changes, cold);
+    stage.list(HostListKind::Delta, cold);
     stage.pass(TimeSpan::from_secs(2));
     let first = burst(&mut stage);
     assert!(first > 0, "something is let through");
@@ -1090,7 +1090,7 @@
     let mut stage = Stage::seeded(one_of_many(), seed);
     let cold = large_cold_parent(stage.now);
     stage.dispatcher.divide(stage.now, None, among);
-    stage.list(ListForm::Changes, vec![cold]);
+    stage.list(HostListKind::Delta, vec![cold]);
     let mut seconds = 0.0;
     for object in seed * 100..seed * 100 + 40 {
         let id = stage.arrive_part(READS, object, 0, Some(200.0));
@@ -1124,7 +1124,7 @@
         stamp: Some(stage.now),
         ..entry(host)
     });
-    stage.list(ListForm::Changes, cold.to_vec());
+    stage.list(HostListKind::Delta, cold.to_vec());
     stage.pass(TimeSpan::from_secs(2));
     assert!(burst(&mut stage) > 0, "something is let through");
     for among in [2.0, 200.0, 1.0] {
