--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -100,7 +100,7 @@
             Event::Purged {
                 object: (object != 0).then_some(ObjectId(object)),
                 group: GroupId(f.u16()?.into()),
-                ago: TimeSpan(f.u32()?.into()),
+                age: TimeSpan(f.u32()?.into()),
                 stamp: None,
             }
         }
@@ -108,11 +108,11 @@
             let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
             f.host()?;
             f.u32()?;
-            Event::Begun { id, hand_off }
+            Event::ResponseStarted { id, hand_off }
         }
         1060 => arrival(f, seat.tracks)?,
         1080 => outcome(f, &seat.reports)?,
-        1090 => Event::Left {
+        1090 => Event::ClientGone {
             id: RequestId(f.u64()?),
         },
         1100 => Event::TimerFired {
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -562,12 +562,15 @@
                 self.limits.insert((limit, asked.id));
                 self.touched.insert(asked.id);
             }
-            Event::Begun { id, .. } | Event::Left { id } => self.close(id),
+            Event::ResponseStarted { id, .. } | Event::ClientGone { id } => self.close(id),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
             Event::TimerFired { .. } => self.armed = None,
-            Event::Probed { .. } | Event::Hinted { .. } => {}
+            Event::Probed { .. } | Event::PeerBreakerOpened { .. } => {}
             Event::Purged {
-                object, group, ago, ..
+                object,
+                group,
+                age: ago,
+                ..
             } => {
                 let forget = self.terms.purge_propagation.mul_f64(3.0);
                 self.purges.retain(|_, &mut at| now.since(at) < forget);
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -153,7 +153,7 @@
         if let Some(open) = self.open.remove(&id) {
             self.tally.lost += 1;
             self.wants.remove(&open.want);
-            self.tell(open.seat, Event::Left { id });
+            self.tell(open.seat, Event::ClientGone { id });
         }
     }
 }
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -35,7 +35,7 @@
                 Event::Purged {
                     object,
                     group,
-                    ago: self.now.since(at),
+                    age: self.now.since(at),
                     stamp: Some(at),
                 },
             );
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -51,7 +51,7 @@
                     Event::Purged {
                         object,
                         group,
-                        ago: now.since(at),
+                        age: now.since(at),
                         stamp: Some(at),
                     },
                 );
--- a/crates/trailproxyd/src/dispatch/clients.rs
+++ b/crates/trailproxyd/src/dispatch/clients.rs
@@ -48,7 +48,7 @@
         for (_, id) in self.calls_of(client) {
             if !self.recall(id) {
                 self.answer(now, id, Reply::Failed, "client_shut");
-                self.tell(now, Event::Left { id });
+                self.tell(now, Event::ClientGone { id });
                 self.forget(now, id);
             }
         }
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -28,7 +28,7 @@
         let purged = Event::Purged {
             object,
             group,
-            ago: self.state.stamps.least_age(now, stamp),
+            age: self.state.stamps.least_age(now, stamp),
             stamp: Some(stamp),
         };
         self.tell(now, purged);
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -77,7 +77,7 @@
             self.recall(id);
             self.trace_closed(id, "none", "client_left");
             self.close(id);
-            self.tell(now, Event::Left { id });
+            self.tell(now, Event::ClientGone { id });
             self.forget(now, id);
         }
     }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -169,7 +169,7 @@
                     self.waiting.due(Due::Tell(Event::Purged {
                         object,
                         group,
-                        ago: TimeSpan::ZERO,
+                        age: TimeSpan::ZERO,
                         stamp: Some(at),
                     }));
                 }
@@ -187,7 +187,9 @@
                         .due(Due::Restricted(host, Some((state, started))));
                 }
                 Action::Freed { host } => self.waiting.due(Due::Restricted(host, None)),
-                Action::Hinted { host } => self.waiting.due(Due::Tell(Event::Hinted { host })),
+                Action::Hinted { host } => self
+                    .waiting
+                    .due(Due::Tell(Event::PeerBreakerOpened { host })),
                 Action::Beside(from, of, bytes) => self.beside.push((from, of, bytes)),
                 Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.word()),
                 Action::Member(id, standing) => {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -342,11 +342,13 @@
                     self.waiting.due(Due::Tell(Event::Purged {
                         object,
                         group,
-                        ago,
+                        age: ago,
                         stamp: None,
                     }));
                 }
-                Act::Hinted { host } => self.waiting.due(Due::Tell(Event::Hinted { host })),
+                Act::Hinted { host } => self
+                    .waiting
+                    .due(Due::Tell(Event::PeerBreakerOpened { host })),
                 Act::Posted { from, bytes } => self.posted.push((from, bytes)),
                 Act::Turned { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
@@ -358,7 +360,10 @@
     pub fn heard(&mut self, now: Timestamp, event: &Event) {
         self.waiting.heard(event);
         if let Event::Purged {
-            object, group, ago, ..
+            object,
+            group,
+            age: ago,
+            ..
         } = event
         {
             self.sharing.purged(now, *object, *group, *ago);
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -442,19 +442,22 @@
                 entries,
             } => self.memory.list(now, *form, entries),
             Event::Purged {
-                object, group, ago, ..
+                object,
+                group,
+                age: ago,
+                ..
             } => self.memory.purged(now - *ago, *object, *group),
             Event::Outcome(outcome) => self.outcome(now, outcome),
-            Event::Left { id } => {
+            Event::ClientGone { id } => {
                 let all = (*id, AttemptNo(0))..=(*id, AttemptNo(u8::MAX));
                 self.flying
                     .range_mut(all)
                     .for_each(|(_, flying)| flying.left = true);
             }
             Event::Arrived(_)
-            | Event::Begun { .. }
+            | Event::ResponseStarted { .. }
             | Event::Probed { .. }
-            | Event::Hinted { .. }
+            | Event::PeerBreakerOpened { .. }
             | Event::TimerFired { .. } => {}
         }
     }
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -405,7 +405,7 @@
     let purge = Event::Purged {
         object: None,
         group: GroupId(2),
-        ago: TimeSpan::ZERO,
+        age: TimeSpan::ZERO,
         stamp: None,
     };
     desk.zones.heard(at(200), &purge);
@@ -451,7 +451,8 @@
     let mut desk = Desk::new(rules(Vec::new()), 1);
     let way = desk.way(VIDEO, 1, 100.0);
     desk.zones.sent(at(0), &way);
-    desk.zones.heard(at(10), &Event::Left { id: way.asked.id });
+    desk.zones
+        .heard(at(10), &Event::ClientGone { id: way.asked.id });
     desk.end(&way, 20, 20, Ending::Withdrawn, Note::Untold, None);
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
@@ -628,7 +629,7 @@
         let event = Event::Purged {
             object: None,
             group: GroupId((n % 8) as u32),
-            ago: TimeSpan::ZERO,
+            age: TimeSpan::ZERO,
             stamp: None,
         };
         desk.zones.heard(at(ms), &event);
@@ -698,7 +699,7 @@
         let event = Event::Purged {
             object: Some(ObjectId(n)),
             group: GroupId(0),
-            ago: TimeSpan::ZERO,
+            age: TimeSpan::ZERO,
             stamp: None,
         };
         desk.zones.heard(at(n * 10), &event);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -123,13 +123,13 @@
     },
     Arrived(Arrival),
     /// The answer of a streamed hand-off has begun: it belongs to the client now.
-    Begun {
+    ResponseStarted {
         id: RequestId,
         hand_off: AttemptNo,
     },
     Outcome(Outcome),
     /// The client left, or the final answer is overdue.
-    Left {
+    ClientGone {
         id: RequestId,
     },
     TimerFired {
@@ -142,7 +142,7 @@
         load: Load,
     },
     /// Another dispatcher's breaker opened for this host: the next outcome here is judged as a trial.
-    Hinted {
+    PeerBreakerOpened {
         host: HostId,
     },
     /// Every object of the group where no object is named.
@@ -150,7 +150,7 @@
         object: Option<ObjectId>,
         group: GroupId,
         /// How long ago at least, on the caller's clock.
-        ago: TimeSpan,
+        age: TimeSpan,
         /// When, as it was stamped by another machine's clock: copies are held against it by their own stamps.
         stamp: Option<Timestamp>,
     },
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -196,20 +196,20 @@
             } => self.list(now, form, entries),
             Event::Arrived(arrival) => self.arrive(now, arrival),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
-            Event::Begun { id, hand_off } => {
+            Event::ResponseStarted { id, hand_off } => {
                 let begun = self.try_mut(id, hand_off);
                 begun.into_iter().for_each(|t| t.withdrawn = true);
                 self.close(id);
             }
-            Event::Left { id } => self.close(id),
+            Event::ClientGone { id } => self.close(id),
             Event::Probed { host, ending, load } => self.probed(now, host, ending, load),
-            Event::Hinted { host } => (self.hosts.get_mut(&host).into_iter())
+            Event::PeerBreakerOpened { host } => (self.hosts.get_mut(&host).into_iter())
                 .for_each(|host| host.breaker.run = host.breaker.run.max(RUN_ACTS - 1)),
             Event::TimerFired { .. } => self.armed = self.armed.filter(|&at| at > now),
             Event::Purged {
                 object,
                 group,
-                ago,
+                age: ago,
                 stamp,
             } => self.purged(now, object, group, now - ago, stamp),
         }
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -123,7 +123,7 @@
         let host = PARENTS[0];
         let object = stage.objects_of(host, 1, 1)[0];
         if hinted {
-            stage.event(Event::Hinted { host });
+            stage.event(Event::PeerBreakerOpened { host });
         }
         assert!(!opened(&stage), "a hint opens nothing by itself");
         stage.play(object, Ending::Error, Note::SourceLost, ms(50));
@@ -136,7 +136,7 @@
     let mut stage = Stage::new(terms());
     let host = PARENTS[0];
     let objects = stage.objects_of(host, 1, 2);
-    stage.event(Event::Hinted { host });
+    stage.event(Event::PeerBreakerOpened { host });
     stage.play(objects[0], Ending::Done, Note::Filled, ms(50));
     stage.play(objects[1], Ending::Error, Note::SourceLost, ms(50));
     assert!(!opened(&stage), "{:?}", stage.logged);
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -531,7 +531,7 @@
 fn a_client_that_left_is_owed_nothing() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(READS, 3);
-    stage.event(Event::Left { id });
+    stage.event(Event::ClientGone { id });
     assert_eq!(stage.withdrawn, [id]);
     stage.answer(id, Ending::Error, Note::Untold, ms(30));
     stage.pass(TimeSpan::from_secs(5));
@@ -543,7 +543,7 @@
 fn a_stream_that_has_begun_is_left_alone() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(READS, 3);
-    stage.event(Event::Begun {
+    stage.event(Event::ResponseStarted {
         id,
         hand_off: AttemptNo(0),
     });
@@ -571,7 +571,7 @@
     let mut stage = Stage::new(terms());
     let id = stage.play(3, Ending::Done, Note::Hit, ms(20));
     stage.answer(id, Ending::TimedOut, Note::Untold, ms(30));
-    stage.event(Event::Left { id: RequestId(999) });
+    stage.event(Event::ClientGone { id: RequestId(999) });
     stage.event(Event::TimerFired { timer: TimerId(77) });
     assert!(stage.finals.is_empty());
 }
@@ -695,13 +695,13 @@
     stage.event(Event::Purged {
         object: Some(ObjectId(8)),
         group: GroupId(0),
-        ago,
+        age: ago,
         stamp: None,
     });
     stage.event(Event::Purged {
         object: None,
         group: GroupId(1),
-        ago: ms(500),
+        age: ms(500),
         stamp: None,
     });
     stage.pass(TimeSpan::from_secs(1));
@@ -810,7 +810,7 @@
     stage.event(Event::Purged {
         object,
         group,
-        ago,
+        age: ago,
         stamp: None,
     });
     let (purged, other) = (stage.arrive(READS, 5), stage.arrive(READS, 9));
@@ -925,7 +925,7 @@
         .filter(|&id| stage.count(id) > 0)
         .collect();
     for id in out {
-        stage.event(Event::Left { id });
+        stage.event(Event::ClientGone { id });
         stage.answer(id, Ending::Withdrawn, Note::Untold, ms(1));
     }
     taken
@@ -1033,7 +1033,7 @@
     stage.event(Event::Purged {
         object: Some(ObjectId(5)),
         group: GroupId(0),
-        ago: ms(100),
+        age: ms(100),
         stamp: None,
     });
     let open = stage.arrive(READS, 7);
