--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -162,7 +162,7 @@
         kind,
         started,
         stamp: started,
-        size,
+        capacity: size,
         state,
     })
 }
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -283,7 +283,7 @@
     fn cost(&self, now: Timestamp, host: &Host, work: TimeSpan) -> f64 {
         let cold = self.cold(host.role);
         let told = cold.overload_factor * cold.overload_window.as_secs_f64();
-        let limit = told * COLD_USE * self.warmth(now, host) * host.entry.size;
+        let limit = told * COLD_USE * self.warmth(now, host) * host.entry.capacity;
         work.as_secs_f64() * self.all(host.role) / limit.max(1e-9)
     }
 
@@ -335,7 +335,7 @@
                 let score = |host: &HostId| {
                     let x = crate::chance::mix(object.0 ^ (u64::from(part) << 52), host.0);
                     let even = ((x >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
-                    -even.ln() / self.hosts[host].entry.size.max(0.01)
+                    -even.ln() / self.hosts[host].entry.capacity.max(0.01)
                 };
                 all.sort_by(|a, b| score(a).total_cmp(&score(b)));
             }
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -403,7 +403,8 @@
             given.pop_front();
         }
         let sum: f64 = given.iter().map(|(_, work)| work).sum();
-        let most = cold.overload_factor * warmth * entry.size * cold.overload_window.as_secs_f64();
+        let most =
+            cold.overload_factor * warmth * entry.capacity * cold.overload_window.as_secs_f64();
         if sum > most.max(work) * self.bounds.cold_slack {
             given.clear();
             let text = format!(
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -61,7 +61,7 @@
         kind: KindId(0),
         started: None,
         stamp: None,
-        size: 4.0,
+        capacity: 4.0,
         state,
     }
 }
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -392,7 +392,7 @@
         kind: KindId(0),
         started,
         stamp: started,
-        size: 1.0,
+        capacity: 1.0,
         state,
     };
     for n in 0..3 {
@@ -432,7 +432,7 @@
         kind: KindId(0),
         started: None,
         stamp: None,
-        size: 1.0,
+        capacity: 1.0,
         state: HostState::Ready,
     };
     world.with_peers(4, |peers, _| {
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -372,7 +372,7 @@
         kind: KindId(1),
         started: None,
         stamp: None,
-        size: 1.0,
+        capacity: 1.0,
         state: HostState::Ready,
     };
     let now = world.now;
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -1277,7 +1277,7 @@
             kind: kind_of(self.shape.role),
             started: self.started,
             stamp: self.started,
-            size: self.shape.size,
+            capacity: self.shape.size,
             state,
         }
     }
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -465,7 +465,7 @@
         port.told,
         wire.zones[usize::from(entry.zone.0)],
         entry.cell.0,
-        entry.size,
+        entry.capacity,
     )
 }
 
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -119,7 +119,7 @@
         kind: kind.copied().unwrap_or(KindId(u8::MAX)),
         started: None,
         stamp: (started > 0).then(|| latest_of_ms(started)),
-        size: if size.is_finite() && size > 0.0 {
+        capacity: if size.is_finite() && size > 0.0 {
             size
         } else {
             1.0
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -97,7 +97,7 @@
         kind,
         started,
         stamp: started,
-        size: 8.0,
+        capacity: 8.0,
         state,
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -175,7 +175,7 @@
     /// The same as the list stamped it, by another machine's clock: it tells two processes of one host apart, and is
     /// compared with no time.
     pub stamp: Option<Timestamp>,
-    pub size: f64,
+    pub capacity: f64,
     pub state: HostState,
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -292,7 +292,7 @@
                 heard: Timestamp::default(),
                 slowness: (1.0, Timestamp::default()),
                 out: 0,
-                size: entry.size,
+                size: entry.capacity,
                 busy: None,
                 done: 0.0,
                 left: now,
@@ -304,7 +304,7 @@
             (host.cold, host.dispatchers) = (cold, dispatchers);
             let first = (FIRST_SIZES[role as usize] * FIRST_COUNTS, FIRST_COUNTS);
             let learnt = *self.learnt.entry(entry.kind).or_insert(first);
-            let told = Some(entry.size).filter(|_| self.terms.capacities_reported);
+            let told = Some(entry.capacity).filter(|_| self.terms.capacities_reported);
             host.size = told.unwrap_or(learnt.0 / learnt.1);
             if before != Some(entry.stamp) {
                 // A fresh process: what its predecessor did is no fault of it. Each dispatcher begins
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -129,7 +129,7 @@
     let told = cold.overload_factor
         * cold.initial_capacity
         * cold.overload_window.as_secs_f64()
-        * entry(COLD).size;
+        * entry(COLD).capacity;
     told / case.bears
 }
 
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -87,7 +87,7 @@
         kind,
         started,
         stamp: started,
-        size,
+        capacity: size,
         state,
     }
 }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -719,7 +719,7 @@
     HostEntry {
         started,
         stamp: started,
-        size,
+        capacity: size,
         ..entry(PARENTS[0])
     }
 }
