--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -181,8 +181,8 @@
     let size_kb = (kbytes.is_finite() && kbytes > 0.0).then_some(kbytes);
     Ok(Event::Arrived(Arrival {
         id,
-        left,
-        track: ClassId(track),
+        time_left: left,
+        class: ClassId(track),
         object,
         group,
         part,
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -151,7 +151,7 @@
 }
 
 struct Request {
-    asked: Arrival,
+    arrival: Arrival,
     limit: Timestamp,
     tries: Vec<Try>,
     failed: BTreeSet<HostId>,
@@ -237,12 +237,12 @@
     }
 
     fn track(&self, access: &Request) -> &ClassSettings {
-        &self.terms.classes[usize::from(access.asked.track.0)]
+        &self.terms.classes[usize::from(access.arrival.class.0)]
     }
 
     fn send_time(&self, access: &Request) -> TimeSpan {
         let kb = access
-            .asked
+            .arrival
             .size_kb
             .unwrap_or(self.terms.stream_kb_per_s * 0.05);
         TimeSpan::from_secs_f64(kb / self.terms.stream_kb_per_s)
@@ -321,9 +321,9 @@
             .filter(|&host| self.usable(now, access, host))
             .collect();
         let (object, part) = (
-            access.asked.object,
+            access.arrival.object,
             if role == Role::Cache {
-                access.asked.part
+                access.arrival.part
             } else {
                 0
             },
@@ -404,7 +404,7 @@
     fn send(&mut self, now: Timestamp, id: RequestId, host: HostId, source: HostId, written: bool) {
         let access = &self.accesses[&id];
         let track = self.track(access);
-        let (object, group) = (access.asked.object, access.asked.group);
+        let (object, group) = (access.arrival.object, access.arrival.group);
         let keys = [(GroupId::default(), Some(object)), (group, None)];
         let since = keys
             .iter()
@@ -547,12 +547,12 @@
                 entries,
             } => self.list(now, form, entries),
             Event::Arrived(asked) => {
-                let limit = now + asked.left;
+                let limit = now + asked.time_left;
                 let (tries, failed) = (Vec::new(), BTreeSet::new());
                 self.accesses.insert(
                     asked.id,
                     Request {
-                        asked,
+                        arrival: asked,
                         limit,
                         tries,
                         failed,
--- a/crates/lab/src/model/clients.rs
+++ b/crates/lab/src/model/clients.rs
@@ -81,8 +81,8 @@
         let (object, group, part) = (wish.object, wish.group, wish.part);
         let arrival = Arrival {
             id,
-            left: limit.since(now),
-            track: wish.track,
+            time_left: limit.since(now),
+            class: wish.track,
             object,
             group,
             part,
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -42,14 +42,14 @@
         let limit = self.clock.moment(call.come) + call.left;
         let arrival = Arrival {
             id,
-            left: limit.since(now),
-            track: call.track,
+            time_left: limit.since(now),
+            class: call.track,
             object: call.object,
             group: call.group,
             part: call.part,
             size_kb: call.size_kb,
         };
-        self.pools.shared.trace.taken(&call, arrival.left);
+        self.pools.shared.trace.taken(&call, arrival.time_left);
         self.state.limits.insert((limit, id));
         self.state.calls.insert(call.id, id);
         let keyed = self.effects[usize::from(call.track.0)] != Effect::Idempotent;
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -13,7 +13,7 @@
     pub(super) fn go(&mut self, now: Timestamp, mut arrival: Arrival) {
         let request = self.state.requests.get(&arrival.id);
         if let Some(request) = request.filter(|request| !request.closed) {
-            arrival.left = request.limit.since(now);
+            arrival.time_left = request.limit.since(now);
             self.tell(now, Event::Arrived(arrival));
         }
     }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -51,7 +51,7 @@
     /// A request with a key comes: it waits for the others for as long as that may take.
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
-        let key = self.folding.key(arrival.track, mark);
+        let key = self.folding.key(arrival.class, mark);
         self.peers.come(now, arrival.id, key, due);
         self.act();
     }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -258,7 +258,7 @@
     /// A request comes: one with a key waits for the store for as long as that may take.
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
-        let key = self.folding.key(arrival.track, mark);
+        let key = self.folding.key(arrival.class, mark);
         self.sharing.come(now, arrival.id, key, due);
         self.act();
     }
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -39,7 +39,7 @@
     /// One is held back; when it is due.
     pub fn hold(&mut self, now: Timestamp, arrival: Arrival) -> Timestamp {
         self.held.insert(arrival.id, arrival);
-        now + self.dues[usize::from(arrival.track.0)].min(arrival.left)
+        now + self.dues[usize::from(arrival.class.0)].min(arrival.time_left)
     }
 
     pub fn forget(&mut self, id: RequestId) {
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -155,10 +155,10 @@
     }
 
     pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<TimeSpan>) -> Why {
-        let Some(seen) = self.seen((crossing.asked.object, crossing.asked.part)) else {
+        let Some(seen) = self.seen((crossing.arrival.object, crossing.arrival.part)) else {
             return Why::of(Cause::First);
         };
-        let (object, group) = (crossing.asked.object, crossing.asked.group);
+        let (object, group) = (crossing.arrival.object, crossing.arrival.group);
         let own = self.purges.get(&(GroupId::default(), Some(object)));
         let whole = self.purges.get(&(group, None));
         let since = |purge: &&Timestamp| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -249,7 +249,7 @@
                     learner.refused();
                 }
             }
-            let class = self.class(crossing.asked.track);
+            let class = self.class(crossing.arrival.class);
             for budget in &mut self.budgets {
                 if Zones::concerns(&budget.limit, &crossing) {
                     budget.demanded(now, class, kb);
@@ -295,7 +295,7 @@
             self.watches.entry(way).or_default().add(Part {
                 kb,
                 cause: why.cause,
-                object: crossing.asked.object,
+                object: crossing.arrival.object,
                 lost: why.lost,
                 purge: why.purge,
             });
@@ -303,7 +303,7 @@
     }
 
     fn why(&self, now: Timestamp, crossing: &Crossing) -> Why {
-        let track = &self.tracks[usize::from(crossing.asked.track.0)];
+        let track = &self.tracks[usize::from(crossing.arrival.class.0)];
         if track.written {
             return Why::of(Cause::Written);
         }
@@ -316,7 +316,7 @@
     /// KB that this is expected to move: what it may, by how often its like did.
     fn expected(&self, crossing: &Crossing, why: Why) -> f64 {
         let joined = self.joins(crossing);
-        let likely = self.crossed[usize::from(crossing.asked.track.0)][why.cause as usize];
+        let likely = self.crossed[usize::from(crossing.arrival.class.0)][why.cause as usize];
         // What was told falsely small is corrected when it has come; nothing is free.
         let kb = if crossing.kb.is_finite() {
             crossing.kb.max(0.0)
@@ -328,7 +328,11 @@
 
     /// Whether an own fill of the same part at the same cache is under way, which this one then joins.
     fn joins(&self, crossing: &Crossing) -> bool {
-        let way = (crossing.host, crossing.asked.object, crossing.asked.part);
+        let way = (
+            crossing.host,
+            crossing.arrival.object,
+            crossing.arrival.part,
+        );
         crossing.join && self.memory.filling(way)
     }
 
@@ -374,7 +378,7 @@
         for &(nth, from) in &flying.charged {
             self.budgets[nth].correct(from, kb - flying.expected);
         }
-        let (track, cause) = (usize::from(crossing.asked.track.0), flying.why.cause);
+        let (track, cause) = (usize::from(crossing.arrival.class.0), flying.why.cause);
         if certain && done && !flying.joined {
             let share = &mut self.crossed[track][cause as usize];
             let now = if kb > 0.0 { 1.0 } else { 0.0 };
@@ -383,7 +387,11 @@
         let filled = done && kb > 0.0;
         // The watch saw what was expected when it went out.
         self.watch(&crossing, kb - flying.expected, flying.why);
-        let way = (crossing.host, crossing.asked.object, crossing.asked.part);
+        let way = (
+            crossing.host,
+            crossing.arrival.object,
+            crossing.arrival.part,
+        );
         // A hit where a refill was expected says that another dispatcher's came first.
         let anew = filled || matches!(cause, Cause::Purge | Cause::HostLost);
         self.memory
@@ -399,7 +407,7 @@
             from: crossing.from,
             to: crossing.to,
             tier: self.memory.tier(crossing.source),
-            track: crossing.asked.track,
+            track: crossing.arrival.class,
             cause: if wasted { Cause::Waste } else { cause },
         };
         let moved = Moved {
@@ -468,7 +476,7 @@
         }
         let why = self.why(now, crossing);
         let kb = self.expected(crossing, why);
-        let class = self.class(crossing.asked.track);
+        let class = self.class(crossing.arrival.class);
         let concerned = self
             .budgets
             .iter()
@@ -480,11 +488,13 @@
                 fits = false;
             }
         }
-        if !fits && self.last_refused.replace(Some(crossing.asked.id)) != Some(crossing.asked.id) {
+        if !fits
+            && self.last_refused.replace(Some(crossing.arrival.id)) != Some(crossing.arrival.id)
+        {
             if let Some(sum) = self
                 .turned_away
                 .borrow_mut()
-                .get_mut(usize::from(crossing.asked.track.0))
+                .get_mut(usize::from(crossing.arrival.class.0))
             {
                 *sum = (sum.0 + 1, sum.1 + kb);
             }
@@ -500,7 +510,7 @@
         let why = self.why(now, crossing);
         let joined = self.joins(crossing);
         let expected = self.expected(crossing, why);
-        let class = self.class(crossing.asked.track);
+        let class = self.class(crossing.arrival.class);
         let mut charged = Vec::new();
         for nth in 0..self.budgets.len() {
             let budget = &mut self.budgets[nth];
@@ -514,7 +524,11 @@
             }
         }
         if why.cause != Cause::Written && why.cause != Cause::Straight {
-            let way = (crossing.host, crossing.asked.object, crossing.asked.part);
+            let way = (
+                crossing.host,
+                crossing.arrival.object,
+                crossing.arrival.part,
+            );
             self.memory.sent(now, way, !joined);
         }
         let flying = Flying {
@@ -528,7 +542,7 @@
         };
         self.watch(crossing, expected, why);
         self.flying
-            .insert((crossing.asked.id, crossing.hand_off), flying);
+            .insert((crossing.arrival.id, crossing.hand_off), flying);
     }
 
     fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -130,8 +130,8 @@
         self.next += 1;
         let asked = Arrival {
             id: RequestId(self.next),
-            left: TimeSpan::from_secs(3),
-            track,
+            time_left: TimeSpan::from_secs(3),
+            class: track,
             object: ObjectId(object),
             group: GroupId((object % 8) as u32),
             part: 0,
@@ -139,7 +139,7 @@
         };
         let source = if track == ORDER { ORIGIN } else { PARENT };
         Crossing {
-            asked,
+            arrival: asked,
             hand_off: AttemptNo(0),
             host: CACHES[(object % 2) as usize],
             source,
@@ -160,7 +160,7 @@
         came_kb: Option<f64>,
     ) {
         let outcome = Outcome {
-            id: way.asked.id,
+            id: way.arrival.id,
             hand_off: way.hand_off,
             ending,
             took: TimeSpan::from_millis(took),
@@ -452,7 +452,7 @@
     let way = desk.way(VIDEO, 1, 100.0);
     desk.zones.sent(at(0), &way);
     desk.zones
-        .heard(at(10), &Event::ClientGone { id: way.asked.id });
+        .heard(at(10), &Event::ClientGone { id: way.arrival.id });
     desk.end(&way, 20, 20, Ending::Withdrawn, Note::Untold, None);
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
@@ -651,7 +651,7 @@
     );
     let large = rise(|desk, ms, n| {
         let mut way = desk.way(VIDEO, 900_001, 400.0);
-        way.asked.part = n as u32;
+        way.arrival.part = n as u32;
         desk.zones.sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(400.0));
     });
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -190,8 +190,8 @@
 pub struct Arrival {
     pub id: RequestId,
     /// How long the client will wait.
-    pub left: TimeSpan,
-    pub track: ClassId,
+    pub time_left: TimeSpan,
+    pub class: ClassId,
     pub object: ObjectId,
     pub group: GroupId,
     pub part: u32,
@@ -330,7 +330,7 @@
 /// One hand-off on its way between zones, as [`Crossings`] is asked about it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crossing {
-    pub asked: Arrival,
+    pub arrival: Arrival,
     pub hand_off: AttemptNo,
     pub host: HostId,
     /// What fills the host; the host itself where that is in another zone and asked straight.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -57,7 +57,7 @@
 }
 
 struct Request {
-    asked: Arrival,
+    arrival: Arrival,
     send: f64, // predicted sending time alone, in seconds
     due: Timestamp,
     limit: Timestamp,
@@ -239,7 +239,7 @@
 
     /// The purges of an object and of its group that still bind.
     fn purges_of(&self, now: Timestamp, access: &Request) -> impl Iterator<Item = &Purge> {
-        let (object, group) = (access.asked.object, access.asked.group);
+        let (object, group) = (access.arrival.object, access.arrival.group);
         let keys = [(GroupId::default(), Some(object)), (group, None)];
         let forget = self.forgets_purges_after();
         let known = keys.into_iter().filter_map(|key| self.purges.get(&key));
@@ -399,14 +399,14 @@
     }
 
     fn arrive(&mut self, now: Timestamp, asked: Arrival) {
-        let track = &self.terms.classes[usize::from(asked.track.0)];
+        let track = &self.terms.classes[usize::from(asked.class.0)];
         let told = asked.size_kb.map(|kb| kb / self.terms.stream_kb_per_s);
-        let (sum, n) = &mut self.sending[usize::from(asked.track.0)];
+        let (sum, n) = &mut self.sending[usize::from(asked.class.0)];
         (*sum, *n) = told.map_or((*sum, *n), |send| (*sum + send, *n + 1.0));
         let send = told.unwrap_or(*sum / *n);
-        let limit = now + asked.left;
+        let limit = now + asked.time_left;
         let access = Request {
-            asked,
+            arrival: asked,
             send,
             due: limit
                 .min(now + track.target + TimeSpan::from_secs_f64(send * track.target_stretch)),
@@ -415,13 +415,13 @@
             lacking: false,
             ended: false,
         };
-        self.touched.insert(access.asked.id);
-        self.accesses.insert(access.asked.id, access);
+        self.touched.insert(access.arrival.id);
+        self.accesses.insert(access.arrival.id, access);
     }
 
     /// What a hand-off is charged with: caches count the mean of a track, others the access itself.
     fn work(&self, access: &Request) -> f64 {
-        let (sum, n) = self.sending[usize::from(access.asked.track.0)];
+        let (sum, n) = self.sending[usize::from(access.arrival.class.0)];
         access.send.max(sum / n)
     }
 
@@ -439,7 +439,7 @@
     }
 
     fn track(&self, access: &Request) -> &ClassSettings {
-        &self.terms.classes[usize::from(access.asked.track.0)]
+        &self.terms.classes[usize::from(access.arrival.class.0)]
     }
 
     fn try_mut(&mut self, id: RequestId, no: AttemptNo) -> Option<&mut Try> {
@@ -487,7 +487,7 @@
         use {Ending::*, Verdict::*};
         let (ending, took) = (outcome.ending, outcome.took);
         let access = &self.accesses[&outcome.id];
-        let (send, size_kb) = (access.send, access.asked.size_kb);
+        let (send, size_kb) = (access.send, access.arrival.size_kb);
         let Plan { host, source, .. } = attempt.plan;
         let own = host == source;
         let answered = matches!(ending, Done | Error | Full | Missed);
@@ -505,7 +505,7 @@
             host.done += send * f64::from(u8::from(ending == Done));
             let at_full_pace = host.busy.is_some_and(|(busy, _)| busy < AT_EASE);
             if hit && of_cache && size_kb.is_none() && at_full_pace {
-                let (sum, n) = &mut self.sending[usize::from(access.asked.track.0)];
+                let (sum, n) = &mut self.sending[usize::from(access.arrival.class.0)];
                 (*sum, *n) = (*sum + took.as_secs_f64(), *n + 1.0);
             }
             if hit && of_cache {
@@ -708,12 +708,12 @@
     fn in_hash_order(&self, access: &Request, role: Role) -> Vec<HostId> {
         // Parts spread over caches, or a long object crowds one; its fills still meet at one parent.
         let (hosts, part) = match role {
-            Role::Cache => (&self.caches, access.asked.part),
+            Role::Cache => (&self.caches, access.arrival.part),
             _ => (&self.parents, 0),
         };
         let score = |id: &HostId| {
             let size = Some(self.hosts[id].size).filter(|_| self.terms.capacities_reported);
-            let spread = point(access.asked.object, part, *id, 1);
+            let spread = point(access.arrival.object, part, *id, 1);
             (-spread.max(1e-12).ln() / size.unwrap_or(1.0).max(0.01), *id)
         };
         let mut order: Vec<_> = hosts.iter().map(score).collect();
@@ -729,7 +729,7 @@
             Role::Origin => host.breaker.share().powf(access.send / self.mean_send()),
             _ => host.breaker.share().min(host.warmth(now)),
         };
-        let within = point(access.asked.object, access.asked.part, id, 2) < share;
+        let within = point(access.arrival.object, access.arrival.part, id, 2) < share;
         let failed = host.role != Role::Origin && access.failed_at(id);
         !failed && (within || host.breaker.wants_trial(now))
     }
@@ -818,8 +818,8 @@
         caches.retain(|id| self.has_budget(now, *id, self.work(access)));
         let stretch = |id: &HostId| self.stretch(now, &self.hosts[id]);
         let slow = |id: &HostId| stretch(id) * self.hosts[id].slowness(now);
-        let margin = access.asked.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
-        let told = self.terms.capacities_reported && access.asked.size_kb.is_some();
+        let margin = access.arrival.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
+        let told = self.terms.capacities_reported && access.arrival.size_kb.is_some();
         let takes = |id: &HostId| TimeSpan::from_secs_f64(access.send * stretch(id) * margin) + HOP;
         let timely = |id: &HostId| self.track(access).is_write || now + takes(id) <= access.due;
         let near = |id: &HostId| slow(id) <= SPILL_AT && (!told || timely(id));
@@ -840,7 +840,7 @@
             sent: t.sent,
             out: t.out,
         });
-        let others = self.crossings.earlier(access.asked.id);
+        let others = self.crossings.earlier(access.arrival.id);
         let others = others.map(|earlier| EarlierAttempt {
             place: earlier.place,
             sent: earlier.first,
@@ -870,10 +870,10 @@
         // What another zone's host fills for itself crosses no more than its answer does.
         let straight = at != own;
         let (source, from) = if straight { (host, at) } else { (source, fill) };
-        let (asked, hand_off) = (access.asked, AttemptNo(access.tries.len() as u8));
+        let (asked, hand_off) = (access.arrival, AttemptNo(access.tries.len() as u8));
         let usual = access.send * self.terms.stream_kb_per_s;
         (from != own).then(|| Crossing {
-            asked,
+            arrival: asked,
             hand_off,
             host,
             source,
@@ -919,7 +919,10 @@
         if self.seen.len() >= SEEN {
             self.seen.clear();
         }
-        let seen = !written && !self.seen.insert((access.asked.object, access.asked.part));
+        let seen = !written
+            && !self
+                .seen
+                .insert((access.arrival.object, access.arrival.part));
         let way = self.crossing(access, plan);
         let (track, host) = (self.track(access), &self.hosts[&plan.host]);
         let (own, of_cache) = (plan.host == plan.source, host.role == Role::Cache);
@@ -992,7 +995,7 @@
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
         let ran = ran || self.crossings.earlier(id).is_some();
         let harmless = permits::may_refuse(self.track(access).effect, ran);
-        let track = access.asked.track;
+        let track = access.arrival.class;
         let come_back = self.come_back(now, track);
         self.actions.push(match harmless {
             true => Action::Refuse { id, come_back, why },
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -281,8 +281,8 @@
                 large_ones[0] += f64::from(u8::from(large));
                 events.push(Event::Arrived(Arrival {
                     id: RequestId(next_id),
-                    left: TimeSpan::from_secs(60),
-                    track: READS,
+                    time_left: TimeSpan::from_secs(60),
+                    class: READS,
                     object: ObjectId(chance.u64(..)),
                     group: GroupId(0),
                     part: 0,
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -80,8 +80,8 @@
         let id = RequestId(self.next);
         let arrival = Arrival {
             id,
-            left: TimeSpan::from_secs(3),
-            track,
+            time_left: TimeSpan::from_secs(3),
+            class: track,
             object: ObjectId(object),
             group: GroupId(1),
             part: 0,
@@ -126,7 +126,7 @@
     let [way] = notes.sent[..] else {
         panic!("{:?}", notes.sent);
     };
-    assert_eq!((way.asked.id, way.hand_off), (id, AttemptNo(0)));
+    assert_eq!((way.arrival.id, way.hand_off), (id, AttemptNo(0)));
     assert_eq!((way.from, way.to, way.kb), (ZoneId(0), ZoneId(1), 40.0));
     assert_eq!(
         (way.host, Some(way.source)),
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -204,8 +204,8 @@
         let left = TimeSpan::from_secs(3);
         self.event(Event::Arrived(Arrival {
             id,
-            left,
-            track,
+            time_left: left,
+            class: track,
             object,
             group,
             part,
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -51,8 +51,8 @@
         START,
         Event::Arrived(Arrival {
             id: RequestId(1),
-            left: TimeSpan::from_secs(3),
-            track: CHANGES,
+            time_left: TimeSpan::from_secs(3),
+            class: CHANGES,
             object: ObjectId(7),
             group: GroupId(0),
             part: 0,
