--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -216,13 +216,13 @@
         id,
         hand_off,
         ending,
-        took,
-        closed,
+        elapsed: took,
+        request_closed: closed,
         note,
-        waited,
+        first_byte_latency: waited,
         load,
-        proven: true,
-        came_kb: None,
+        client_proven: true,
+        received_kb: None,
     }))
 }
 
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -532,7 +532,7 @@
         if let Some(access) = self.accesses.get_mut(&id) {
             access.failed.extend(bad);
         }
-        if outcome.closed {
+        if outcome.request_closed {
             self.close(id);
         }
         self.touched.insert(id);
--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -126,17 +126,17 @@
             id,
             hand_off: out.no,
             ending: answer.ending,
-            took: now.since(out.sent),
-            closed,
+            elapsed: now.since(out.sent),
+            request_closed: closed,
             note: told(notes, answer.note),
-            waited: answer.waited.filter(|_| notes == NoteLevel::All),
+            first_byte_latency: answer.waited.filter(|_| notes == NoteLevel::All),
             load: Load {
                 link_full: Some(answer.link_full)
                     .filter(|_| self.scenario.terms.link_load_reported),
                 ..Load::default()
             },
-            proven: true,
-            came_kb: None,
+            client_proven: true,
+            received_kb: None,
         };
         self.tell(out.seat, Event::Outcome(outcome));
     }
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -163,13 +163,13 @@
                 id: id.request,
                 hand_off: id.no,
                 ending,
-                took,
-                closed,
+                elapsed: took,
+                request_closed: closed,
                 note: answer.note,
-                waited: answer.waited,
+                first_byte_latency: answer.waited,
                 load,
-                proven,
-                came_kb,
+                client_proven: proven,
+                received_kb: came_kb,
             }),
         );
         self.forget(now, id.request);
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -349,7 +349,7 @@
     /// What came of a hand-off that might cross: KB that crossed, as far as it is told or can be inferred.
     fn came(&self, outcome: &Outcome, flying: &Flying) -> (f64, bool) {
         let told = flying.crossing.kb.max(0.0);
-        let kb = outcome.came_kb.unwrap_or(told);
+        let kb = outcome.received_kb.unwrap_or(told);
         let sure = flying.why.cause == Cause::Straight;
         let alone = TimeSpan::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
         match (outcome.ending, outcome.note) {
@@ -361,7 +361,7 @@
             (Ending::Done, _) if flying.joined => (0.0, false),
             // Where hits are told, what is not one was filled.
             (Ending::Done, _) if self.notes != NoteLevel::None => (kb, true),
-            (Ending::Done, _) => (if outcome.took > alone { kb } else { 0.0 }, false),
+            (Ending::Done, _) => (if outcome.elapsed > alone { kb } else { 0.0 }, false),
             // It may go on behind: what was expected of it stays booked.
             (Ending::Lost | Ending::TimedOut | Ending::Withdrawn, _) => (flying.expected, false),
             _ => (0.0, false),
@@ -401,7 +401,7 @@
         }
         let wasted = !done || flying.left;
         let begun = outcome
-            .waited
+            .first_byte_latency
             .map_or(flying.sent, |waited| flying.sent + waited);
         let key = Key {
             from: crossing.from,
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -163,13 +163,13 @@
             id: way.arrival.id,
             hand_off: way.hand_off,
             ending,
-            took: TimeSpan::from_millis(took),
-            closed: ending == Ending::Done,
+            elapsed: TimeSpan::from_millis(took),
+            request_closed: ending == Ending::Done,
             note,
-            waited: None,
+            first_byte_latency: None,
             load: Load::default(),
-            proven: true,
-            came_kb,
+            client_proven: true,
+            received_kb: came_kb,
         };
         self.zones.heard(at(ms), &Event::Outcome(outcome));
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -203,17 +203,17 @@
     pub id: RequestId,
     pub hand_off: AttemptNo,
     pub ending: Ending,
-    pub took: TimeSpan,
+    pub elapsed: TimeSpan,
     /// The access needs no final answer any more.
-    pub closed: bool,
+    pub request_closed: bool,
     pub note: Note,
     /// Time to the first byte from the source, or to the fill's failure, where it is told.
-    pub waited: Option<TimeSpan>,
+    pub first_byte_latency: Option<TimeSpan>,
     pub load: Load,
     /// Whether anything was done for its client before, so that its accesses are known to make sense.
-    pub proven: bool,
+    pub client_proven: bool,
     /// What came of the object, in KB of 1,024 bytes, where it is told.
-    pub came_kb: Option<f64>,
+    pub received_kb: Option<f64>,
 }
 
 /// What a host tells of its load: late, with noise, and nothing where it does not tell.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -477,7 +477,7 @@
         let lacks = ending == Ending::Missed && (attempt.held_only || own);
         (self.accesses.get_mut(&id).into_iter()).for_each(|access| access.lacking |= lacks);
         self.touched.insert(id);
-        if outcome.closed {
+        if outcome.request_closed {
             self.close(id);
         }
     }
@@ -485,7 +485,7 @@
     /// Tells cache, parent and origin faults apart, by the note or by who else was heard since.
     fn learn(&mut self, now: Timestamp, outcome: &Outcome, attempt: &Try) {
         use {Ending::*, Verdict::*};
-        let (ending, took) = (outcome.ending, outcome.took);
+        let (ending, took) = (outcome.ending, outcome.elapsed);
         let access = &self.accesses[&outcome.id];
         let (send, size_kb) = (access.send, access.arrival.size_kb);
         let Plan { host, source, .. } = attempt.plan;
@@ -495,7 +495,9 @@
         let filled = size_kb.is_none() || took > TimeSpan::from_secs_f64(send) + HOP;
         let per = |span: TimeSpan| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
         let per_byte = per(took);
-        let latency = outcome.waited.map_or(per_byte, |waited| waited.0 as f64);
+        let latency = outcome
+            .first_byte_latency
+            .map_or(per_byte, |waited| waited.0 as f64);
         let alone = TimeSpan::from_secs_f64(send * self.stretch(now, &self.hosts[&host])) + HOP;
         let of_cache = self.hosts[&host].role == Role::Cache;
         self.at_caches.add(now, if of_cache { -1.0 } else { 0.0 });
@@ -532,7 +534,7 @@
         let (bad, vague, crowded) = (Some(Bad), Some(Vague), Some(Crowded));
         let alive = good(None).filter(|_| answered);
         let (of_host, of_source, of_origin) = match (ending, outcome.note) {
-            (Error | Lost, _) if !outcome.proven => (None, None, None),
+            (Error | Lost, _) if !outcome.client_proven => (None, None, None),
             (Done, Note::Filled) => (alive, good(Some(latency)), None),
             (Done, Note::FilledByOrigin) if attempt.blamed => (alive, good(None), vague),
             (Done, Note::FilledByOrigin) => (alive, good(None), good(Some(latency))),
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -249,13 +249,13 @@
                     id,
                     hand_off,
                     ending,
-                    took,
-                    closed: true,
+                    elapsed: took,
+                    request_closed: true,
                     note,
-                    waited: None,
+                    first_byte_latency: None,
                     load: Load::default(),
-                    proven: true,
-                    came_kb: None,
+                    client_proven: true,
+                    received_kb: None,
                 }));
             }
             let since = now.since(START).as_secs_f64();
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -97,13 +97,13 @@
             id,
             hand_off: AttemptNo(no),
             ending,
-            took: ms(10),
-            closed: ending == Ending::Done,
+            elapsed: ms(10),
+            request_closed: ending == Ending::Done,
             note,
-            waited: None,
+            first_byte_latency: None,
             load: Load::default(),
-            proven: true,
-            came_kb: None,
+            client_proven: true,
+            received_kb: None,
         };
         self.dispatcher.take(self.now, Event::Outcome(outcome));
         self.dispatcher.settle(self.now)
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -223,13 +223,13 @@
             id,
             hand_off,
             ending,
-            took,
-            closed,
+            elapsed: took,
+            request_closed: closed,
             note,
-            waited,
+            first_byte_latency: waited,
             load: self.load,
-            proven: self.proven,
-            came_kb: None,
+            client_proven: self.proven,
+            received_kb: None,
         }));
     }
 
