--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -131,7 +131,7 @@
             note: told(notes, answer.note),
             first_byte_latency: answer.waited.filter(|_| notes == NoteLevel::All),
             load: Load {
-                link_full: Some(answer.link_full)
+                link_utilization: Some(answer.link_full)
                     .filter(|_| self.scenario.terms.link_load_reported),
                 ..Load::default()
             },
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -56,8 +56,8 @@
     pub fn load(&self, values: &[f64]) -> Load {
         let at = |at: Option<usize>| values.get(at?).copied().filter(|value| *value >= 0.0);
         Load {
-            busy: at(self.busy_at),
-            link_full: at(self.link_full_at),
+            utilization: at(self.busy_at),
+            link_utilization: at(self.link_full_at),
         }
     }
 }
--- a/crates/terms/tests/forms.rs
+++ b/crates/terms/tests/forms.rs
@@ -113,15 +113,18 @@
     let (terms, reports) = read("pull", true);
     assert!(terms.probes_enabled && terms.link_load_reported && !terms.capacities_reported);
     let load = reports.load(&[3.0, 0.5, 1.25, 0.7]);
-    assert_eq!((load.busy, load.link_full), (Some(0.5), Some(1.25)));
     assert_eq!(
-        reports.load(&[3.0, -1.0]).busy,
+        (load.utilization, load.link_utilization),
+        (Some(0.5), Some(1.25))
+    );
+    assert_eq!(
+        reports.load(&[3.0, -1.0]).utilization,
         None,
         "no share is below zero"
     );
     let (terms, reports) = read("pull", false);
     assert!(!terms.probes_enabled && !terms.link_load_reported);
-    assert_eq!(reports.load(&[3.0, 0.5, 1.25, 0.7]).busy, None);
+    assert_eq!(reports.load(&[3.0, 0.5, 1.25, 0.7]).utilization, None);
     let (terms, _) = read("piggyback", true);
     assert!(!terms.probes_enabled && terms.link_load_reported);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -220,9 +220,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// The share of what it can send that is in use.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// How full the link of a cache's zone is: transfers over those that fit.
-    pub link_full: Option<f64>,
+    pub link_utilization: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -334,9 +334,9 @@
         let Some(host) = self.hosts.get_mut(&id).filter(answered) else {
             return;
         };
-        let told = load.link_full.filter(|_| host.role == Role::Cache);
+        let told = load.link_utilization.filter(|_| host.role == Role::Cache);
         self.link_told = told.unwrap_or(self.link_told);
-        let Some(busy) = load.busy else { return };
+        let Some(busy) = load.utilization else { return };
         let done = std::mem::take(&mut host.done) * host.dispatchers;
         let usual = host.warmth(now) >= 1.0 && !host.sick();
         let before = host.busy.replace((busy, now)).filter(|_| usual);
@@ -519,7 +519,7 @@
         if ending == Done && attempt.missing > 0.0 && outcome.note != Note::Untold {
             self.missing += (f64::from(u8::from(!hit)) - self.missing) * MISSING_GAIN;
         }
-        let told = outcome.load.link_full.filter(|_| of_cache);
+        let told = outcome.load.link_utilization.filter(|_| of_cache);
         self.link_told = told.unwrap_or(self.link_told);
         if let Some(source) = self.hosts.get_mut(&source).filter(|_| of_cache && !own) {
             source.done += send * f64::from(u8::from(ending == Done && !hit));
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -464,7 +464,7 @@
 fn where_the_link_is_full_no_fill_is_asked_for() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(READS, 3);
-    stage.load.link_full = Some(24.0);
+    stage.load.link_utilization = Some(24.0);
     stage.answer(id, Ending::Done, Note::Hit, ms(10));
     let id = stage.arrive(READS, 4);
     assert_eq!(stage.source(id), stage.last(id).host);
@@ -889,7 +889,7 @@
 fn say_busy(stage: &mut Stage, host: HostId, busy: f64) {
     let (ending, busy) = (Ending::Done, Some(busy));
     let load = Load {
-        busy,
+        utilization: busy,
         ..Load::default()
     };
     stage.event(Event::Probed { host, ending, load });
