--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -238,10 +238,10 @@
         2 => Ending::Full,
         3 => Ending::TimedOut,
         4 => Ending::NoConnection,
-        5 => Ending::Lost,
-        6 => Ending::Withdrawn,
+        5 => Ending::ConnectionLost,
+        6 => Ending::Cancelled,
         7 => Ending::NotSent,
-        8 => Ending::Missed,
+        8 => Ending::Miss,
         other => return Err(format!("unknown outcome {other}").into()),
     })
 }
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -508,7 +508,7 @@
             .into_iter()
             .for_each(|host| host.out = host.out.saturating_sub(1));
         let bad = match outcome.ending {
-            Ending::Done | Ending::Missed | Ending::Withdrawn | Ending::NotSent => None,
+            Ending::Done | Ending::Miss | Ending::Cancelled | Ending::NotSent => None,
             Ending::Error if host != source => Some(source),
             _ => Some(host),
         };
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -170,8 +170,8 @@
             let cause = match open.last {
                 None => Cause::Unsent,
                 Some(Ending::Full) => Cause::Full,
-                Some(Ending::Missed) => Cause::Missed,
-                Some(Ending::Withdrawn | Ending::TimedOut) => Cause::TimedOut,
+                Some(Ending::Miss) => Cause::Missed,
+                Some(Ending::Cancelled | Ending::TimedOut) => Cause::TimedOut,
                 Some(_) => Cause::Failed,
             };
             *self.tally.causes.entry(cause).or_default() += 1;
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -21,7 +21,7 @@
                 self.fleet.withdraw(now, ticket);
                 let none = Answer {
                     ticket,
-                    ending: Ending::Withdrawn,
+                    ending: Ending::Cancelled,
                     note: Note::Untold,
                     waited: None,
                     minted: None,
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -516,10 +516,10 @@
             && self.now < ills.garbage.1
             && self.chance.random_bool(ills.garbage.0)
         {
-            ending = Ending::Lost;
+            ending = Ending::ConnectionLost;
         }
         let minted = job.minted.filter(|_| ending == Ending::Done);
-        let note = if matches!(ending, Ending::Lost | Ending::NoConnection) {
+        let note = if matches!(ending, Ending::ConnectionLost | Ending::NoConnection) {
             Note::Untold
         } else {
             note
@@ -545,7 +545,7 @@
             return self.timer(ills.silent, Timer::JobComes(ticket));
         }
         if self.now < ills.resets.1 && self.chance.random_bool(ills.resets.0) {
-            return self.answer(ticket, Ending::Lost, Note::Untold);
+            return self.answer(ticket, Ending::ConnectionLost, Note::Untold);
         }
         if server.jobs.len() + server.serving.len() > server.shape.places {
             return self.answer(ticket, Ending::Full, Note::Untold);
@@ -564,7 +564,7 @@
             return self.hit(ticket, at, copy, pull);
         }
         let Some(fill) = pull.fill.filter(|fill| fill.source != pull.host) else {
-            return self.answer(ticket, Ending::Missed, Note::Untold);
+            return self.answer(ticket, Ending::Miss, Note::Untold);
         };
         let under_way = self.servers[at].fetching.get(&part).copied();
         let bound = fill.oldest.or(self.track(pull.track).fresh_for);
@@ -978,7 +978,7 @@
         };
         let ending = match note {
             Note::SourceRefused | Note::NoFillPlace => Ending::Full,
-            Note::SourceLacks => Ending::Missed,
+            Note::SourceLacks => Ending::Miss,
             _ => Ending::Error,
         };
         for waiter in fetch.waiters {
@@ -1067,7 +1067,7 @@
         let serving: Vec<FetchId> = server.serving.iter().copied().collect();
         let own: Vec<FetchId> = server.fetching.values().copied().collect();
         jobs.into_iter()
-            .for_each(|ticket| self.answer(ticket, Ending::Lost, Note::Untold));
+            .for_each(|ticket| self.answer(ticket, Ending::ConnectionLost, Note::Untold));
         own.into_iter().for_each(|id| {
             self.unfile(id);
         });
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -769,7 +769,7 @@
         );
         let word = match answer.ending {
             Ending::Done => "data",
-            Ending::Missed => "absent",
+            Ending::Miss => "absent",
             Ending::Full => "full",
             Ending::Error => "failed",
             _ => {
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -162,7 +162,7 @@
     let mut fleet = fleet(&[cue]);
     ask(&mut fleet, 0.0, pull(1, 5, 100.0), 1.0);
     let lost = ask(&mut fleet, 1.0, pull(2, 5, 100.0), 1.5);
-    assert_eq!(lost[0].ending, Ending::Lost);
+    assert_eq!(lost[0].ending, Ending::ConnectionLost);
     assert_eq!(
         ask(&mut fleet, 1.5, pull(3, 5, 100.0), 1.6)[0].ending,
         Ending::NoConnection
@@ -274,7 +274,7 @@
     };
     let mut fleet = fleet(&[cue]);
     let lost = ask(&mut fleet, 1.0, pull(1, 5, 500.0), 1.5);
-    assert_eq!(lost[0].ending, Ending::Lost);
+    assert_eq!(lost[0].ending, Ending::ConnectionLost);
     assert_eq!(
         ask(&mut fleet, 1.5, pull(2, 5, 10.0), 1.6)[0].ending,
         Ending::NoConnection
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -128,15 +128,15 @@
         attempt.line = line;
         let took = now.since(attempt.sent);
         match ending {
-            Ending::Lost => count(&self.counts.lost),
+            Ending::ConnectionLost => count(&self.counts.lost),
             Ending::NotSent => count(&self.counts.not_sent),
             Ending::NoConnection => count(&self.counts.no_connection),
-            Ending::Withdrawn => count(&self.counts.withdrawn),
+            Ending::Cancelled => count(&self.counts.withdrawn),
             Ending::TimedOut => count(&self.counts.timed_out),
             _ => {}
         }
         debug!(self.log, "ended"; "access" => id.request.0, "host" => format!("{:x}", attempt.host.0),
-            "ending" => ?ending, "note" => ?answer.note, "took" => took.0);
+            "ending" => crate::trace::ending_name(ending), "note" => ?answer.note, "took" => took.0);
         let came_kb = answer.body.as_ref();
         let came_kb = came_kb.map(|body| body.bytes().len() as f64 / 1024.0);
         if ending == Ending::Done {
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -141,7 +141,7 @@
             sleep(WORD_TRAVELS).await;
         }
         for (_, id) in std::mem::take(&mut self.withdrawn) {
-            self.end(id, Ending::Withdrawn);
+            self.end(id, Ending::Cancelled);
         }
         // What its host has not got whole, it has not begun.
         let not_whole = self.in_ring.take().filter(|_| !self.outgoing.is_empty());
@@ -149,14 +149,19 @@
             let clean = (not_whole.as_ref()).is_some_and(|kept| kept.id == sending.id);
             self.end(
                 sending.id,
-                if clean { Ending::NotSent } else { Ending::Lost },
+                if clean {
+                    Ending::NotSent
+                } else {
+                    Ending::ConnectionLost
+                },
             );
         }
         for packet in std::mem::take(&mut self.unsent) {
             self.drop_packet(packet);
         }
         if let Some(id) = self.probe.take() {
-            self.shared.probed(id, self.host, Ending::Lost, vec![]);
+            self.shared
+                .probed(id, self.host, Ending::ConnectionLost, vec![]);
         }
         while let Some(order) = next_now(&mut self.orders) {
             match order {
@@ -226,7 +231,7 @@
         self.write()?;
         let known = |at: &mut (Instant, AttemptId)| at.0 <= Instant::now();
         while let Some((_, id)) = self.withdrawn.pop_front_if(known) {
-            self.end(id, Ending::Withdrawn);
+            self.end(id, Ending::Cancelled);
         }
         let idle = self.open.is_empty()
             && self.unsent.is_empty()
@@ -498,7 +503,7 @@
                         .end(sending.id, self.host, Some(self.id), answer);
                 }
                 (Some(sending), _) => {
-                    self.end(sending.id, Ending::Lost);
+                    self.end(sending.id, Ending::ConnectionLost);
                     return self.bad("an answer makes no sense");
                 }
                 // It was given up before.
@@ -598,7 +603,7 @@
     let ending = match word {
         b"data" => Ending::Done,
         b"unchanged" if sending.may_be_same => Ending::Done,
-        b"absent" => Ending::Missed,
+        b"absent" => Ending::Miss,
         b"full" => Ending::Full,
         b"failed" => Ending::Error,
         b"moot" => Ending::NotSent,
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -11,6 +11,21 @@
 
 const VARIABLE: &str = "RELAY_TRACE";
 
+/// The name of an ending in log lines, which operators match.
+pub fn ending_name(ending: Ending) -> &'static str {
+    match ending {
+        Ending::Done => "Done",
+        Ending::Error => "Error",
+        Ending::Full => "Full",
+        Ending::TimedOut => "TimedOut",
+        Ending::NoConnection => "NoConnection",
+        Ending::ConnectionLost => "Lost",
+        Ending::Cancelled => "Withdrawn",
+        Ending::NotSent => "NotSent",
+        Ending::Miss => "Missed",
+    }
+}
+
 /// Where steps are told, if they are.
 #[derive(Clone)]
 pub struct Trace {
@@ -59,7 +74,7 @@
     pub fn ended(&self, call: &Call, id: AttemptId, ending: Ending, took: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.no.0,
-                "ending" => format!("{ending:?}"), "took_ms" => took.0 / 1000);
+                "ending" => ending_name(ending), "took_ms" => took.0 / 1000);
         }
     }
 
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -209,8 +209,11 @@
         let (host, object, part) = way;
         if let Some(known) = self.hosts.get_mut(&host) {
             match ending {
-                Ending::Done | Ending::Missed | Ending::Full => known.failing = None,
-                Ending::NoConnection | Ending::Lost | Ending::TimedOut | Ending::Withdrawn => {
+                Ending::Done | Ending::Miss | Ending::Full => known.failing = None,
+                Ending::NoConnection
+                | Ending::ConnectionLost
+                | Ending::TimedOut
+                | Ending::Cancelled => {
                     known.failing.get_or_insert(now);
                 }
                 Ending::Error | Ending::NotSent => {}
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -363,7 +363,9 @@
             (Ending::Done, _) if self.notes != NoteLevel::None => (kb, true),
             (Ending::Done, _) => (if outcome.elapsed > alone { kb } else { 0.0 }, false),
             // It may go on behind: what was expected of it stays booked.
-            (Ending::Lost | Ending::TimedOut | Ending::Withdrawn, _) => (flying.expected, false),
+            (Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled, _) => {
+                (flying.expected, false)
+            }
             _ => (0.0, false),
         }
     }
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -453,7 +453,7 @@
     desk.zones.sent(at(0), &way);
     desk.zones
         .heard(at(10), &Event::ClientGone { id: way.arrival.id });
-    desk.end(&way, 20, 20, Ending::Withdrawn, Note::Untold, None);
+    desk.end(&way, 20, 20, Ending::Cancelled, Note::Untold, None);
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -232,10 +232,10 @@
     Full,
     TimedOut,
     NoConnection,
-    Lost,
-    Withdrawn,
+    ConnectionLost,
+    Cancelled,
     NotSent,
-    Missed,
+    Miss,
 }
 
 impl Ending {
@@ -243,13 +243,13 @@
     ///
     /// ```
     /// use trailproxy::interface::Ending;
-    /// assert!(Ending::Full.never_ran() && Ending::Missed.never_ran());
-    /// assert!(!Ending::Lost.never_ran() && !Ending::Withdrawn.never_ran());
+    /// assert!(Ending::Full.never_ran() && Ending::Miss.never_ran());
+    /// assert!(!Ending::ConnectionLost.never_ran() && !Ending::Cancelled.never_ran());
     /// ```
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Ending::Full | Ending::NoConnection | Ending::NotSent | Ending::Missed
+            Ending::Full | Ending::NoConnection | Ending::NotSent | Ending::Miss
         )
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -471,10 +471,10 @@
         let own = attempt.plan.host == attempt.plan.source;
         attempt.out = false;
         attempt.may_have_run = !ending.never_ran();
-        attempt.failed = ending != Ending::Missed;
+        attempt.failed = ending != Ending::Miss;
         let attempt = *attempt;
         self.learn(now, outcome, &attempt);
-        let lacks = ending == Ending::Missed && (attempt.held_only || own);
+        let lacks = ending == Ending::Miss && (attempt.held_only || own);
         (self.accesses.get_mut(&id).into_iter()).for_each(|access| access.lacking |= lacks);
         self.touched.insert(id);
         if outcome.request_closed {
@@ -490,7 +490,7 @@
         let (send, size_kb) = (access.send, access.arrival.size_kb);
         let Plan { host, source, .. } = attempt.plan;
         let own = host == source;
-        let answered = matches!(ending, Done | Error | Full | Missed);
+        let answered = matches!(ending, Done | Error | Full | Miss);
         let hit = matches!(outcome.note, Note::Hit | Note::Stale);
         let filled = size_kb.is_none() || took > TimeSpan::from_secs_f64(send) + HOP;
         let per = |span: TimeSpan| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
@@ -534,7 +534,7 @@
         let (bad, vague, crowded) = (Some(Bad), Some(Vague), Some(Crowded));
         let alive = good(None).filter(|_| answered);
         let (of_host, of_source, of_origin) = match (ending, outcome.note) {
-            (Error | Lost, _) if !outcome.client_proven => (None, None, None),
+            (Error | ConnectionLost, _) if !outcome.client_proven => (None, None, None),
             (Done, Note::Filled) => (alive, good(Some(latency)), None),
             (Done, Note::FilledByOrigin) if attempt.blamed => (alive, good(None), vague),
             (Done, Note::FilledByOrigin) => (alive, good(None), good(Some(latency))),
@@ -550,7 +550,7 @@
             // Either may be at fault, or one drains before the list tells: who answers others ends its run.
             (Error, Note::Untold) if !own && untold => (vague, vague, None),
             (Full, Note::Untold) if !own => (vague, vague, None),
-            (Lost, _) => (vague, None, None),
+            (ConnectionLost, _) => (vague, None, None),
             (NoConnection, _) | (Error, Note::Untold) => (bad, None, None),
             _ => (alive, None, None),
         };
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -146,7 +146,7 @@
     let fill = stage.last(id).fill.expect("a plain look");
     assert_eq!(fill.source, stage.last(id).host, "no fill");
     assert_eq!(fill.oldest, Some(TimeSpan::from_secs(28)));
-    stage.answer(id, Ending::Missed, Note::Untold, ms(5));
+    stage.answer(id, Ending::Miss, Note::Untold, ms(5));
     assert!(stage.rejected(id));
 }
 
@@ -187,7 +187,7 @@
         stage.logged
     );
     assert!(held[..4].iter().all(|id| stage.withdrawn.contains(id)));
-    stage.answer(held[3], Ending::Withdrawn, Note::Untold, ms(400));
+    stage.answer(held[3], Ending::Cancelled, Note::Untold, ms(400));
     assert_ne!(stage.last(held[3]).host, silent);
 }
 
@@ -302,7 +302,7 @@
     let id = stage.arrive(READS, 3);
     let fill = stage.last(id).fill.expect("a plain look");
     assert!(fill.held_only && PARENTS.contains(&fill.source));
-    stage.answer(id, Ending::Missed, Note::SourceLacks, ms(10));
+    stage.answer(id, Ending::Miss, Note::SourceLacks, ms(10));
     assert!(stage.rejected(id));
     let written = stage.arrive(ORDERS, 4);
     assert!(stage.rejected(written));
@@ -315,7 +315,7 @@
     stage.pass(ms(10_100));
     let id = stage.arrive(READS, 3);
     if stage.last(id).host != ORIGIN {
-        stage.answer(id, Ending::Missed, Note::SourceLacks, ms(10));
+        stage.answer(id, Ending::Miss, Note::SourceLacks, ms(10));
     }
     let reached =
         |stage: &Stage| stage.last(id).host == ORIGIN || !stage.last(id).fill.unwrap().held_only;
@@ -411,7 +411,7 @@
     stage.proven = false;
     for object in 0..60 {
         let id = stage.arrive(READS, object);
-        let ending = [Ending::Error, Ending::Lost][object as usize % 2];
+        let ending = [Ending::Error, Ending::ConnectionLost][object as usize % 2];
         if stage.last(id).host == CACHES[0] {
             stage.answer(id, ending, Note::Untold, ms(2));
         }
@@ -428,7 +428,7 @@
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
             assert!(stage.logged.is_empty(), "after {lost}");
-            stage.answer(id, Ending::Lost, Note::Untold, ms(2));
+            stage.answer(id, Ending::ConnectionLost, Note::Untold, ms(2));
             lost += 1;
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
@@ -468,7 +468,7 @@
     stage.answer(id, Ending::Done, Note::Hit, ms(10));
     let id = stage.arrive(READS, 4);
     assert_eq!(stage.source(id), stage.last(id).host);
-    stage.answer(id, Ending::Missed, Note::Untold, ms(3));
+    stage.answer(id, Ending::Miss, Note::Untold, ms(3));
     assert!(stage.rejected(id), "the origin is no way out");
 }
 
@@ -580,9 +580,9 @@
 fn a_binding_access_that_may_have_run_is_neither_sent_again_nor_rejected() {
     for ending in [
         Ending::Error,
-        Ending::Lost,
+        Ending::ConnectionLost,
         Ending::TimedOut,
-        Ending::Withdrawn,
+        Ending::Cancelled,
     ] {
         let mut stage = Stage::new(terms());
         let id = stage.arrive(ORDERS, 3);
@@ -845,7 +845,7 @@
     stage.list(HostListKind::Delta, vec![gone]);
     stage.pass(TimeSpan::from_secs(100));
     stage.list(HostListKind::Delta, Vec::new());
-    stage.answer(id, Ending::Lost, Note::Untold, ms(10));
+    stage.answer(id, Ending::ConnectionLost, Note::Untold, ms(10));
     stage.list(HostListKind::Delta, Vec::new());
     assert_eq!(stage.dispatcher.hosts_kept(), listed - 1);
 }
@@ -926,7 +926,7 @@
         .collect();
     for id in out {
         stage.event(Event::ClientGone { id });
-        stage.answer(id, Ending::Withdrawn, Note::Untold, ms(1));
+        stage.answer(id, Ending::Cancelled, Note::Untold, ms(1));
     }
     taken
 }
@@ -970,7 +970,7 @@
         Ending::TimedOut,
         Ending::NoConnection,
         Ending::Error,
-        Ending::Lost,
+        Ending::ConnectionLost,
     ] {
         for _ in 0..20 {
             let (host, load) = (PARENTS[0], Load::default());
