--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -204,10 +204,10 @@
         5 => Note::Stale,
         6 => Note::SourceRefused,
         7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
+        8 => Note::SourceMiss,
+        9 => Note::NoFillSlot,
         10 => Note::OriginFailed,
-        _ => Note::Untold,
+        _ => Note::NotReported,
     };
     let waited = f.u32()?;
     let waited = (waited > 0).then_some(TimeSpan(waited.into()));
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -22,7 +22,7 @@
                 let none = Answer {
                     ticket,
                     ending: Ending::Cancelled,
-                    note: Note::Untold,
+                    note: Note::NotReported,
                     waited: None,
                     minted: None,
                     link_full: 0.0,
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -441,7 +441,7 @@
             return self.say(
                 pull.ticket,
                 Ending::NoConnection,
-                Note::Untold,
+                Note::NotReported,
                 None,
                 None,
                 0.0,
@@ -451,7 +451,7 @@
             pull,
             at,
             pending: 0,
-            note: Note::Untold,
+            note: Note::NotReported,
             waited: None,
             minted: None,
         };
@@ -520,7 +520,7 @@
         }
         let minted = job.minted.filter(|_| ending == Ending::Done);
         let note = if matches!(ending, Ending::ConnectionLost | Ending::NoConnection) {
-            Note::Untold
+            Note::NotReported
         } else {
             note
         };
@@ -538,17 +538,17 @@
         let (pull, at) = (job.pull, job.at);
         let server = &self.servers[at];
         if !server.up {
-            return self.answer(ticket, Ending::NoConnection, Note::Untold);
+            return self.answer(ticket, Ending::NoConnection, Note::NotReported);
         }
         let ills = server.ills;
         if self.now < ills.silent {
             return self.timer(ills.silent, Timer::JobComes(ticket));
         }
         if self.now < ills.resets.1 && self.chance.random_bool(ills.resets.0) {
-            return self.answer(ticket, Ending::ConnectionLost, Note::Untold);
+            return self.answer(ticket, Ending::ConnectionLost, Note::NotReported);
         }
         if server.jobs.len() + server.serving.len() > server.shape.places {
-            return self.answer(ticket, Ending::Full, Note::Untold);
+            return self.answer(ticket, Ending::Full, Note::NotReported);
         }
         let role = server.shape.role;
         if self.given(at, pull.kb) {
@@ -556,7 +556,7 @@
         }
         let written = self.track(pull.track).is_write;
         if role == Role::Origin {
-            return self.job_from(ticket, at, Note::Untold, self.now);
+            return self.job_from(ticket, at, Note::NotReported, self.now);
         }
         let part = (pull.object, pull.part);
         let (fits, held) = self.fit(at, part, pull.track, pull.fill.and_then(|fill| fill.oldest));
@@ -564,7 +564,7 @@
             return self.hit(ticket, at, copy, pull);
         }
         let Some(fill) = pull.fill.filter(|fill| fill.source != pull.host) else {
-            return self.answer(ticket, Ending::Miss, Note::Untold);
+            return self.answer(ticket, Ending::Miss, Note::NotReported);
         };
         let under_way = self.servers[at].fetching.get(&part).copied();
         let bound = fill.oldest.or(self.track(pull.track).fresh_for);
@@ -829,7 +829,7 @@
             .find(|s| s.shape.role == Role::Origin)
             .map(|s| s.shape.id);
         let Some(origin) = origin.filter(|_| !held_only) else {
-            return self.fetch_fails(id, Note::SourceLacks);
+            return self.fetch_fails(id, Note::SourceMiss);
         };
         let behind = self.servers[from].fetching.get(&part).copied();
         // What leaves no copy is never joined: each has its own effect.
@@ -843,7 +843,7 @@
                 )
             });
         match behind {
-            None => self.fetch_fails(id, Note::SourceLacks),
+            None => self.fetch_fails(id, Note::SourceMiss),
             Some(behind) => {
                 if let Some(fetch) = self.fetches.get_mut(&id) {
                     fetch.pending += 1;
@@ -977,8 +977,8 @@
             note => note,
         };
         let ending = match note {
-            Note::SourceRefused | Note::NoFillPlace => Ending::Full,
-            Note::SourceLacks => Ending::Miss,
+            Note::SourceRefused | Note::NoFillSlot => Ending::Full,
+            Note::SourceMiss => Ending::Miss,
             _ => Ending::Error,
         };
         for waiter in fetch.waiters {
@@ -1067,7 +1067,7 @@
         let serving: Vec<FetchId> = server.serving.iter().copied().collect();
         let own: Vec<FetchId> = server.fetching.values().copied().collect();
         jobs.into_iter()
-            .for_each(|ticket| self.answer(ticket, Ending::ConnectionLost, Note::Untold));
+            .for_each(|ticket| self.answer(ticket, Ending::ConnectionLost, Note::NotReported));
         own.into_iter().for_each(|id| {
             self.unfile(id);
         });
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -790,7 +790,7 @@
             );
         }
         let why = match told(self.wire.notes, answer.note) {
-            Note::Untold => "",
+            Note::NotReported => "",
             Note::Hit => "why=TCP_HIT",
             Note::Filled => "why=TCP_MISS",
             Note::FilledByOrigin => "why=TCP_MISS_ROOT",
@@ -798,8 +798,8 @@
             Note::Stale => "why=TCP_STALE",
             Note::SourceRefused => "why=PEER_DENY",
             Note::SourceLost => "why=PEER_DEAD",
-            Note::SourceLacks => "why=PEER_MISS",
-            Note::NoFillPlace => "why=FILL_FULL",
+            Note::SourceMiss => "why=PEER_MISS",
+            Note::NoFillSlot => "why=FILL_FULL",
             Note::OriginFailed => "why=ROOT_FAIL",
         };
         fields.push_str(why);
--- a/crates/standins/src/shape.rs
+++ b/crates/standins/src/shape.rs
@@ -147,6 +147,6 @@
     match level {
         NoteLevel::All => note,
         NoteLevel::Hits if hit || note == Note::Filled => note,
-        NoteLevel::Hits | NoteLevel::None => Note::Untold,
+        NoteLevel::Hits | NoteLevel::None => Note::NotReported,
     }
 }
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -136,7 +136,7 @@
             _ => {}
         }
         debug!(self.log, "ended"; "access" => id.request.0, "host" => format!("{:x}", attempt.host.0),
-            "ending" => crate::trace::ending_name(ending), "note" => ?answer.note, "took" => took.0);
+            "ending" => crate::trace::ending_name(ending), "note" => crate::trace::note_name(answer.note), "took" => took.0);
         let came_kb = answer.body.as_ref();
         let came_kb = came_kb.map(|body| body.bytes().len() as f64 / 1024.0);
         if ending == Ending::Done {
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -617,10 +617,10 @@
         Some("TCP_STALE") => Note::Stale,
         Some("PEER_DENY") => Note::SourceRefused,
         Some("PEER_DEAD") => Note::SourceLost,
-        Some("PEER_MISS") => Note::SourceLacks,
-        Some("FILL_FULL") => Note::NoFillPlace,
+        Some("PEER_MISS") => Note::SourceMiss,
+        Some("FILL_FULL") => Note::NoFillSlot,
         Some("ROOT_FAIL") => Note::OriginFailed,
-        _ => Note::Untold,
+        _ => Note::NotReported,
     };
     let waited = named("lag").and_then(|ms| ms.parse().ok());
     Some(Answer {
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -187,7 +187,7 @@
     pub fn bare(ending: Ending) -> Answer {
         Answer {
             ending,
-            note: Note::Untold,
+            note: Note::NotReported,
             waited: None,
             report: vec![],
             body: None,
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -6,11 +6,28 @@
 use crate::messages::{AttemptId, Call, ClientId, LineId};
 use slog::{Logger, info};
 use std::time::Duration;
-use trailproxy::interface::Ending;
+use trailproxy::interface::{Ending, Note};
 use trailproxy::units::{HostId, TimeSpan};
 
 const VARIABLE: &str = "RELAY_TRACE";
 
+/// The name of a note in log lines, which operators match.
+pub fn note_name(note: Note) -> &'static str {
+    match note {
+        Note::NotReported => "Untold",
+        Note::Hit => "Hit",
+        Note::Filled => "Filled",
+        Note::FilledByOrigin => "FilledByOrigin",
+        Note::Joined => "Joined",
+        Note::Stale => "Stale",
+        Note::SourceRefused => "SourceRefused",
+        Note::SourceLost => "SourceLost",
+        Note::SourceMiss => "SourceLacks",
+        Note::NoFillSlot => "NoFillPlace",
+        Note::OriginFailed => "OriginFailed",
+    }
+}
+
 /// The name of an ending in log lines, which operators match.
 pub fn ending_name(ending: Ending) -> &'static str {
     match ending {
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -424,7 +424,7 @@
     assert_eq!(desk.booked(Cause::HostLost), 10.0);
     let order = desk.way(ORDER, 9, 4.0);
     desk.zones.sent(at(400), &order);
-    desk.end(&order, 450, 50, Ending::Done, Note::Untold, None);
+    desk.end(&order, 450, 50, Ending::Done, Note::NotReported, None);
     assert_eq!(desk.booked(Cause::Written), 4.0);
     let straight = Crossing {
         host: PARENT,
@@ -453,7 +453,7 @@
     desk.zones.sent(at(0), &way);
     desk.zones
         .heard(at(10), &Event::ClientGone { id: way.arrival.id });
-    desk.end(&way, 20, 20, Ending::Cancelled, Note::Untold, None);
+    desk.end(&way, 20, 20, Ending::Cancelled, Note::NotReported, None);
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
 }
@@ -473,7 +473,7 @@
         let odd = desk.way(VIDEO, 2, kb);
         desk.zones.room(at(5_001), &odd);
         desk.zones.sent(at(5_001), &odd);
-        desk.end(&odd, 5_002, 1, Ending::Error, Note::Untold, None);
+        desk.end(&odd, 5_002, 1, Ending::Error, Note::NotReported, None);
     }
     assert!(desk.zones.budgets()[0].saved_kb().is_finite());
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -256,7 +256,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    Untold,
+    NotReported,
     Hit,
     Filled,
     FilledByOrigin,
@@ -265,9 +265,9 @@
     Stale,
     SourceRefused,
     SourceLost,
-    SourceLacks,
+    SourceMiss,
     /// The cache had no place for a fill.
-    NoFillPlace,
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -516,7 +516,7 @@
             }
         }
         self.fills.add(now, -attempt.missing);
-        if ending == Done && attempt.missing > 0.0 && outcome.note != Note::Untold {
+        if ending == Done && attempt.missing > 0.0 && outcome.note != Note::NotReported {
             self.missing += (f64::from(u8::from(!hit)) - self.missing) * MISSING_GAIN;
         }
         let told = outcome.load.link_utilization.filter(|_| of_cache);
@@ -545,13 +545,13 @@
             (Done, _) if own && attempt.blamed => (vague, None, None),
             // Within its prediction no hit is slow: how many times quicker others were is chance there.
             (Done, _) if own => (good(Some(per_byte.max(per(alone)))), None, None),
-            (Done, Note::Untold) if filled => (alive, good(size_kb.map(|_| latency)), None),
-            (Error, Note::Untold) if !own && self.origin_hides(attempt) => (alive, None, None),
+            (Done, Note::NotReported) if filled => (alive, good(size_kb.map(|_| latency)), None),
+            (Error, Note::NotReported) if !own && self.origin_hides(attempt) => (alive, None, None),
             // Either may be at fault, or one drains before the list tells: who answers others ends its run.
-            (Error, Note::Untold) if !own && untold => (vague, vague, None),
-            (Full, Note::Untold) if !own => (vague, vague, None),
+            (Error, Note::NotReported) if !own && untold => (vague, vague, None),
+            (Full, Note::NotReported) if !own => (vague, vague, None),
             (ConnectionLost, _) => (vague, None, None),
-            (NoConnection, _) | (Error, Note::Untold) => (bad, None, None),
+            (NoConnection, _) | (Error, Note::NotReported) => (bad, None, None),
             _ => (alive, None, None),
         };
         let origin = self.origin.filter(|_| of_origin.is_some());
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -178,7 +178,7 @@
         (notes.full, notes.away) = (true, Some(TimeSpan::from_secs(4)));
     }
     let (id, _) = desk.arrive(READS, 5);
-    let actions = desk.end(id, 0, Ending::Miss, Note::Untold);
+    let actions = desk.end(id, 0, Ending::Miss, Note::NotReported);
     let [
         Action::Refuse {
             come_back: Some(away),
@@ -200,7 +200,7 @@
     let (id, actions) = desk.arrive(ORDERS, 5);
     assert!(handed(&actions).is_some());
     desk.gate.0.borrow_mut().full = true;
-    desk.end(id, 0, Ending::ConnectionLost, Note::Untold);
+    desk.end(id, 0, Ending::ConnectionLost, Note::NotReported);
     // It is looked at again a little after the origin failed.
     desk.now = desk.now + ms(100);
     desk.dispatcher
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -140,13 +140,13 @@
             stage.answer(id, Ending::Done, Note::Hit, ms(20));
         }
         let id = stage.arrive(ORDERS, 1);
-        stage.answer(id, Ending::NoConnection, Note::Untold, ms(20));
+        stage.answer(id, Ending::NoConnection, Note::NotReported, ms(20));
     }
     let id = stage.arrive(READS, 77);
     let fill = stage.last(id).fill.expect("a plain look");
     assert_eq!(fill.source, stage.last(id).host, "no fill");
     assert_eq!(fill.oldest, Some(TimeSpan::from_secs(28)));
-    stage.answer(id, Ending::Miss, Note::Untold, ms(5));
+    stage.answer(id, Ending::Miss, Note::NotReported, ms(5));
     assert!(stage.rejected(id));
 }
 
@@ -187,7 +187,7 @@
         stage.logged
     );
     assert!(held[..4].iter().all(|id| stage.withdrawn.contains(id)));
-    stage.answer(held[3], Ending::Cancelled, Note::Untold, ms(400));
+    stage.answer(held[3], Ending::Cancelled, Note::NotReported, ms(400));
     assert_ne!(stage.last(held[3]).host, silent);
 }
 
@@ -228,7 +228,7 @@
     for object in 0..60 {
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
-            stage.answer(id, Ending::Full, Note::Untold, ms(2));
+            stage.answer(id, Ending::Full, Note::NotReported, ms(2));
             assert_ne!(stage.last(id).host, CACHES[0]);
             turned += 1;
         }
@@ -244,8 +244,8 @@
     for _ in 0..3 {
         let id = stage.arrive(ORDERS, 9);
         assert_eq!(stage.last(id).host, ORIGIN);
-        stage.answer(id, Ending::NoConnection, Note::Untold, ms(400));
-        stage.answer(id, Ending::NoConnection, Note::Untold, ms(400));
+        stage.answer(id, Ending::NoConnection, Note::NotReported, ms(400));
+        stage.answer(id, Ending::NoConnection, Note::NotReported, ms(400));
     }
 }
 
@@ -267,7 +267,7 @@
         let took = if i < 125 { ms(40) } else { ms(300) };
         let id = stage.arrive(ORDERS, 9);
         stage.pass(took);
-        stage.answer(id, Ending::Done, Note::Untold, took);
+        stage.answer(id, Ending::Done, Note::NotReported, took);
         stage.pass(ms(100));
     }
     assert!((20..80).contains(&may_reach_origin(&mut stage)));
@@ -302,7 +302,7 @@
     let id = stage.arrive(READS, 3);
     let fill = stage.last(id).fill.expect("a plain look");
     assert!(fill.held_only && PARENTS.contains(&fill.source));
-    stage.answer(id, Ending::Miss, Note::SourceLacks, ms(10));
+    stage.answer(id, Ending::Miss, Note::SourceMiss, ms(10));
     assert!(stage.rejected(id));
     let written = stage.arrive(ORDERS, 4);
     assert!(stage.rejected(written));
@@ -315,7 +315,7 @@
     stage.pass(ms(10_100));
     let id = stage.arrive(READS, 3);
     if stage.last(id).host != ORIGIN {
-        stage.answer(id, Ending::Miss, Note::SourceLacks, ms(10));
+        stage.answer(id, Ending::Miss, Note::SourceMiss, ms(10));
     }
     let reached =
         |stage: &Stage| stage.last(id).host == ORIGIN || !stage.last(id).fill.unwrap().held_only;
@@ -330,7 +330,7 @@
     let ids: Vec<_> = objects.iter().map(arrive).collect();
     break_origin(&mut stage);
     for id in ids {
-        stage.answer(id, Ending::Error, Note::Untold, ms(300));
+        stage.answer(id, Ending::Error, Note::NotReported, ms(300));
     }
     assert_eq!(stage.logged, ["Origin 1f breaker open"]);
 }
@@ -398,7 +398,7 @@
     for object in 0..40 {
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
-            stage.answer(id, Ending::Error, Note::Untold, ms(2));
+            stage.answer(id, Ending::Error, Note::NotReported, ms(2));
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
     }
@@ -413,7 +413,7 @@
         let id = stage.arrive(READS, object);
         let ending = [Ending::Error, Ending::ConnectionLost][object as usize % 2];
         if stage.last(id).host == CACHES[0] {
-            stage.answer(id, ending, Note::Untold, ms(2));
+            stage.answer(id, ending, Note::NotReported, ms(2));
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
     }
@@ -428,7 +428,7 @@
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
             assert!(stage.logged.is_empty(), "after {lost}");
-            stage.answer(id, Ending::ConnectionLost, Note::Untold, ms(2));
+            stage.answer(id, Ending::ConnectionLost, Note::NotReported, ms(2));
             lost += 1;
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
@@ -450,11 +450,11 @@
         let id = stage.arrive_part(READS, object, 0, None);
         let slow = stage.arrive_part(READS, object + 100, 0, None);
         stage.pass(ms(30));
-        stage.answer(id, Ending::Done, Note::Untold, ms(30));
+        stage.answer(id, Ending::Done, Note::NotReported, ms(30));
         stage.pass(ms(900));
-        stage.answer(slow, Ending::Done, Note::Untold, ms(930));
+        stage.answer(slow, Ending::Done, Note::NotReported, ms(930));
         for other in 200..212 {
-            stage.play(other, Ending::Done, Note::Untold, ms(2));
+            stage.play(other, Ending::Done, Note::NotReported, ms(2));
         }
     }
     assert!(stage.logged.is_empty(), "{:?}", stage.logged);
@@ -468,7 +468,7 @@
     stage.answer(id, Ending::Done, Note::Hit, ms(10));
     let id = stage.arrive(READS, 4);
     assert_eq!(stage.source(id), stage.last(id).host);
-    stage.answer(id, Ending::Miss, Note::Untold, ms(3));
+    stage.answer(id, Ending::Miss, Note::NotReported, ms(3));
     assert!(stage.rejected(id), "the origin is no way out");
 }
 
@@ -522,7 +522,7 @@
     assert!(!stage.finals.contains_key(&id));
     stage.pass(ms(1));
     assert!(stage.aborted(id));
-    stage.answer(id, Ending::TimedOut, Note::Untold, ms(3000));
+    stage.answer(id, Ending::TimedOut, Note::NotReported, ms(3000));
     stage.pass(TimeSpan::from_secs(5));
     assert_eq!((stage.finals[&id].len(), stage.count(id)), (1, 1));
 }
@@ -533,7 +533,7 @@
     let id = stage.arrive(READS, 3);
     stage.event(Event::ClientGone { id });
     assert_eq!(stage.withdrawn, [id]);
-    stage.answer(id, Ending::Error, Note::Untold, ms(30));
+    stage.answer(id, Ending::Error, Note::NotReported, ms(30));
     stage.pass(TimeSpan::from_secs(5));
     assert!(stage.finals.is_empty());
     assert_eq!(stage.count(id), 1);
@@ -570,7 +570,7 @@
 fn odd_events_are_passed_over() {
     let mut stage = Stage::new(terms());
     let id = stage.play(3, Ending::Done, Note::Hit, ms(20));
-    stage.answer(id, Ending::TimedOut, Note::Untold, ms(30));
+    stage.answer(id, Ending::TimedOut, Note::NotReported, ms(30));
     stage.event(Event::ClientGone { id: RequestId(999) });
     stage.event(Event::TimerFired { timer: TimerId(77) });
     assert!(stage.finals.is_empty());
@@ -586,7 +586,7 @@
     ] {
         let mut stage = Stage::new(terms());
         let id = stage.arrive(ORDERS, 3);
-        stage.answer(id, ending, Note::Untold, ms(50));
+        stage.answer(id, ending, Note::NotReported, ms(50));
         stage.pass(TimeSpan::from_secs(1));
         assert_eq!(stage.count(id), 1, "{ending:?}");
         assert!(stage.aborted(id), "{ending:?}");
@@ -597,7 +597,7 @@
 fn a_binding_access_that_never_ran_goes_out_again() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(ORDERS, 3);
-    stage.answer(id, Ending::Full, Note::Untold, ms(50));
+    stage.answer(id, Ending::Full, Note::NotReported, ms(50));
     assert_eq!(stage.count(id), 1, "not at once");
     stage.pass(ms(100));
     assert_eq!(stage.count(id), 2);
@@ -622,12 +622,12 @@
     };
     let mut stage = Stage::new(via_cache());
     let id = stage.arrive(CHANGES, 3);
-    stage.answer(id, Ending::Error, Note::Untold, ms(50));
+    stage.answer(id, Ending::Error, Note::NotReported, ms(50));
     assert_eq!(stage.count(id), 2, "within the window");
     let mut late = Stage::new(via_cache());
     let id = late.arrive(CHANGES, 3);
     late.pass(ms(2100));
-    late.answer(id, Ending::Error, Note::Untold, ms(2100));
+    late.answer(id, Ending::Error, Note::NotReported, ms(2100));
     assert_eq!(late.count(id), 1, "past the window");
     assert!(late.aborted(id), "no rejection beyond the group of all");
 }
@@ -845,7 +845,7 @@
     stage.list(HostListKind::Delta, vec![gone]);
     stage.pass(TimeSpan::from_secs(100));
     stage.list(HostListKind::Delta, Vec::new());
-    stage.answer(id, Ending::ConnectionLost, Note::Untold, ms(10));
+    stage.answer(id, Ending::ConnectionLost, Note::NotReported, ms(10));
     stage.list(HostListKind::Delta, Vec::new());
     assert_eq!(stage.dispatcher.hosts_kept(), listed - 1);
 }
@@ -926,7 +926,7 @@
         .collect();
     for id in out {
         stage.event(Event::ClientGone { id });
-        stage.answer(id, Ending::Cancelled, Note::Untold, ms(1));
+        stage.answer(id, Ending::Cancelled, Note::NotReported, ms(1));
     }
     taken
 }
