--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -263,14 +263,18 @@
                 reply.u32(fill.oldest.map_or(0, wire_span)).u8(how);
             }
         }
-        Action::Refuse { id, come_back, .. } => {
+        Action::Refuse {
+            id,
+            retry_after: come_back,
+            ..
+        } => {
             let come_back = come_back.map_or(0, wire_span);
             reply.record(1010, who).u64(id.0).u32(come_back);
         }
         Action::Fail { id, .. } => {
             reply.record(1020, who).u64(id.0);
         }
-        Action::Withdraw { id, hand_off } => {
+        Action::Cancel { id, hand_off } => {
             reply.record(1030, who).u64(id.0).u8(hand_off.0);
         }
         Action::SetTimer { at, timer: wake } => {
@@ -279,7 +283,7 @@
         Action::Probe { host } => {
             reply.record(1050, who).host(host.0);
         }
-        Action::FollowList => {
+        Action::RequestHostList => {
             reply.record(1100, who).u8(1);
         }
         Action::Log { text } => {
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -457,10 +457,14 @@
             .map(|longest| COME_BACK.min(longest));
         self.actions.push(if harmless {
             let why = GiveUpReason::NoHostInTime;
-            Action::Refuse { id, come_back, why }
+            Action::Refuse {
+                id,
+                retry_after: come_back,
+                reason: why,
+            }
         } else {
             let why = GiveUpReason::NoHostInTime;
-            Action::Fail { id, why }
+            Action::Fail { id, reason: why }
         });
         self.close(id);
     }
@@ -476,7 +480,7 @@
                 .filter(|(_, t)| may && t.out && !t.withdrawn)
             {
                 attempt.withdrawn = true;
-                self.actions.push(Action::Withdraw {
+                self.actions.push(Action::Cancel {
                     id,
                     hand_off: AttemptNo(no as u8),
                 });
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -122,7 +122,11 @@
         let (now, hop) = (self.now, self.scenario.hop);
         match action {
             Action::Attempt(hand_off) => self.hand_off(seat, hand_off),
-            Action::Refuse { id, come_back, .. } => {
+            Action::Refuse {
+                id,
+                retry_after: come_back,
+                ..
+            } => {
                 self.given_up(id);
                 self.file(now + hop, Ev::Final(id, Final::Rejected, come_back, None));
             }
@@ -130,7 +134,7 @@
                 self.given_up(id);
                 self.file(now + hop, Ev::Final(id, Final::Aborted, None, None));
             }
-            Action::Withdraw { id, hand_off } => {
+            Action::Cancel { id, hand_off } => {
                 let ticket = self
                     .open
                     .get(&id)
@@ -147,7 +151,7 @@
                 self.file(at.max(now), Ev::Wake(seat, life, wake));
             }
             // The model's hosts tell their load with answers; scenarios ask for no probes.
-            Action::FollowList | Action::Probe { .. } => {}
+            Action::RequestHostList | Action::Probe { .. } => {}
             Action::Log { text } => self.log(seat, &text),
         }
     }
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -605,9 +605,9 @@
     match reply {
         Reply::Served(body) => return done(body.bytes(), &[]),
         Reply::Same => return done(&[], &[("same", "1")]),
-        Reply::Refused { come_back: None } => failed(&mut head, "Throttled", &[]),
+        Reply::Refused { retry_after: None } => failed(&mut head, "Throttled", &[]),
         Reply::Refused {
-            come_back: Some(span),
+            retry_after: Some(span),
         } => {
             let ms = (span.0 / 1000).max(1).to_string();
             failed(&mut head, "Throttled", &[("cooldown", &ms)]);
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -17,11 +17,22 @@
         for action in self.decisions.settle(now) {
             match action {
                 Action::Attempt(attempt) => self.attempt(now, attempt),
-                Action::Refuse { id, come_back, why } => {
-                    self.given_up(now, id, Reply::Refused { come_back }, why);
+                Action::Refuse {
+                    id,
+                    retry_after: come_back,
+                    reason: why,
+                } => {
+                    self.given_up(
+                        now,
+                        id,
+                        Reply::Refused {
+                            retry_after: come_back,
+                        },
+                        why,
+                    );
                 }
-                Action::Fail { id, why } => self.given_up(now, id, Reply::Failed, why),
-                Action::Withdraw { id, hand_off: no } => {
+                Action::Fail { id, reason: why } => self.given_up(now, id, Reply::Failed, why),
+                Action::Cancel { id, hand_off: no } => {
                     self.pools.kill(AttemptId { request: id, no });
                 }
                 Action::SetTimer { at, timer: wake } => {
@@ -29,7 +40,7 @@
                 }
                 Action::Probe { host } => self.pools.probe(host),
                 // The list comes by itself.
-                Action::FollowList => {}
+                Action::RequestHostList => {}
                 Action::Log { text } => info!(self.log, "decided"; "what" => text),
             }
         }
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -30,7 +30,12 @@
             count(&self.counts.rejected);
             count(self.counts.given_up(GiveUpReason::TableFull));
             let come_back = self.decisions.come_back(now, call.track);
-            return self.reply(call.id, Reply::Refused { come_back });
+            return self.reply(
+                call.id,
+                Reply::Refused {
+                    retry_after: come_back,
+                },
+            );
         }
         if !self.state.references.insert(call.reference.clone()) {
             count(&self.counts.bad_clients);
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -90,7 +90,7 @@
     /// The copy that the client holds is the one that would be served.
     Same,
     Refused {
-        come_back: Option<TimeSpan>,
+        retry_after: Option<TimeSpan>,
     },
     Failed,
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -278,15 +278,15 @@
     /// Final: trying again is harmless.
     Refuse {
         id: RequestId,
-        come_back: Option<TimeSpan>,
-        why: GiveUpReason,
+        retry_after: Option<TimeSpan>,
+        reason: GiveUpReason,
     },
     /// Final: promises nothing.
     Fail {
         id: RequestId,
-        why: GiveUpReason,
+        reason: GiveUpReason,
     },
-    Withdraw {
+    Cancel {
         id: RequestId,
         hand_off: AttemptNo,
     },
@@ -294,7 +294,7 @@
         at: Timestamp,
         timer: TimerId,
     },
-    FollowList,
+    RequestHostList,
     /// Asks a host for its load.
     Probe {
         host: HostId,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -176,7 +176,11 @@
             learnt: BTreeMap::new(),
             probe_at: Timestamp::default(),
             probed: HostId::default(),
-            actions: Vec::from_iter(terms.host_list_on_request.then_some(Action::FollowList)),
+            actions: Vec::from_iter(
+                terms
+                    .host_list_on_request
+                    .then_some(Action::RequestHostList),
+            ),
             terms,
         }
     }
@@ -266,7 +270,7 @@
 
     fn list(&mut self, now: Timestamp, form: HostListKind, entries: Vec<HostEntry>) {
         if form == HostListKind::Failed && self.terms.host_list_on_request {
-            self.actions.push(Action::FollowList);
+            self.actions.push(Action::RequestHostList);
         }
         let all = self
             .hosts
@@ -459,7 +463,7 @@
         let free = |t: &&mut Try| may && t.out && !t.withdrawn;
         if let Some(attempt) = self.try_mut(id, hand_off).filter(free) {
             attempt.withdrawn = true;
-            self.actions.push(Action::Withdraw { id, hand_off });
+            self.actions.push(Action::Cancel { id, hand_off });
         }
     }
 
@@ -1000,8 +1004,12 @@
         let track = access.arrival.class;
         let come_back = self.come_back(now, track);
         self.actions.push(match harmless {
-            true => Action::Refuse { id, come_back, why },
-            false => Action::Fail { id, why },
+            true => Action::Refuse {
+                id,
+                retry_after: come_back,
+                reason: why,
+            },
+            false => Action::Fail { id, reason: why },
         });
         self.close(id);
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -181,7 +181,7 @@
     let actions = desk.end(id, 0, Ending::Miss, Note::NotReported);
     let [
         Action::Refuse {
-            come_back: Some(away),
+            retry_after: Some(away),
             ..
         },
     ] = actions[..]
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -164,11 +164,11 @@
                 Action::Refuse { id, .. } | Action::Fail { id, .. } => {
                     self.finals.entry(id).or_default().push(action);
                 }
-                Action::Withdraw { id, .. } => self.withdrawn.push(id),
+                Action::Cancel { id, .. } => self.withdrawn.push(id),
                 Action::SetTimer { at, .. } => self.wakes.push(at),
                 Action::Log { text } => self.logged.push(text),
                 Action::Probe { host } => self.probed.push((self.now, host)),
-                Action::FollowList => {}
+                Action::RequestHostList => {}
             }
         }
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -563,7 +563,7 @@
     assert!(stage.rejected(id));
     let soon = |span: TimeSpan| span <= TimeSpan::from_secs(1);
     let answer = &stage.finals[&id][0];
-    assert!(matches!(answer, Action::Refuse { come_back: Some(span), .. } if soon(*span)));
+    assert!(matches!(answer, Action::Refuse { retry_after: Some(span), .. } if soon(*span)));
 }
 
 #[test]
