--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -108,7 +108,10 @@
             let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
             f.host()?;
             f.u32()?;
-            Event::ResponseStarted { id, hand_off }
+            Event::ResponseStarted {
+                id,
+                attempt: hand_off,
+            }
         }
         1060 => arrival(f, seat.tracks)?,
         1080 => outcome(f, &seat.reports)?,
@@ -214,7 +217,7 @@
     let load = reports.load(&values(f)?);
     Ok(Event::Outcome(Outcome {
         id,
-        hand_off,
+        attempt: hand_off,
         ending,
         elapsed: took,
         request_closed: closed,
@@ -274,7 +277,10 @@
         Action::Fail { id, .. } => {
             reply.record(1020, who).u64(id.0);
         }
-        Action::Cancel { id, hand_off } => {
+        Action::Cancel {
+            id,
+            attempt: hand_off,
+        } => {
             reply.record(1030, who).u64(id.0).u8(hand_off.0);
         }
         Action::SetTimer { at, timer: wake } => {
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -482,7 +482,7 @@
                 attempt.withdrawn = true;
                 self.actions.push(Action::Cancel {
                     id,
-                    hand_off: AttemptNo(no as u8),
+                    attempt: AttemptNo(no as u8),
                 });
             }
         }
@@ -500,7 +500,7 @@
     fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let id = outcome.id;
         let tries = self.accesses.get_mut(&id).map(|access| &mut access.tries);
-        let attempt = tries.and_then(|tries| tries.get_mut(usize::from(outcome.hand_off.0)));
+        let attempt = tries.and_then(|tries| tries.get_mut(usize::from(outcome.attempt.0)));
         let Some(attempt) = attempt.filter(|t| t.out) else {
             return;
         };
--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -124,7 +124,7 @@
         let notes = self.scenario.terms.note_level;
         let outcome = Outcome {
             id,
-            hand_off: out.no,
+            attempt: out.no,
             ending: answer.ending,
             elapsed: now.since(out.sent),
             request_closed: closed,
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -134,7 +134,10 @@
                 self.given_up(id);
                 self.file(now + hop, Ev::Final(id, Final::Aborted, None, None));
             }
-            Action::Cancel { id, hand_off } => {
+            Action::Cancel {
+                id,
+                attempt: hand_off,
+            } => {
                 let ticket = self
                     .open
                     .get(&id)
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -32,7 +32,7 @@
                     );
                 }
                 Action::Fail { id, reason: why } => self.given_up(now, id, Reply::Failed, why),
-                Action::Cancel { id, hand_off: no } => {
+                Action::Cancel { id, attempt: no } => {
                     self.pools.kill(AttemptId { request: id, no });
                 }
                 Action::SetTimer { at, timer: wake } => {
@@ -172,7 +172,7 @@
             now,
             Event::Outcome(Outcome {
                 id: id.request,
-                hand_off: id.no,
+                attempt: id.no,
                 ending,
                 elapsed: took,
                 request_closed: closed,
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -184,7 +184,7 @@
             };
         }
         let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.mul_f64(RENEWS_FROM));
-        Why::of(match (crossing.hand_off.0 > 0, aged) {
+        Why::of(match (crossing.attempt.0 > 0, aged) {
             (true, _) => Cause::Retry,
             (_, true) => Cause::Renewal,
             _ => Cause::Unknown,
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -371,7 +371,7 @@
     }
 
     fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
-        let Some(flying) = self.flying.remove(&(outcome.id, outcome.hand_off)) else {
+        let Some(flying) = self.flying.remove(&(outcome.id, outcome.attempt)) else {
             return;
         };
         let crossing = flying.crossing;
@@ -544,7 +544,7 @@
         };
         self.watch(crossing, expected, why);
         self.flying
-            .insert((crossing.arrival.id, crossing.hand_off), flying);
+            .insert((crossing.arrival.id, crossing.attempt), flying);
     }
 
     fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -140,7 +140,7 @@
         let source = if track == ORDER { ORIGIN } else { PARENT };
         Crossing {
             arrival: asked,
-            hand_off: AttemptNo(0),
+            attempt: AttemptNo(0),
             host: CACHES[(object % 2) as usize],
             source,
             from: HUB,
@@ -161,7 +161,7 @@
     ) {
         let outcome = Outcome {
             id: way.arrival.id,
-            hand_off: way.hand_off,
+            attempt: way.attempt,
             ending,
             elapsed: TimeSpan::from_millis(took),
             request_closed: ending == Ending::Done,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -125,7 +125,7 @@
     /// The answer of a streamed hand-off has begun: it belongs to the client now.
     ResponseStarted {
         id: RequestId,
-        hand_off: AttemptNo,
+        attempt: AttemptNo,
     },
     Outcome(Outcome),
     /// The client left, or the final answer is overdue.
@@ -201,7 +201,7 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub id: RequestId,
-    pub hand_off: AttemptNo,
+    pub attempt: AttemptNo,
     pub ending: Ending,
     pub elapsed: TimeSpan,
     /// The access needs no final answer any more.
@@ -288,7 +288,7 @@
     },
     Cancel {
         id: RequestId,
-        hand_off: AttemptNo,
+        attempt: AttemptNo,
     },
     SetTimer {
         at: Timestamp,
@@ -331,7 +331,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crossing {
     pub arrival: Arrival,
-    pub hand_off: AttemptNo,
+    pub attempt: AttemptNo,
     pub host: HostId,
     /// What fills the host; the host itself where that is in another zone and asked straight.
     pub source: HostId,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -200,7 +200,10 @@
             } => self.list(now, form, entries),
             Event::Arrived(arrival) => self.arrive(now, arrival),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
-            Event::ResponseStarted { id, hand_off } => {
+            Event::ResponseStarted {
+                id,
+                attempt: hand_off,
+            } => {
                 let begun = self.try_mut(id, hand_off);
                 begun.into_iter().for_each(|t| t.withdrawn = true);
                 self.close(id);
@@ -463,13 +466,16 @@
         let free = |t: &&mut Try| may && t.out && !t.withdrawn;
         if let Some(attempt) = self.try_mut(id, hand_off).filter(free) {
             attempt.withdrawn = true;
-            self.actions.push(Action::Cancel { id, hand_off });
+            self.actions.push(Action::Cancel {
+                id,
+                attempt: hand_off,
+            });
         }
     }
 
     fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let (id, ending) = (outcome.id, outcome.ending);
-        let Some(attempt) = self.try_mut(id, outcome.hand_off).filter(|t| t.out) else {
+        let Some(attempt) = self.try_mut(id, outcome.attempt).filter(|t| t.out) else {
             return;
         };
         let own = attempt.plan.host == attempt.plan.source;
@@ -880,7 +886,7 @@
         let usual = access.send * self.terms.stream_kb_per_s;
         (from != own).then(|| Crossing {
             arrival: asked,
-            hand_off,
+            attempt: hand_off,
             host,
             source,
             from,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -247,7 +247,7 @@
                 let (ending, note) = (Ending::Done, Note::Hit);
                 events.push(Event::Outcome(Outcome {
                     id,
-                    hand_off,
+                    attempt: hand_off,
                     ending,
                     elapsed: took,
                     request_closed: true,
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -95,7 +95,7 @@
         self.now = self.now + ms(10);
         let outcome = Outcome {
             id,
-            hand_off: AttemptNo(no),
+            attempt: AttemptNo(no),
             ending,
             elapsed: ms(10),
             request_closed: ending == Ending::Done,
@@ -126,7 +126,7 @@
     let [way] = notes.sent[..] else {
         panic!("{:?}", notes.sent);
     };
-    assert_eq!((way.arrival.id, way.hand_off), (id, AttemptNo(0)));
+    assert_eq!((way.arrival.id, way.attempt), (id, AttemptNo(0)));
     assert_eq!((way.from, way.to, way.kb), (ZoneId(0), ZoneId(1), 40.0));
     assert_eq!(
         (way.host, Some(way.source)),
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -221,7 +221,7 @@
         let waited = Some(took).filter(|_| note != Note::Hit);
         self.event(Event::Outcome(Outcome {
             id,
-            hand_off,
+            attempt: hand_off,
             ending,
             elapsed: took,
             request_closed: closed,
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -545,7 +545,7 @@
     let id = stage.arrive(READS, 3);
     stage.event(Event::ResponseStarted {
         id,
-        hand_off: AttemptNo(0),
+        attempt: AttemptNo(0),
     });
     stage.pass(TimeSpan::from_secs(5));
     assert!(stage.withdrawn.is_empty() && stage.finals.is_empty());
