--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -260,10 +260,11 @@
             let code = if fill.is_some() { 1120 } else { 1000 };
             reply.record(code, who).u64(id.0).host(host.0).u32(0);
             if let Some(fill) = fill {
-                let how =
-                    u8::from(fill.join) | u8::from(fill.held_only) << 1 | u8::from(fill.renew) << 3;
+                let how = u8::from(fill.join)
+                    | u8::from(fill.only_if_cached) << 1
+                    | u8::from(fill.revalidate) << 3;
                 reply.host(fill.source.0).u8(fill.rank);
-                reply.u32(fill.oldest.map_or(0, wire_span)).u8(how);
+                reply.u32(fill.max_age.map_or(0, wire_span)).u8(how);
             }
         }
         Action::Refuse {
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -413,10 +413,10 @@
         let fill = Fill {
             source,
             rank: u8::from(!written),
-            oldest,
+            max_age: oldest,
             join: self.terms.joins_fills && source != host,
-            held_only: false,
-            renew: track.fresh_for.is_some() && source != host,
+            only_if_cached: false,
+            revalidate: track.fresh_for.is_some() && source != host,
         };
         let work = self.send_time(access).max(TimeSpan::from_millis(20));
         let costs = [host, source].map(|id| (id, self.cost(now, &self.hosts[&id], work)));
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -559,7 +559,12 @@
             return self.job_from(ticket, at, Note::NotReported, self.now);
         }
         let part = (pull.object, pull.part);
-        let (fits, held) = self.fit(at, part, pull.track, pull.fill.and_then(|fill| fill.oldest));
+        let (fits, held) = self.fit(
+            at,
+            part,
+            pull.track,
+            pull.fill.and_then(|fill| fill.max_age),
+        );
         if let Some(copy) = fits.filter(|_| !written) {
             return self.hit(ticket, at, copy, pull);
         }
@@ -567,13 +572,13 @@
             return self.answer(ticket, Ending::Miss, Note::NotReported);
         };
         let under_way = self.servers[at].fetching.get(&part).copied();
-        let bound = fill.oldest.or(self.track(pull.track).fresh_for);
+        let bound = fill.max_age.or(self.track(pull.track).fresh_for);
         let joined = under_way
             .filter(|id| (fill.join || role == Role::Parent) && !written && self.joins(*id, bound));
         let fetch = match joined {
             Some(fetch) => Some(fetch),
             None => {
-                let kb = if held.is_some() && fill.oldest.is_none() {
+                let kb = if held.is_some() && fill.max_age.is_none() {
                     pull.kb * UNCHANGED
                 } else {
                     pull.kb
@@ -589,7 +594,7 @@
                     kb,
                     rank,
                     bound,
-                    fill.held_only,
+                    fill.only_if_cached,
                     !written,
                 )
             }
@@ -645,7 +650,7 @@
         let fresh = self.track(pull.track).fresh_for;
         let stale = fresh.is_some_and(|fresh| age > fresh);
         let ageing = fresh.is_some_and(|fresh| age > fresh.mul_f64(RENEW_FROM));
-        let renews = |fill: &Fill| fill.renew && ageing && fill.source != pull.host;
+        let renews = |fill: &Fill| fill.revalidate && ageing && fill.source != pull.host;
         let idle = !self.servers[at].fetching.contains_key(&part);
         if let Some(fill) = fill.filter(renews).filter(|_| idle) {
             let kb = pull.kb * UNCHANGED;
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -609,21 +609,21 @@
             rank: field("tier")
                 .and_then(|tier| tier.parse().ok())
                 .unwrap_or(0),
-            oldest: millis("fresh").map(TimeSpan::from_millis),
+            max_age: millis("fresh").map(TimeSpan::from_millis),
             join: has("merge"),
-            held_only: has("local"),
-            renew: has("revalidate"),
+            only_if_cached: has("local"),
+            revalidate: has("revalidate"),
         });
         let plain = Fill {
             source: host,
             rank: 0,
-            oldest: None,
+            max_age: None,
             join: false,
-            held_only: false,
-            renew: false,
+            only_if_cached: false,
+            revalidate: false,
         };
         let fill = fill.or(millis("fresh").map(|ms| Fill {
-            oldest: Some(TimeSpan::from_millis(ms)),
+            max_age: Some(TimeSpan::from_millis(ms)),
             ..plain
         }));
         self.next += 1;
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -71,10 +71,10 @@
     let fill = Fill {
         source: PARENT,
         rank: 1,
-        oldest: None,
+        max_age: None,
         join: true,
-        held_only: false,
-        renew: false,
+        only_if_cached: false,
+        revalidate: false,
     };
     Pull {
         ticket: Ticket(ticket),
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -545,14 +545,14 @@
     }
     if let Some(fill) = sending.fill {
         add("tier", &fill.rank.to_string());
-        if let Some(oldest) = fill.oldest {
+        if let Some(oldest) = fill.max_age {
             // Rounded down, to the strict side, but never to none, which would mean the usual age.
             add("fresh", &(oldest.0 / 1000).max(1).to_string());
         }
         let words = [
             (fill.join, "merge"),
-            (fill.held_only, "local"),
-            (fill.renew, "revalidate"),
+            (fill.only_if_cached, "local"),
+            (fill.revalidate, "revalidate"),
         ];
         let words: Vec<&str> = words
             .iter()
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -319,12 +319,12 @@
     /// 0: not kept; 1 to 3: the rank at which it is.
     pub rank: u8,
     /// The oldest copy that will do; `None`: as old as the track allows when fresh.
-    pub oldest: Option<TimeSpan>,
+    pub max_age: Option<TimeSpan>,
     pub join: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// Serve an ageing copy and renew it behind.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// One hand-off on its way between zones, as [`Crossings`] is asked about it.
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -945,10 +945,10 @@
         let fill = Fill {
             source: plan.source,
             rank: u8::from(!written) + u8::from(seen),
-            oldest: self.oldest(now, access, stale),
+            max_age: self.oldest(now, access, stale),
             join: self.terms.joins_fills && !own,
-            held_only,
-            renew: track.fresh_for.is_some() && !stale,
+            only_if_cached: held_only,
+            revalidate: track.fresh_for.is_some() && !stale,
         };
         let fill = Some(fill).filter(|_| host.role != Role::Origin);
         let sending = TimeSpan::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -161,7 +161,7 @@
     let fill = hand_off.fill.expect("told how old a copy may be");
     assert_eq!(fill.source, hand_off.host);
     // Fresh for 8 s and 20 s of grace.
-    assert_eq!(fill.oldest, Some(TimeSpan::from_secs(28)));
+    assert_eq!(fill.max_age, Some(TimeSpan::from_secs(28)));
     assert!(desk.gate.0.borrow().sent.is_empty());
     let actions = desk.end(id, 0, Ending::Done, Note::Stale);
     assert!(handed(&actions).is_none());
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -145,7 +145,7 @@
     let id = stage.arrive(READS, 77);
     let fill = stage.last(id).fill.expect("a plain look");
     assert_eq!(fill.source, stage.last(id).host, "no fill");
-    assert_eq!(fill.oldest, Some(TimeSpan::from_secs(28)));
+    assert_eq!(fill.max_age, Some(TimeSpan::from_secs(28)));
     stage.answer(id, Ending::Miss, Note::NotReported, ms(5));
     assert!(stage.rejected(id));
 }
@@ -253,7 +253,7 @@
 fn may_reach_origin(stage: &mut Stage) -> usize {
     let reads = (2000..2100).filter(|&object| {
         let id = stage.arrive_part(READS, object, 0, Some(100.0));
-        let asks = !stage.last(id).fill.expect("a plain look").held_only;
+        let asks = !stage.last(id).fill.expect("a plain look").only_if_cached;
         stage.answer(id, Ending::Done, Note::Hit, ms(20));
         asks
     });
@@ -301,7 +301,7 @@
     break_origin(&mut stage);
     let id = stage.arrive(READS, 3);
     let fill = stage.last(id).fill.expect("a plain look");
-    assert!(fill.held_only && PARENTS.contains(&fill.source));
+    assert!(fill.only_if_cached && PARENTS.contains(&fill.source));
     stage.answer(id, Ending::Miss, Note::SourceMiss, ms(10));
     assert!(stage.rejected(id));
     let written = stage.arrive(ORDERS, 4);
@@ -317,8 +317,9 @@
     if stage.last(id).host != ORIGIN {
         stage.answer(id, Ending::Miss, Note::SourceMiss, ms(10));
     }
-    let reached =
-        |stage: &Stage| stage.last(id).host == ORIGIN || !stage.last(id).fill.unwrap().held_only;
+    let reached = |stage: &Stage| {
+        stage.last(id).host == ORIGIN || !stage.last(id).fill.unwrap().only_if_cached
+    };
     assert!(reached(&stage));
 }
 
@@ -707,7 +708,7 @@
     stage.pass(TimeSpan::from_secs(1));
     let oldest = |stage: &mut Stage, object| {
         let id = stage.arrive(READS, object);
-        stage.last(id).fill.expect("a plain look").oldest
+        stage.last(id).fill.expect("a plain look").max_age
     };
     assert_eq!(oldest(&mut stage, 8), Some(ms(1300)), "the object");
     assert_eq!(oldest(&mut stage, 5), Some(ms(1500)), "its group");
@@ -814,7 +815,7 @@
         stamp: None,
     });
     let (purged, other) = (stage.arrive(READS, 5), stage.arrive(READS, 9));
-    let oldest = |id| stage.last(id).fill.expect("a fill").oldest;
+    let oldest = |id| stage.last(id).fill.expect("a fill").max_age;
     assert_eq!((oldest(purged), oldest(other)), (Some(ms(100)), None));
 }
 
@@ -998,7 +999,7 @@
     late.into_iter()
         .for_each(|id| stage.answer(id, Ending::Done, Note::Filled, ms(610)));
     let id = stage.arrive(READS, 300);
-    assert!(!stage.last(id).fill.expect("a plain look").held_only);
+    assert!(!stage.last(id).fill.expect("a plain look").only_if_cached);
 }
 
 #[test]
@@ -1045,7 +1046,7 @@
         stage.answer(id, Ending::Done, Note::Hit, ms(20));
     }
     let purged = stage.arrive(READS, 5);
-    let oldest = stage.last(purged).fill.and_then(|fill| fill.oldest);
+    let oldest = stage.last(purged).fill.and_then(|fill| fill.max_age);
     assert!(
         oldest.is_some_and(|oldest| oldest <= ms(5_000)),
         "{oldest:?}"
