--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -9,7 +9,7 @@
 use local_channel::mpsc;
 use slog::{info, warn};
 use tokio::time::Instant;
-use trailproxy::interface::{Crossings, DispatcherSettings, Event, HostListKind};
+use trailproxy::interface::{CrossingLimits, DispatcherSettings, Event, HostListKind};
 use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::PeerId;
@@ -202,7 +202,7 @@
                 let mut zones = Zones::new(terms, rules, *seed);
                 let form = HostListKind::Full;
                 let entries = self.pools.entries();
-                zones.heard(
+                zones.on_event(
                     now,
                     &Event::HostList {
                         kind: form,
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -381,9 +381,9 @@
     }
 }
 
-impl Crossings for Subsystems {
-    fn heard(&mut self, now: Timestamp, event: &Event) {
-        self.zones.heard(now, event);
+impl CrossingLimits for Subsystems {
+    fn on_event(&mut self, now: Timestamp, event: &Event) {
+        self.zones.on_event(now, event);
         self.shared
             .iter_mut()
             .for_each(|shared| shared.heard(now, event));
@@ -393,16 +393,16 @@
             .for_each(|on| on.following.event(now, event));
     }
 
-    fn room(&self, now: Timestamp, crossing: &Crossing) -> bool {
-        self.zones.room(now, crossing)
+    fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
+        self.zones.has_room(now, crossing)
     }
 
-    fn sent(&mut self, now: Timestamp, crossing: &Crossing) {
-        self.zones.sent(now, crossing);
+    fn on_sent(&mut self, now: Timestamp, crossing: &Crossing) {
+        self.zones.on_sent(now, crossing);
     }
 
-    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
-        self.zones.come_back(now, track)
+    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+        self.zones.retry_after(now, track)
     }
 }
 
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -441,8 +441,8 @@
 /// What is known of other dispatchers' accesses is not its matter.
 impl Others for Zones {}
 
-impl Crossings for Zones {
-    fn heard(&mut self, now: Timestamp, event: &Event) {
+impl CrossingLimits for Zones {
+    fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.budgets
             .iter_mut()
             .for_each(|budget| budget.advance(now));
@@ -472,7 +472,7 @@
         }
     }
 
-    fn room(&self, now: Timestamp, crossing: &Crossing) -> bool {
+    fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
         if self.budgets.is_empty() {
             return true;
         }
@@ -508,7 +508,7 @@
         fits
     }
 
-    fn sent(&mut self, now: Timestamp, crossing: &Crossing) {
+    fn on_sent(&mut self, now: Timestamp, crossing: &Crossing) {
         let why = self.why(now, crossing);
         let joined = self.joins(crossing);
         let expected = self.expected(crossing, why);
@@ -547,7 +547,7 @@
             .insert((crossing.arrival.id, crossing.attempt), flying);
     }
 
-    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let own = |budget: &&Budget| budget.limit.to == self.zone;
         let plain = self.class(track) == Class::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -116,7 +116,7 @@
             .map(|host| entry(host, HostState::Ready, None))
             .to_vec();
         let form = HostListKind::Full;
-        zones.heard(
+        zones.on_event(
             at(0),
             &Event::HostList {
                 kind: form,
@@ -171,13 +171,13 @@
             client_proven: true,
             received_kb: came_kb,
         };
-        self.zones.heard(at(ms), &Event::Outcome(outcome));
+        self.zones.on_event(at(ms), &Event::Outcome(outcome));
     }
 
     /// One access that is sent at once and ends well.
     fn play(&mut self, ms: u64, object: u64, kb: f64, note: Note) -> Crossing {
         let way = self.way(VIDEO, object, kb);
-        self.zones.sent(at(ms), &way);
+        self.zones.on_sent(at(ms), &way);
         self.end(&way, ms + 50, 50, Ending::Done, note, Some(kb));
         way
     }
@@ -201,18 +201,18 @@
     let mut sent = 0;
     loop {
         let video = desk.way(VIDEO, 100 + sent, 100.0);
-        if !desk.zones.room(at(10_000), &video) {
+        if !desk.zones.has_room(at(10_000), &video) {
             break;
         }
-        desk.zones.sent(at(10_000), &video);
+        desk.zones.on_sent(at(10_000), &video);
         sent += 1;
     }
     assert!((1..=8).contains(&sent), "{sent}");
     let (order, video) = (desk.way(ORDER, 1, 4.0), desk.way(VIDEO, 2, 100.0));
-    assert!(desk.zones.room(at(10_000), &order));
-    assert!(!desk.zones.room(at(10_000), &video));
-    assert!(desk.zones.come_back(at(10_000), VIDEO).is_some());
-    assert_eq!(desk.zones.come_back(at(10_000), ORDER), None);
+    assert!(desk.zones.has_room(at(10_000), &order));
+    assert!(!desk.zones.has_room(at(10_000), &video));
+    assert!(desk.zones.retry_after(at(10_000), VIDEO).is_some());
+    assert_eq!(desk.zones.retry_after(at(10_000), ORDER), None);
 }
 
 #[test]
@@ -221,8 +221,8 @@
     let mut kb = 0.0;
     for ms in 0..10_000 {
         let order = desk.way(ORDER, ms, 4.0);
-        if desk.zones.room(at(ms), &order) {
-            desk.zones.sent(at(ms), &order);
+        if desk.zones.has_room(at(ms), &order) {
+            desk.zones.on_sent(at(ms), &order);
             kb += 4.0;
         }
     }
@@ -235,8 +235,11 @@
     for n in 0..500 {
         let video = desk.way(VIDEO, n, 100.0);
         // 5 MB a second asked for, 10 MB a second there.
-        assert!(desk.zones.room(at(2_000 + n * 20), &video), "access {n}");
-        desk.zones.sent(at(2_000 + n * 20), &video);
+        assert!(
+            desk.zones.has_room(at(2_000 + n * 20), &video),
+            "access {n}"
+        );
+        desk.zones.on_sent(at(2_000 + n * 20), &video);
         desk.end(
             &video,
             2_000 + n * 20 + 15,
@@ -354,8 +357,8 @@
     let mut desk = Desk::new(rules(vec![learned]), 1);
     for ms in (0..30_000).step_by(100) {
         let video = desk.way(VIDEO, ms, 100.0);
-        if desk.zones.room(at(ms), &video) {
-            desk.zones.sent(at(ms), &video);
+        if desk.zones.has_room(at(ms), &video) {
+            desk.zones.on_sent(at(ms), &video);
             desk.end(&video, ms + 20, 20, Ending::Done, Note::Filled, Some(100.0));
         }
         desk.zones.advance(at(ms));
@@ -369,7 +372,8 @@
     let mut desk = Desk::new(rules(vec![limit(10_000.0, 4_000.0, 0.2)]), 1);
     desk.zones.advance(at(5_000));
     let ways: Vec<Crossing> = (0..5).map(|n| desk.way(VIDEO, n, 300.0)).collect();
-    ways.iter().for_each(|way| desk.zones.sent(at(5_000), way));
+    ways.iter()
+        .for_each(|way| desk.zones.on_sent(at(5_000), way));
     desk.zones
         .change(at(5_001), rules(vec![limit(100.0, 50.0, 0.2)]));
     for way in &ways {
@@ -377,7 +381,7 @@
     }
     assert_eq!(desk.booked(Cause::First), 1_500.0);
     let next = desk.way(VIDEO, 50, 300.0);
-    assert!(!desk.zones.room(at(5_060), &next));
+    assert!(!desk.zones.has_room(at(5_060), &next));
     let owed = desk.zones.budgets()[0].saved_kb();
     assert!(owed < 0.0, "{owed}");
 }
@@ -386,12 +390,12 @@
 fn a_rule_that_goes_lets_what_is_under_way_end_free_of_it() {
     let mut desk = Desk::new(rules(vec![limit(1_000.0, 400.0, 0.2)]), 1);
     let way = desk.way(VIDEO, 1, 100.0);
-    desk.zones.sent(at(0), &way);
+    desk.zones.on_sent(at(0), &way);
     desk.zones.change(at(1), rules(Vec::new()));
     desk.end(&way, 50, 50, Ending::Done, Note::Filled, Some(100.0));
     assert_eq!(desk.booked(Cause::First), 100.0);
     let next = desk.way(VIDEO, 2, 1e9);
-    assert!(desk.zones.room(at(60), &next));
+    assert!(desk.zones.has_room(at(60), &next));
 }
 
 #[test]
@@ -408,12 +412,12 @@
         age: TimeSpan::ZERO,
         stamp: None,
     };
-    desk.zones.heard(at(200), &purge);
+    desk.zones.on_event(at(200), &purge);
     desk.play(210, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::Purge), 10.0);
     let form = HostListKind::Delta;
     let entries = vec![entry(CACHES[0], HostState::Ready, Some(at(300)))];
-    desk.zones.heard(
+    desk.zones.on_event(
         at(310),
         &Event::HostList {
             kind: form,
@@ -423,14 +427,14 @@
     desk.play(320, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::HostLost), 10.0);
     let order = desk.way(ORDER, 9, 4.0);
-    desk.zones.sent(at(400), &order);
+    desk.zones.on_sent(at(400), &order);
     desk.end(&order, 450, 50, Ending::Done, Note::NotReported, None);
     assert_eq!(desk.booked(Cause::Written), 4.0);
     let straight = Crossing {
         host: PARENT,
         ..desk.way(VIDEO, 77, 20.0)
     };
-    desk.zones.sent(at(500), &straight);
+    desk.zones.on_sent(at(500), &straight);
     desk.end(&straight, 550, 50, Ending::Done, Note::Hit, Some(20.0));
     assert_eq!(desk.booked(Cause::Straight), 20.0);
 }
@@ -441,7 +445,7 @@
     desk.play(0, 1, 10.0, Note::Hit);
     desk.play(10, 1, 10.0, Note::Joined);
     let way = desk.way(VIDEO, 1, 10.0);
-    desk.zones.sent(at(20), &way);
+    desk.zones.on_sent(at(20), &way);
     desk.end(&way, 30, 10, Ending::Error, Note::SourceLost, None);
     assert!(desk.zones.account().totals().is_empty());
 }
@@ -450,9 +454,9 @@
 fn a_fill_whose_client_left_counts_as_waste() {
     let mut desk = Desk::new(rules(Vec::new()), 1);
     let way = desk.way(VIDEO, 1, 100.0);
-    desk.zones.sent(at(0), &way);
+    desk.zones.on_sent(at(0), &way);
     desk.zones
-        .heard(at(10), &Event::ClientGone { id: way.arrival.id });
+        .on_event(at(10), &Event::ClientGone { id: way.arrival.id });
     desk.end(&way, 20, 20, Ending::Cancelled, Note::NotReported, None);
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
@@ -464,15 +468,15 @@
     desk.zones.advance(at(5_000));
     let before = desk.zones.budgets()[0].saved_kb();
     let way = desk.way(VIDEO, 1, 0.001);
-    desk.zones.sent(at(5_000), &way);
+    desk.zones.on_sent(at(5_000), &way);
     desk.end(&way, 5_000, 0, Ending::Done, Note::Filled, Some(900.0));
     assert_eq!(desk.booked(Cause::First), 900.0);
     let after = desk.zones.budgets()[0].saved_kb();
     assert!((before - after - 900.0).abs() < 1.0, "{before} {after}");
     for kb in [f64::NAN, f64::INFINITY, -5.0] {
         let odd = desk.way(VIDEO, 2, kb);
-        desk.zones.room(at(5_001), &odd);
-        desk.zones.sent(at(5_001), &odd);
+        desk.zones.has_room(at(5_001), &odd);
+        desk.zones.on_sent(at(5_001), &odd);
         desk.end(&odd, 5_002, 1, Ending::Error, Note::NotReported, None);
     }
     assert!(desk.zones.budgets()[0].saved_kb().is_finite());
@@ -547,14 +551,14 @@
     };
     let mut desk = Desk::new(rules(vec![pair]), 1);
     let way = desk.way(VIDEO, 1, 500.0);
-    desk.zones.sent(at(0), &way);
+    desk.zones.on_sent(at(0), &way);
     let way = desk.way(VIDEO, 3, 500.0);
-    assert!(!desk.zones.room(at(1), &way));
+    assert!(!desk.zones.has_room(at(1), &way));
     let dearer = Crossing {
         from: ZoneId(2),
         ..way
     };
-    assert!(desk.zones.room(at(1), &dearer));
+    assert!(desk.zones.has_room(at(1), &dearer));
 }
 
 /// Ten seconds of thirty objects a second in hits and few fills, from which on a strike is played.
@@ -591,7 +595,7 @@
         if ms == 60_000 {
             let form = HostListKind::Delta;
             let entries = vec![entry(CACHES[0], HostState::Gone, None)];
-            desk.zones.heard(
+            desk.zones.on_event(
                 at(ms),
                 &Event::HostList {
                     kind: form,
@@ -602,12 +606,12 @@
         // What it had is filled at the other one.
         let mut way = desk.way(VIDEO, (n % 20) * 2, 50.0);
         way.host = CACHES[1];
-        desk.zones.sent(at(ms), &way);
+        desk.zones.on_sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(50.0));
         // Named once each: what is filled there has its new home.
         let form = HostListKind::Delta;
         let lost = entry(CACHES[1], HostState::Ready, Some(at(ms)));
-        desk.zones.heard(
+        desk.zones.on_event(
             at(ms),
             &Event::HostList {
                 kind: form,
@@ -632,7 +636,7 @@
             age: TimeSpan::ZERO,
             stamp: None,
         };
-        desk.zones.heard(at(ms), &event);
+        desk.zones.on_event(at(ms), &event);
         let object = n % 40;
         if object % 8 == n % 8 {
             desk.play(ms, object, 80.0, Note::Filled);
@@ -652,7 +656,7 @@
     let large = rise(|desk, ms, n| {
         let mut way = desk.way(VIDEO, 900_001, 400.0);
         way.arrival.part = n as u32;
-        desk.zones.sent(at(ms), &way);
+        desk.zones.on_sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(400.0));
     });
     assert!(
@@ -670,8 +674,8 @@
         desk.play(ms, n, 10.0, Note::Filled);
         for extra in (ms >= 60_000).then_some(0..8).into_iter().flatten() {
             let way = desk.way(VIDEO, 1_000_000 + n * 8 + extra, 100.0);
-            if desk.zones.room(at(ms), &way) {
-                desk.zones.sent(at(ms), &way);
+            if desk.zones.has_room(at(ms), &way) {
+                desk.zones.on_sent(at(ms), &way);
                 desk.end(&way, ms, 10, Ending::Done, Note::Filled, Some(100.0));
             }
         }
@@ -702,12 +706,12 @@
             age: TimeSpan::ZERO,
             stamp: None,
         };
-        desk.zones.heard(at(n * 10), &event);
+        desk.zones.on_event(at(n * 10), &event);
         if n % 100 == 0 {
             let form = HostListKind::Delta;
             let host = HostId(100_000 + n);
             let entries = vec![entry(host, HostState::Gone, None)];
-            desk.zones.heard(
+            desk.zones.on_event(
                 at(n * 10),
                 &Event::HostList {
                     kind: form,
@@ -800,8 +804,8 @@
     let mut told = Vec::new();
     for n in 0..400 {
         let way = desk.way(VIDEO, n, 100.0);
-        if desk.zones.room(at(n * 100), &way) {
-            desk.zones.sent(at(n * 100), &way);
+        if desk.zones.has_room(at(n * 100), &way) {
+            desk.zones.on_sent(at(n * 100), &way);
         }
         desk.zones.advance(at(n * 100));
         told.push(desk.zones.need(at(n * 100), "link").0);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -327,7 +327,7 @@
     pub revalidate: bool,
 }
 
-/// One hand-off on its way between zones, as [`Crossings`] is asked about it.
+/// One hand-off on its way between zones, as [`CrossingLimits`] is asked about it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crossing {
     pub arrival: Arrival,
@@ -347,17 +347,17 @@
 ///
 /// The decisions choose; this one only says no to a way, or counts it. It is asked about every hand-off whose
 /// source and reader are in different zones, by the gate that all hand-offs pass.
-pub trait Crossings {
+pub trait CrossingLimits {
     /// Every event, before the decisions take it.
-    fn heard(&mut self, _now: Timestamp, _event: &Event) {}
+    fn on_event(&mut self, _now: Timestamp, _event: &Event) {}
     /// Whether this may go out now. It may be asked several times about one way, with nothing sent.
-    fn room(&self, _now: Timestamp, _crossing: &Crossing) -> bool {
+    fn has_room(&self, _now: Timestamp, _crossing: &Crossing) -> bool {
         true
     }
     /// This goes out now.
-    fn sent(&mut self, _now: Timestamp, _crossing: &Crossing) {}
+    fn on_sent(&mut self, _now: Timestamp, _crossing: &Crossing) {}
     /// After how long a client of this track had better come again; `None`: nothing was in its way here.
-    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
+    fn retry_after(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
         None
     }
 }
@@ -384,25 +384,25 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Free;
 
-impl Crossings for Free {}
+impl CrossingLimits for Free {}
 impl Others for Free {}
 
 /// Switched on or off while it runs.
-impl<C: Crossings> Crossings for Option<C> {
-    fn heard(&mut self, now: Timestamp, event: &Event) {
-        self.iter_mut().for_each(|on| on.heard(now, event));
+impl<C: CrossingLimits> CrossingLimits for Option<C> {
+    fn on_event(&mut self, now: Timestamp, event: &Event) {
+        self.iter_mut().for_each(|on| on.on_event(now, event));
     }
 
-    fn room(&self, now: Timestamp, crossing: &Crossing) -> bool {
-        self.as_ref().is_none_or(|on| on.room(now, crossing))
+    fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
+        self.as_ref().is_none_or(|on| on.has_room(now, crossing))
     }
 
-    fn sent(&mut self, now: Timestamp, crossing: &Crossing) {
-        self.iter_mut().for_each(|on| on.sent(now, crossing));
+    fn on_sent(&mut self, now: Timestamp, crossing: &Crossing) {
+        self.iter_mut().for_each(|on| on.on_sent(now, crossing));
     }
 
-    fn come_back(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
-        self.as_ref()?.come_back(now, track)
+    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+        self.as_ref()?.retry_after(now, track)
     }
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -149,7 +149,7 @@
     f64::from(own.copied().unwrap_or(terms.dispatchers).max(1))
 }
 
-impl<C: Crossings + Others> Dispatcher<C> {
+impl<C: CrossingLimits + Others> Dispatcher<C> {
     pub fn with(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
         let first_guess = |track: &ClassSettings| (track.target.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
@@ -192,7 +192,7 @@
 
     /// Takes one event; nothing goes out before [`Dispatcher::settle`].
     pub fn take(&mut self, now: Timestamp, event: Event) {
-        self.crossings.heard(now, &event);
+        self.crossings.on_event(now, &event);
         match event {
             Event::HostList {
                 kind: form,
@@ -899,7 +899,7 @@
     /// Whether the links between zones have room for it.
     fn fits(&self, now: Timestamp, access: &Request, plan: Plan) -> bool {
         let way = self.crossing(access, plan);
-        way.is_none_or(|way| self.crossings.room(now, &way))
+        way.is_none_or(|way| self.crossings.has_room(now, &way))
     }
 
     /// The one gate that every hand-off passes, with each rule at its own place.
@@ -988,7 +988,7 @@
                 ..Try::default()
             });
         }
-        way.iter().for_each(|way| self.crossings.sent(now, way));
+        way.iter().for_each(|way| self.crossings.on_sent(now, way));
         let (actions, host) = (&mut self.actions, plan.host);
         actions.push(Action::Attempt(Attempt { id, host, fill }));
     }
@@ -996,7 +996,7 @@
     /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
     pub fn come_back(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let longest = self.terms.max_retry_after?;
-        let full = self.crossings.come_back(now, track);
+        let full = self.crossings.retry_after(now, track);
         let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
         Some(usual.mul_f64(0.75 + 0.5 * self.chance.f64()).min(longest))
     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -25,21 +25,21 @@
 
 impl Others for Gate {}
 
-impl Crossings for Gate {
-    fn heard(&mut self, _now: Timestamp, _event: &Event) {
+impl CrossingLimits for Gate {
+    fn on_event(&mut self, _now: Timestamp, _event: &Event) {
         self.0.borrow_mut().heard += 1;
     }
 
-    fn room(&self, _now: Timestamp, crossing: &Crossing) -> bool {
+    fn has_room(&self, _now: Timestamp, crossing: &Crossing) -> bool {
         let notes = self.0.borrow();
         !notes.full && !notes.full_from.contains(&crossing.source)
     }
 
-    fn sent(&mut self, _now: Timestamp, crossing: &Crossing) {
+    fn on_sent(&mut self, _now: Timestamp, crossing: &Crossing) {
         self.0.borrow_mut().sent.push(*crossing);
     }
 
-    fn come_back(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
+    fn retry_after(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
         self.0.borrow().away
     }
 }
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -13,7 +13,7 @@
 /// One earlier hand-off under every key.
 struct Known(Earlier);
 
-impl Crossings for Known {}
+impl CrossingLimits for Known {}
 
 impl Others for Known {
     fn earlier(&self, _id: RequestId) -> Option<Earlier> {
