--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -6,7 +6,7 @@
 use super::planted::Planted;
 use super::requests::{Attempt, DROP_WITHIN, Origin, Outcome};
 use crate::layout::{Layout, Proximity};
-use trailproxy::interface::Earlier;
+use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Came, Verdict};
 
@@ -242,7 +242,12 @@
 
 /// What a request that goes on is bound by, and whether an attempt goes out: upstreams drop a repeat within one zone for
 /// a while from the first attempt.
-fn judge(now: Timestamp, zone: ZoneId, earlier: Option<Earlier>, granted: bool) -> (Outcome, bool) {
+fn judge(
+    now: Timestamp,
+    zone: ZoneId,
+    earlier: Option<PeerAttempt>,
+    granted: bool,
+) -> (Outcome, bool) {
     let Some(earlier) = earlier else {
         let outcome = if granted {
             Outcome::Granted
@@ -251,12 +256,12 @@
         };
         return (outcome, true);
     };
-    let nothing_known = earlier.place.is_none() && earlier.first == Timestamp(0);
+    let nothing_known = earlier.location.is_none() && earlier.first_sent == Timestamp(0);
     if nothing_known {
         return (Outcome::Unsure, false);
     }
-    let near = earlier.place.is_some_and(|(known, _)| known == zone);
-    if near && now.since(earlier.first) < DROP_WITHIN {
+    let near = earlier.location.is_some_and(|(known, _)| known == zone);
+    if near && now.since(earlier.first_sent) < DROP_WITHIN {
         return (Outcome::Found, true);
     }
     (Outcome::Refused, false)
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -45,12 +45,15 @@
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<Earlier> {
+    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
         let unsure = || {
             // It may have run anywhere, however long ago.
             let refused = self.rules.refuse && !self.granted(id) && self.records.key(id).is_some();
             let (place, first) = (None, Timestamp(0));
-            refused.then_some(Earlier { place, first })
+            refused.then_some(PeerAttempt {
+                location: place,
+                first_sent: first,
+            })
         };
         self.records.earlier(id).or_else(unsure)
     }
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -46,7 +46,7 @@
 use relay::Relays;
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{PIECE, Sync, Who, Why};
-use trailproxy::interface::{Earlier, HostEntry, HostState};
+use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Came, Key, Records, Step, Verdict};
 
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -488,8 +488,8 @@
         let earlier = peers.earlier(id);
         // As the decisions do it: repeats are dropped within a zone, for a while from the first hand-off.
         let may = earlier.is_none_or(|earlier| {
-            let near = earlier.place.is_some_and(|(zone, _)| zone == place.0);
-            near && now.since(earlier.first) < WINDOW
+            let near = earlier.location.is_some_and(|(zone, _)| zone == place.0);
+            near && now.since(earlier.first_sent) < WINDOW
         });
         if !may {
             self.seen.refused += 1;
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -14,7 +14,7 @@
 use ops::{Answer, BoxId, Op, Said};
 use records::{Came, Key, Records, Step, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
-use trailproxy::interface::{Earlier, HostEntry};
+use trailproxy::interface::{HostEntry, PeerAttempt};
 use trailproxy::units::*;
 use trust::{Cause, Ending, Trust, Trusting};
 
@@ -209,7 +209,7 @@
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<Earlier> {
+    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
         self.records.earlier(id)
     }
 
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -6,7 +6,7 @@
 //! known goes the way it would without a store.
 
 use std::collections::BTreeMap;
-use trailproxy::interface::Earlier;
+use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
 
 /// A client's key for all tries of one request, folded so that a long one costs no more than a short one.
@@ -120,7 +120,7 @@
     join_until: Timestamp,
     claimed: bool,
     place: Option<(ZoneId, CellId)>,
-    earlier: Option<Earlier>,
+    earlier: Option<PeerAttempt>,
 }
 
 /// The keyed accesses that are open here.
@@ -160,7 +160,7 @@
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<Earlier> {
+    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
         self.own.get(&id)?.earlier
     }
 
@@ -226,7 +226,10 @@
         // Taken for as old as it can be, so that its window ends here no later than at the hosts.
         let first = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
         let place = record.place;
-        own.earlier = Some(Earlier { place, first });
+        own.earlier = Some(PeerAttempt {
+            location: place,
+            first_sent: first,
+        });
         // An answer from the record is never given to one that has gone to the decisions.
         if own.phase == Phase::Gone {
             return Vec::new();
@@ -282,7 +285,7 @@
         let own = self.own.remove(&id)?;
         // What another sent first is that one's to end, unless this one found out that it is done.
         let others = own.earlier.is_some() && !matches!(came, Came::Done(_));
-        (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.place))))
+        (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.location))))
     }
 
     pub fn next(&self) -> Option<Timestamp> {
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -87,9 +87,9 @@
         .sharing
         .earlier(again)
         .expect("what was found binds it");
-    assert_eq!(earlier.place, Some((ZoneId(0), CellId(3))));
+    assert_eq!(earlier.location, Some((ZoneId(0), CellId(3))));
     assert!(
-        earlier.first <= sent,
+        earlier.first_sent <= sent,
         "its window ends no later here than at the hosts"
     );
 }
@@ -102,8 +102,8 @@
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(300));
     let earlier = world.members[1].sharing.earlier(again).expect("the claim");
-    assert_eq!(earlier.place, None);
-    assert!(!RepeatGroup::Cell.covers(earlier.place, (ZoneId(0), CellId(0))));
+    assert_eq!(earlier.location, None);
+    assert!(!RepeatGroup::Cell.covers(earlier.location, (ZoneId(0), CellId(0))));
 }
 
 #[test]
@@ -263,7 +263,10 @@
         let again = world.come(1, "order-1", LEFT);
         world.run(TimeSpan::from_millis(300));
         let earlier = world.members[1].sharing.earlier(again).expect("found");
-        assert!(earlier.first <= sent && sent.since(earlier.first) <= TimeSpan::from_millis(520));
+        assert!(
+            earlier.first_sent <= sent
+                && sent.since(earlier.first_sent) <= TimeSpan::from_millis(520)
+        );
     }
 }
 
@@ -320,9 +323,9 @@
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(300));
     if let Some(earlier) = world.members[1].sharing.earlier(again) {
-        assert!(earlier.first <= sent);
+        assert!(earlier.first_sent <= sent);
         assert!(
-            world.now >= earlier.first + TimeSpan::from_secs(2),
+            world.now >= earlier.first_sent + TimeSpan::from_secs(2),
             "a window of two seconds is over"
         );
     }
--- a/crates/shared-store/tests/sweep.rs
+++ b/crates/shared-store/tests/sweep.rs
@@ -173,8 +173,8 @@
                 }) else {
                     return false;
                 };
-                group.covers(earlier.place, (ZoneId(0), CellId(cell)))
-                    && now < earlier.first + window
+                group.covers(earlier.location, (ZoneId(0), CellId(cell)))
+                    && now < earlier.first_sent + window
             });
             one.ends = Some(match verdict {
                 Verdict::Answer(_) => now,
@@ -279,7 +279,8 @@
                 *sent = true;
                 let earlier = self.world.members[*nth].sharing.earlier(*id);
                 let cell = *nth as u16;
-                if earlier.is_none_or(|earlier| earlier.place == Some((ZoneId(0), CellId(cell)))) {
+                if earlier.is_none_or(|earlier| earlier.location == Some((ZoneId(0), CellId(cell))))
+                {
                     self.world.sent(*nth, *id, cell);
                     if self.world.members[*nth].believed[id] {
                         self.cells.insert(cell);
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -120,7 +120,7 @@
         self.act();
     }
 
-    pub fn earlier(&self, id: RequestId) -> Option<Earlier> {
+    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
         self.peers.earlier(id)
     }
 
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -406,8 +406,8 @@
     }
 }
 
-impl Others for Subsystems {
-    fn earlier(&self, id: RequestId) -> Option<Earlier> {
+impl PeerKnowledge for Subsystems {
+    fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         let shared = self
             .shared
             .as_ref()
@@ -415,7 +415,7 @@
         shared.or_else(|| self.peers.as_ref()?.earlier(id))
     }
 
-    fn turned(&mut self, now: Timestamp, host: HostEntry, open: bool) {
+    fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
         if let Some(shared) = self.shared.as_mut().filter(|_| open) {
             shared.sharing.opened(now, host);
             shared.act();
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -439,7 +439,7 @@
 }
 
 /// What is known of other dispatchers' accesses is not its matter.
-impl Others for Zones {}
+impl PeerKnowledge for Zones {}
 
 impl CrossingLimits for Zones {
     fn on_event(&mut self, now: Timestamp, event: &Event) {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -364,20 +364,20 @@
 
 /// A hand-off of the same key that another dispatcher has made or may have made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Earlier {
+pub struct PeerAttempt {
     /// Where it went; `None`: it may have gone anywhere.
-    pub place: Option<(ZoneId, CellId)>,
-    pub first: Timestamp,
+    pub location: Option<(ZoneId, CellId)>,
+    pub first_sent: Timestamp,
 }
 
 /// Whoever knows what other dispatchers did for the same client's request.
-pub trait Others {
+pub trait PeerKnowledge {
     /// An earlier hand-off under the key of this access; it binds the access as one of its own would.
-    fn earlier(&self, _id: RequestId) -> Option<Earlier> {
+    fn earlier_attempt(&self, _id: RequestId) -> Option<PeerAttempt> {
         None
     }
     /// The breaker of a host opened, or let it back.
-    fn turned(&mut self, _now: Timestamp, _host: HostEntry, _open: bool) {}
+    fn on_breaker_change(&mut self, _now: Timestamp, _host: HostEntry, _open: bool) {}
 }
 
 /// All links are free, nobody counts, and nothing is known of others.
@@ -385,7 +385,7 @@
 pub struct Free;
 
 impl CrossingLimits for Free {}
-impl Others for Free {}
+impl PeerKnowledge for Free {}
 
 /// Switched on or off while it runs.
 impl<C: CrossingLimits> CrossingLimits for Option<C> {
@@ -406,12 +406,13 @@
     }
 }
 
-impl<O: Others> Others for Option<O> {
-    fn earlier(&self, id: RequestId) -> Option<Earlier> {
-        self.as_ref()?.earlier(id)
+impl<O: PeerKnowledge> PeerKnowledge for Option<O> {
+    fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
+        self.as_ref()?.earlier_attempt(id)
     }
 
-    fn turned(&mut self, now: Timestamp, host: HostEntry, open: bool) {
-        self.iter_mut().for_each(|on| on.turned(now, host, open));
+    fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
+        self.iter_mut()
+            .for_each(|on| on.on_breaker_change(now, host, open));
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -149,7 +149,7 @@
     f64::from(own.copied().unwrap_or(terms.dispatchers).max(1))
 }
 
-impl<C: CrossingLimits + Others> Dispatcher<C> {
+impl<C: CrossingLimits + PeerKnowledge> Dispatcher<C> {
     pub fn with(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
         let first_guess = |track: &ClassSettings| (track.target.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
@@ -642,7 +642,7 @@
         }
         if before != host.sick() {
             let what = if before { "back by trial" } else { "open" };
-            self.crossings.turned(now, host.entry, !before);
+            self.crossings.on_breaker_change(now, host.entry, !before);
             let text = format!("{role:?} {:x} breaker {what}", id.0);
             self.actions.push(Action::Log { text });
             self.touched.extend(self.accesses.keys());
@@ -852,10 +852,10 @@
             sent: t.sent,
             out: t.out,
         });
-        let others = self.crossings.earlier(access.arrival.id);
+        let others = self.crossings.earlier_attempt(access.arrival.id);
         let others = others.map(|earlier| EarlierAttempt {
-            place: earlier.place,
-            sent: earlier.first,
+            place: earlier.location,
+            sent: earlier.first_sent,
             out: false,
         });
         let effect = self.track(access).effect;
@@ -1005,7 +1005,7 @@
     fn give_up(&mut self, now: Timestamp, id: RequestId, why: GiveUpReason) {
         let access = &self.accesses[&id];
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
-        let ran = ran || self.crossings.earlier(id).is_some();
+        let ran = ran || self.crossings.earlier_attempt(id).is_some();
         let harmless = permits::may_refuse(self.track(access).effect, ran);
         let track = access.arrival.class;
         let come_back = self.come_back(now, track);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -23,7 +23,7 @@
     heard: usize,
 }
 
-impl Others for Gate {}
+impl PeerKnowledge for Gate {}
 
 impl CrossingLimits for Gate {
     fn on_event(&mut self, _now: Timestamp, _event: &Event) {
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -11,12 +11,12 @@
 const START: Timestamp = Timestamp(1_000_000_000);
 
 /// One earlier hand-off under every key.
-struct Known(Earlier);
+struct Known(PeerAttempt);
 
 impl CrossingLimits for Known {}
 
-impl Others for Known {
-    fn earlier(&self, _id: RequestId) -> Option<Earlier> {
+impl PeerKnowledge for Known {
+    fn earlier_attempt(&self, _id: RequestId) -> Option<PeerAttempt> {
         Some(self.0)
     }
 }
@@ -28,7 +28,14 @@
     terms.classes[1].effect = Effect::Keyed { group, window };
     let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
     let first = Timestamp(START.0 - ago.0);
-    let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
+    let mut dispatcher = Dispatcher::with(
+        Known(PeerAttempt {
+            location: place,
+            first_sent: first,
+        }),
+        terms,
+        1,
+    );
     change(&mut dispatcher)
 }
 
@@ -148,7 +155,14 @@
     for place in [None, Some((ZoneId(0), CellId(0)))] {
         let mut terms = terms();
         terms.classes[1].effect = Effect::NonIdempotent;
-        let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
+        let mut dispatcher = Dispatcher::with(
+            Known(PeerAttempt {
+                location: place,
+                first_sent: first,
+            }),
+            terms,
+            1,
+        );
         let actions = change(&mut dispatcher);
         assert!(!went(&actions) && aborted(&actions), "{actions:?}");
     }
