--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -53,7 +53,7 @@
             let read = read_terms(&Lines::from_text(f.text()?));
             let (terms, reports) = read.map_err(|Unreadable(why)| Malformed(why))?;
             let tracks = terms.classes.len();
-            let dispatcher = Dispatcher::with(Free, terms, seed);
+            let dispatcher = Dispatcher::with(Standalone, terms, seed);
             let seat = Seat {
                 dispatcher,
                 tracks,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -382,10 +382,10 @@
 
 /// All links are free, nobody counts, and nothing is known of others.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Free;
+pub struct Standalone;
 
-impl CrossingLimits for Free {}
-impl PeerKnowledge for Free {}
+impl CrossingLimits for Standalone {}
+impl PeerKnowledge for Standalone {}
 
 /// Switched on or off while it runs.
 impl<C: CrossingLimits> CrossingLimits for Option<C> {
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -101,7 +101,7 @@
     GiveUp(GiveUpReason),
 }
 
-pub struct Dispatcher<C = Free> {
+pub struct Dispatcher<C = Standalone> {
     /// What crosses between zones, and whether there is room for more.
     pub crossings: C,
     terms: DispatcherSettings,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -146,7 +146,7 @@
 
 fn begin(case: Case, terms: &DispatcherSettings, seed: u64, now: Timestamp, rate: f64) -> Process {
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mut dispatcher = Dispatcher::with(Free, terms.clone(), seed);
+    let mut dispatcher = Dispatcher::with(Standalone, terms.clone(), seed);
     let late = if case.told_late {
         chance.f64() * 2.0
     } else {
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -122,7 +122,7 @@
 
     pub fn seeded(terms: DispatcherSettings, seed: u64) -> Stage {
         let mut stage = Stage {
-            dispatcher: Dispatcher::with(Free, terms, seed),
+            dispatcher: Dispatcher::with(Standalone, terms, seed),
             now: Timestamp(100_000_000),
             handed: vec![],
             finals: BTreeMap::new(),
