--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -38,7 +38,7 @@
                 continue;
             };
             if std::mem::take(&mut seat.has_event) {
-                for action in seat.dispatcher.settle(now) {
+                for action in seat.dispatcher.take_actions(now) {
                     write(&mut reply, who, action);
                 }
             }
@@ -53,7 +53,7 @@
             let read = read_terms(&Lines::from_text(f.text()?));
             let (terms, reports) = read.map_err(|Unreadable(why)| Malformed(why))?;
             let tracks = terms.classes.len();
-            let dispatcher = Dispatcher::with(Standalone, terms, seed);
+            let dispatcher = Dispatcher::new(Standalone, terms, seed);
             let seat = Seat {
                 dispatcher,
                 tracks,
@@ -70,7 +70,7 @@
         }
         let seat = self.seats.get_mut(&who).ok_or_else(unknown)?;
         if let Some(event) = read_event(code, f, seat)? {
-            seat.dispatcher.take(now, event);
+            seat.dispatcher.handle_event(now, event);
         }
         if !std::mem::replace(&mut seat.has_event, true) {
             acting.push(who);
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -30,15 +30,15 @@
 
 impl Decider for Dispatcher<Option<Zones>> {
     fn take(&mut self, now: Timestamp, event: Event) {
-        Dispatcher::take(self, now, event);
+        Dispatcher::handle_event(self, now, event);
     }
 
     fn settle(&mut self, now: Timestamp) -> Vec<Action> {
-        Dispatcher::settle(self, now)
+        Dispatcher::take_actions(self, now)
     }
 
     fn hosts_kept(&self) -> usize {
-        Dispatcher::hosts_kept(self)
+        Dispatcher::tracked_hosts(self)
     }
 
     fn zones(&mut self) -> Option<&mut Zones> {
@@ -48,7 +48,7 @@
     fn divide(&mut self, now: Timestamp, following: &mut Following) {
         following.advance(now, &mut self.crossings);
         if let Some((caches, parents)) = following.cold() {
-            Dispatcher::divide(self, now, caches, parents);
+            Dispatcher::set_slow_start_shares(self, now, caches, parents);
         }
     }
 }
@@ -105,7 +105,7 @@
             Policy::Design => {
                 // Its points in the budgets are drawn apart from the decisions' own chance.
                 let zones = rules.map(|rules| Zones::new(&terms, rules.clone(), !seed));
-                Box::new(Dispatcher::with(zones, terms, seed))
+                Box::new(Dispatcher::new(zones, terms, seed))
             }
             policy => Box::new(Baseline::new(policy, terms, seed)),
         }
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -14,7 +14,7 @@
         if !std::mem::take(&mut self.state.told) {
             return;
         }
-        for action in self.decisions.settle(now) {
+        for action in self.decisions.take_actions(now) {
             match action {
                 Action::Attempt(attempt) => self.attempt(now, attempt),
                 Action::Refuse {
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -208,7 +208,7 @@
 
     fn tell(&mut self, now: Timestamp, event: Event) {
         self.state.told = true;
-        self.decisions.take(now, event);
+        self.decisions.handle_event(now, event);
     }
 
     fn take(&mut self, now: Timestamp, inbound: Inbound) {
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -29,7 +29,7 @@
         if !permits::may_take(self.state.requests.len(), most) {
             count(&self.counts.rejected);
             count(self.counts.given_up(GiveUpReason::TableFull));
-            let come_back = self.decisions.come_back(now, call.track);
+            let come_back = self.decisions.retry_after(now, call.track);
             return self.reply(
                 call.id,
                 Reply::Refused {
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -37,7 +37,7 @@
             *known = terms.clone();
         }
         self.decisions.crossings.zones = None;
-        self.decisions.follow(now, terms);
+        self.decisions.apply_settings(now, terms);
         self.state.told = true;
     }
 
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -22,7 +22,7 @@
     pub(super) fn share(&mut self, now: Timestamp) {
         self.decisions.crossings.advance(now);
         if let Some((caches, parents)) = self.decisions.crossings.cold() {
-            self.decisions.divide(now, caches, parents);
+            self.decisions.set_slow_start_shares(now, caches, parents);
         }
         while let Some(due) = self.decisions.crossings.take() {
             match due {
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -125,7 +125,7 @@
         log.clone(),
     );
     let terms = start.terms.clone();
-    let decisions = Dispatcher::with(subsystems::Subsystems::default(), start.terms, start.seed);
+    let decisions = Dispatcher::new(subsystems::Subsystems::default(), start.terms, start.seed);
     let most_lines = start.descriptors.saturating_sub(most_clients + RESERVE);
     let pools = Pools::new(Rc::new(link_context::Shared {
         queue,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,5 +1,5 @@
-//! Every decision of a dispatcher, with its tables and tuned values. Call [`Dispatcher::with`] once,
-//! [`Dispatcher::take`] for each event of a batch, then [`Dispatcher::settle`] once: it answers with the
+//! Every decision of a dispatcher, with its tables and tuned values. Call [`Dispatcher::new`] once,
+//! [`Dispatcher::handle_event`] for each event of a batch, then [`Dispatcher::take_actions`] once: it answers with the
 //! actions that lead from what is out, held and timed to what should be.
 //!
 //! The design: a breaker per host over a sliding window, hash order over caches and parents, stale
@@ -150,7 +150,7 @@
 }
 
 impl<C: CrossingLimits + PeerKnowledge> Dispatcher<C> {
-    pub fn with(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
+    pub fn new(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
         let first_guess = |track: &ClassSettings| (track.target.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
             crossings,
@@ -186,12 +186,12 @@
     }
 
     /// How many hosts it keeps something of, for a check that the table stays bounded.
-    pub fn hosts_kept(&self) -> usize {
+    pub fn tracked_hosts(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Takes one event; nothing goes out before [`Dispatcher::settle`].
-    pub fn take(&mut self, now: Timestamp, event: Event) {
+    /// Takes one event; nothing goes out before [`Dispatcher::take_actions`].
+    pub fn handle_event(&mut self, now: Timestamp, event: Event) {
         self.crossings.on_event(now, &event);
         match event {
             Event::HostList {
@@ -362,7 +362,7 @@
 
     /// Other terms hold from now on, with the same tracks, zone and effects. What is open, the list with its
     /// rules, purges and breakers stay; what was measured in another unit is learnt afresh.
-    pub fn follow(&mut self, now: Timestamp, terms: DispatcherSettings) {
+    pub fn apply_settings(&mut self, now: Timestamp, terms: DispatcherSettings) {
         let paced = |terms: &DispatcherSettings| (terms.stream_kb_per_s, terms.capacities_reported);
         if paced(&terms) != paced(&self.terms) {
             self.learnt.clear();
@@ -380,7 +380,12 @@
     }
 
     /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
-    pub fn divide(&mut self, now: Timestamp, caches: Option<f64>, parents: Option<f64>) {
+    pub fn set_slow_start_shares(
+        &mut self,
+        now: Timestamp,
+        caches: Option<f64>,
+        parents: Option<f64>,
+    ) {
         (
             self.terms.cache_slow_start.shared_by,
             self.terms.parent_slow_start.shared_by,
@@ -650,7 +655,7 @@
     }
 
     /// Emits the difference between what should be out, held and timed and what is.
-    pub fn settle(&mut self, now: Timestamp) -> Vec<Action> {
+    pub fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
             self.timed.remove(&(at, id));
             self.touched.insert(id);
@@ -994,7 +999,7 @@
     }
 
     /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
-    pub fn come_back(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+    pub fn retry_after(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let longest = self.terms.max_retry_after?;
         let full = self.crossings.retry_after(now, track);
         let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
@@ -1008,7 +1013,7 @@
         let ran = ran || self.crossings.earlier_attempt(id).is_some();
         let harmless = permits::may_refuse(self.track(access).effect, ran);
         let track = access.arrival.class;
-        let come_back = self.come_back(now, track);
+        let come_back = self.retry_after(now, track);
         self.actions.push(match harmless {
             true => Action::Refuse {
                 id,
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -146,7 +146,7 @@
 
 fn begin(case: Case, terms: &DispatcherSettings, seed: u64, now: Timestamp, rate: f64) -> Process {
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mut dispatcher = Dispatcher::with(Standalone, terms.clone(), seed);
+    let mut dispatcher = Dispatcher::new(Standalone, terms.clone(), seed);
     let late = if case.told_late {
         chance.f64() * 2.0
     } else {
@@ -159,14 +159,14 @@
     let entries = list
         .into_iter()
         .filter(|e| e.host != COLD || now >= told_at);
-    dispatcher.take(
+    dispatcher.handle_event(
         now,
         Event::HostList {
             kind: form,
             entries: entries.collect(),
         },
     );
-    dispatcher.settle(now);
+    dispatcher.take_actions(now);
     Process {
         dispatcher,
         told_at,
@@ -294,8 +294,8 @@
             }
             events
                 .into_iter()
-                .for_each(|event| process.dispatcher.take(now, event));
-            for action in process.dispatcher.settle(now) {
+                .for_each(|event| process.dispatcher.handle_event(now, event));
+            for action in process.dispatcher.take_actions(now) {
                 match action {
                     Action::Attempt(hand_off) => {
                         let done = now + TimeSpan::from_millis(40);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -54,19 +54,19 @@
 impl Desk {
     fn new(terms: DispatcherSettings) -> Desk {
         let gate = Gate::default();
-        let mut dispatcher = Dispatcher::with(gate.clone(), terms, 1);
+        let mut dispatcher = Dispatcher::new(gate.clone(), terms, 1);
         let now = Timestamp(1_000_000_000);
         let hosts = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
         let entries = hosts.map(|&host| entry(host)).collect();
         let form = HostListKind::Full;
-        dispatcher.take(
+        dispatcher.handle_event(
             now,
             Event::HostList {
                 kind: form,
                 entries,
             },
         );
-        dispatcher.settle(now);
+        dispatcher.take_actions(now);
         Desk {
             gate,
             dispatcher,
@@ -87,8 +87,9 @@
             part: 0,
             size_kb: Some(40.0),
         };
-        self.dispatcher.take(self.now, Event::Arrived(arrival));
-        (id, self.dispatcher.settle(self.now))
+        self.dispatcher
+            .handle_event(self.now, Event::Arrived(arrival));
+        (id, self.dispatcher.take_actions(self.now))
     }
 
     fn end(&mut self, id: RequestId, no: u8, ending: Ending, note: Note) -> Vec<Action> {
@@ -105,8 +106,9 @@
             client_proven: true,
             received_kb: None,
         };
-        self.dispatcher.take(self.now, Event::Outcome(outcome));
-        self.dispatcher.settle(self.now)
+        self.dispatcher
+            .handle_event(self.now, Event::Outcome(outcome));
+        self.dispatcher.take_actions(self.now)
     }
 }
 
@@ -204,8 +206,8 @@
     // It is looked at again a little after the origin failed.
     desk.now = desk.now + ms(100);
     desk.dispatcher
-        .take(desk.now, Event::TimerFired { timer: TimerId(0) });
-    let actions = desk.dispatcher.settle(desk.now);
+        .handle_event(desk.now, Event::TimerFired { timer: TimerId(0) });
+    let actions = desk.dispatcher.take_actions(desk.now);
     assert!(
         actions
             .iter()
@@ -227,7 +229,7 @@
         ..entry(host)
     });
     let (form, entries) = (HostListKind::Delta, entries.to_vec());
-    desk.dispatcher.take(
+    desk.dispatcher.handle_event(
         desk.now,
         Event::HostList {
             kind: form,
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -122,7 +122,7 @@
 
     pub fn seeded(terms: DispatcherSettings, seed: u64) -> Stage {
         let mut stage = Stage {
-            dispatcher: Dispatcher::with(Standalone, terms, seed),
+            dispatcher: Dispatcher::new(Standalone, terms, seed),
             now: Timestamp(100_000_000),
             handed: vec![],
             finals: BTreeMap::new(),
@@ -147,12 +147,12 @@
     }
 
     pub fn event(&mut self, event: Event) {
-        self.dispatcher.take(self.now, event);
+        self.dispatcher.handle_event(self.now, event);
         self.settle();
     }
 
     fn settle(&mut self) {
-        for action in self.dispatcher.settle(self.now) {
+        for action in self.dispatcher.take_actions(self.now) {
             match action {
                 Action::Attempt(hand_off) => {
                     assert!(
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -28,7 +28,7 @@
     terms.classes[1].effect = Effect::Keyed { group, window };
     let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
     let first = Timestamp(START.0 - ago.0);
-    let mut dispatcher = Dispatcher::with(
+    let mut dispatcher = Dispatcher::new(
         Known(PeerAttempt {
             location: place,
             first_sent: first,
@@ -47,14 +47,14 @@
         .chain([&ORIGIN])
         .map(|&host| entry(host));
     let (form, entries) = (HostListKind::Full, entries.collect());
-    dispatcher.take(
+    dispatcher.handle_event(
         START,
         Event::HostList {
             kind: form,
             entries,
         },
     );
-    dispatcher.take(
+    dispatcher.handle_event(
         START,
         Event::Arrived(Arrival {
             id: RequestId(1),
@@ -66,7 +66,7 @@
             size_kb: Some(1.0),
         }),
     );
-    dispatcher.settle(START)
+    dispatcher.take_actions(START)
 }
 
 fn went(actions: &[Action]) -> bool {
@@ -155,7 +155,7 @@
     for place in [None, Some((ZoneId(0), CellId(0)))] {
         let mut terms = terms();
         terms.classes[1].effect = Effect::NonIdempotent;
-        let mut dispatcher = Dispatcher::with(
+        let mut dispatcher = Dispatcher::new(
             Known(PeerAttempt {
                 location: place,
                 first_sent: first,
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -822,7 +822,7 @@
 #[test]
 fn a_host_long_gone_is_forgotten_unless_an_access_names_it() {
     let mut stage = Stage::new(terms());
-    let listed = stage.dispatcher.hosts_kept();
+    let listed = stage.dispatcher.tracked_hosts();
     let id = stage.arrive(READS, 1);
     let open = stage.last(id).host;
     for n in 0..1_000 {
@@ -838,7 +838,7 @@
         stage.list(HostListKind::Delta, vec![gone]);
         stage.pass(ms(500));
     }
-    assert!(stage.dispatcher.hosts_kept() <= listed + 125);
+    assert!(stage.dispatcher.tracked_hosts() <= listed + 125);
     let gone = HostEntry {
         state: HostState::Gone,
         ..entry(open)
@@ -848,7 +848,7 @@
     stage.list(HostListKind::Delta, Vec::new());
     stage.answer(id, Ending::ConnectionLost, Note::NotReported, ms(10));
     stage.list(HostListKind::Delta, Vec::new());
-    assert_eq!(stage.dispatcher.hosts_kept(), listed - 1);
+    assert_eq!(stage.dispatcher.tracked_hosts(), listed - 1);
 }
 
 /// At a high rate a hit comes in a millisecond, and ten that take three must not close a healthy cache.
@@ -1038,7 +1038,7 @@
         stamp: None,
     });
     let open = stage.arrive(READS, 7);
-    stage.dispatcher.follow(stage.now, probing());
+    stage.dispatcher.apply_settings(stage.now, probing());
     stage.answer(open, Ending::Done, Note::Hit, ms(20));
     for object in 0..40 {
         let id = stage.arrive(READS, object);
@@ -1078,7 +1078,7 @@
     stage.pass(TimeSpan::from_secs(2));
     let first = burst(&mut stage);
     assert!(first > 0, "something is let through");
-    stage.dispatcher.follow(stage.now, one_of_many());
+    stage.dispatcher.apply_settings(stage.now, one_of_many());
     assert_eq!(
         burst(&mut stage),
         0,
@@ -1090,7 +1090,9 @@
 fn sent_to_a_cold_parent(seed: u64, among: Option<f64>) -> f64 {
     let mut stage = Stage::seeded(one_of_many(), seed);
     let cold = large_cold_parent(stage.now);
-    stage.dispatcher.divide(stage.now, None, among);
+    stage
+        .dispatcher
+        .set_slow_start_shares(stage.now, None, among);
     stage.list(HostListKind::Delta, vec![cold]);
     let mut seconds = 0.0;
     for object in seed * 100..seed * 100 + 40 {
@@ -1129,7 +1131,9 @@
     stage.pass(TimeSpan::from_secs(2));
     assert!(burst(&mut stage) > 0, "something is let through");
     for among in [2.0, 200.0, 1.0] {
-        stage.dispatcher.divide(stage.now, Some(among), Some(among));
+        stage
+            .dispatcher
+            .set_slow_start_shares(stage.now, Some(among), Some(among));
         assert_eq!(burst(&mut stage), 0, "what was spent stays spent");
     }
     stage.pass(ms(400));
