--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -414,7 +414,7 @@
             Packet::Sending(sending) => {
                 let (now, call) = (Instant::now(), &sending.call);
                 if let Err(why) = sending.may_begin(&self.shared.clock, now) {
-                    self.shared.trace.denied(call, sending.id, why.word());
+                    self.shared.trace.denied(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
                 resp::put_array(&mut out, WORDS);
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 use trailproxy::interface::*;
-use trailproxy::policy::permits::{self, Denied, SendFacts};
+use trailproxy::policy::permits::{self, Denial, SendFacts};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{Address, Message};
 use trailproxy_shared_store::decide::{OpId, Reply as StoreReply};
@@ -148,7 +148,7 @@
 
 impl Sending {
     /// Whether its first byte may go out now.
-    pub fn may_begin(&self, clock: &Clock, now: Instant) -> Result<(), Denied> {
+    pub fn may_begin(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
         permits::may_send(clock.moment(now), &self.facts(clock))
     }
 
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -281,7 +281,7 @@
             pool.waiting.retain(|(until, sending)| {
                 match sending.may_begin(&shared.clock, now) {
                     Err(why) => {
-                        shared.trace.denied(&sending.call, sending.id, why.word());
+                        shared.trace.denied(&sending.call, sending.id, why.as_str());
                         shared.dropped(sending, Ending::NotSent);
                     }
                     // The host is not to blame for what was lacking here.
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -15,7 +15,7 @@
 
 /// Why something may not be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum Denial {
     /// The request has its final answer, or its client cancelled it.
     Answered,
     /// The client has closed its connection.
@@ -33,18 +33,18 @@
     SourceNotReady,
 }
 
-impl Denied {
+impl Denial {
     /// One word for logs and counters.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Denied::Answered => "answered",
-            Denied::ClientGone => "client_gone",
-            Denied::DeadlinePassed => "deadline_passed",
-            Denied::RepeatWindowOver => "repeat_window_over",
-            Denied::MayHaveRun => "may_have_run",
-            Denied::OtherRepeatGroup => "other_repeat_group",
-            Denied::HostNotReady => "host_not_ready",
-            Denied::SourceNotReady => "source_not_ready",
+            Denial::Answered => "answered",
+            Denial::ClientGone => "client_gone",
+            Denial::DeadlinePassed => "deadline_passed",
+            Denial::RepeatWindowOver => "repeat_window_over",
+            Denial::MayHaveRun => "may_have_run",
+            Denial::OtherRepeatGroup => "other_repeat_group",
+            Denial::HostNotReady => "host_not_ready",
+            Denial::SourceNotReady => "source_not_ready",
         }
     }
 }
@@ -69,7 +69,7 @@
 /// Whether the first byte of an attempt may go out now.
 ///
 /// ```
-/// use trailproxy::policy::permits::{Denied, SendFacts, may_send};
+/// use trailproxy::policy::permits::{Denial, SendFacts, may_send};
 /// use trailproxy::units::Timestamp;
 /// let facts = SendFacts {
 ///     answered: false,
@@ -78,21 +78,21 @@
 ///     repeat_by: None,
 /// };
 /// assert_eq!(may_send(Timestamp(2_000), &facts), Ok(()));
-/// assert_eq!(may_send(Timestamp(60_000), &facts), Err(Denied::ClientGone));
+/// assert_eq!(may_send(Timestamp(60_000), &facts), Err(Denial::ClientGone));
 /// ```
-pub fn may_send(now: Timestamp, facts: &SendFacts) -> Result<(), Denied> {
+pub fn may_send(now: Timestamp, facts: &SendFacts) -> Result<(), Denial> {
     if facts.answered {
-        return Err(Denied::Answered);
+        return Err(Denial::Answered);
     }
     let gone = |closed: Timestamp| now >= closed + CLIENT_GONE_AFTER;
     if facts.client_closed.is_some_and(gone) {
-        return Err(Denied::ClientGone);
+        return Err(Denial::ClientGone);
     }
     if now >= facts.deadline {
-        return Err(Denied::DeadlinePassed);
+        return Err(Denial::DeadlinePassed);
     }
     if facts.repeat_by.is_some_and(|by| now >= by) {
-        return Err(Denied::RepeatWindowOver);
+        return Err(Denial::RepeatWindowOver);
     }
     Ok(())
 }
@@ -107,10 +107,10 @@
 }
 
 /// Whether a host, and whatever fills a miss there, may be given anything new.
-pub fn may_use(host_ready: bool, source_ready: bool) -> Result<(), Denied> {
+pub fn may_use(host_ready: bool, source_ready: bool) -> Result<(), Denial> {
     match (host_ready, source_ready) {
-        (false, _) => Err(Denied::HostNotReady),
-        (true, false) => Err(Denied::SourceNotReady),
+        (false, _) => Err(Denial::HostNotReady),
+        (true, false) => Err(Denial::SourceNotReady),
         (true, true) => Ok(()),
     }
 }
@@ -130,18 +130,18 @@
     effect: Effect,
     earlier: impl Iterator<Item = EarlierAttempt>,
     to: (ZoneId, CellId),
-) -> Result<(), Denied> {
+) -> Result<(), Denial> {
     for attempt in earlier {
         match effect {
             // It is withdrawn before it goes out again: never two at once.
-            Effect::Idempotent if attempt.out => return Err(Denied::MayHaveRun),
+            Effect::Idempotent if attempt.out => return Err(Denial::MayHaveRun),
             Effect::Idempotent => {}
-            Effect::NonIdempotent => return Err(Denied::MayHaveRun),
+            Effect::NonIdempotent => return Err(Denial::MayHaveRun),
             Effect::Keyed { group, .. } if !group.covers(attempt.place, to) => {
-                return Err(Denied::OtherRepeatGroup);
+                return Err(Denial::OtherRepeatGroup);
             }
             Effect::Keyed { window, .. } if now >= attempt.sent + window => {
-                return Err(Denied::RepeatWindowOver);
+                return Err(Denial::RepeatWindowOver);
             }
             Effect::Keyed { .. } => {}
         }
