--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -121,7 +121,7 @@
 /// Part of a cold host's told limit that all use together, and what an answer takes beside its sending.
 const COLD_USE: f64 = 0.4;
 const HOP: TimeSpan = TimeSpan::from_millis(40);
-const COME_BACK: TimeSpan = TimeSpan::from_millis(500);
+const DEFAULT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
@@ -454,7 +454,7 @@
         let come_back = self
             .terms
             .max_retry_after
-            .map(|longest| COME_BACK.min(longest));
+            .map(|longest| DEFAULT_RETRY_AFTER.min(longest));
         self.actions.push(if harmless {
             let why = GiveUpReason::NoHostInTime;
             Action::Refuse {
--- a/crates/trailproxyd/src/checks.rs
+++ b/crates/trailproxyd/src/checks.rs
@@ -93,8 +93,8 @@
         match why {
             GiveUpReason::DeadlinePassed => &self.gave_up_deadline_passed,
             GiveUpReason::AttemptsUsed => &self.gave_up_attempts_used,
-            GiveUpReason::NobodyHoldsIt => &self.gave_up_nobody_holds_it,
-            GiveUpReason::OriginShut => &self.gave_up_origin_shut,
+            GiveUpReason::NotCached => &self.gave_up_nobody_holds_it,
+            GiveUpReason::OriginUnavailable => &self.gave_up_origin_shut,
             GiveUpReason::NoHostInTime => &self.gave_up_no_host_in_time,
             GiveUpReason::NotPermitted => &self.gave_up_not_permitted,
             GiveUpReason::TableFull => &self.gave_up_table_full,
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -49,7 +49,7 @@
     /// The decisions have given a request up.
     fn given_up(&mut self, now: Timestamp, id: RequestId, reply: Reply, why: GiveUpReason) {
         count(self.counts.given_up(why));
-        self.answer(now, id, reply, why.word());
+        self.answer(now, id, reply, why.as_str());
         self.forget(now, id);
     }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -10,7 +10,7 @@
 use crate::policy::breaker::*;
 use crate::policy::host::*;
 use crate::policy::permits::{self, EarlierAttempt, SendFacts};
-use crate::policy::refusals::{COME_BACK, GiveUpReason};
+use crate::policy::refusals::{DEFAULT_RETRY_AFTER, GiveUpReason};
 use crate::units::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -760,16 +760,16 @@
         let (written, origin) = (self.track(access).is_write, self.origin);
         let open = origin.filter(|&id| self.open_to(now, access, id));
         if access.lacking && origin.is_none_or(|id| !self.hosts[&id].sick()) {
-            return Err(GiveUpReason::NobodyHoldsIt);
+            return Err(GiveUpReason::NotCached);
         }
         if (access.lacking || written) && self.terms.allows_direct {
             let plan = open.map(|host| Plan { host, source: host });
-            return plan.ok_or(GiveUpReason::OriginShut);
+            return plan.ok_or(GiveUpReason::OriginUnavailable);
         }
         let cache = self.pick_cache(now, access);
         if written {
             let plan = cache.zip(open).map(|(host, source)| Plan { host, source });
-            return plan.ok_or(GiveUpReason::OriginShut);
+            return plan.ok_or(GiveUpReason::OriginUnavailable);
         }
         let source = self.pick_source(now, access, cache);
         // With no cache to go to, an access passes them by, straight to where it would be filled.
@@ -1002,7 +1002,7 @@
     pub fn retry_after(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let longest = self.terms.max_retry_after?;
         let full = self.crossings.retry_after(now, track);
-        let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
+        let usual = full.map_or(DEFAULT_RETRY_AFTER, |full| full.max(DEFAULT_RETRY_AFTER));
         Some(usual.mul_f64(0.75 + 0.5 * self.chance.f64()).min(longest))
     }
 
--- a/src/policy/refusals.rs
+++ b/src/policy/refusals.rs
@@ -3,7 +3,7 @@
 use crate::units::TimeSpan;
 
 /// How long a client that was refused stays away, where nothing else says how long.
-pub const COME_BACK: TimeSpan = TimeSpan::from_millis(500);
+pub const DEFAULT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
 /// Why nothing more is tried for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -13,9 +13,9 @@
     /// It has had as many attempts as the settings allow.
     AttemptsUsed,
     /// Who was asked does not hold the object, and no fill is possible.
-    NobodyHoldsIt,
+    NotCached,
     /// It runs at the origin alone, and that is shut.
-    OriginShut,
+    OriginUnavailable,
     /// No host that is open would answer in time within its budget.
     NoHostInTime,
     /// A rule forbids the attempt that would come next.
@@ -26,12 +26,12 @@
 
 impl GiveUpReason {
     /// One word for logs and counters.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             GiveUpReason::DeadlinePassed => "deadline_passed",
             GiveUpReason::AttemptsUsed => "attempts_used",
-            GiveUpReason::NobodyHoldsIt => "nobody_holds_it",
-            GiveUpReason::OriginShut => "origin_shut",
+            GiveUpReason::NotCached => "nobody_holds_it",
+            GiveUpReason::OriginUnavailable => "origin_shut",
             GiveUpReason::NoHostInTime => "no_host_in_time",
             GiveUpReason::NotPermitted => "not_permitted",
             GiveUpReason::TableFull => "table_full",
