--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -14,30 +14,30 @@
 
 /// Who decides at a dispatcher.
 pub trait Decider {
-    fn take(&mut self, now: Timestamp, event: Event);
-    fn settle(&mut self, now: Timestamp) -> Vec<Action>;
+    fn handle_event(&mut self, now: Timestamp, event: Event);
+    fn take_actions(&mut self, now: Timestamp) -> Vec<Action>;
     /// The true pace of each host, as far as it is told: only the oracle looks at it.
     fn truth(&mut self, _now: Timestamp, _paces: &[(HostId, f64)]) {}
     /// How many hosts it keeps something of.
-    fn hosts_kept(&self) -> usize;
+    fn tracked_hosts(&self) -> usize;
     /// Its account of traffic between zones, where it keeps one.
     fn zones(&mut self) -> Option<&mut Zones> {
         None
     }
     /// What its budgets come to now, where they are divided.
-    fn divide(&mut self, _now: Timestamp, _following: &mut Following) {}
+    fn set_slow_start_shares(&mut self, _now: Timestamp, _following: &mut Following) {}
 }
 
 impl Decider for Dispatcher<Option<Zones>> {
-    fn take(&mut self, now: Timestamp, event: Event) {
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
         Dispatcher::handle_event(self, now, event);
     }
 
-    fn settle(&mut self, now: Timestamp) -> Vec<Action> {
+    fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
         Dispatcher::take_actions(self, now)
     }
 
-    fn hosts_kept(&self) -> usize {
+    fn tracked_hosts(&self) -> usize {
         Dispatcher::tracked_hosts(self)
     }
 
@@ -45,7 +45,7 @@
         self.crossings.as_mut()
     }
 
-    fn divide(&mut self, now: Timestamp, following: &mut Following) {
+    fn set_slow_start_shares(&mut self, now: Timestamp, following: &mut Following) {
         following.advance(now, &mut self.crossings);
         if let Some((caches, parents)) = following.cold() {
             Dispatcher::set_slow_start_shares(self, now, caches, parents);
@@ -544,7 +544,7 @@
 }
 
 impl Decider for Baseline {
-    fn take(&mut self, now: Timestamp, event: Event) {
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
         match event {
             Event::HostList {
                 kind: form,
@@ -585,7 +585,7 @@
         }
     }
 
-    fn settle(&mut self, now: Timestamp) -> Vec<Action> {
+    fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
         while let Some(&(at, id)) = self.limits.first().filter(|(at, _)| *at <= now) {
             self.limits.remove(&(at, id));
             self.touched.insert(id);
@@ -604,7 +604,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn hosts_kept(&self) -> usize {
+    fn tracked_hosts(&self) -> usize {
         self.hosts.len()
     }
 
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -22,7 +22,7 @@
         let rules = self.scenario.zones.as_ref();
         let mut decider = self.policy.decider(self.scenario.terms(zone), rules, seed);
         let entries = self.fleet.list();
-        decider.take(
+        decider.handle_event(
             self.now,
             Event::HostList {
                 kind: HostListKind::Full,
@@ -30,7 +30,7 @@
             },
         );
         for &(object, group, at) in &self.purged {
-            decider.take(
+            decider.handle_event(
                 self.now,
                 Event::Purged {
                     object,
@@ -83,7 +83,7 @@
         else {
             return;
         };
-        decider.divide(now, following);
+        decider.set_slow_start_shares(now, following);
         for (to, note) in following.messages() {
             let place = (0..self.seats.len()).find(|&nth| HolderId::of_name(&name(nth)) == to);
             if let Some(place) = place {
@@ -103,7 +103,7 @@
             return;
         };
         following.iter_mut().for_each(|on| on.event(now, &event));
-        decider.take(now, event);
+        decider.handle_event(now, event);
         self.settle(seat);
     }
 
@@ -112,7 +112,7 @@
         let actions = self.seats[seat]
             .decider
             .as_mut()
-            .map(|decider| decider.settle(now));
+            .map(|decider| decider.take_actions(now));
         for action in actions.into_iter().flatten() {
             self.act(seat, action);
         }
