--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -105,13 +105,10 @@
             }
         }
         1040 => {
-            let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
+            let (id, attempt) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
             f.host()?;
             f.u32()?;
-            Event::ResponseStarted {
-                id,
-                attempt: hand_off,
-            }
+            Event::ResponseStarted { id, attempt }
         }
         1060 => arrival(f, seat.tracks)?,
         1080 => outcome(f, &seat.reports)?,
@@ -126,7 +123,7 @@
 }
 
 fn hosts(f: &mut Fields) -> Read1<Event> {
-    let form = match f.u8()? {
+    let kind = match f.u8()? {
         0 | 1 => HostListKind::Full,
         2 => HostListKind::Delta,
         3 => HostListKind::Failed,
@@ -138,10 +135,7 @@
     for _ in 0..n {
         entries.push(entry(f)?);
     }
-    Ok(Event::HostList {
-        kind: form,
-        entries,
-    })
+    Ok(Event::HostList { kind, entries })
 }
 
 fn entry(f: &mut Fields) -> Read1<HostEntry> {
@@ -149,7 +143,7 @@
     let host = HostId(f.host()?);
     let zone = ZoneId(f.u16()?);
     let started = f.u64()?;
-    let size = f64::from(f.f32()?);
+    let capacity = f64::from(f.f32()?);
     let state = match f.u8()? {
         0 => HostState::Gone,
         1 => HostState::Ready,
@@ -165,13 +159,13 @@
         kind,
         started,
         stamp: started,
-        capacity: size,
+        capacity,
         state,
     })
 }
 
 fn arrival(f: &mut Fields, tracks: usize) -> Read1<Event> {
-    let (id, left, track) = (RequestId(f.u64()?), TimeSpan(f.u32()?.into()), f.u16()?);
+    let (id, time_left, track) = (RequestId(f.u64()?), TimeSpan(f.u32()?.into()), f.u16()?);
     if usize::from(track) >= tracks {
         return Err(format!("unknown category {track}").into());
     }
@@ -184,7 +178,7 @@
     let size_kb = (kbytes.is_finite() && kbytes > 0.0).then_some(kbytes);
     Ok(Event::Arrived(Arrival {
         id,
-        time_left: left,
+        time_left,
         class: ClassId(track),
         object,
         group,
@@ -194,11 +188,11 @@
 }
 
 fn outcome(f: &mut Fields, reports: &Reports) -> Read1<Event> {
-    let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
+    let (id, attempt) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
     f.host()?;
     let ending = ending(f.u8()?)?;
-    let took = TimeSpan(f.u32()?.into());
-    let closed = f.u8()? != 0;
+    let elapsed = TimeSpan(f.u32()?.into());
+    let request_closed = f.u8()? != 0;
     let note = match f.u32()? {
         1 => Note::Hit,
         2 => Note::Filled,
@@ -212,17 +206,18 @@
         10 => Note::OriginFailed,
         _ => Note::NotReported,
     };
-    let waited = f.u32()?;
-    let waited = (waited > 0).then_some(TimeSpan(waited.into()));
+    let first_byte_latency = f.u32()?;
+    let first_byte_latency =
+        (first_byte_latency > 0).then_some(TimeSpan(first_byte_latency.into()));
     let load = reports.load(&values(f)?);
     Ok(Event::Outcome(Outcome {
         id,
-        attempt: hand_off,
+        attempt,
         ending,
-        elapsed: took,
-        request_closed: closed,
+        elapsed,
+        request_closed,
         note,
-        first_byte_latency: waited,
+        first_byte_latency,
         load,
         client_proven: true,
         received_kb: None,
@@ -268,24 +263,19 @@
             }
         }
         Action::Refuse {
-            id,
-            retry_after: come_back,
-            ..
+            id, retry_after, ..
         } => {
-            let come_back = come_back.map_or(0, wire_span);
-            reply.record(1010, who).u64(id.0).u32(come_back);
+            let retry_after = retry_after.map_or(0, wire_span);
+            reply.record(1010, who).u64(id.0).u32(retry_after);
         }
         Action::Fail { id, .. } => {
             reply.record(1020, who).u64(id.0);
         }
-        Action::Cancel {
-            id,
-            attempt: hand_off,
-        } => {
-            reply.record(1030, who).u64(id.0).u8(hand_off.0);
+        Action::Cancel { id, attempt } => {
+            reply.record(1030, who).u64(id.0).u8(attempt.0);
         }
-        Action::SetTimer { at, timer: wake } => {
-            reply.record(1040, who).u64(at.0).u32(wake.0);
+        Action::SetTimer { at, timer } => {
+            reply.record(1040, who).u64(at.0).u32(timer.0);
         }
         Action::Probe { host } => {
             reply.record(1050, who).host(host.0);
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -409,11 +409,11 @@
         let since = keys
             .iter()
             .filter_map(|key| Some(now.since(*self.purges.get(key)?)));
-        let oldest = since.chain(track.fresh_for).min();
+        let max_age = since.chain(track.fresh_for).min();
         let fill = Fill {
             source,
             rank: u8::from(!written),
-            max_age: oldest,
+            max_age,
             join: self.terms.joins_fills && source != host,
             only_if_cached: false,
             revalidate: track.fresh_for.is_some() && source != host,
@@ -451,20 +451,20 @@
         let access = &self.accesses[&id];
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
         let harmless = permits::may_refuse(self.track(access).effect, ran);
-        let come_back = self
+        let retry_after = self
             .terms
             .max_retry_after
             .map(|longest| DEFAULT_RETRY_AFTER.min(longest));
         self.actions.push(if harmless {
-            let why = GiveUpReason::NoHostInTime;
+            let reason = GiveUpReason::NoHostInTime;
             Action::Refuse {
                 id,
-                retry_after: come_back,
-                reason: why,
+                retry_after,
+                reason,
             }
         } else {
-            let why = GiveUpReason::NoHostInTime;
-            Action::Fail { id, reason: why }
+            let reason = GiveUpReason::NoHostInTime;
+            Action::Fail { id, reason }
         });
         self.close(id);
     }
@@ -546,41 +546,35 @@
 impl Decider for Baseline {
     fn handle_event(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::HostList {
-                kind: form,
-                entries,
-            } => self.list(now, form, entries),
-            Event::Arrived(asked) => {
-                let limit = now + asked.time_left;
+            Event::HostList { kind, entries } => self.list(now, kind, entries),
+            Event::Arrived(arrival) => {
+                let limit = now + arrival.time_left;
                 let (tries, failed) = (Vec::new(), BTreeSet::new());
                 self.accesses.insert(
-                    asked.id,
+                    arrival.id,
                     Request {
-                        arrival: asked,
+                        arrival,
                         limit,
                         tries,
                         failed,
                         ended: false,
                     },
                 );
-                self.limits.insert((limit, asked.id));
-                self.touched.insert(asked.id);
+                self.limits.insert((limit, arrival.id));
+                self.touched.insert(arrival.id);
             }
             Event::ResponseStarted { id, .. } | Event::ClientGone { id } => self.close(id),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
             Event::TimerFired { .. } => self.armed = None,
             Event::Probed { .. } | Event::PeerBreakerOpened { .. } => {}
             Event::Purged {
-                object,
-                group,
-                age: ago,
-                ..
+                object, group, age, ..
             } => {
                 let forget = self.terms.purge_propagation.mul_f64(3.0);
                 self.purges.retain(|_, &mut at| now.since(at) < forget);
                 let group = object.map_or(group, |_| GroupId::default());
                 let at = self.purges.entry((group, object)).or_default();
-                *at = (*at).max(now - ago);
+                *at = (*at).max(now - age);
             }
         }
     }
--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -9,9 +9,9 @@
 use trailproxy_standins::shape::told;
 
 impl World<'_> {
-    pub(super) fn hand_off(&mut self, seat: usize, hand_off: Attempt) {
+    pub(super) fn hand_off(&mut self, seat: usize, attempt: Attempt) {
         let (now, hop) = (self.now, self.scenario.hop);
-        let Some(open) = self.open.get_mut(&hand_off.id) else {
+        let Some(open) = self.open.get_mut(&attempt.id) else {
             return;
         };
         self.next_id += 1;
@@ -21,18 +21,18 @@
         let wish = open.wish;
         let pull = Pull {
             ticket,
-            host: hand_off.host,
+            host: attempt.host,
             zone: wish.zone,
             track: wish.track,
             object: wish.object,
             group: wish.group,
             part: wish.part,
             kb: wish.kb,
-            fill: hand_off.fill,
+            fill: attempt.fill,
         };
         let life = self.seats[seat].life;
         let out = Out {
-            access: hand_off.id,
+            access: attempt.id,
             no,
             seat,
             life,
@@ -42,9 +42,9 @@
         };
         self.out.insert(ticket, out);
         self.tally.hand_offs += 1;
-        let source = hand_off.fill.map(|fill| fill.source);
+        let source = attempt.fill.map(|fill| fill.source);
         self.checker
-            .sent(now, hand_off.id, no.0, hand_off.host, source, wish.kb);
+            .sent(now, attempt.id, no.0, attempt.host, source, wish.kb);
         let jitter = TimeSpan(self.chance.random_range(0..200));
         self.file(now + hop + jitter, Ev::Asked(ticket));
     }
@@ -109,11 +109,11 @@
         if self.seats[out.seat].life != out.life {
             return;
         }
-        let mut closed = false;
+        let mut request_closed = false;
         if let Some(open) = self.open.get_mut(&id) {
             open.last = Some(answer.ending);
-            closed = answer.ending == Ending::Done && !open.closed;
-            if closed {
+            request_closed = answer.ending == Ending::Done && !open.closed;
+            if request_closed {
                 open.closed = true;
                 self.file(
                     now + self.scenario.hop,
@@ -127,7 +127,7 @@
             attempt: out.no,
             ending: answer.ending,
             elapsed: now.since(out.sent),
-            request_closed: closed,
+            request_closed,
             note: told(notes, answer.note),
             first_byte_latency: answer.waited.filter(|_| notes == NoteLevel::All),
             load: Load {
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -121,27 +121,22 @@
     pub(super) fn act(&mut self, seat: usize, action: Action) {
         let (now, hop) = (self.now, self.scenario.hop);
         match action {
-            Action::Attempt(hand_off) => self.hand_off(seat, hand_off),
+            Action::Attempt(attempt) => self.hand_off(seat, attempt),
             Action::Refuse {
-                id,
-                retry_after: come_back,
-                ..
+                id, retry_after, ..
             } => {
                 self.given_up(id);
-                self.file(now + hop, Ev::Final(id, Final::Rejected, come_back, None));
+                self.file(now + hop, Ev::Final(id, Final::Rejected, retry_after, None));
             }
             Action::Fail { id, .. } => {
                 self.given_up(id);
                 self.file(now + hop, Ev::Final(id, Final::Aborted, None, None));
             }
-            Action::Cancel {
-                id,
-                attempt: hand_off,
-            } => {
+            Action::Cancel { id, attempt } => {
                 let ticket = self
                     .open
                     .get(&id)
-                    .and_then(|open| open.tickets.get(usize::from(hand_off.0)));
+                    .and_then(|open| open.tickets.get(usize::from(attempt.0)));
                 let out = ticket.copied().and_then(|ticket| self.out.get_mut(&ticket));
                 if let Some(out) = out.filter(|out| !out.withdrawn) {
                     out.withdrawn = true;
@@ -149,9 +144,9 @@
                     self.file(now + hop, Ev::Withdrawn(ticket));
                 }
             }
-            Action::SetTimer { at, timer: wake } => {
+            Action::SetTimer { at, timer } => {
                 let life = self.seats[seat].life;
-                self.file(at.max(now), Ev::Wake(seat, life, wake));
+                self.file(at.max(now), Ev::Wake(seat, life, timer));
             }
             // The model's hosts tell their load with answers; scenarios ask for no probes.
             Action::RequestHostList | Action::Probe { .. } => {}
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -30,9 +30,9 @@
                 self.file(now + WITHDRAWN_AFTER, Ev::Outcome(ticket, none));
             }
             Ev::Outcome(ticket, answer) => self.outcome(ticket, answer),
-            Ev::Wake(seat, life, wake) => {
+            Ev::Wake(seat, life, timer) => {
                 if self.seats[seat].life == life {
-                    self.tell(seat, Event::TimerFired { timer: wake });
+                    self.tell(seat, Event::TimerFired { timer });
                 }
             }
             Ev::Told(seat, entry) => {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -423,7 +423,7 @@
                 return Err(section.wrong("dispatchers", "none in a zone that has no cache"));
             }
         }
-        let tracks: Vec<ClassSettings> = sheet.all("track").map(track).collect();
+        let classes: Vec<ClassSettings> = sheet.all("track").map(track).collect();
         for section in sheet.all("track") {
             if section.number("due_ms") > section.number("limit_ms") {
                 return Err(section.wrong("due_ms", "a due time no longer than limit_ms"));
@@ -432,7 +432,7 @@
         let shape = Shape {
             zones,
             hosts,
-            tracks: tracks.clone(),
+            tracks: classes.clone(),
             flow_kb_per_s: fleet.number("flow_kb_per_s"),
             fill_kb_per_s: fleet.number("flow_kb_per_s") * fleet.number("fill_pace"),
             cold_cache: cold(fleet, "cold_from", "cold_ms", "cold_multiple"),
@@ -461,7 +461,7 @@
             dispatchers_by_zone: seats.clone(),
             parent_kind: has(Role::Parent),
             origin_kind: has(Role::Origin),
-            classes: tracks,
+            classes,
             stream_kb_per_s: shape.flow_kb_per_s,
             link_kb_per_s: None,
             link_load_reported: fleet.flag("link_told"),
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -49,10 +49,10 @@
         let unsure = || {
             // It may have run anywhere, however long ago.
             let refused = self.rules.refuse && !self.granted(id) && self.records.key(id).is_some();
-            let (place, first) = (None, Timestamp(0));
+            let (location, first_sent) = (None, Timestamp(0));
             refused.then_some(PeerAttempt {
-                location: place,
-                first_sent: first,
+                location,
+                first_sent,
             })
         };
         self.records.earlier(id).or_else(unsure)
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -224,11 +224,11 @@
             return Vec::new();
         };
         // Taken for as old as it can be, so that its window ends here no later than at the hosts.
-        let first = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
-        let place = record.place;
+        let first_sent = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
+        let location = record.place;
         own.earlier = Some(PeerAttempt {
-            location: place,
-            first_sent: first,
+            location,
+            first_sent,
         });
         // An answer from the record is never given to one that has gone to the decisions.
         if own.phase == Phase::Gone {
--- a/crates/standins/tests/fleet.rs
+++ b/crates/standins/tests/fleet.rs
@@ -29,13 +29,13 @@
         first_byte: TimeSpan::from_millis(10),
         places: 8,
     };
-    let track = |fresh: Option<TimeSpan>, written| ClassSettings {
+    let track = |fresh_for: Option<TimeSpan>, is_write| ClassSettings {
         target: TimeSpan::from_millis(500),
         target_stretch: 1.0,
         effect: Effect::Idempotent,
-        fresh_for: fresh,
+        fresh_for,
         stale_grace: TimeSpan::from_secs(60),
-        is_write: written,
+        is_write,
     };
     let cold = SlowStart {
         initial_capacity: 0.25,
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -239,15 +239,15 @@
 /// The terms, and what load reports hold.
 pub fn read_terms(lines: &Lines) -> Read1<(DispatcherSettings, Reports)> {
     let zone: u16 = lines.must("az")?;
-    let cold_cache = lines.cold(
+    let cache_slow_start = lines.cold(
         "rules.start_capacity",
         "rules.cold_us",
         "rules.overload_factor",
         "rules.tip_after_us",
     )?;
     let parent_kind = lines.kind("family_info.second_tier_kind")?;
-    let cold_parent = match parent_kind {
-        None => cold_cache,
+    let parent_slow_start = match parent_kind {
+        None => cache_slow_start,
         Some(_) => lines.cold(
             "family_info.parent_starts_at",
             "family_info.parent_ramp_us",
@@ -260,8 +260,8 @@
     let class_count = lines.class_count()?;
     let via = lines.one_of("report.via", &["piggyback", "pull", "silent"])?;
     let may_probe = lines.one_of("ceilings.may_probe", &["true", "false"])?;
-    let probes = via == Some("pull") && may_probe == Some("true");
-    let reported: Vec<String> = match probes || via == Some("piggyback") {
+    let probes_enabled = via == Some("pull") && may_probe == Some("true");
+    let reported: Vec<String> = match probes_enabled || via == Some("piggyback") {
         true => lines.list("report.fields")?,
         false => Vec::new(),
     };
@@ -289,7 +289,7 @@
         stream_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
         link_kb_per_s: links.get(usize::from(zone)).copied().filter(|&kb| kb > 0.0),
         link_load_reported: reports.link_full_at.is_some(),
-        probes_enabled: probes,
+        probes_enabled,
         capacities_reported: lines.one_of("weights", &WEIGHTS)? != Some("silent"),
         joins_fills: lines.or("family_info.joins", false)?,
         allows_direct: lines.or("family_info.straight", false)?,
@@ -305,8 +305,8 @@
             false => None,
         },
         host_list_on_request: lines.text("membership_mode") == Some("on_request"),
-        cache_slow_start: cold_cache,
-        parent_slow_start: cold_parent,
+        cache_slow_start,
+        parent_slow_start,
         purge_propagation: TimeSpan(lines.or("family_info.cleared_within_us", 0)?),
     };
     Ok((terms, reports))
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -19,24 +19,17 @@
                 Action::Attempt(attempt) => self.attempt(now, attempt),
                 Action::Refuse {
                     id,
-                    retry_after: come_back,
-                    reason: why,
+                    retry_after,
+                    reason,
                 } => {
-                    self.given_up(
-                        now,
-                        id,
-                        Reply::Refused {
-                            retry_after: come_back,
-                        },
-                        why,
-                    );
+                    self.given_up(now, id, Reply::Refused { retry_after }, reason);
                 }
-                Action::Fail { id, reason: why } => self.given_up(now, id, Reply::Failed, why),
+                Action::Fail { id, reason } => self.given_up(now, id, Reply::Failed, reason),
                 Action::Cancel { id, attempt: no } => {
                     self.pools.kill(AttemptId { request: id, no });
                 }
-                Action::SetTimer { at, timer: wake } => {
-                    self.state.wakes.insert((at, wake));
+                Action::SetTimer { at, timer } => {
+                    self.state.wakes.insert((at, timer));
                 }
                 Action::Probe { host } => self.pools.probe(host),
                 // The list comes by itself.
@@ -137,7 +130,7 @@
         attempt.over = true;
         attempt.ran = !ending.never_ran();
         attempt.line = line;
-        let took = now.since(attempt.sent);
+        let elapsed = now.since(attempt.sent);
         match ending {
             Ending::ConnectionLost => count(&self.counts.lost),
             Ending::NotSent => count(&self.counts.not_sent),
@@ -147,9 +140,9 @@
             _ => {}
         }
         debug!(self.log, "ended"; "access" => id.request.0, "host" => format!("{:x}", attempt.host.0),
-            "ending" => crate::trace::ending_name(ending), "note" => crate::trace::note_name(answer.note), "took" => took.0);
-        let came_kb = answer.body.as_ref();
-        let came_kb = came_kb.map(|body| body.bytes().len() as f64 / 1024.0);
+            "ending" => crate::trace::ending_name(ending), "note" => crate::trace::note_name(answer.note), "took" => elapsed.0);
+        let received_kb = answer.body.as_ref();
+        let received_kb = received_kb.map(|body| body.bytes().len() as f64 / 1024.0);
         if ending == Ending::Done {
             let reply = answer.body.map_or(Reply::Same, Reply::Served);
             self.answer(now, id.request, reply, "served");
@@ -161,10 +154,10 @@
         let request = self.state.requests.get(&id.request);
         if let Some(request) = request {
             let trace = &self.pools.shared.trace;
-            trace.ended(&request.call, id, ending, took);
+            trace.ended(&request.call, id, ending, elapsed);
         }
-        let closed = request.is_none_or(|request| request.closed);
-        let proven = self
+        let request_closed = request.is_none_or(|request| request.closed);
+        let client_proven = self
             .client_of(id.request)
             .is_some_and(|client| client.proven);
         let load = self.reports.load(&answer.report);
@@ -174,13 +167,13 @@
                 id: id.request,
                 attempt: id.no,
                 ending,
-                elapsed: took,
-                request_closed: closed,
+                elapsed,
+                request_closed,
                 note: answer.note,
                 first_byte_latency: answer.waited,
                 load,
-                client_proven: proven,
-                received_kb: came_kb,
+                client_proven,
+                received_kb,
             }),
         );
         self.forget(now, id.request);
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -29,13 +29,8 @@
         if !permits::may_take(self.state.requests.len(), most) {
             count(&self.counts.rejected);
             count(self.counts.given_up(GiveUpReason::TableFull));
-            let come_back = self.decisions.retry_after(now, call.track);
-            return self.reply(
-                call.id,
-                Reply::Refused {
-                    retry_after: come_back,
-                },
-            );
+            let retry_after = self.decisions.retry_after(now, call.track);
+            return self.reply(call.id, Reply::Refused { retry_after });
         }
         if !self.state.references.insert(call.reference.clone()) {
             count(&self.counts.bad_clients);
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -121,12 +121,9 @@
         let dues = terms.classes.iter().map(|track| track.target).collect();
         let core = Peers::new(now, own, rules, drawn);
         let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
-        let (form, entries) = (HostListKind::Full, self.pools.entries());
+        let (kind, entries) = (HostListKind::Full, self.pools.entries());
         begun.listed(now, &entries, self.state.place);
-        begun.heard(&Event::HostList {
-            kind: form,
-            entries,
-        });
+        begun.heard(&Event::HostList { kind, entries });
         self.decisions.crossings.peers = Some(begun);
         Ok(())
     }
@@ -160,14 +157,8 @@
                     let dues = terms.classes.iter().map(|track| track.target).collect();
                     let mut begun =
                         Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
-                    let (form, entries) = (HostListKind::Full, self.pools.entries());
-                    begun.heard(
-                        now,
-                        &Event::HostList {
-                            kind: form,
-                            entries,
-                        },
-                    );
+                    let (kind, entries) = (HostListKind::Full, self.pools.entries());
+                    begun.heard(now, &Event::HostList { kind, entries });
                     *shared = Some(begun);
                 }
                 Err(why) => warn!(self.log, "operator's file refused"; "why" => why),
@@ -200,15 +191,9 @@
             Some(zones) => zones.change(now, rules),
             None => {
                 let mut zones = Zones::new(terms, rules, *seed);
-                let form = HostListKind::Full;
+                let kind = HostListKind::Full;
                 let entries = self.pools.entries();
-                zones.on_event(
-                    now,
-                    &Event::HostList {
-                        kind: form,
-                        entries,
-                    },
-                );
+                zones.on_event(now, &Event::HostList { kind, entries });
                 *crossings = Some(zones);
             }
         }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -60,13 +60,7 @@
             entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
         }
         info!(self.log, "host restricted"; "host" => format!("{:x}", host.0), "by_others" => told.is_some());
-        let (form, entries) = (HostListKind::Delta, vec![entry]);
-        self.tell(
-            now,
-            Event::HostList {
-                kind: form,
-                entries,
-            },
-        );
+        let (kind, entries) = (HostListKind::Delta, vec![entry]);
+        self.tell(now, Event::HostList { kind, entries });
     }
 }
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -53,9 +53,9 @@
             // The decisions give the final answer, woken by their own timer or by this.
             self.tell(now, Event::TimerFired { timer: TimerId(0) });
         }
-        while let Some(&(at, wake)) = self.state.wakes.first().filter(|(at, _)| *at <= now) {
-            self.state.wakes.remove(&(at, wake));
-            self.tell(now, Event::TimerFired { timer: wake });
+        while let Some(&(at, timer)) = self.state.wakes.first().filter(|(at, _)| *at <= now) {
+            self.state.wakes.remove(&(at, timer));
+            self.tell(now, Event::TimerFired { timer });
         }
     }
 }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -360,13 +360,10 @@
     pub fn heard(&mut self, now: Timestamp, event: &Event) {
         self.waiting.heard(event);
         if let Event::Purged {
-            object,
-            group,
-            age: ago,
-            ..
+            object, group, age, ..
         } = event
         {
-            self.sharing.purged(now, *object, *group, *ago);
+            self.sharing.purged(now, *object, *group, *age);
             self.act();
         }
     }
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -447,16 +447,10 @@
             .iter_mut()
             .for_each(|budget| budget.advance(now));
         match event {
-            Event::HostList {
-                kind: form,
-                entries,
-            } => self.memory.list(now, *form, entries),
+            Event::HostList { kind, entries } => self.memory.list(now, *kind, entries),
             Event::Purged {
-                object,
-                group,
-                age: ago,
-                ..
-            } => self.memory.purged(now - *ago, *object, *group),
+                object, group, age, ..
+            } => self.memory.purged(now - *age, *object, *group),
             Event::Outcome(outcome) => self.outcome(now, outcome),
             Event::ClientGone { id } => {
                 let all = (*id, AttemptNo(0))..=(*id, AttemptNo(u8::MAX));
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -115,31 +115,25 @@
         let entries = hosts
             .map(|host| entry(host, HostState::Ready, None))
             .to_vec();
-        let form = HostListKind::Full;
-        zones.on_event(
-            at(0),
-            &Event::HostList {
-                kind: form,
-                entries,
-            },
-        );
+        let kind = HostListKind::Full;
+        zones.on_event(at(0), &Event::HostList { kind, entries });
         Desk { zones, next: 0 }
     }
 
-    fn way(&mut self, track: ClassId, object: u64, kb: f64) -> Crossing {
+    fn way(&mut self, class: ClassId, object: u64, kb: f64) -> Crossing {
         self.next += 1;
-        let asked = Arrival {
+        let arrival = Arrival {
             id: RequestId(self.next),
             time_left: TimeSpan::from_secs(3),
-            class: track,
+            class,
             object: ObjectId(object),
             group: GroupId((object % 8) as u32),
             part: 0,
             size_kb: Some(kb),
         };
-        let source = if track == ORDER { ORIGIN } else { PARENT };
+        let source = if class == ORDER { ORIGIN } else { PARENT };
         Crossing {
-            arrival: asked,
+            arrival,
             attempt: AttemptNo(0),
             host: CACHES[(object % 2) as usize],
             source,
@@ -157,7 +151,7 @@
         took: u64,
         ending: Ending,
         note: Note,
-        came_kb: Option<f64>,
+        received_kb: Option<f64>,
     ) {
         let outcome = Outcome {
             id: way.arrival.id,
@@ -169,7 +163,7 @@
             first_byte_latency: None,
             load: Load::default(),
             client_proven: true,
-            received_kb: came_kb,
+            received_kb,
         };
         self.zones.on_event(at(ms), &Event::Outcome(outcome));
     }
@@ -415,15 +409,10 @@
     desk.zones.on_event(at(200), &purge);
     desk.play(210, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::Purge), 10.0);
-    let form = HostListKind::Delta;
+    let kind = HostListKind::Delta;
     let entries = vec![entry(CACHES[0], HostState::Ready, Some(at(300)))];
-    desk.zones.on_event(
-        at(310),
-        &Event::HostList {
-            kind: form,
-            entries,
-        },
-    );
+    desk.zones
+        .on_event(at(310), &Event::HostList { kind, entries });
     desk.play(320, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::HostLost), 10.0);
     let order = desk.way(ORDER, 9, 4.0);
@@ -593,15 +582,10 @@
 fn a_lost_host_is_named_within_three_seconds() {
     let told = rise(|desk, ms, n| {
         if ms == 60_000 {
-            let form = HostListKind::Delta;
+            let kind = HostListKind::Delta;
             let entries = vec![entry(CACHES[0], HostState::Gone, None)];
-            desk.zones.on_event(
-                at(ms),
-                &Event::HostList {
-                    kind: form,
-                    entries,
-                },
-            );
+            desk.zones
+                .on_event(at(ms), &Event::HostList { kind, entries });
         }
         // What it had is filled at the other one.
         let mut way = desk.way(VIDEO, (n % 20) * 2, 50.0);
@@ -609,12 +593,12 @@
         desk.zones.on_sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(50.0));
         // Named once each: what is filled there has its new home.
-        let form = HostListKind::Delta;
+        let kind = HostListKind::Delta;
         let lost = entry(CACHES[1], HostState::Ready, Some(at(ms)));
         desk.zones.on_event(
             at(ms),
             &Event::HostList {
-                kind: form,
+                kind,
                 entries: vec![lost],
             },
         );
@@ -708,16 +692,11 @@
         };
         desk.zones.on_event(at(n * 10), &event);
         if n % 100 == 0 {
-            let form = HostListKind::Delta;
+            let kind = HostListKind::Delta;
             let host = HostId(100_000 + n);
             let entries = vec![entry(host, HostState::Gone, None)];
-            desk.zones.on_event(
-                at(n * 10),
-                &Event::HostList {
-                    kind: form,
-                    entries,
-                },
-            );
+            desk.zones
+                .on_event(at(n * 10), &Event::HostList { kind, entries });
             desk.zones.advance(at(n * 10));
         }
     }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -194,17 +194,11 @@
     pub fn handle_event(&mut self, now: Timestamp, event: Event) {
         self.crossings.on_event(now, &event);
         match event {
-            Event::HostList {
-                kind: form,
-                entries,
-            } => self.list(now, form, entries),
+            Event::HostList { kind, entries } => self.list(now, kind, entries),
             Event::Arrived(arrival) => self.arrive(now, arrival),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
-            Event::ResponseStarted {
-                id,
-                attempt: hand_off,
-            } => {
-                let begun = self.try_mut(id, hand_off);
+            Event::ResponseStarted { id, attempt } => {
+                let begun = self.try_mut(id, attempt);
                 begun.into_iter().for_each(|t| t.withdrawn = true);
                 self.close(id);
             }
@@ -216,9 +210,9 @@
             Event::Purged {
                 object,
                 group,
-                age: ago,
+                age,
                 stamp,
-            } => self.purged(now, object, group, now - ago, stamp),
+            } => self.purged(now, object, group, now - age, stamp),
         }
     }
 
@@ -410,15 +404,15 @@
         self.probe_at = now + PROBE_EVERY.mul_f64(1.0 / all().count().max(1) as f64);
     }
 
-    fn arrive(&mut self, now: Timestamp, asked: Arrival) {
-        let track = &self.terms.classes[usize::from(asked.class.0)];
-        let told = asked.size_kb.map(|kb| kb / self.terms.stream_kb_per_s);
-        let (sum, n) = &mut self.sending[usize::from(asked.class.0)];
+    fn arrive(&mut self, now: Timestamp, arrival: Arrival) {
+        let track = &self.terms.classes[usize::from(arrival.class.0)];
+        let told = arrival.size_kb.map(|kb| kb / self.terms.stream_kb_per_s);
+        let (sum, n) = &mut self.sending[usize::from(arrival.class.0)];
         (*sum, *n) = told.map_or((*sum, *n), |send| (*sum + send, *n + 1.0));
         let send = told.unwrap_or(*sum / *n);
-        let limit = now + asked.time_left;
+        let limit = now + arrival.time_left;
         let access = Request {
-            arrival: asked,
+            arrival,
             send,
             due: limit
                 .min(now + track.target + TimeSpan::from_secs_f64(send * track.target_stretch)),
@@ -467,13 +461,13 @@
     }
 
     fn withdraw(&mut self, id: RequestId, no: usize) {
-        let (hand_off, may) = (AttemptNo(no as u8), self.terms.may_cancel);
+        let (attempt_no, may) = (AttemptNo(no as u8), self.terms.may_cancel);
         let free = |t: &&mut Try| may && t.out && !t.withdrawn;
-        if let Some(attempt) = self.try_mut(id, hand_off).filter(free) {
+        if let Some(attempt) = self.try_mut(id, attempt_no).filter(free) {
             attempt.withdrawn = true;
             self.actions.push(Action::Cancel {
                 id,
-                attempt: hand_off,
+                attempt: attempt_no,
             });
         }
     }
@@ -683,9 +677,9 @@
         let timed = self.timed.first().map(|&(at, _)| at);
         let next = timed.into_iter().chain(probe).min();
         if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
-            let wake = TimerId(0);
+            let timer = TimerId(0);
             self.armed = Some(at);
-            self.actions.push(Action::SetTimer { at, timer: wake });
+            self.actions.push(Action::SetTimer { at, timer });
         }
         std::mem::take(&mut self.actions)
     }
@@ -887,16 +881,16 @@
         // What another zone's host fills for itself crosses no more than its answer does.
         let straight = at != own;
         let (source, from) = if straight { (host, at) } else { (source, fill) };
-        let (asked, hand_off) = (access.arrival, AttemptNo(access.tries.len() as u8));
+        let (arrival, attempt) = (access.arrival, AttemptNo(access.tries.len() as u8));
         let usual = access.send * self.terms.stream_kb_per_s;
         (from != own).then(|| Crossing {
-            arrival: asked,
-            attempt: hand_off,
+            arrival,
+            attempt,
             host,
             source,
             from,
             to: own,
-            kb: asked.size_kb.unwrap_or(usual),
+            kb: arrival.size_kb.unwrap_or(usual),
             join: self.terms.joins_fills && !straight && !self.track(access).is_write,
         })
     }
@@ -1007,20 +1001,20 @@
     }
 
     /// The final answer where nothing more can be done: a rejection where trying again is harmless.
-    fn give_up(&mut self, now: Timestamp, id: RequestId, why: GiveUpReason) {
+    fn give_up(&mut self, now: Timestamp, id: RequestId, reason: GiveUpReason) {
         let access = &self.accesses[&id];
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
         let ran = ran || self.crossings.earlier_attempt(id).is_some();
         let harmless = permits::may_refuse(self.track(access).effect, ran);
         let track = access.arrival.class;
-        let come_back = self.retry_after(now, track);
+        let retry_after = self.retry_after(now, track);
         self.actions.push(match harmless {
             true => Action::Refuse {
                 id,
-                retry_after: come_back,
-                reason: why,
+                retry_after,
+                reason,
             },
-            false => Action::Fail { id, reason: why },
+            false => Action::Fail { id, reason },
         });
         self.close(id);
     }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -154,7 +154,7 @@
     };
     let told_at = (START + TimeSpan::from_secs_f64(late)).max(now);
     let list = entries(case, now, now >= told_at);
-    let form = HostListKind::Full;
+    let kind = HostListKind::Full;
     // Before it is told, the host is not on its list.
     let entries = list
         .into_iter()
@@ -162,7 +162,7 @@
     dispatcher.handle_event(
         now,
         Event::HostList {
-            kind: form,
+            kind,
             entries: entries.collect(),
         },
     );
@@ -230,11 +230,8 @@
             }
             let mut events = Vec::new();
             if was < process.told_at && now >= process.told_at {
-                let (form, entries) = (HostListKind::Full, entries(case, now, true));
-                events.push(Event::HostList {
-                    kind: form,
-                    entries,
-                });
+                let (kind, entries) = (HostListKind::Full, entries(case, now, true));
+                events.push(Event::HostList { kind, entries });
                 if case.planted {
                     outside.takes(now, 1.0, &terms);
                 }
@@ -242,14 +239,14 @@
             let later = process.wakes.split_off(&Timestamp(now.0 + 1));
             let due = std::mem::replace(&mut process.wakes, later);
             events.extend(due.iter().map(|_| Event::TimerFired { timer: TimerId(0) }));
-            while let Some((_, id, hand_off)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
-                let took = TimeSpan::from_millis(40);
+            while let Some((_, id, attempt)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
+                let elapsed = TimeSpan::from_millis(40);
                 let (ending, note) = (Ending::Done, Note::Hit);
                 events.push(Event::Outcome(Outcome {
                     id,
-                    attempt: hand_off,
+                    attempt,
                     ending,
-                    elapsed: took,
+                    elapsed,
                     request_closed: true,
                     note,
                     first_byte_latency: None,
@@ -297,13 +294,13 @@
                 .for_each(|event| process.dispatcher.handle_event(now, event));
             for action in process.dispatcher.take_actions(now) {
                 match action {
-                    Action::Attempt(hand_off) => {
+                    Action::Attempt(attempt) => {
                         let done = now + TimeSpan::from_millis(40);
-                        process.out.push_back((done, hand_off.id, AttemptNo(0)));
-                        let work = process.works[&hand_off.id];
+                        process.out.push_back((done, attempt.id, AttemptNo(0)));
+                        let work = process.works[&attempt.id];
                         all_ones[1] += 1.0;
                         large_ones[1] += f64::from(u8::from(work > 1.0));
-                        if hand_off.host == COLD {
+                        if attempt.host == COLD {
                             outside.takes(now, work, &terms);
                         }
                     }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -58,14 +58,8 @@
         let now = Timestamp(1_000_000_000);
         let hosts = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
         let entries = hosts.map(|&host| entry(host)).collect();
-        let form = HostListKind::Full;
-        dispatcher.handle_event(
-            now,
-            Event::HostList {
-                kind: form,
-                entries,
-            },
-        );
+        let kind = HostListKind::Full;
+        dispatcher.handle_event(now, Event::HostList { kind, entries });
         dispatcher.take_actions(now);
         Desk {
             gate,
@@ -75,13 +69,13 @@
         }
     }
 
-    fn arrive(&mut self, track: ClassId, object: u64) -> (RequestId, Vec<Action>) {
+    fn arrive(&mut self, class: ClassId, object: u64) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
         let arrival = Arrival {
             id,
             time_left: TimeSpan::from_secs(3),
-            class: track,
+            class,
             object: ObjectId(object),
             group: GroupId(1),
             part: 0,
@@ -114,7 +108,7 @@
 
 fn handed(actions: &[Action]) -> Option<Attempt> {
     actions.iter().find_map(|action| match action {
-        Action::Attempt(hand_off) => Some(hand_off.clone()),
+        Action::Attempt(attempt) => Some(attempt.clone()),
         _ => None,
     })
 }
@@ -123,7 +117,7 @@
 fn a_fill_that_goes_out_is_told_once_with_its_way() {
     let mut desk = Desk::new(terms());
     let (id, actions) = desk.arrive(READS, 5);
-    let hand_off = handed(&actions).expect("a hand-off");
+    let attempt = handed(&actions).expect("a hand-off");
     let notes = desk.gate.0.borrow();
     let [way] = notes.sent[..] else {
         panic!("{:?}", notes.sent);
@@ -132,7 +126,7 @@
     assert_eq!((way.from, way.to, way.kb), (ZoneId(0), ZoneId(1), 40.0));
     assert_eq!(
         (way.host, Some(way.source)),
-        (hand_off.host, hand_off.fill.map(|fill| fill.source))
+        (attempt.host, attempt.fill.map(|fill| fill.source))
     );
     assert!(way.join && notes.heard >= 2);
 }
@@ -159,9 +153,9 @@
     let mut desk = Desk::new(terms());
     desk.gate.0.borrow_mut().full = true;
     let (id, actions) = desk.arrive(READS, 5);
-    let hand_off = handed(&actions).expect("a hand-off");
-    let fill = hand_off.fill.expect("told how old a copy may be");
-    assert_eq!(fill.source, hand_off.host);
+    let attempt = handed(&actions).expect("a hand-off");
+    let fill = attempt.fill.expect("told how old a copy may be");
+    assert_eq!(fill.source, attempt.host);
     // Fresh for 8 s and 20 s of grace.
     assert_eq!(fill.max_age, Some(TimeSpan::from_secs(28)));
     assert!(desk.gate.0.borrow().sent.is_empty());
@@ -228,14 +222,9 @@
         state: HostState::Gone,
         ..entry(host)
     });
-    let (form, entries) = (HostListKind::Delta, entries.to_vec());
-    desk.dispatcher.handle_event(
-        desk.now,
-        Event::HostList {
-            kind: form,
-            entries,
-        },
-    );
+    let (kind, entries) = (HostListKind::Delta, entries.to_vec());
+    desk.dispatcher
+        .handle_event(desk.now, Event::HostList { kind, entries });
     let (_, actions) = desk.arrive(READS, 5);
     let way = desk
         .gate
@@ -245,7 +234,7 @@
         .last()
         .copied()
         .expect("it crosses");
-    assert!(handed(&actions).is_some_and(|hand_off| hand_off.host == way.host));
+    assert!(handed(&actions).is_some_and(|attempt| attempt.host == way.host));
     assert_eq!(
         (way.source, way.from, way.to),
         (way.host, ZoneId(0), ZoneId(1))
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -79,7 +79,7 @@
         21..=29 => (KindId(1), ZoneId(0)),
         _ => (KindId(2), ZoneId(0)),
     };
-    let (cell, started, size, state) = (CellId(0), None, 8.0, HostState::Ready);
+    let (cell, started, capacity, state) = (CellId(0), None, 8.0, HostState::Ready);
     HostEntry {
         host,
         cell,
@@ -87,7 +87,7 @@
         kind,
         started,
         stamp: started,
-        capacity: size,
+        capacity,
         state,
     }
 }
@@ -139,11 +139,8 @@
         stage
     }
 
-    pub fn list(&mut self, form: HostListKind, entries: Vec<HostEntry>) {
-        self.event(Event::HostList {
-            kind: form,
-            entries,
-        });
+    pub fn list(&mut self, kind: HostListKind, entries: Vec<HostEntry>) {
+        self.event(Event::HostList { kind, entries });
     }
 
     pub fn event(&mut self, event: Event) {
@@ -154,12 +151,12 @@
     fn settle(&mut self) {
         for action in self.dispatcher.take_actions(self.now) {
             match action {
-                Action::Attempt(hand_off) => {
+                Action::Attempt(attempt) => {
                     assert!(
-                        !self.finals.contains_key(&hand_off.id),
+                        !self.finals.contains_key(&attempt.id),
                         "sent after the final answer"
                     );
-                    self.handed.push(hand_off);
+                    self.handed.push(attempt);
                 }
                 Action::Refuse { id, .. } | Action::Fail { id, .. } => {
                     self.finals.entry(id).or_default().push(action);
@@ -190,7 +187,7 @@
 
     pub fn arrive_part(
         &mut self,
-        track: ClassId,
+        class: ClassId,
         object: u64,
         part: u32,
         size_kb: Option<f64>,
@@ -201,11 +198,11 @@
             ObjectId(object),
             GroupId(object as u32 % 4),
         );
-        let left = TimeSpan::from_secs(3);
+        let time_left = TimeSpan::from_secs(3);
         self.event(Event::Arrived(Arrival {
             id,
-            time_left: left,
-            class: track,
+            time_left,
+            class,
             object,
             group,
             part,
@@ -214,19 +211,19 @@
         id
     }
 
-    pub fn answer(&mut self, id: RequestId, ending: Ending, note: Note, took: TimeSpan) {
-        let of_access = self.handed.iter().filter(|hand_off| hand_off.id == id);
-        let hand_off = AttemptNo(of_access.count() as u8 - 1);
-        let closed = ending == Ending::Done;
-        let waited = Some(took).filter(|_| note != Note::Hit);
+    pub fn answer(&mut self, id: RequestId, ending: Ending, note: Note, elapsed: TimeSpan) {
+        let of_access = self.handed.iter().filter(|attempt| attempt.id == id);
+        let attempt = AttemptNo(of_access.count() as u8 - 1);
+        let request_closed = ending == Ending::Done;
+        let first_byte_latency = Some(elapsed).filter(|_| note != Note::Hit);
         self.event(Event::Outcome(Outcome {
             id,
-            attempt: hand_off,
+            attempt,
             ending,
-            elapsed: took,
-            request_closed: closed,
+            elapsed,
+            request_closed,
             note,
-            first_byte_latency: waited,
+            first_byte_latency,
             load: self.load,
             client_proven: self.proven,
             received_kb: None,
@@ -241,12 +238,12 @@
     }
 
     pub fn last(&self, id: RequestId) -> &Attempt {
-        let last = self.handed.iter().rfind(|hand_off| hand_off.id == id);
+        let last = self.handed.iter().rfind(|attempt| attempt.id == id);
         last.expect("nothing was handed off")
     }
 
     pub fn count(&self, id: RequestId) -> usize {
-        let all = self.handed.iter().filter(|hand_off| hand_off.id == id);
+        let all = self.handed.iter().filter(|attempt| attempt.id == id);
         all.count()
     }
 
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -22,16 +22,16 @@
 }
 
 /// What becomes of a change whose key another sent to this place, so long ago, on a track with this group.
-fn change_after(group: RepeatGroup, place: Option<(u16, u16)>, ago: TimeSpan) -> Vec<Action> {
+fn change_after(group: RepeatGroup, location: Option<(u16, u16)>, ago: TimeSpan) -> Vec<Action> {
     let mut terms = terms();
     let window = TimeSpan::from_secs(2);
     terms.classes[1].effect = Effect::Keyed { group, window };
-    let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
-    let first = Timestamp(START.0 - ago.0);
+    let location = location.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
+    let first_sent = Timestamp(START.0 - ago.0);
     let mut dispatcher = Dispatcher::new(
         Known(PeerAttempt {
-            location: place,
-            first_sent: first,
+            location,
+            first_sent,
         }),
         terms,
         1,
@@ -46,14 +46,8 @@
         .chain(&PARENTS)
         .chain([&ORIGIN])
         .map(|&host| entry(host));
-    let (form, entries) = (HostListKind::Full, entries.collect());
-    dispatcher.handle_event(
-        START,
-        Event::HostList {
-            kind: form,
-            entries,
-        },
-    );
+    let (kind, entries) = (HostListKind::Full, entries.collect());
+    dispatcher.handle_event(START, Event::HostList { kind, entries });
     dispatcher.handle_event(
         START,
         Event::Arrived(Arrival {
@@ -151,14 +145,14 @@
 
 #[test]
 fn a_binding_access_that_another_sent_under_its_key_is_never_sent_again() {
-    let first = Timestamp(START.0 - 1);
-    for place in [None, Some((ZoneId(0), CellId(0)))] {
+    let first_sent = Timestamp(START.0 - 1);
+    for location in [None, Some((ZoneId(0), CellId(0)))] {
         let mut terms = terms();
         terms.classes[1].effect = Effect::NonIdempotent;
         let mut dispatcher = Dispatcher::new(
             Known(PeerAttempt {
-                location: place,
-                first_sent: first,
+                location,
+                first_sent,
             }),
             terms,
             1,
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -338,9 +338,9 @@
 
 #[test]
 fn a_crowded_cache_spills_to_the_next_and_a_hopeless_access_is_rejected() {
-    let straight = false;
+    let allows_direct = false;
     let mut stage = Stage::new(DispatcherSettings {
-        allows_direct: straight,
+        allows_direct,
         ..terms()
     });
     let mut hosts = vec![];
@@ -360,9 +360,9 @@
 }
 
 /// Where a large access goes whose first cache has so much to do that it would be late there, and small ones not.
-fn large_beside_a_crowd(sizes_tell: bool, crowd: usize) -> (HostId, Option<HostId>) {
+fn large_beside_a_crowd(capacities_reported: bool, crowd: usize) -> (HostId, Option<HostId>) {
     let mut stage = Stage::new(DispatcherSettings {
-        capacities_reported: sizes_tell,
+        capacities_reported,
         allows_direct: false,
         ..terms()
     });
@@ -442,9 +442,9 @@
 
 #[test]
 fn without_notes_and_sizes_a_parent_that_answers_is_not_blamed() {
-    let notes = NoteLevel::None;
+    let note_level = NoteLevel::None;
     let mut stage = Stage::new(DispatcherSettings {
-        note_level: notes,
+        note_level,
         ..terms()
     });
     for object in 0..60 {
@@ -554,9 +554,9 @@
 
 #[test]
 fn without_a_ready_cache_the_access_is_rejected_at_once() {
-    let straight = false;
+    let allows_direct = false;
     let mut stage = Stage::new(DispatcherSettings {
-        allows_direct: straight,
+        allows_direct,
         ..terms()
     });
     stage.list(HostListKind::Full, vec![entry(PARENTS[0]), entry(ORIGIN)]);
@@ -692,11 +692,11 @@
 #[test]
 fn a_purge_bounds_the_age_of_the_copy_asked_for() {
     let mut stage = Stage::new(terms());
-    let ago = ms(300);
+    let age = ms(300);
     stage.event(Event::Purged {
         object: Some(ObjectId(8)),
         group: GroupId(0),
-        age: ago,
+        age,
         stamp: None,
     });
     stage.event(Event::Purged {
@@ -716,11 +716,11 @@
 }
 
 fn large_cold_parent(now: Timestamp) -> HostEntry {
-    let (started, size) = (Some(now), 60.0);
+    let (started, capacity) = (Some(now), 60.0);
     HostEntry {
         started,
         stamp: started,
-        capacity: size,
+        capacity,
         ..entry(PARENTS[0])
     }
 }
@@ -807,11 +807,11 @@
 #[test]
 fn the_purge_of_an_object_told_without_its_group_bounds_its_copies() {
     let mut stage = Stage::new(terms());
-    let (object, group, ago) = (Some(ObjectId(5)), GroupId::default(), ms(100));
+    let (object, group, age) = (Some(ObjectId(5)), GroupId::default(), ms(100));
     stage.event(Event::Purged {
         object,
         group,
-        age: ago,
+        age,
         stamp: None,
     });
     let (purged, other) = (stage.arrive(READS, 5), stage.arrive(READS, 9));
@@ -887,10 +887,10 @@
     }
 }
 
-fn say_busy(stage: &mut Stage, host: HostId, busy: f64) {
-    let (ending, busy) = (Ending::Done, Some(busy));
+fn say_busy(stage: &mut Stage, host: HostId, utilization: f64) {
+    let (ending, utilization) = (Ending::Done, Some(utilization));
     let load = Load {
-        utilization: busy,
+        utilization,
         ..Load::default()
     };
     stage.event(Event::Probed { host, ending, load });
@@ -934,10 +934,10 @@
 
 #[test]
 fn where_sizes_are_not_told_they_are_learnt_from_how_busy_hosts_are() {
-    let taken = |sizes_tell: bool| {
+    let taken = |capacities_reported: bool| {
         [3.0, 12.0].map(|size| {
             let mut stage = Stage::new(DispatcherSettings {
-                capacities_reported: sizes_tell,
+                capacities_reported,
                 ..probing()
             });
             learn_size(&mut stage, size, 0.5);
