--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -53,7 +53,7 @@
 
 /// What all connections share.
 pub struct Shared {
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub tracks: HashMap<String, ClassId>,
     pub places: RefCell<Slots>,
     /// No client waits longer than this for anything.
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -14,7 +14,7 @@
 
 /// What all pools and connections share.
 pub struct Shared {
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub bounds: Bounds,
     pub clock: Clock,
     /// Connections that all pools together may hold.
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -147,7 +147,7 @@
     /// How long the next call waits, before chance.
     pub again: Duration,
     pub chance: fastrand::Rng,
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub counts: Rc<Counts>,
     pub log: Logger,
 }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -18,7 +18,7 @@
 use trailproxy_shared_store::words::Request;
 use trailproxy_terms::Reports;
 
-pub type Queue = mpsc::Sender<Inbound>;
+pub type InboundSender = mpsc::Sender<Inbound>;
 
 /// All that can happen to the dispatcher.
 pub enum Inbound {
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -3,7 +3,7 @@
 //! It only carries. A datagram that can't be sent now is lost, as any may be; one that is not of the fleet costs a sum
 //! over its bytes and no more.
 
-use crate::messages::{FromPeers, Inbound, Queue, ToPeers};
+use crate::messages::{FromPeers, Inbound, InboundSender, ToPeers};
 use crate::system_calls::{LACK_PASSES, errno};
 use local_channel::mpsc;
 use slog::{Logger, info};
@@ -57,7 +57,7 @@
 pub async fn carry(
     socket: Rc<UdpSocket>,
     seal: Seal,
-    queue: Queue,
+    queue: InboundSender,
     mut asked: mpsc::Receiver<ToPeers>,
     log: Logger,
 ) {
@@ -70,7 +70,7 @@
     hearing.abort();
 }
 
-async fn hear(socket: Rc<UdpSocket>, seal: Seal, queue: Queue, log: Logger) {
+async fn hear(socket: Rc<UdpSocket>, seal: Seal, queue: InboundSender, log: Logger) {
     let mut bytes = vec![0; MOST_BYTES + 1];
     let (unreads, mut row) = (Unreads::default(), 0);
     let more = |count: &Cell<u64>, by: usize| count.set(count.get() + by as u64);
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -1,7 +1,7 @@
 //! SIGHUP: the configuration is read again, and what of it can be followed is followed.
 
 use crate::list;
-use crate::messages::{Inbound, Queue};
+use crate::messages::{Inbound, InboundSender};
 use crate::operator::{Against, Source, Told};
 use crate::starting::persist_awake;
 use crate::startup::{self, Start};
@@ -15,7 +15,7 @@
 /// Where what a new configuration says goes.
 pub struct Followers {
     /// To whom settings and the operator's file go.
-    pub queue: Queue,
+    pub queue: InboundSender,
     /// To whom the address of the journal service goes.
     pub moved: mpsc::Sender<list::Moved>,
     /// What the operator's file is held against.
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -454,7 +454,13 @@
     }
 }
 
-async fn dial(address: SocketAddr, within: Duration, host: HostId, line: LineId, queue: Queue) {
+async fn dial(
+    address: SocketAddr,
+    within: Duration,
+    host: HostId,
+    line: LineId,
+    queue: InboundSender,
+) {
     let lacking = Cell::new(false);
     let dialled = match timeout(within, connect(address, &lacking)).await {
         Ok(Ok(stream)) => {
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -3,7 +3,7 @@
 //! It only carries: what to ask and when to leave comes by a queue from the one task that has the decisions, and answers
 //! go back by its own. A connection that is left takes its answers with it.
 
-use crate::messages::{FromStore, Inbound, Queue, ToStore};
+use crate::messages::{FromStore, Inbound, InboundSender, ToStore};
 use local_channel::mpsc;
 use redis::aio::MultiplexedConnection;
 use slog::{Logger, warn};
@@ -26,7 +26,12 @@
 }
 
 /// Carries until nobody asks any more.
-pub async fn carry(config: Sheet, queue: Queue, mut asked: mpsc::Receiver<ToStore>, log: Logger) {
+pub async fn carry(
+    config: Sheet,
+    queue: InboundSender,
+    mut asked: mpsc::Receiver<ToStore>,
+    log: Logger,
+) {
     // A connection that was left must not tell of its end as if it were the present one's.
     let present = Rc::new(Cell::new(0u64));
     let mut line: Option<Rc<Line>> = None;
