--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -101,7 +101,7 @@
     }
     accept_the_last(&listener, &mut next, before, &shared).await;
     drop(listener);
-    let _ = shared.queue.send(Inbound::AllIn);
+    let _ = shared.queue.send(Inbound::AllAccepted);
 }
 
 /// Lets in whoever waits as the process ends. The system is asked itself: what has come in this moment is not told to the
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -214,7 +214,7 @@
     fn take(&mut self, now: Timestamp, inbound: Inbound) {
         match inbound {
             Inbound::Client(from) => self.client(now, from),
-            Inbound::Server(FromServer::Probed {
+            Inbound::Host(FromServer::Probed {
                 id,
                 host,
                 ending,
@@ -225,14 +225,14 @@
                     self.tell(now, Event::Probed { host, ending, load });
                 }
             }
-            Inbound::Server(told) => {
+            Inbound::Host(told) => {
                 if let Some((id, line, answer)) = self.pools.told(told) {
                     self.ended(now, id, line, answer);
                 }
             }
             Inbound::Journal(entry) => self.journal(now, entry),
-            Inbound::Terms(told) => self.follow(now, *told),
-            Inbound::Operator(told) => {
+            Inbound::Settings(told) => self.follow(now, *told),
+            Inbound::OperatorConfig(told) => {
                 if let Err(why) = self.operator(told) {
                     warn!(self.log, "operator's file refused"; "why" => why);
                 }
@@ -247,7 +247,7 @@
                 info!(self.log, "asked to end"; "open" => self.state.requests.len());
                 self.state.ending.get_or_insert_with(Instant::now);
             }
-            Inbound::AllIn => self.state.all_in = true,
+            Inbound::AllAccepted => self.state.all_in = true,
         }
     }
 }
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -174,7 +174,7 @@
         let _ = self
             .shared
             .queue
-            .send(Inbound::Server(FromServer::Closed { host, line }));
+            .send(Inbound::Host(FromServer::Closed { host, line }));
     }
 
     /// Nothing new is to come here; what is out may still be answered.
@@ -182,7 +182,7 @@
         if !std::mem::replace(&mut self.unfit, true) {
             let (host, line) = (self.host, self.id);
             let told = FromServer::Unfit { host, line };
-            let _ = self.shared.queue.send(Inbound::Server(told));
+            let _ = self.shared.queue.send(Inbound::Host(told));
         }
     }
 
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -41,7 +41,7 @@
             line,
             answer,
         };
-        let _ = self.queue.send(Inbound::Server(ended));
+        let _ = self.queue.send(Inbound::Host(ended));
     }
 
     pub fn probed(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
@@ -51,7 +51,7 @@
             ending,
             report,
         };
-        let _ = self.queue.send(Inbound::Server(probed));
+        let _ = self.queue.send(Inbound::Host(probed));
     }
 
     pub fn dropped(&self, sending: &Sending, ending: Ending) {
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -23,18 +23,18 @@
 /// All that can happen to the dispatcher.
 pub enum Inbound {
     Client(FromClient),
-    Server(FromServer),
+    Host(FromServer),
     Journal(Entry),
     /// Other settings hold from now on.
-    Terms(Box<(DispatcherSettings, Reports)>),
+    Settings(Box<(DispatcherSettings, Reports)>),
     /// The operator's file was read again.
-    Operator(Told),
+    OperatorConfig(Told),
     Store(FromStore),
     Peers(FromPeers),
     /// Asked to end: whatever is open is finished first.
     Terminate,
     /// Nobody is accepted any more, and all that had come are known.
-    AllIn,
+    AllAccepted,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -42,9 +42,9 @@
             Ok(told) => {
                 if let Some((settings, other)) = other {
                     running.file["settings"] = settings;
-                    let _ = followers.queue.send(Inbound::Terms(Box::new(other)));
+                    let _ = followers.queue.send(Inbound::Settings(Box::new(other)));
                 }
-                drop(followers.queue.send(Inbound::Operator(told)));
+                drop(followers.queue.send(Inbound::OperatorConfig(told)));
             }
             // The settings read with it do not hold either.
             Err(why) => warn!(log, "operator's file refused"; "why" => why),
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -471,7 +471,7 @@
         Err(_) if lacking.get() => Dialled::Lacking,
         Err(_) => Dialled::TimedOut,
     };
-    let _ = queue.send(Inbound::Server(FromServer::Dialled {
+    let _ = queue.send(Inbound::Host(FromServer::Dialled {
         host,
         line,
         address,
