--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -511,7 +511,7 @@
             self.wants = 1;
             (self.spoken, self.since) = (true, Instant::now());
             if let Message::Call(call) = &mut message {
-                call.come = self.sent_at(first);
+                call.arrived_at = self.sent_at(first);
                 call.client = self.state.clone();
             }
             self.take(message)?;
@@ -528,11 +528,11 @@
             Message::Damage(why) => return damage(why),
             Message::Call(_) if self.open() >= OPEN => return damage("too many are open at once"),
             Message::Call(call) => {
-                let owed = self.owed.insert(call.id.number, call.over.clone());
+                let owed = self.owed.insert(call.id.number, call.closed.clone());
                 if owed.is_some() {
                     return damage("a number is used twice");
                 }
-                let limit = call.come + Duration::from_micros(call.left.0);
+                let limit = call.arrived_at + Duration::from_micros(call.time_left.0);
                 self.last_limit = self.last_limit.max(limit);
                 let _ = self
                     .shared
@@ -542,7 +542,7 @@
             Message::Revoke(number) => {
                 if let Some(over) = self.owed.remove(&number) {
                     over.set(true);
-                    let id = CallId {
+                    let id = ClientRequestId {
                         client: self.id,
                         number,
                     };
@@ -633,7 +633,7 @@
 }
 
 enum Message {
-    Call(Box<Call>),
+    Call(Box<ClientRequest>),
     Revoke(u32),
     Heartbeat(u32),
     /// A request whose number can be told, but nothing to act on.
@@ -665,7 +665,7 @@
             let Some(number) = number(id) else {
                 return Message::Damage("a request has no number");
             };
-            let id = CallId { client, number };
+            let id = ClientRequestId { client, number };
             match text(method) {
                 Some("heartbeat") => Message::Heartbeat(number),
                 Some(method) => tracks
@@ -683,7 +683,7 @@
     }
 }
 
-fn read_call(id: CallId, track: ClassId, params: &Value) -> Option<Call> {
+fn read_call(id: ClientRequestId, track: ClassId, params: &Value) -> Option<ClientRequest> {
     let Value::Array(params) = params else {
         return None;
     };
@@ -711,21 +711,21 @@
         .all(|name| named(name).as_ref().is_none_or(sound));
     let allow: f64 = named("allow")?.parse().ok()?;
     let size: Option<f64> = named("room").map(str::parse).transpose().ok()?;
-    let call = Call {
+    let call = ClientRequest {
         id,
-        come: Instant::now(),
+        arrived_at: Instant::now(),
         reference: passed("ref")?.into(),
-        left: TimeSpan::from_secs_f64(allow / 1000.0),
-        track,
+        time_left: TimeSpan::from_secs_f64(allow / 1000.0),
+        class: track,
         object: object_id(named("lookup")?)?,
-        object_text: passed("lookup")?,
+        object_name: passed("lookup")?,
         group: GroupId(named("group").unwrap_or("0").parse().ok()?),
         part: named("part").unwrap_or("0").parse().ok()?,
         size_kb: size.filter(|kb| kb.is_finite() && *kb > 0.0),
-        mark: passed("replay"),
-        held_tag: passed("have"),
+        idempotency_key: passed("replay"),
+        held_etag: passed("have"),
         body: body.into(),
-        over: Rc::default(),
+        closed: Rc::default(),
         client: Rc::default(),
     };
     let sized = body.len() <= LONGEST_BODY && (0.0..=LONGEST_WAIT_MS).contains(&allow);
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -55,7 +55,7 @@
             return;
         };
         let bounds = &self.pools.shared.bounds;
-        let track = usize::from(request.call.track.0);
+        let track = usize::from(request.call.class.0);
         let source = fill
             .map(|fill| fill.source)
             .filter(|&source| source != host);
--- a/crates/trailproxyd/src/dispatch/clients.rs
+++ b/crates/trailproxyd/src/dispatch/clients.rs
@@ -1,7 +1,7 @@
 //! Client connections: what comes by them, and replies to them.
 
 use super::{Client, Dispatch};
-use crate::messages::{CallId, ClientId, FromClient, Reply, ToClient};
+use crate::messages::{ClientId, ClientRequestId, FromClient, Reply, ToClient};
 use trailproxy::interface::Event;
 use trailproxy::units::{RequestId, Timestamp};
 
@@ -32,9 +32,9 @@
         }
     }
 
-    pub(super) fn calls_of(&self, client: ClientId) -> Vec<(CallId, RequestId)> {
+    pub(super) fn calls_of(&self, client: ClientId) -> Vec<(ClientRequestId, RequestId)> {
         let (first, last) = (0, u32::MAX);
-        let all = [first, last].map(|number| CallId { client, number });
+        let all = [first, last].map(|number| ClientRequestId { client, number });
         let calls = self.state.calls.range(all[0]..=all[1]);
         calls.map(|(&call, &id)| (call, id)).collect()
     }
@@ -59,7 +59,7 @@
         self.state.clients.get(&request.call.id.client)
     }
 
-    pub(super) fn reply(&mut self, call: CallId, reply: Reply) {
+    pub(super) fn reply(&mut self, call: ClientRequestId, reply: Reply) {
         if let Some(client) = self.state.clients.get_mut(&call.client) {
             client.proven |= matches!(reply, Reply::Served(_) | Reply::Same);
             let _ = client.replies.send(ToClient::Reply(call.number, reply));
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -13,7 +13,8 @@
 use crate::accounts::Accounts;
 use crate::checks::{Counts, must};
 use crate::messages::{
-    Call, CallId, ClientId, Clock, Entry, FromServer, Inbound, LineId, ToClient, next_now,
+    ClientId, ClientRequest, ClientRequestId, Clock, Entry, FromServer, Inbound, LineId, ToClient,
+    next_now,
 };
 use crate::servers::Pools;
 use crate::subsystems::Subsystems;
@@ -46,7 +47,7 @@
 }
 
 struct Request {
-    call: Rc<Call>,
+    call: Rc<ClientRequest>,
     limit: Timestamp,
     /// It has its final answer, or needs none.
     closed: bool,
@@ -88,7 +89,7 @@
 #[derive(Default)]
 struct State {
     requests: BTreeMap<RequestId, Request>,
-    calls: BTreeMap<CallId, RequestId>,
+    calls: BTreeMap<ClientRequestId, RequestId>,
     /// The ids of open requests, which hosts tell their answers by, and of those that were open as
     /// lately as a host may still have them: for it a second request under one would be a second copy.
     references: BTreeSet<Rc<str>>,
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -2,7 +2,7 @@
 
 use super::{Dispatch, Request};
 use crate::checks::{count, must};
-use crate::messages::{AttemptId, Call, CallId, Reply};
+use crate::messages::{AttemptId, ClientRequest, ClientRequestId, Reply};
 use crate::subsystems::came;
 use std::rc::Rc;
 use trailproxy::interface::{Arrival, Effect, Event};
@@ -23,13 +23,13 @@
         any
     }
 
-    pub(super) fn arrived(&mut self, now: Timestamp, call: Call) {
+    pub(super) fn arrived(&mut self, now: Timestamp, call: ClientRequest) {
         count(&self.counts.accesses);
         let most = self.pools.shared.bounds.max_open;
         if !permits::may_take(self.state.requests.len(), most) {
             count(&self.counts.rejected);
             count(self.counts.given_up(GiveUpReason::TableFull));
-            let retry_after = self.decisions.retry_after(now, call.track);
+            let retry_after = self.decisions.retry_after(now, call.class);
             return self.reply(call.id, Reply::Refused { retry_after });
         }
         if !self.state.references.insert(call.reference.clone()) {
@@ -39,11 +39,11 @@
         }
         self.state.next += 1;
         let id = RequestId(self.state.next);
-        let limit = self.clock.moment(call.come) + call.left;
+        let limit = self.clock.moment(call.arrived_at) + call.time_left;
         let arrival = Arrival {
             id,
             time_left: limit.since(now),
-            class: call.track,
+            class: call.class,
             object: call.object,
             group: call.group,
             part: call.part,
@@ -52,8 +52,8 @@
         self.pools.shared.trace.taken(&call, arrival.time_left);
         self.state.limits.insert((limit, id));
         self.state.calls.insert(call.id, id);
-        let keyed = self.effects[usize::from(call.track.0)] != Effect::Idempotent;
-        let mark = call.mark.clone().filter(|_| keyed);
+        let keyed = self.effects[usize::from(call.class.0)] != Effect::Idempotent;
+        let mark = call.idempotency_key.clone().filter(|_| keyed);
         let (closed, attempts) = (false, Vec::new());
         self.state.requests.insert(
             id,
@@ -70,7 +70,7 @@
         }
     }
 
-    pub(super) fn left(&mut self, now: Timestamp, call: CallId) {
+    pub(super) fn left(&mut self, now: Timestamp, call: ClientRequestId) {
         if let Some(id) = self.state.calls.remove(&call) {
             count(&self.counts.left);
             self.came(now, id, None);
@@ -94,7 +94,7 @@
         if let Some(request) = self.state.requests.get_mut(&id) {
             must(!request.closed, &self.counts.broken_two_finals);
             request.closed = true;
-            request.call.over.set(true);
+            request.call.closed.set(true);
             self.state.calls.remove(&request.call.id);
             self.state.limits.remove(&(request.limit, id));
         }
@@ -124,7 +124,7 @@
     pub(super) fn came(&mut self, now: Timestamp, id: RequestId, done: Option<&[u8]>) {
         let beside = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
-            && request.call.mark.is_some()
+            && request.call.idempotency_key.is_some()
             && beside.knows_keys()
         {
             let ran = request.attempts.iter().any(|attempt| attempt.ran);
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -426,7 +426,7 @@
                 let open = OpenAttempt {
                     id: sending.id,
                     sent: now,
-                    may_be_same: call.held_tag.is_some(),
+                    may_be_same: call.held_etag.is_some(),
                 };
                 let before = self.open.insert(call.reference.clone(), open);
                 must(before.is_none(), &self.shared.counts.broken_two_endings);
@@ -526,7 +526,7 @@
     let call = &sending.call;
     let mut fields = format!(
         "lane={},name={},piece={}",
-        sending.track, call.object_text, call.part
+        sending.track, call.object_name, call.part
     );
     let mut add = |name: &str, value: &str| {
         let _ = write!(fields, ",{name}={value}");
@@ -534,10 +534,10 @@
     // Rounded down: the host gives up no later than the dispatcher.
     let left = permits::deadline_to_pass(now, sending.deadline);
     add("ttl", &(left.0 / 1000).max(1).to_string());
-    if let Some(mark) = &call.mark {
+    if let Some(mark) = &call.idempotency_key {
         add("dedupe", mark);
     }
-    if let Some(tag) = &call.held_tag {
+    if let Some(tag) = &call.held_etag {
         add("known", tag);
     }
     if let Some(source) = &sending.source {
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -42,29 +42,29 @@
 
 /// One request of a client, by its connection and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallId {
+pub struct ClientRequestId {
     pub client: ClientId,
     pub number: u32,
 }
 
 /// A request as a client words it.
-pub struct Call {
-    pub id: CallId,
-    pub come: Instant,
+pub struct ClientRequest {
+    pub id: ClientRequestId,
+    pub arrived_at: Instant,
     pub reference: Rc<str>,
-    pub left: TimeSpan,
-    pub track: ClassId,
+    pub time_left: TimeSpan,
+    pub class: ClassId,
     pub object: ObjectId,
-    pub object_text: String,
+    pub object_name: String,
     pub group: GroupId,
     pub part: u32,
     pub size_kb: Option<f64>,
-    pub mark: Option<String>,
-    pub held_tag: Option<String>,
+    pub idempotency_key: Option<String>,
+    pub held_etag: Option<String>,
     pub body: Vec<u8>,
     /// It has its final answer or its client has gone: nothing of it is to begin. Whoever sees that first says so here,
     /// and whoever writes looks here, so that no queue between the two makes it late.
-    pub over: Rc<Cell<bool>>,
+    pub closed: Rc<Cell<bool>>,
     /// What is known of its client's connection, looked at in the same way.
     pub client: Rc<ClientState>,
 }
@@ -78,8 +78,8 @@
 
 pub enum FromClient {
     Opened(ClientId, mpsc::Sender<ToClient>),
-    Called(Call),
-    Revoked(CallId),
+    Called(ClientRequest),
+    Revoked(ClientRequestId),
     /// It sends nothing more, and may have gone: what is under way may end, and nothing begins.
     Shut(ClientId),
     Closed(ClientId),
@@ -133,7 +133,7 @@
 pub struct Sending {
     pub id: AttemptId,
     pub host: HostId,
-    pub call: Rc<Call>,
+    pub call: Rc<ClientRequest>,
     pub track: Rc<str>,
     pub fill: Option<Fill>,
     /// The name of another host that fills a miss.
@@ -156,7 +156,7 @@
     pub fn facts(&self, clock: &Clock) -> SendFacts {
         let closed_at = self.call.client.closed_at.get();
         SendFacts {
-            answered: self.call.over.get(),
+            answered: self.call.closed.get(),
             client_closed: closed_at.map(|at| clock.moment(at)),
             deadline: self.deadline,
             repeat_by: self.repeat_by,
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -3,7 +3,7 @@
 //! Off unless `RELAY_TRACE` is `1`: it is for the search for faults, not for every day. Requests are named by the id that
 //! their clients gave them, which hosts see as well.
 
-use crate::messages::{AttemptId, Call, ClientId, LineId};
+use crate::messages::{AttemptId, ClientId, ClientRequest, LineId};
 use slog::{Logger, info};
 use std::time::Duration;
 use trailproxy::interface::{Ending, Note};
@@ -59,7 +59,7 @@
     }
 
     /// A request was read whole.
-    pub fn taken(&self, call: &Call, left: TimeSpan) {
+    pub fn taken(&self, call: &ClientRequest, left: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "taken", "ref" => &*call.reference, "client" => call.id.client.0,
                 "left_ms" => left.0 / 1000);
@@ -67,7 +67,7 @@
     }
 
     /// An attempt is given to the connections of a host.
-    pub fn attempt(&self, call: &Call, id: AttemptId, host: HostId) {
+    pub fn attempt(&self, call: &ClientRequest, id: AttemptId, host: HostId) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "attempt", "ref" => &*call.reference, "no" => id.no.0,
                 "host" => format!("{:x}", host.0));
@@ -75,20 +75,20 @@
     }
 
     /// The first byte of an attempt has gone out.
-    pub fn begun(&self, call: &Call, id: AttemptId, line: LineId) {
+    pub fn begun(&self, call: &ClientRequest, id: AttemptId, line: LineId) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "begun", "ref" => &*call.reference, "no" => id.no.0, "line" => line.0);
         }
     }
 
     /// An attempt was dropped before its first byte.
-    pub fn denied(&self, call: &Call, id: AttemptId, why: &str) {
+    pub fn denied(&self, call: &ClientRequest, id: AttemptId, why: &str) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "denied", "ref" => &*call.reference, "no" => id.no.0, "why" => why);
         }
     }
 
-    pub fn ended(&self, call: &Call, id: AttemptId, ending: Ending, took: TimeSpan) {
+    pub fn ended(&self, call: &ClientRequest, id: AttemptId, ending: Ending, took: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.no.0,
                 "ending" => ending_name(ending), "took_ms" => took.0 / 1000);
@@ -96,7 +96,7 @@
     }
 
     /// The final answer, or that none is owed any more.
-    pub fn closed(&self, call: &Call, how: &str, why: &str) {
+    pub fn closed(&self, call: &ClientRequest, how: &str, why: &str) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "closed", "ref" => &*call.reference, "how" => how, "why" => why);
         }
