--- a/crates/trailproxyd/src/client_slots.rs
+++ b/crates/trailproxyd/src/client_slots.rs
@@ -55,7 +55,7 @@
                 kind.remove(&(since, client));
                 if let Some((used, orders)) = self.held.get_mut(&client) {
                     *used = Use::Busy;
-                    let _ = orders.send(ToClient::GiveWay);
+                    let _ = orders.send(ToClient::YieldSlot);
                 }
                 return Room::Asked;
             }
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -321,7 +321,7 @@
         let gone_at = self.eof.filter(|_| !self.shut).map(|at| at + GONE_AFTER);
         if gone_at.is_some_and(|at| at <= Instant::now()) {
             self.shut = true;
-            let _ = (self.shared.queue).send(Inbound::Client(FromClient::Shut(self.id)));
+            let _ = (self.shared.queue).send(Inbound::Client(FromClient::HalfClosed(self.id)));
         }
         // By then nothing that it waits for can come in time.
         let stalled = (self.progress + self.shared.longest_limit).max(self.last_limit);
@@ -332,7 +332,7 @@
                 Some(ToClient::Finish) | None => {
                     (self.finishing, self.told_to_finish) = (true, true);
                 }
-                Some(ToClient::GiveWay) => {
+                Some(ToClient::YieldSlot) => {
                     system_calls::hear_the_system(&self.stream).await;
                     self.read()?;
                     if self.used().0 == used && used != Use::Busy {
@@ -537,7 +537,7 @@
                 let _ = self
                     .shared
                     .queue
-                    .send(Inbound::Client(FromClient::Called(*call)));
+                    .send(Inbound::Client(FromClient::Requested(*call)));
             }
             Message::Revoke(number) => {
                 if let Some(over) = self.owed.remove(&number) {
@@ -549,7 +549,7 @@
                     let _ = self
                         .shared
                         .queue
-                        .send(Inbound::Client(FromClient::Revoked(id)));
+                        .send(Inbound::Client(FromClient::Cancelled(id)));
                 }
             }
             Message::Heartbeat(_) | Message::Bad(_) if self.open() >= MOST_OPEN => {
@@ -604,7 +604,7 @@
     };
     match reply {
         Reply::Served(body) => return done(body.bytes(), &[]),
-        Reply::Same => return done(&[], &[("same", "1")]),
+        Reply::NotModified => return done(&[], &[("same", "1")]),
         Reply::Refused { retry_after: None } => failed(&mut head, "Throttled", &[]),
         Reply::Refused {
             retry_after: Some(span),
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -144,7 +144,7 @@
         let received_kb = answer.body.as_ref();
         let received_kb = received_kb.map(|body| body.bytes().len() as f64 / 1024.0);
         if ending == Ending::Done {
-            let reply = answer.body.map_or(Reply::Same, Reply::Served);
+            let reply = answer.body.map_or(Reply::NotModified, Reply::Served);
             self.answer(now, id.request, reply, "served");
         }
         if self.client_of(id.request).is_some_and(|client| client.shut) {
--- a/crates/trailproxyd/src/dispatch/clients.rs
+++ b/crates/trailproxyd/src/dispatch/clients.rs
@@ -20,9 +20,9 @@
                 };
                 self.state.clients.insert(client, opened);
             }
-            FromClient::Called(call) => self.arrived(now, call),
-            FromClient::Revoked(call) => self.left(now, call),
-            FromClient::Shut(client) => self.shut(now, client),
+            FromClient::Requested(call) => self.arrived(now, call),
+            FromClient::Cancelled(call) => self.left(now, call),
+            FromClient::HalfClosed(client) => self.shut(now, client),
             FromClient::Closed(client) => {
                 self.state.clients.remove(&client);
                 for (call, _) in self.calls_of(client) {
@@ -61,7 +61,7 @@
 
     pub(super) fn reply(&mut self, call: ClientRequestId, reply: Reply) {
         if let Some(client) = self.state.clients.get_mut(&call.client) {
-            client.proven |= matches!(reply, Reply::Served(_) | Reply::Same);
+            client.proven |= matches!(reply, Reply::Served(_) | Reply::NotModified);
             let _ = client.replies.send(ToClient::Reply(call.number, reply));
         }
     }
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -45,7 +45,7 @@
         self.state.place = self.state.place.max(entry.pos);
         self.hear_stamps(now, &entry);
         let trace = &self.pools.shared.trace;
-        trace.journal(entry.pos, entry.change.word());
+        trace.journal(entry.pos, entry.change.as_str());
         match entry.change {
             Change::Hosts {
                 form,
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -155,11 +155,11 @@
             },
         );
         count(match &reply {
-            Reply::Served(_) | Reply::Same => &self.counts.done,
+            Reply::Served(_) | Reply::NotModified => &self.counts.done,
             Reply::Refused { .. } => &self.counts.rejected,
             Reply::Failed => &self.counts.aborted,
         });
-        self.trace_closed(id, reply.word(), why);
+        self.trace_closed(id, reply.as_str(), why);
         self.close(id);
         self.reply(call, reply);
     }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -78,17 +78,17 @@
 
 pub enum FromClient {
     Opened(ClientId, mpsc::Sender<ToClient>),
-    Called(ClientRequest),
-    Revoked(ClientRequestId),
+    Requested(ClientRequest),
+    Cancelled(ClientRequestId),
     /// It sends nothing more, and may have gone: what is under way may end, and nothing begins.
-    Shut(ClientId),
+    HalfClosed(ClientId),
     Closed(ClientId),
 }
 
 pub enum Reply {
     Served(Parcel),
     /// The copy that the client holds is the one that would be served.
-    Same,
+    NotModified,
     Refused {
         retry_after: Option<TimeSpan>,
     },
@@ -97,10 +97,10 @@
 
 impl Reply {
     /// One word for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Reply::Served(_) => "served",
-            Reply::Same => "same",
+            Reply::NotModified => "same",
             Reply::Refused { .. } => "refused",
             Reply::Failed => "failed",
         }
@@ -112,7 +112,7 @@
     /// Nothing more comes: flush, half-close, read to the end.
     Finish,
     /// Its place is wanted: it ends unless something has come by now.
-    GiveWay,
+    YieldSlot,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -312,7 +312,7 @@
 
 impl Change {
     /// One word for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Change::Hosts { .. } => "hosts",
             Change::Purged { .. } => "purge",
