--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptState, Dispatch};
 use crate::checks::{count, must};
-use crate::messages::{Answer, AttemptId, LineId, Reply, Sending};
+use crate::messages::{Answer, AttemptId, ConnectionId, Reply, Sending};
 use slog::{debug, info};
 use trailproxy::interface::{Action, Attempt, Effect, Ending, Event, Outcome};
 use trailproxy::policy::refusals::GiveUpReason;
@@ -117,7 +117,7 @@
         &mut self,
         now: Timestamp,
         id: AttemptId,
-        line: Option<LineId>,
+        line: Option<ConnectionId>,
         answer: Answer,
     ) {
         let answer = self.admitted(now, id, answer);
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -13,8 +13,8 @@
 use crate::accounts::Accounts;
 use crate::checks::{Counts, must};
 use crate::messages::{
-    ClientId, ClientRequest, ClientRequestId, Clock, Entry, FromServer, Inbound, LineId, ToClient,
-    next_now,
+    ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, Entry, FromServer, Inbound,
+    ToClient, next_now,
 };
 use crate::servers::Pools;
 use crate::subsystems::Subsystems;
@@ -40,7 +40,7 @@
     host: HostId,
     source: Option<HostId>,
     sent: Timestamp,
-    line: Option<LineId>,
+    line: Option<ConnectionId>,
     over: bool,
     /// Whether it may have run.
     ran: bool,
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -50,7 +50,7 @@
 /// One connection, as its own task knows it.
 pub struct Link {
     host: HostId,
-    id: LineId,
+    id: ConnectionId,
     stream: TcpStream,
     orders: mpsc::Receiver<ToServer>,
     shared: Rc<Shared>,
@@ -85,7 +85,7 @@
 impl Link {
     pub fn new(
         host: HostId,
-        id: LineId,
+        id: ConnectionId,
         stream: TcpStream,
         orders: mpsc::Receiver<ToServer>,
         shared: Rc<Shared>,
@@ -171,17 +171,20 @@
             }
         }
         let (host, line) = (self.host, self.id);
-        let _ = self
-            .shared
-            .queue
-            .send(Inbound::Host(FromServer::Closed { host, line }));
+        let _ = self.shared.queue.send(Inbound::Host(FromServer::Closed {
+            host,
+            connection: line,
+        }));
     }
 
     /// Nothing new is to come here; what is out may still be answered.
     fn tell_unfit(&mut self) {
         if !std::mem::replace(&mut self.unfit, true) {
             let (host, line) = (self.host, self.id);
-            let told = FromServer::Unfit { host, line };
+            let told = FromServer::Unfit {
+                host,
+                connection: line,
+            };
             let _ = self.shared.queue.send(Inbound::Host(told));
         }
     }
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -34,11 +34,11 @@
         Duration::from_micros(self.bounds.dial_within.0)
     }
 
-    pub fn end(&self, id: AttemptId, host: HostId, line: Option<LineId>, answer: Answer) {
+    pub fn end(&self, id: AttemptId, host: HostId, line: Option<ConnectionId>, answer: Answer) {
         let ended = FromServer::Ended {
             id,
             host,
-            line,
+            connection: line,
             answer,
         };
         let _ = self.queue.send(Inbound::Host(ended));
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -116,7 +116,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LineId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// One probe of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -143,7 +143,7 @@
     /// Rule 2: what may have run before may go out again only until then.
     pub repeat_by: Option<Timestamp>,
     /// Connections on which the same id has gone out before.
-    pub avoid: Vec<LineId>,
+    pub avoid: Vec<ConnectionId>,
 }
 
 impl Sending {
@@ -210,7 +210,7 @@
 pub enum FromServer {
     Dialled {
         host: HostId,
-        line: LineId,
+        connection: ConnectionId,
         /// Where it was dialled.
         address: SocketAddr,
         dialled: Dialled,
@@ -218,7 +218,7 @@
     Ended {
         id: AttemptId,
         host: HostId,
-        line: Option<LineId>,
+        connection: Option<ConnectionId>,
         answer: Answer,
     },
     Probed {
@@ -231,11 +231,11 @@
     /// dial may take, though it owed an answer.
     Unfit {
         host: HostId,
-        line: LineId,
+        connection: ConnectionId,
     },
     Closed {
         host: HostId,
-        line: LineId,
+        connection: ConnectionId,
     },
 }
 
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -26,7 +26,7 @@
 
 /// One connection, as its pool knows it.
 struct Line {
-    id: LineId,
+    id: ConnectionId,
     orders: mpsc::Sender<ToServer>,
     open: usize,
     retired: bool,
@@ -90,7 +90,7 @@
     pub shared: Rc<Shared>,
     pools: BTreeMap<HostId, Pool>,
     /// Where each open attempt is.
-    places: BTreeMap<AttemptId, (HostId, Option<LineId>)>,
+    places: BTreeMap<AttemptId, (HostId, Option<ConnectionId>)>,
     lines: usize,
     next: u64,
 }
@@ -265,7 +265,7 @@
             self.lines += 1;
             self.next += 1;
             count(&self.shared.counts.dials);
-            let (queue, line) = (self.shared.queue.clone(), LineId(self.next));
+            let (queue, line) = (self.shared.queue.clone(), ConnectionId(self.next));
             tokio::task::spawn_local(dial(pool.member.address, within, host, line, queue));
         }
     }
@@ -352,11 +352,11 @@
     }
 
     /// What a connection or a dial tells; an answer is handed back, once for each attempt.
-    pub fn told(&mut self, told: FromServer) -> Option<(AttemptId, Option<LineId>, Answer)> {
+    pub fn told(&mut self, told: FromServer) -> Option<(AttemptId, Option<ConnectionId>, Answer)> {
         match told {
             FromServer::Dialled {
                 host,
-                line,
+                connection: line,
                 address,
                 dialled,
             } => {
@@ -370,7 +370,7 @@
             FromServer::Ended {
                 id,
                 host,
-                line,
+                connection: line,
                 answer,
             } => {
                 if let (Some(pool), Some(line)) = (self.pools.get_mut(&host), line) {
@@ -388,7 +388,10 @@
             }
             // It has its owner's ear by itself.
             FromServer::Probed { .. } => None,
-            FromServer::Unfit { host, line } => {
+            FromServer::Unfit {
+                host,
+                connection: line,
+            } => {
                 if let Some(pool) = self.pools.get_mut(&host) {
                     for known in pool.lines.iter_mut().filter(|known| known.id == line) {
                         known.retired = true;
@@ -397,7 +400,10 @@
                 }
                 None
             }
-            FromServer::Closed { host, line } => {
+            FromServer::Closed {
+                host,
+                connection: line,
+            } => {
                 self.lines -= 1;
                 if let Some(pool) = self.pools.get_mut(&host) {
                     pool.lines.retain(|known| known.id != line);
@@ -410,7 +416,7 @@
         }
     }
 
-    fn dialled(&mut self, host: HostId, id: LineId, dialled: Dialled) {
+    fn dialled(&mut self, host: HostId, id: ConnectionId, dialled: Dialled) {
         match (self.pools.get_mut(&host), dialled) {
             (Some(pool), Dialled::Up(stream)) => {
                 pool.dialing -= 1;
@@ -432,7 +438,7 @@
     }
 
     /// A connection is up.
-    fn came_up(&mut self, host: HostId, id: LineId, stream: TcpStream) {
+    fn came_up(&mut self, host: HostId, id: ConnectionId, stream: TcpStream) {
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
@@ -458,7 +464,7 @@
     address: SocketAddr,
     within: Duration,
     host: HostId,
-    line: LineId,
+    line: ConnectionId,
     queue: InboundSender,
 ) {
     let lacking = Cell::new(false);
@@ -473,7 +479,7 @@
     };
     let _ = queue.send(Inbound::Host(FromServer::Dialled {
         host,
-        line,
+        connection: line,
         address,
         dialled,
     }));
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -3,7 +3,7 @@
 //! Off unless `RELAY_TRACE` is `1`: it is for the search for faults, not for every day. Requests are named by the id that
 //! their clients gave them, which hosts see as well.
 
-use crate::messages::{AttemptId, ClientId, ClientRequest, LineId};
+use crate::messages::{AttemptId, ClientId, ClientRequest, ConnectionId};
 use slog::{Logger, info};
 use std::time::Duration;
 use trailproxy::interface::{Ending, Note};
@@ -75,7 +75,7 @@
     }
 
     /// The first byte of an attempt has gone out.
-    pub fn begun(&self, call: &ClientRequest, id: AttemptId, line: LineId) {
+    pub fn begun(&self, call: &ClientRequest, id: AttemptId, line: ConnectionId) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "begun", "ref" => &*call.reference, "no" => id.no.0, "line" => line.0);
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    pub fn line_closed(&self, host: HostId, line: LineId, why: &str) {
+    pub fn line_closed(&self, host: HostId, line: ConnectionId, why: &str) {
         if let Some(log) = &self.log {
             info!(log, "line closed"; "host" => format!("{:x}", host.0), "line" => line.0, "why" => why);
         }
