--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -26,7 +26,10 @@
                 }
                 Action::Fail { id, reason } => self.given_up(now, id, Reply::Failed, reason),
                 Action::Cancel { id, attempt: no } => {
-                    self.pools.kill(AttemptId { request: id, no });
+                    self.pools.kill(AttemptId {
+                        request: id,
+                        attempt: no,
+                    });
                 }
                 Action::SetTimer { at, timer } => {
                     self.state.wakes.insert((at, timer));
@@ -75,7 +78,7 @@
         let sending = Sending {
             id: AttemptId {
                 request: id,
-                no: AttemptNo(request.attempts.len() as u8),
+                attempt: AttemptNo(request.attempts.len() as u8),
             },
             host,
             call: request.call.clone(),
@@ -104,7 +107,10 @@
 
     /// An answer from a copy that a purge forbids is none: the host has failed to heed it.
     fn admitted(&self, now: Timestamp, id: AttemptId, answer: Answer) -> Answer {
-        let admits = |minted| self.decisions.admits_copy(now, id.request, id.no, minted);
+        let admits = |minted| {
+            self.decisions
+                .admits_copy(now, id.request, id.attempt, minted)
+        };
         let done = answer.ending == Ending::Done;
         if !done || answer.minted.is_none_or(admits) {
             return answer;
@@ -123,7 +129,8 @@
         let answer = self.admitted(now, id, answer);
         let ending = answer.ending;
         let request = self.state.requests.get_mut(&id.request);
-        let attempt = request.and_then(|request| request.attempts.get_mut(usize::from(id.no.0)));
+        let attempt =
+            request.and_then(|request| request.attempts.get_mut(usize::from(id.attempt.0)));
         let Some(attempt) = attempt.filter(|attempt| !attempt.over) else {
             return;
         };
@@ -165,7 +172,7 @@
             now,
             Event::Outcome(Outcome {
                 id: id.request,
-                attempt: id.no,
+                attempt: id.attempt,
                 ending,
                 elapsed,
                 request_closed,
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -99,7 +99,10 @@
                         .any(|&host| !self.pools.is_ready(host))
                 };
                 if !attempt.over && (purged || listed && unready()) {
-                    recalls.push(AttemptId { request, no });
+                    recalls.push(AttemptId {
+                        request,
+                        attempt: no,
+                    });
                 }
             }
         }
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -17,7 +17,10 @@
         let open = self.state.requests.get(&request);
         let mut any = false;
         for no in open.into_iter().flat_map(Request::out) {
-            self.pools.recall(AttemptId { request, no });
+            self.pools.recall(AttemptId {
+                request,
+                attempt: no,
+            });
             any = true;
         }
         any
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -46,7 +46,10 @@
             let out: Vec<AttemptNo> = request.out().collect();
             self.state.limits.remove(&(request.limit, id));
             for no in out {
-                let attempt = AttemptId { request: id, no };
+                let attempt = AttemptId {
+                    request: id,
+                    attempt: no,
+                };
                 self.pools.kill(attempt);
                 self.ended(now, attempt, None, Answer::bare(Ending::TimedOut));
             }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -126,7 +126,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     pub request: RequestId,
-    pub no: AttemptNo,
+    pub attempt: AttemptNo,
 }
 
 /// What goes to a host.
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -69,7 +69,7 @@
     /// An attempt is given to the connections of a host.
     pub fn attempt(&self, call: &ClientRequest, id: AttemptId, host: HostId) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "attempt", "ref" => &*call.reference, "no" => id.no.0,
+            info!(log, "request"; "step" => "attempt", "ref" => &*call.reference, "no" => id.attempt.0,
                 "host" => format!("{:x}", host.0));
         }
     }
@@ -77,20 +77,20 @@
     /// The first byte of an attempt has gone out.
     pub fn begun(&self, call: &ClientRequest, id: AttemptId, line: ConnectionId) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "begun", "ref" => &*call.reference, "no" => id.no.0, "line" => line.0);
+            info!(log, "request"; "step" => "begun", "ref" => &*call.reference, "no" => id.attempt.0, "line" => line.0);
         }
     }
 
     /// An attempt was dropped before its first byte.
     pub fn denied(&self, call: &ClientRequest, id: AttemptId, why: &str) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "denied", "ref" => &*call.reference, "no" => id.no.0, "why" => why);
+            info!(log, "request"; "step" => "denied", "ref" => &*call.reference, "no" => id.attempt.0, "why" => why);
         }
     }
 
     pub fn ended(&self, call: &ClientRequest, id: AttemptId, ending: Ending, took: TimeSpan) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.no.0,
+            info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.attempt.0,
                 "ending" => ending_name(ending), "took_ms" => took.0 / 1000);
         }
     }
