--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{AttemptState, Dispatch};
 use crate::checks::{count, must};
-use crate::messages::{Answer, AttemptId, ConnectionId, Reply, Sending};
+use crate::messages::{Answer, AttemptId, AttemptRequest, ConnectionId, Reply};
 use slog::{debug, info};
 use trailproxy::interface::{Action, Attempt, Effect, Ending, Event, Outcome};
 use trailproxy::policy::refusals::GiveUpReason;
@@ -75,19 +75,19 @@
             Effect::Keyed { window, .. } => ran.min().map(|first| first + window),
             _ => None,
         };
-        let sending = Sending {
+        let sending = AttemptRequest {
             id: AttemptId {
                 request: id,
                 attempt: AttemptNo(request.attempts.len() as u8),
             },
             host,
-            call: request.call.clone(),
-            track: bounds.track_names[track].as_str().into(),
+            request: request.call.clone(),
+            class_name: bounds.track_names[track].as_str().into(),
             fill,
             source: name,
             deadline: request.limit,
             repeat_by,
-            avoid: earlier.filter_map(|earlier| earlier.line).collect(),
+            avoid_connections: earlier.filter_map(|earlier| earlier.line).collect(),
         };
         request.attempts.push(AttemptState {
             host,
@@ -100,7 +100,7 @@
         self.pools
             .shared
             .trace
-            .attempt(&sending.call, sending.id, host);
+            .attempt(&sending.request, sending.id, host);
         self.decisions.crossings.went(now, id, host);
         self.pools.submit(sending);
     }
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -36,7 +36,7 @@
 
 /// What waits to be written.
 enum Packet {
-    Sending(Sending),
+    Sending(AttemptRequest),
     Kill(Rc<str>),
     Probe(ProbeId),
 }
@@ -58,7 +58,7 @@
     wants: usize,
     /// One request at a time, and none that has not begun but while it is tried.
     outgoing: Ring,
-    in_ring: Option<Sending>,
+    in_ring: Option<AttemptRequest>,
     begun: bool,
     /// When something last went out.
     written: Instant,
@@ -309,8 +309,10 @@
             return;
         };
         let clock = &self.shared.clock;
-        self.shared.trace.begun(&sending.call, sending.id, self.id);
-        let late = permits::begun_against_a_rule(clock.moment(now), &sending.facts(clock));
+        self.shared
+            .trace
+            .begun(&sending.request, sending.id, self.id);
+        let late = permits::begun_against_a_rule(clock.moment(now), &sending.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let passed_on = self.deadline_holds(now);
         must(passed_on, &self.shared.counts.broken_deadline_passed_on);
@@ -319,7 +321,10 @@
     /// Whether what is in the ring may go on with the deadline that was written into it.
     fn deadline_holds(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let reference = self.in_ring.as_ref().map(|sending| &sending.call.reference);
+        let reference = self
+            .in_ring
+            .as_ref()
+            .map(|sending| &sending.request.reference);
         let open = reference.and_then(|reference| self.open.get(reference));
         open.is_none_or(|open| {
             permits::deadline_still_holds(clock.moment(now), clock.moment(open.sent))
@@ -332,7 +337,7 @@
             return;
         }
         if let Some(sending) = self.in_ring.take() {
-            self.open.remove(&sending.call.reference);
+            self.open.remove(&sending.request.reference);
             self.outgoing.consume(self.outgoing.len());
             self.unsent.push_front(Packet::Sending(sending));
         }
@@ -415,8 +420,8 @@
                 self.probe = Some(id);
             }
             Packet::Sending(sending) => {
-                let (now, call) = (Instant::now(), &sending.call);
-                if let Err(why) = sending.may_begin(&self.shared.clock, now) {
+                let (now, call) = (Instant::now(), &sending.request);
+                if let Err(why) = sending.may_send(&self.shared.clock, now) {
                     self.shared.trace.denied(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
@@ -525,11 +530,11 @@
 }
 
 /// The fields of a request, as the hosts want them.
-fn fields(sending: &Sending, now: Timestamp) -> String {
-    let call = &sending.call;
+fn fields(sending: &AttemptRequest, now: Timestamp) -> String {
+    let call = &sending.request;
     let mut fields = format!(
         "lane={},name={},piece={}",
-        sending.track, call.object_name, call.part
+        sending.class_name, call.object_name, call.part
     );
     let mut add = |name: &str, value: &str| {
         let _ = write!(fields, ",{name}={value}");
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -54,7 +54,7 @@
         let _ = self.queue.send(Inbound::Host(probed));
     }
 
-    pub fn dropped(&self, sending: &Sending, ending: Ending) {
+    pub fn dropped(&self, sending: &AttemptRequest, ending: Ending) {
         self.end(sending.id, sending.host, None, Answer::bare(ending));
     }
 }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -130,11 +130,11 @@
 }
 
 /// What goes to a host.
-pub struct Sending {
+pub struct AttemptRequest {
     pub id: AttemptId,
     pub host: HostId,
-    pub call: Rc<ClientRequest>,
-    pub track: Rc<str>,
+    pub request: Rc<ClientRequest>,
+    pub class_name: Rc<str>,
     pub fill: Option<Fill>,
     /// The name of another host that fills a miss.
     pub source: Option<Rc<str>>,
@@ -143,20 +143,20 @@
     /// Rule 2: what may have run before may go out again only until then.
     pub repeat_by: Option<Timestamp>,
     /// Connections on which the same id has gone out before.
-    pub avoid: Vec<ConnectionId>,
+    pub avoid_connections: Vec<ConnectionId>,
 }
 
-impl Sending {
+impl AttemptRequest {
     /// Whether its first byte may go out now.
-    pub fn may_begin(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
-        permits::may_send(clock.moment(now), &self.facts(clock))
+    pub fn may_send(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
+        permits::may_send(clock.moment(now), &self.send_facts(clock))
     }
 
     /// What decides whether it may begin.
-    pub fn facts(&self, clock: &Clock) -> SendFacts {
-        let closed_at = self.call.client.closed_at.get();
+    pub fn send_facts(&self, clock: &Clock) -> SendFacts {
+        let closed_at = self.request.client.closed_at.get();
         SendFacts {
-            answered: self.call.closed.get(),
+            answered: self.request.closed.get(),
             client_closed: closed_at.map(|at| clock.moment(at)),
             deadline: self.deadline,
             repeat_by: self.repeat_by,
@@ -164,7 +164,7 @@
     }
 
     /// When it may not begin any more, as far as time alone decides.
-    pub fn begins_until(&self, clock: &Clock) -> Instant {
+    pub fn latest_send(&self, clock: &Clock) -> Instant {
         let until = self
             .repeat_by
             .map_or(self.deadline, |by| by.min(self.deadline));
@@ -240,7 +240,7 @@
 }
 
 pub enum ToServer {
-    Send(Sending),
+    Send(AttemptRequest),
     Probe(ProbeId),
     /// Given up: a KILL goes out if the request has.
     Kill(AttemptId),
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -38,7 +38,7 @@
     member: Member,
     lines: Vec<Line>,
     /// Waiting for a connection, and until when.
-    waiting: VecDeque<(Instant, Sending)>,
+    waiting: VecDeque<(Instant, AttemptRequest)>,
     dialing: usize,
     /// Whether the last dial failed for a reason of this side.
     lacking: bool,
@@ -177,7 +177,7 @@
         self.pools.get(&host).map(|pool| pool.member.name.clone())
     }
 
-    pub fn submit(&mut self, sending: Sending) {
+    pub fn submit(&mut self, sending: AttemptRequest) {
         let (id, host) = (sending.id, sending.host);
         let until = Instant::now() + self.shared.dial_within();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
@@ -225,7 +225,7 @@
         let mut left = VecDeque::new();
         while let Some((until, sending)) = pool.waiting.pop_front() {
             let fits = |line: &&mut Line| {
-                !line.retired && line.open < most && !sending.avoid.contains(&line.id)
+                !line.retired && line.open < most && !sending.avoid_connections.contains(&line.id)
             };
             let lines = pool.lines.iter_mut().filter(fits);
             match lines.min_by_key(|line| line.open) {
@@ -279,9 +279,11 @@
                 probe.ended(shared, host);
             }
             pool.waiting.retain(|(until, sending)| {
-                match sending.may_begin(&shared.clock, now) {
+                match sending.may_send(&shared.clock, now) {
                     Err(why) => {
-                        shared.trace.denied(&sending.call, sending.id, why.as_str());
+                        shared
+                            .trace
+                            .denied(&sending.request, sending.id, why.as_str());
                         shared.dropped(sending, Ending::NotSent);
                     }
                     // The host is not to blame for what was lacking here.
@@ -300,7 +302,8 @@
     pub fn next_expiry(&self) -> Option<Instant> {
         let waiting = self.pools.values().flat_map(|pool| &pool.waiting);
         let clock = &self.shared.clock;
-        let over = |(until, sending): &(Instant, Sending)| sending.begins_until(clock).min(*until);
+        let over =
+            |(until, sending): &(Instant, AttemptRequest)| sending.latest_send(clock).min(*until);
         let probes = self.pools.values().filter_map(|pool| pool.probe.as_ref());
         let probes = probes.filter(|probe| probe.is != ProbeIs::Over);
         waiting
