--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -112,11 +112,11 @@
                 .admits_copy(now, id.request, id.attempt, minted)
         };
         let done = answer.ending == Ending::Done;
-        if !done || answer.minted.is_none_or(admits) {
+        if !done || answer.issued_at.is_none_or(admits) {
             return answer;
         }
         count(&self.counts.purged_copies_refused);
-        Answer::bare(Ending::Error)
+        Answer::without_body(Ending::Error)
     }
 
     pub(super) fn ended(
@@ -167,7 +167,7 @@
         let client_proven = self
             .client_of(id.request)
             .is_some_and(|client| client.proven);
-        let load = self.reports.load(&answer.report);
+        let load = self.reports.load(&answer.load_report);
         self.tell(
             now,
             Event::Outcome(Outcome {
@@ -177,7 +177,7 @@
                 elapsed,
                 request_closed,
                 note: answer.note,
-                first_byte_latency: answer.waited,
+                first_byte_latency: answer.first_byte_latency,
                 load,
                 client_proven,
                 received_kb,
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -51,7 +51,7 @@
                     attempt: no,
                 };
                 self.pools.kill(attempt);
-                self.ended(now, attempt, None, Answer::bare(Ending::TimedOut));
+                self.ended(now, attempt, None, Answer::without_body(Ending::TimedOut));
             }
             // The decisions give the final answer, woken by their own timer or by this.
             self.tell(now, Event::TimerFired { timer: TimerId(0) });
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -190,7 +190,7 @@
     }
 
     fn end(&self, id: AttemptId, ending: Ending) {
-        let answer = Answer::bare(ending);
+        let answer = Answer::without_body(ending);
         self.shared.end(id, self.host, Some(self.id), answer);
     }
 
@@ -634,11 +634,11 @@
     Some(Answer {
         ending,
         note,
-        waited: waited
+        first_byte_latency: waited
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
-        report: read_report(fields),
+        load_report: read_report(fields),
         body: (word == b"data").then(|| Parcel::new(body, held)),
-        minted: named("minted").and_then(stamp_of_ms),
+        issued_at: named("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -55,6 +55,6 @@
     }
 
     pub fn dropped(&self, sending: &AttemptRequest, ending: Ending) {
-        self.end(sending.id, sending.host, None, Answer::bare(ending));
+        self.end(sending.id, sending.host, None, Answer::without_body(ending));
     }
 }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -175,23 +175,23 @@
 pub struct Answer {
     pub ending: Ending,
     pub note: Note,
-    pub waited: Option<TimeSpan>,
-    pub report: Vec<f64>,
+    pub first_byte_latency: Option<TimeSpan>,
+    pub load_report: Vec<f64>,
     /// The bytes where it is done; `None`: the client's copy is the one.
     pub body: Option<Parcel>,
     /// When the origin gave this copy out, as it is stamped.
-    pub minted: Option<Timestamp>,
+    pub issued_at: Option<Timestamp>,
 }
 
 impl Answer {
-    pub fn bare(ending: Ending) -> Answer {
+    pub fn without_body(ending: Ending) -> Answer {
         Answer {
             ending,
             note: Note::NotReported,
-            waited: None,
-            report: vec![],
+            first_byte_latency: None,
+            load_report: vec![],
             body: None,
-            minted: None,
+            issued_at: None,
         }
     }
 }
