--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -197,14 +197,14 @@
 }
 
 /// What came of a dial.
-pub enum Dialled {
-    Up(TcpStream),
+pub enum DialResult {
+    Connected(TcpStream),
     /// The host refuses, or can't be reached.
     Refused,
     /// Nothing came up in time.
     TimedOut,
     /// This side lacked what a connection takes, all the time: it says nothing of the host.
-    Lacking,
+    LocalShortage,
 }
 
 pub enum FromServer {
@@ -213,7 +213,7 @@
         connection: ConnectionId,
         /// Where it was dialled.
         address: SocketAddr,
-        dialled: Dialled,
+        result: DialResult,
     },
     Ended {
         id: AttemptId,
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -361,12 +361,12 @@
                 host,
                 connection: line,
                 address,
-                dialled,
+                result: dialled,
             } => {
                 // The host has moved since: whoever is there now is another.
                 let pool = self.pools.get(&host);
                 let moved = pool.is_some_and(|pool| pool.member.address != address);
-                let dialled = if moved { Dialled::TimedOut } else { dialled };
+                let dialled = if moved { DialResult::TimedOut } else { dialled };
                 self.dialled(host, line, dialled);
                 None
             }
@@ -419,9 +419,9 @@
         }
     }
 
-    fn dialled(&mut self, host: HostId, id: ConnectionId, dialled: Dialled) {
+    fn dialled(&mut self, host: HostId, id: ConnectionId, dialled: DialResult) {
         match (self.pools.get_mut(&host), dialled) {
-            (Some(pool), Dialled::Up(stream)) => {
+            (Some(pool), DialResult::Connected(stream)) => {
                 pool.dialing -= 1;
                 pool.lacking = false;
                 self.came_up(host, id, stream);
@@ -429,8 +429,8 @@
             (Some(pool), failed) => {
                 self.lines -= 1;
                 pool.dialing -= 1;
-                pool.lacking = matches!(failed, Dialled::Lacking);
-                if matches!(failed, Dialled::Refused) {
+                pool.lacking = matches!(failed, DialResult::LocalShortage);
+                if matches!(failed, DialResult::Refused) {
                     pool.refused(&self.shared, host);
                 }
                 self.assign(host);
@@ -474,17 +474,17 @@
     let dialled = match timeout(within, connect(address, &lacking)).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
-            Dialled::Up(stream)
+            DialResult::Connected(stream)
         }
-        Ok(Err(_)) => Dialled::Refused,
-        Err(_) if lacking.get() => Dialled::Lacking,
-        Err(_) => Dialled::TimedOut,
+        Ok(Err(_)) => DialResult::Refused,
+        Err(_) if lacking.get() => DialResult::LocalShortage,
+        Err(_) => DialResult::TimedOut,
     };
     let _ = queue.send(Inbound::Host(FromServer::Dialled {
         host,
         connection: line,
         address,
-        dialled,
+        result: dialled,
     }));
 }
 
