--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -13,7 +13,7 @@
 use crate::accounts::Accounts;
 use crate::checks::{Counts, must};
 use crate::messages::{
-    ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, Entry, FromServer, Inbound,
+    ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, Entry, FromHost, Inbound,
     ToClient, next_now,
 };
 use crate::servers::Pools;
@@ -215,7 +215,7 @@
     fn take(&mut self, now: Timestamp, inbound: Inbound) {
         match inbound {
             Inbound::Client(from) => self.client(now, from),
-            Inbound::Host(FromServer::Probed {
+            Inbound::Host(FromHost::Probed {
                 id,
                 host,
                 ending,
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -52,7 +52,7 @@
     host: HostId,
     id: ConnectionId,
     stream: TcpStream,
-    orders: mpsc::Receiver<ToServer>,
+    orders: mpsc::Receiver<ToHost>,
     shared: Rc<Shared>,
     incoming: Ring,
     wants: usize,
@@ -87,7 +87,7 @@
         host: HostId,
         id: ConnectionId,
         stream: TcpStream,
-        orders: mpsc::Receiver<ToServer>,
+        orders: mpsc::Receiver<ToHost>,
         shared: Rc<Shared>,
     ) -> Link {
         Link {
@@ -165,13 +165,13 @@
         }
         while let Some(order) = next_now(&mut self.orders) {
             match order {
-                ToServer::Send(sending) => self.end(sending.id, Ending::NotSent),
-                ToServer::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
+                ToHost::Send(sending) => self.end(sending.id, Ending::NotSent),
+                ToHost::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
                 _ => {}
             }
         }
         let (host, line) = (self.host, self.id);
-        let _ = self.shared.queue.send(Inbound::Host(FromServer::Closed {
+        let _ = self.shared.queue.send(Inbound::Host(FromHost::Closed {
             host,
             connection: line,
         }));
@@ -181,7 +181,7 @@
     fn tell_unfit(&mut self) {
         if !std::mem::replace(&mut self.unfit, true) {
             let (host, line) = (self.host, self.id);
-            let told = FromServer::Unfit {
+            let told = FromHost::Unusable {
                 host,
                 connection: line,
             };
@@ -272,21 +272,21 @@
         Ok(())
     }
 
-    fn obey(&mut self, order: ToServer) -> Result<(), Over> {
+    fn obey(&mut self, order: ToHost) -> Result<(), Over> {
         self.active = Instant::now();
         match order {
-            ToServer::Send(sending) => self.unsent.push_back(Packet::Sending(sending)),
-            ToServer::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
-            ToServer::Kill(id) => {
+            ToHost::Send(sending) => self.unsent.push_back(Packet::Sending(sending)),
+            ToHost::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
+            ToHost::Cancel(id) => {
                 if !self.drop_unsent(id) {
                     self.kill(id);
                 }
             }
-            ToServer::Recall(id) => {
+            ToHost::CancelUnsent(id) => {
                 self.drop_unsent(id);
             }
-            ToServer::Retire => self.retired = true,
-            ToServer::Break => return Err("its process was started anew"),
+            ToHost::Retire => self.retired = true,
+            ToHost::HostGone => return Err("its process was started anew"),
         }
         Ok(())
     }
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -35,7 +35,7 @@
     }
 
     pub fn end(&self, id: AttemptId, host: HostId, line: Option<ConnectionId>, answer: Answer) {
-        let ended = FromServer::Ended {
+        let ended = FromHost::AttemptEnded {
             id,
             host,
             connection: line,
@@ -45,7 +45,7 @@
     }
 
     pub fn probed(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
-        let probed = FromServer::Probed {
+        let probed = FromHost::Probed {
             id,
             host,
             ending,
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -23,7 +23,7 @@
 /// All that can happen to the dispatcher.
 pub enum Inbound {
     Client(FromClient),
-    Host(FromServer),
+    Host(FromHost),
     Journal(Entry),
     /// Other settings hold from now on.
     Settings(Box<(DispatcherSettings, Reports)>),
@@ -207,7 +207,7 @@
     LocalShortage,
 }
 
-pub enum FromServer {
+pub enum FromHost {
     Dialled {
         host: HostId,
         connection: ConnectionId,
@@ -215,7 +215,7 @@
         address: SocketAddr,
         result: DialResult,
     },
-    Ended {
+    AttemptEnded {
         id: AttemptId,
         host: HostId,
         connection: Option<ConnectionId>,
@@ -229,7 +229,7 @@
     },
     /// Nothing new is to go there: it is about to close, or nothing came from it for longer than a
     /// dial may take, though it owed an answer.
-    Unfit {
+    Unusable {
         host: HostId,
         connection: ConnectionId,
     },
@@ -239,17 +239,17 @@
     },
 }
 
-pub enum ToServer {
+pub enum ToHost {
     Send(AttemptRequest),
     Probe(ProbeId),
     /// Given up: a KILL goes out if the request has.
-    Kill(AttemptId),
+    Cancel(AttemptId),
     /// Dropped if not a byte of it is written, else left alone.
-    Recall(AttemptId),
+    CancelUnsent(AttemptId),
     /// Nothing new comes.
     Retire,
     /// The process behind it is gone.
-    Break,
+    HostGone,
 }
 
 pub enum ToStore {
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -27,7 +27,7 @@
 /// One connection, as its pool knows it.
 struct Line {
     id: ConnectionId,
-    orders: mpsc::Sender<ToServer>,
+    orders: mpsc::Sender<ToHost>,
     open: usize,
     retired: bool,
     /// Since when it is up.
@@ -137,7 +137,7 @@
                 let former = |line: &&mut Line| moved || line.up < started;
                 for line in pool.lines.iter_mut().filter(former) {
                     line.retired = true;
-                    let _ = line.orders.send(ToServer::Break);
+                    let _ = line.orders.send(ToHost::HostGone);
                 }
             }
             let same = pool.member.name == member.name;
@@ -148,7 +148,7 @@
             if pool.member.entry.state != HostState::Ready {
                 for line in &mut pool.lines {
                     line.retired = true;
-                    let _ = line.orders.send(ToServer::Retire);
+                    let _ = line.orders.send(ToHost::Retire);
                 }
             }
         }
@@ -231,7 +231,7 @@
             match lines.min_by_key(|line| line.open) {
                 Some(line) if line.open < TOGETHER || left.len() >= dials => {
                     let id = sending.id;
-                    match line.orders.send(ToServer::Send(sending)) {
+                    match line.orders.send(ToHost::Send(sending)) {
                         Ok(()) => {
                             self.places.insert(id, (host, Some(line.id)));
                             line.open += 1;
@@ -240,7 +240,7 @@
                         // be held by nobody.
                         Err(SendError(order)) => {
                             line.retired = true;
-                            if let ToServer::Send(sending) = order {
+                            if let ToHost::Send(sending) = order {
                                 pool.waiting.push_front((until, sending));
                             }
                         }
@@ -254,7 +254,7 @@
         let waits = |probe: &&mut Probe| probe.is == ProbeIs::Waiting;
         if let Some(probe) = pool.probe.as_mut().filter(waits) {
             match pool.lines.iter().find(|line| !line.retired) {
-                Some(line) if line.orders.send(ToServer::Probe(probe.id)).is_ok() => {
+                Some(line) if line.orders.send(ToHost::Probe(probe.id)).is_ok() => {
                     probe.is = ProbeIs::Out;
                 }
                 _ => wanted += 1,
@@ -314,15 +314,15 @@
 
     /// Gives an attempt up; its ending comes by the queue.
     pub fn kill(&mut self, id: AttemptId) {
-        self.order(id, ToServer::Kill(id));
+        self.order(id, ToHost::Cancel(id));
     }
 
     /// Drops an attempt of which nothing is written yet.
     pub fn recall(&mut self, id: AttemptId) {
-        self.order(id, ToServer::Recall(id));
+        self.order(id, ToHost::CancelUnsent(id));
     }
 
-    fn order(&mut self, id: AttemptId, order: ToServer) {
+    fn order(&mut self, id: AttemptId, order: ToHost) {
         let Some(&(host, line)) = self.places.get(&id) else {
             return;
         };
@@ -355,9 +355,9 @@
     }
 
     /// What a connection or a dial tells; an answer is handed back, once for each attempt.
-    pub fn told(&mut self, told: FromServer) -> Option<(AttemptId, Option<ConnectionId>, Answer)> {
+    pub fn told(&mut self, told: FromHost) -> Option<(AttemptId, Option<ConnectionId>, Answer)> {
         match told {
-            FromServer::Dialled {
+            FromHost::Dialled {
                 host,
                 connection: line,
                 address,
@@ -370,7 +370,7 @@
                 self.dialled(host, line, dialled);
                 None
             }
-            FromServer::Ended {
+            FromHost::AttemptEnded {
                 id,
                 host,
                 connection: line,
@@ -390,20 +390,20 @@
                 self.places.remove(&id).map(|_| (id, line, answer))
             }
             // It has its owner's ear by itself.
-            FromServer::Probed { .. } => None,
-            FromServer::Unfit {
+            FromHost::Probed { .. } => None,
+            FromHost::Unusable {
                 host,
                 connection: line,
             } => {
                 if let Some(pool) = self.pools.get_mut(&host) {
                     for known in pool.lines.iter_mut().filter(|known| known.id == line) {
                         known.retired = true;
-                        let _ = known.orders.send(ToServer::Retire);
+                        let _ = known.orders.send(ToHost::Retire);
                     }
                 }
                 None
             }
-            FromServer::Closed {
+            FromHost::Closed {
                 host,
                 connection: line,
             } => {
@@ -448,7 +448,7 @@
         let (orders_in, orders) = mpsc::channel();
         let retired = pool.member.entry.state != HostState::Ready;
         if retired {
-            let _ = orders_in.send(ToServer::Retire);
+            let _ = orders_in.send(ToHost::Retire);
         }
         pool.lines.push(Line {
             id,
@@ -480,7 +480,7 @@
         Err(_) if lacking.get() => DialResult::LocalShortage,
         Err(_) => DialResult::TimedOut,
     };
-    let _ = queue.send(Inbound::Host(FromServer::Dialled {
+    let _ = queue.send(Inbound::Host(FromHost::Dialled {
         host,
         connection: line,
         address,
