--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -255,23 +255,23 @@
 pub enum ToStore {
     Connect,
     Disconnect,
-    Ask(OpId, Box<Request>),
+    Execute(OpId, Box<Request>),
 }
 
 pub enum FromStore {
     /// A connection stands, to the server process that names itself so.
     Connected {
-        run: String,
+        run_id: String,
     },
     /// It ended, or could not be made.
-    Broken,
+    Disconnected,
     Answered(OpId, StoreReply),
 }
 
 pub enum ToPeers {
     Send(Address, Message),
     /// Nothing is sent or heard any more.
-    End,
+    Stop,
 }
 
 /// A message of the fleet, with where it came from.
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -151,7 +151,7 @@
 
     /// Nothing is held in common any more: whoever waits goes on.
     pub fn end(self) -> impl Iterator<Item = Arrival> {
-        let _ = self.to.send(ToPeers::End);
+        let _ = self.to.send(ToPeers::Stop);
         self.waiting.end()
     }
 
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -43,7 +43,7 @@
                 line = match connect(&config).await {
                     Ok((connected, run)) => {
                         told.clear();
-                        let _ = queue.send(Inbound::Store(FromStore::Connected { run }));
+                        let _ = queue.send(Inbound::Store(FromStore::Connected { run_id: run }));
                         Some(Rc::new(connected))
                     }
                     Err(why) => {
@@ -53,7 +53,7 @@
                                 "port" => config.port, "why" => &why);
                             told = why;
                         }
-                        let _ = queue.send(Inbound::Store(FromStore::Broken));
+                        let _ = queue.send(Inbound::Store(FromStore::Disconnected));
                         None
                     }
                 };
@@ -62,7 +62,7 @@
                 present.set(present.get() + 1);
                 line = None;
             }
-            ToStore::Ask(id, request) => {
+            ToStore::Execute(id, request) => {
                 let Some(line) = line.clone() else {
                     let _ = queue.send(Inbound::Store(FromStore::Answered(id, Reply::Lost)));
                     continue;
@@ -76,7 +76,7 @@
                     let _ = queue.send(Inbound::Store(FromStore::Answered(id, reply)));
                     if broken {
                         present.set(of + 1);
-                        let _ = queue.send(Inbound::Store(FromStore::Broken));
+                        let _ = queue.send(Inbound::Store(FromStore::Disconnected));
                     }
                 });
             }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -284,11 +284,11 @@
 
     pub fn told(&mut self, now: Timestamp, told: FromStore) {
         match told {
-            FromStore::Connected { run } => {
+            FromStore::Connected { run_id: run } => {
                 self.run = run;
                 self.sharing.connected(now);
             }
-            FromStore::Broken => self.sharing.broken(now),
+            FromStore::Disconnected => self.sharing.broken(now),
             FromStore::Answered(id, reply) => self.sharing.answered(now, id, reply),
         }
         self.act();
@@ -335,7 +335,7 @@
                         not_after_ms,
                     };
                     let request = Box::new(request(&op, &under));
-                    let _ = self.to.send(ToStore::Ask(id, request));
+                    let _ = self.to.send(ToStore::Execute(id, request));
                 }
                 Act::Decided { id, verdict } => self.waiting.decided(id, verdict),
                 Act::Purged { object, group, ago } => {
