--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -2,7 +2,7 @@
 
 use super::Dispatch;
 use crate::checks::count;
-use crate::messages::{AttemptId, Change, Entry};
+use crate::messages::{AttemptId, Entry, JournalChange};
 use trailproxy::interface::{Event, HostEntry};
 use trailproxy::units::{AttemptNo, GroupId, ObjectId, Timestamp};
 
@@ -47,10 +47,10 @@
         let trace = &self.pools.shared.trace;
         trace.journal(entry.pos, entry.change.as_str());
         match entry.change {
-            Change::Hosts {
-                form,
-                mut members,
-                unread,
+            JournalChange::Hosts {
+                kind: form,
+                hosts: mut members,
+                unreadable: unread,
             } => {
                 listed = true;
                 for member in &mut members {
@@ -71,7 +71,7 @@
                     peers.listed(now, &entries, entry.pos);
                 }
             }
-            Change::Purged {
+            JournalChange::Purged {
                 object,
                 group,
                 stamp,
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -73,7 +73,7 @@
             let stamp = latest_of_ms(purge.get("stamp")?.as_u64()?);
             return Some(Entry {
                 pos,
-                change: Change::Purged {
+                change: JournalChange::Purged {
                     object,
                     group,
                     stamp,
@@ -90,21 +90,21 @@
         let members = members
             .iter()
             .filter_map(|member| read_member(member, names));
-        let members: Vec<Member> = members.collect();
+        let members: Vec<ListedHost> = members.collect();
         let unread = told - members.len();
         Some(Entry {
             pos,
-            change: Change::Hosts {
-                form,
-                members,
-                unread,
+            change: JournalChange::Hosts {
+                kind: form,
+                hosts: members,
+                unreadable: unread,
             },
         })
     }
 }
 
 /// Zones and kinds that the settings don't name are given places that no setting has.
-fn read_member(json: &Value, names: &Names) -> Option<Member> {
+fn read_member(json: &Value, names: &Names) -> Option<ListedHost> {
     let text = |key: &str| json.get(key).and_then(Value::as_str);
     let name = text("id")?;
     let started = json.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0);
@@ -131,7 +131,7 @@
             _ => return None,
         },
     };
-    Some(Member {
+    Some(ListedHost {
         entry,
         name: name.into(),
         address: text("host_port")?.parse().ok()?,
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -282,19 +282,19 @@
 
 /// A host as the list names it, with where it is reached.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ListedHost {
     pub entry: HostEntry,
     pub name: Rc<str>,
     pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum JournalChange {
     Hosts {
-        form: HostListKind,
-        members: Vec<Member>,
+        kind: HostListKind,
+        hosts: Vec<ListedHost>,
         /// Members that can't be read, which are passed over.
-        unread: usize,
+        unreadable: usize,
     },
     Purged {
         object: Option<ObjectId>,
@@ -307,15 +307,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     pub pos: u64,
-    pub change: Change,
+    pub change: JournalChange,
 }
 
-impl Change {
+impl JournalChange {
     /// One word for logs.
     pub fn as_str(&self) -> &'static str {
         match self {
-            Change::Hosts { .. } => "hosts",
-            Change::Purged { .. } => "purge",
+            JournalChange::Hosts { .. } => "hosts",
+            JournalChange::Purged { .. } => "purge",
         }
     }
 }
@@ -324,11 +324,11 @@
     /// The stamps that it bears.
     pub fn stamps(&self) -> Vec<Timestamp> {
         match &self.change {
-            Change::Hosts { members, .. } => {
+            JournalChange::Hosts { hosts: members, .. } => {
                 let stamps = members.iter().filter_map(|member| member.entry.stamp);
                 stamps.collect()
             }
-            Change::Purged { stamp, .. } => vec![*stamp],
+            JournalChange::Purged { stamp, .. } => vec![*stamp],
         }
     }
 }
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -35,7 +35,7 @@
 }
 
 struct Pool {
-    member: Member,
+    member: ListedHost,
     lines: Vec<Line>,
     /// Waiting for a connection, and until when.
     waiting: VecDeque<(Instant, AttemptRequest)>,
@@ -113,7 +113,7 @@
 
     /// Takes a change of the host list. Pools go by host: another host may come to a gone one's address.
     /// What waits for a host that is not ready any more is recalled by the one who sent it.
-    pub fn list(&mut self, form: HostListKind, members: &[Member]) {
+    pub fn list(&mut self, form: HostListKind, members: &[ListedHost]) {
         if form == HostListKind::Full {
             let gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
             self.pools.values_mut().for_each(gone);
