--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -2,13 +2,13 @@
 
 use super::Dispatch;
 use crate::checks::count;
-use crate::messages::{AttemptId, Entry, JournalChange};
+use crate::messages::{AttemptId, JournalChange, JournalEntry};
 use trailproxy::interface::{Event, HostEntry};
 use trailproxy::units::{AttemptNo, GroupId, ObjectId, Timestamp};
 
 impl Dispatch {
     /// What is told at the start: first all stamps, which bound each other's ages.
-    pub(super) fn known(&mut self, now: Timestamp, known: Vec<Entry>) {
+    pub(super) fn known(&mut self, now: Timestamp, known: Vec<JournalEntry>) {
         for entry in &known {
             self.hear_stamps(now, entry);
         }
@@ -34,18 +34,18 @@
         self.tell(now, purged);
     }
 
-    fn hear_stamps(&mut self, now: Timestamp, entry: &Entry) {
+    fn hear_stamps(&mut self, now: Timestamp, entry: &JournalEntry) {
         for stamp in entry.stamps() {
             self.state.stamps.heard(now, stamp);
         }
     }
 
-    pub(super) fn journal(&mut self, now: Timestamp, entry: Entry) {
+    pub(super) fn journal(&mut self, now: Timestamp, entry: JournalEntry) {
         let (mut purged, mut listed, mut recalls) = (None, false, Vec::new());
-        self.state.place = self.state.place.max(entry.pos);
+        self.state.place = self.state.place.max(entry.position);
         self.hear_stamps(now, &entry);
         let trace = &self.pools.shared.trace;
-        trace.journal(entry.pos, entry.change.as_str());
+        trace.journal(entry.position, entry.change.as_str());
         match entry.change {
             JournalChange::Hosts {
                 kind: form,
@@ -68,7 +68,7 @@
                 };
                 self.tell(now, told);
                 if let Some(peers) = &mut self.decisions.crossings.peers {
-                    peers.listed(now, &entries, entry.pos);
+                    peers.listed(now, &entries, entry.position);
                 }
             }
             JournalChange::Purged {
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -13,7 +13,7 @@
 use crate::accounts::Accounts;
 use crate::checks::{Counts, must};
 use crate::messages::{
-    ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, Entry, FromHost, Inbound,
+    ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, FromHost, Inbound, JournalEntry,
     ToClient, next_now,
 };
 use crate::servers::Pools;
@@ -132,7 +132,7 @@
     /// Runs until it is asked to end and all is answered and read.
     pub async fn run(
         mut self,
-        known: Vec<Entry>,
+        known: Vec<JournalEntry>,
         mut queue: mpsc::Receiver<Inbound>,
         stop: impl FnOnce(),
     ) {
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -57,8 +57,8 @@
     Timestamp(ms.saturating_mul(1000).saturating_add(999))
 }
 
-impl Entry {
-    pub fn read(json: &Value, names: &Names) -> Option<Entry> {
+impl JournalEntry {
+    pub fn read(json: &Value, names: &Names) -> Option<JournalEntry> {
         let pos = json.get("pos")?.as_u64()?;
         if let Some(purge) = json.get("expire") {
             let object = match purge.get("name") {
@@ -71,8 +71,8 @@
             }
             let group = GroupId(u32::try_from(group.unwrap_or(0)).ok()?);
             let stamp = latest_of_ms(purge.get("stamp")?.as_u64()?);
-            return Some(Entry {
-                pos,
+            return Some(JournalEntry {
+                position: pos,
                 change: JournalChange::Purged {
                     object,
                     group,
@@ -92,8 +92,8 @@
             .filter_map(|member| read_member(member, names));
         let members: Vec<ListedHost> = members.collect();
         let unread = told - members.len();
-        Some(Entry {
-            pos,
+        Some(JournalEntry {
+            position: pos,
             change: JournalChange::Hosts {
                 kind: form,
                 hosts: members,
@@ -155,7 +155,7 @@
 /// What a new configuration says of the journal service, and what that had told by then.
 pub struct Moved {
     pub address: Option<SocketAddr>,
-    pub known: Vec<Entry>,
+    pub known: Vec<JournalEntry>,
 }
 
 /// Follows the journal service for as long as the process runs, wherever it moves to.
@@ -259,9 +259,9 @@
     }
 
     /// What a new configuration knows and was not heard yet, as far as it follows on.
-    fn learn(&mut self, entry: Entry) {
-        if entry.pos == self.last + 1 {
-            self.last = entry.pos;
+    fn learn(&mut self, entry: JournalEntry) {
+        if entry.position == self.last + 1 {
+            self.last = entry.position;
             count(&self.counts.journal_events);
             let _ = self.queue.send(Inbound::Journal(entry));
         }
@@ -279,7 +279,7 @@
         if pos > self.last + 1 && self.last > 0 {
             return Err(format!("events before {pos} are missing"));
         }
-        let entry = Entry::read(&json, &self.names);
+        let entry = JournalEntry::read(&json, &self.names);
         must(pos > self.last, &self.counts.broken_journal_order);
         self.last = pos;
         match entry {
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -24,7 +24,7 @@
 pub enum Inbound {
     Client(FromClient),
     Host(FromHost),
-    Journal(Entry),
+    Journal(JournalEntry),
     /// Other settings hold from now on.
     Settings(Box<(DispatcherSettings, Reports)>),
     /// The operator's file was read again.
@@ -305,8 +305,8 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    pub pos: u64,
+pub struct JournalEntry {
+    pub position: u64,
     pub change: JournalChange,
 }
 
@@ -320,7 +320,7 @@
     }
 }
 
-impl Entry {
+impl JournalEntry {
     /// The stamps that it bears.
     pub fn stamps(&self) -> Vec<Timestamp> {
         match &self.change {
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher is told when it starts: the RELAY_ variables and the JSON file they name.
 
 use crate::list::Names;
-use crate::messages::Entry;
+use crate::messages::JournalEntry;
 use crate::operator::Source;
 use crate::starting::StepError;
 use serde_json::Value;
@@ -19,7 +19,7 @@
     pub memory_bytes: usize,
     pub journal: Option<SocketAddr>,
     /// What the journal service has told so far, and its last place.
-    pub known: Vec<Entry>,
+    pub known: Vec<JournalEntry>,
     pub known_until: u64,
     /// Entries that can't be read, which are passed over.
     pub known_unread: usize,
@@ -126,13 +126,13 @@
     let names = Names::of(&bounds);
     let entries = at(json, "known.entries", "a list of events", Value::as_array)?;
     let entries: Vec<&Value> = entries.into_iter().flatten().collect();
-    let known: Vec<Entry> = entries
+    let known: Vec<JournalEntry> = entries
         .iter()
-        .filter_map(|entry| Entry::read(entry, &names))
+        .filter_map(|entry| JournalEntry::read(entry, &names))
         .collect();
     let known_unread = entries.len() - known.len();
     let told_until = at(json, "known.pos", "a whole number", Value::as_u64)?;
-    let last = known.iter().map(|entry| entry.pos).max();
+    let last = known.iter().map(|entry| entry.position).max();
     Ok(Start {
         name: name
             .or(text("name")?)
