--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -6,7 +6,7 @@
 
 impl Dispatch {
     pub(super) fn account(&mut self, instant: Instant) {
-        let now = self.clock.moment(instant);
+        let now = self.clock.timestamp(instant);
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
         {
@@ -15,7 +15,7 @@
     }
 
     pub(super) fn last_account(&mut self) {
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
         {
@@ -33,7 +33,7 @@
         if let Some(shared) = &self.decisions.crossings.shared {
             info!(self.log, "store counts"; "what" => shared.figures());
         }
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         if let Some(peers) = &self.decisions.crossings.peers {
             info!(self.log, "peers counts"; "what" => peers.figures(now));
         }
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -14,7 +14,7 @@
 use crate::checks::{Counts, must};
 use crate::messages::{
     ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, FromHost, Inbound, JournalEntry,
-    ToClient, next_now,
+    ToClient, next_queued,
 };
 use crate::servers::Pools;
 use crate::subsystems::Subsystems;
@@ -138,7 +138,7 @@
     ) {
         let mut stop = Some(stop);
         let mut report_at = Instant::now();
-        let now = self.clock.moment(report_at);
+        let now = self.clock.timestamp(report_at);
         self.known(now, known);
         self.settle(now);
         loop {
@@ -177,11 +177,11 @@
                 first = queue.recv() => first,
                 _ = sleep_until(until) => None,
             };
-            let now = self.clock.moment(Instant::now());
+            let now = self.clock.timestamp(Instant::now());
             let mut next = first;
             while let Some(inbound) = next {
                 self.take(now, inbound);
-                next = next_now(&mut queue);
+                next = next_queued(&mut queue);
             }
             self.pass_time(now);
             self.settle(now);
@@ -199,7 +199,7 @@
 
     /// The other dispatchers are told that it ends, and the way there is given the time to say so.
     async fn leave(&mut self) {
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         let beside = &mut self.decisions.crossings;
         if beside.peers.is_some() || beside.divided.is_some() {
             beside.leave(now);
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -42,7 +42,7 @@
         }
         self.state.next += 1;
         let id = RequestId(self.state.next);
-        let limit = self.clock.moment(call.arrived_at) + call.time_left;
+        let limit = self.clock.timestamp(call.arrived_at) + call.time_left;
         let arrival = Arrival {
             id,
             time_left: limit.since(now),
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -46,7 +46,7 @@
         self.zones(told.zones);
         self.store(told.store);
         self.peers(told.peers)?;
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         if let Some((_, terms, seed)) = &self.accounts {
             let beside = &mut self.decisions.crossings;
             let fresh = (
@@ -62,7 +62,7 @@
     /// What is held in common with other dispatchers: another section begins anew. Where its socket can't be had, the
     /// former one is gone as well.
     pub(super) fn peers(&mut self, told: Option<Box<PeersTold>>) -> Result<(), String> {
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         let kept = &mut self.decisions.crossings.peers;
         if kept.as_ref().map(|kept| &kept.told) == told.as_deref() {
             return Ok(());
@@ -130,7 +130,7 @@
 
     /// What dispatchers share: another section begins anew, and whoever waited for the store goes on.
     pub(super) fn store(&mut self, told: Option<Box<StoreSheet>>) {
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         let Some((_, terms, seed)) = &self.accounts else {
             return;
         };
@@ -173,7 +173,7 @@
 
     /// What the operator's file says of traffic between zones: counts and what is open are kept.
     pub(super) fn zones(&mut self, told: Option<Box<(ZonesSheet, Rules)>>) {
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         let Some((accounts, terms, seed)) = &mut self.accounts else {
             return;
         };
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -163,7 +163,7 @@
             self.shared
                 .probed(id, self.host, Ending::ConnectionLost, vec![]);
         }
-        while let Some(order) = next_now(&mut self.orders) {
+        while let Some(order) = next_queued(&mut self.orders) {
             match order {
                 ToHost::Send(sending) => self.end(sending.id, Ending::NotSent),
                 ToHost::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
@@ -312,7 +312,7 @@
         self.shared
             .trace
             .begun(&sending.request, sending.id, self.id);
-        let late = permits::begun_against_a_rule(clock.moment(now), &sending.send_facts(clock));
+        let late = permits::begun_against_a_rule(clock.timestamp(now), &sending.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let passed_on = self.deadline_holds(now);
         must(passed_on, &self.shared.counts.broken_deadline_passed_on);
@@ -327,7 +327,7 @@
             .map(|sending| &sending.request.reference);
         let open = reference.and_then(|reference| self.open.get(reference));
         open.is_none_or(|open| {
-            permits::deadline_still_holds(clock.moment(now), clock.moment(open.sent))
+            permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(open.sent))
         })
     }
 
@@ -400,7 +400,8 @@
     /// deadline that no longer holds. One that goes out slowly but steadily is let through.
     fn stalled(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let steady = permits::deadline_still_holds(clock.moment(now), clock.moment(self.written));
+        let steady =
+            permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(self.written));
         self.begun && !steady && !self.deadline_holds(now)
     }
 
@@ -428,7 +429,7 @@
                 resp::put_array(&mut out, WORDS);
                 resp::put_word(&mut out, b"PULL");
                 resp::put_word(&mut out, call.reference.as_bytes());
-                let moment = self.shared.clock.moment(now);
+                let moment = self.shared.clock.timestamp(now);
                 resp::put_word(&mut out, fields(&sending, moment).as_bytes());
                 resp::put_word(&mut out, &call.body);
                 let open = OpenAttempt {
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -149,7 +149,7 @@
 impl AttemptRequest {
     /// Whether its first byte may go out now.
     pub fn may_send(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
-        permits::may_send(clock.moment(now), &self.send_facts(clock))
+        permits::may_send(clock.timestamp(now), &self.send_facts(clock))
     }
 
     /// What decides whether it may begin.
@@ -157,7 +157,7 @@
         let closed_at = self.request.client.closed_at.get();
         SendFacts {
             answered: self.request.closed.get(),
-            client_closed: closed_at.map(|at| clock.moment(at)),
+            client_closed: closed_at.map(|at| clock.timestamp(at)),
             deadline: self.deadline,
             repeat_by: self.repeat_by,
         }
@@ -339,7 +339,7 @@
     start: Instant,
     unix_us: u64,
     /// Millionths by which it runs fast.
-    fast: u64,
+    drift_ppm: u64,
 }
 
 impl Clock {
@@ -354,23 +354,24 @@
             unix_us: unix
                 .map_or(0, |since| since.as_micros() as u64)
                 .saturating_add_signed(ahead),
-            fast: fast.parse().unwrap_or(0),
+            drift_ppm: fast.parse().unwrap_or(0),
         }
     }
 
-    pub fn moment(&self, at: Instant) -> Timestamp {
+    pub fn timestamp(&self, at: Instant) -> Timestamp {
         let since = at.saturating_duration_since(self.start).as_micros() as u64;
-        Timestamp(self.unix_us + since + since / 1_000_000 * self.fast)
+        Timestamp(self.unix_us + since + since / 1_000_000 * self.drift_ppm)
     }
 
     pub fn instant(&self, at: Timestamp) -> Instant {
         let since = at.since(Timestamp(self.unix_us)).0;
-        self.start + Duration::from_micros(since - since / (1_000_000 + self.fast) * self.fast)
+        self.start
+            + Duration::from_micros(since - since / (1_000_000 + self.drift_ppm) * self.drift_ppm)
     }
 }
 
 /// What is in a queue already.
-pub fn next_now<T>(queue: &mut mpsc::Receiver<T>) -> Option<T> {
+pub fn next_queued<T>(queue: &mut mpsc::Receiver<T>) -> Option<T> {
     let mut next = std::pin::pin!(queue.recv());
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
     match next.as_mut().poll(&mut context) {
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -455,7 +455,7 @@
             orders: orders_in,
             open: 0,
             retired,
-            up: self.shared.clock.moment(Instant::now()),
+            up: self.shared.clock.timestamp(Instant::now()),
         });
         let link = Link::new(host, id, stream, orders, self.shared.clone());
         tokio::task::spawn_local(link.serve());
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -121,7 +121,7 @@
     let accounts = Accounts::new(
         names,
         start.name,
-        Clock::new().moment(Instant::now()),
+        Clock::new().timestamp(Instant::now()),
         log.clone(),
     );
     let terms = start.terms.clone();
