--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -1,4 +1,4 @@
-//! The actions of the decisions: attempts go out, and their endings come back.
+//! Carries out the actions of the decisions: starts attempts and handles how they end.
 
 use super::{AttemptState, Dispatch};
 use crate::checks::{count, must};
@@ -9,47 +9,49 @@
 use trailproxy::units::{AttemptNo, RequestId, Timestamp};
 
 impl Dispatch {
-    pub(super) fn settle(&mut self, now: Timestamp) {
-        self.share(now);
-        if !std::mem::take(&mut self.state.told) {
+    /// Applies what the subsystems have decided, then carries out all actions of the decisions.
+    pub(super) fn apply_actions(&mut self, now: Timestamp) {
+        self.apply_subsystem_events(now);
+        if !std::mem::take(&mut self.state.has_new_events) {
             return;
         }
         for action in self.decisions.take_actions(now) {
             match action {
-                Action::Attempt(attempt) => self.attempt(now, attempt),
+                Action::Attempt(attempt) => self.start_attempt(now, attempt),
                 Action::Refuse {
                     id,
                     retry_after,
                     reason,
                 } => {
-                    self.given_up(now, id, Reply::Refused { retry_after }, reason);
+                    self.on_given_up(now, id, Reply::Refused { retry_after }, reason);
                 }
-                Action::Fail { id, reason } => self.given_up(now, id, Reply::Failed, reason),
-                Action::Cancel { id, attempt: no } => {
+                Action::Fail { id, reason } => self.on_given_up(now, id, Reply::Failed, reason),
+                Action::Cancel { id, attempt } => {
                     self.pools.kill(AttemptId {
                         request: id,
-                        attempt: no,
+                        attempt,
                     });
                 }
                 Action::SetTimer { at, timer } => {
-                    self.state.wakes.insert((at, timer));
+                    self.state.timers.insert((at, timer));
                 }
                 Action::Probe { host } => self.pools.probe(host),
-                // The list comes by itself.
+                // The journal service sends the host list unasked.
                 Action::RequestHostList => {}
                 Action::Log { text } => info!(self.log, "decided"; "what" => text),
             }
         }
     }
 
-    /// The decisions have given a request up.
-    fn given_up(&mut self, now: Timestamp, id: RequestId, reply: Reply, why: GiveUpReason) {
-        count(self.counts.given_up(why));
-        self.answer(now, id, reply, why.as_str());
-        self.forget(now, id);
+    /// Gives the final answer of a request that the decisions have given up.
+    fn on_given_up(&mut self, now: Timestamp, id: RequestId, reply: Reply, reason: GiveUpReason) {
+        count(self.counts.given_up(reason));
+        self.answer(now, id, reply, reason.as_str());
+        self.remove_if_finished(now, id);
     }
 
-    pub(super) fn attempt(&mut self, now: Timestamp, attempt: Attempt) {
+    /// Records an attempt and hands it to the connections of its host.
+    pub(super) fn start_attempt(&mut self, now: Timestamp, attempt: Attempt) {
         let Attempt { id, host, fill } = attempt;
         let request = self.state.requests.get_mut(&id);
         let request = request.filter(|request| !request.closed);
@@ -58,58 +60,60 @@
             return;
         };
         let bounds = &self.pools.shared.bounds;
-        let track = usize::from(request.call.class.0);
+        let class = usize::from(request.client_request.class.0);
         let source = fill
             .map(|fill| fill.source)
             .filter(|&source| source != host);
         let name = source.and_then(|source| self.pools.name(source));
         let named = name.is_some() == source.is_some();
         must(named, &self.counts.broken_unknown_host);
-        // A repeat is known for a while only; a wait for a connection may outlast that.
+        // A repeat group recognises a repeat only within its window, and the wait for a connection
+        // may outlast that window.
         let earlier = request.attempts.iter();
-        let ran = earlier
+        let sent_times = earlier
             .clone()
-            .filter(|earlier| earlier.ran)
-            .map(|earlier| earlier.sent);
-        let repeat_by = match self.effects[track] {
-            Effect::Keyed { window, .. } => ran.min().map(|first| first + window),
+            .filter(|earlier| earlier.may_have_run)
+            .map(|earlier| earlier.sent_at);
+        let repeat_by = match self.effects[class] {
+            Effect::Keyed { window, .. } => sent_times.min().map(|first| first + window),
             _ => None,
         };
-        let sending = AttemptRequest {
+        let attempt = AttemptRequest {
             id: AttemptId {
                 request: id,
                 attempt: AttemptNo(request.attempts.len() as u8),
             },
             host,
-            request: request.call.clone(),
-            class_name: bounds.track_names[track].as_str().into(),
+            request: request.client_request.clone(),
+            class_name: bounds.track_names[class].as_str().into(),
             fill,
             source: name,
-            deadline: request.limit,
+            deadline: request.deadline,
             repeat_by,
-            avoid_connections: earlier.filter_map(|earlier| earlier.line).collect(),
+            avoid_connections: earlier.filter_map(|earlier| earlier.connection).collect(),
         };
         request.attempts.push(AttemptState {
             host,
             source,
-            sent: now,
-            line: None,
-            over: false,
-            ran: true,
+            sent_at: now,
+            connection: None,
+            ended: false,
+            may_have_run: true,
         });
         self.pools
             .shared
             .trace
-            .attempt(&sending.request, sending.id, host);
+            .attempt(&attempt.request, attempt.id, host);
         self.decisions.crossings.went(now, id, host);
-        self.pools.submit(sending);
+        self.pools.submit(attempt);
     }
 
-    /// An answer from a copy that a purge forbids is none: the host has failed to heed it.
-    fn admitted(&self, now: Timestamp, id: AttemptId, answer: Answer) -> Answer {
-        let admits = |minted| {
+    /// The answer as it counts here: an answer from a copy that a purge forbids counts as an error,
+    /// because the host did not apply the purge.
+    fn without_purged_copy(&self, now: Timestamp, id: AttemptId, answer: Answer) -> Answer {
+        let admits = |issued_at| {
             self.decisions
-                .admits_copy(now, id.request, id.attempt, minted)
+                .admits_copy(now, id.request, id.attempt, issued_at)
         };
         let done = answer.ending == Ending::Done;
         if !done || answer.issued_at.is_none_or(admits) {
@@ -119,25 +123,26 @@
         Answer::without_body(Ending::Error)
     }
 
-    pub(super) fn ended(
+    /// Handles the end of an attempt. A second ending of the same attempt is ignored.
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
         id: AttemptId,
-        line: Option<ConnectionId>,
+        connection: Option<ConnectionId>,
         answer: Answer,
     ) {
-        let answer = self.admitted(now, id, answer);
+        let answer = self.without_purged_copy(now, id, answer);
         let ending = answer.ending;
         let request = self.state.requests.get_mut(&id.request);
         let attempt =
             request.and_then(|request| request.attempts.get_mut(usize::from(id.attempt.0)));
-        let Some(attempt) = attempt.filter(|attempt| !attempt.over) else {
+        let Some(attempt) = attempt.filter(|attempt| !attempt.ended) else {
             return;
         };
-        attempt.over = true;
-        attempt.ran = !ending.never_ran();
-        attempt.line = line;
-        let elapsed = now.since(attempt.sent);
+        attempt.ended = true;
+        attempt.may_have_run = !ending.never_ran();
+        attempt.connection = connection;
+        let elapsed = now.since(attempt.sent_at);
         match ending {
             Ending::ConnectionLost => count(&self.counts.lost),
             Ending::NotSent => count(&self.counts.not_sent),
@@ -154,21 +159,24 @@
             let reply = answer.body.map_or(Reply::NotModified, Reply::Served);
             self.answer(now, id.request, reply, "served");
         }
-        if self.client_of(id.request).is_some_and(|client| client.shut) {
-            // Nothing more begins for it.
+        if self
+            .client_of(id.request)
+            .is_some_and(|client| client.half_closed)
+        {
+            // No further attempt begins for this client.
             self.answer(now, id.request, Reply::Failed, "client_shut");
         }
         let request = self.state.requests.get(&id.request);
         if let Some(request) = request {
             let trace = &self.pools.shared.trace;
-            trace.ended(&request.call, id, ending, elapsed);
+            trace.ended(&request.client_request, id, ending, elapsed);
         }
         let request_closed = request.is_none_or(|request| request.closed);
         let client_proven = self
             .client_of(id.request)
             .is_some_and(|client| client.proven);
         let load = self.reports.load(&answer.load_report);
-        self.tell(
+        self.handle_event(
             now,
             Event::Outcome(Outcome {
                 id: id.request,
@@ -183,6 +191,6 @@
                 received_kb,
             }),
         );
-        self.forget(now, id.request);
+        self.remove_if_finished(now, id.request);
     }
 }
--- a/crates/trailproxyd/src/dispatch/clients.rs
+++ b/crates/trailproxyd/src/dispatch/clients.rs
@@ -1,4 +1,4 @@
-//! Client connections: what comes by them, and replies to them.
+//! Events of client connections, and the replies sent to them.
 
 use super::{Client, Dispatch};
 use crate::messages::{ClientId, ClientRequestId, FromClient, Reply, ToClient};
@@ -6,63 +6,70 @@
 use trailproxy::units::{RequestId, Timestamp};
 
 impl Dispatch {
-    pub(super) fn client(&mut self, now: Timestamp, from: FromClient) {
+    /// Handles one event of a client connection.
+    pub(super) fn handle_client(&mut self, now: Timestamp, from: FromClient) {
         match from {
             FromClient::Opened(client, replies) => {
-                if self.state.finished {
+                if self.state.clients_told_to_finish {
                     let _ = replies.send(ToClient::Finish);
                 }
-                let (proven, shut) = (false, false);
+                let (proven, half_closed) = (false, false);
                 let opened = Client {
                     replies,
                     proven,
-                    shut,
+                    half_closed,
                 };
                 self.state.clients.insert(client, opened);
             }
-            FromClient::Requested(call) => self.arrived(now, call),
-            FromClient::Cancelled(call) => self.left(now, call),
-            FromClient::HalfClosed(client) => self.shut(now, client),
+            FromClient::Requested(request) => self.on_request(now, request),
+            FromClient::Cancelled(request) => self.on_request_cancelled(now, request),
+            FromClient::HalfClosed(client) => self.on_client_half_closed(now, client),
             FromClient::Closed(client) => {
                 self.state.clients.remove(&client);
-                for (call, _) in self.calls_of(client) {
-                    self.left(now, call);
+                for (request, _) in self.requests_of(client) {
+                    self.on_request_cancelled(now, request);
                 }
             }
         }
     }
 
-    pub(super) fn calls_of(&self, client: ClientId) -> Vec<(ClientRequestId, RequestId)> {
+    /// The unanswered requests of one client.
+    pub(super) fn requests_of(&self, client: ClientId) -> Vec<(ClientRequestId, RequestId)> {
         let (first, last) = (0, u32::MAX);
         let all = [first, last].map(|number| ClientRequestId { client, number });
-        let calls = self.state.calls.range(all[0]..=all[1]);
-        calls.map(|(&call, &id)| (call, id)).collect()
+        let requests = self.state.client_requests.range(all[0]..=all[1]);
+        requests.map(|(&request, &id)| (request, id)).collect()
     }
 
-    /// A client that ends its side may have gone or may still listen; nobody can tell. What is under way may end and is
-    /// answered, and nothing begins: what has not begun is recalled, and what was between two attempts ends.
-    pub(super) fn shut(&mut self, now: Timestamp, client: ClientId) {
+    /// Handles a client that has closed its side of the connection. It may have gone or may still
+    /// read; the dispatcher cannot tell. Attempts that have begun may end and are answered. Nothing
+    /// new begins: attempts that are not written yet are cancelled, and a request between two
+    /// attempts fails.
+    pub(super) fn on_client_half_closed(&mut self, now: Timestamp, client: ClientId) {
         if let Some(known) = self.state.clients.get_mut(&client) {
-            known.shut = true;
+            known.half_closed = true;
         }
-        for (_, id) in self.calls_of(client) {
-            if !self.recall(id) {
+        for (_, id) in self.requests_of(client) {
+            if !self.cancel_unsent(id) {
                 self.answer(now, id, Reply::Failed, "client_shut");
-                self.tell(now, Event::ClientGone { id });
-                self.forget(now, id);
+                self.handle_event(now, Event::ClientGone { id });
+                self.remove_if_finished(now, id);
             }
         }
     }
 
+    /// The client of a request, while its connection is open.
     pub(super) fn client_of(&self, id: RequestId) -> Option<&Client> {
         let request = self.state.requests.get(&id)?;
-        self.state.clients.get(&request.call.id.client)
+        self.state.clients.get(&request.client_request.id.client)
     }
 
-    pub(super) fn reply(&mut self, call: ClientRequestId, reply: Reply) {
-        if let Some(client) = self.state.clients.get_mut(&call.client) {
+    /// Sends a reply to the client, if it is still connected. A client counts as proven once one of
+    /// its requests was served.
+    pub(super) fn send_reply(&mut self, request: ClientRequestId, reply: Reply) {
+        if let Some(client) = self.state.clients.get_mut(&request.client) {
             client.proven |= matches!(reply, Reply::Served(_) | Reply::NotModified);
-            let _ = client.replies.send(ToClient::Reply(call.number, reply));
+            let _ = client.replies.send(ToClient::Reply(request.number, reply));
         }
     }
 }
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -1,11 +1,12 @@
-//! What is logged now and then: counts, sizes and the account of traffic between zones.
+//! Periodic log lines: counts, sizes and the account of traffic between zones.
 
 use super::Dispatch;
 use slog::info;
 use tokio::time::Instant;
 
 impl Dispatch {
-    pub(super) fn account(&mut self, instant: Instant) {
+    /// Brings the account of traffic between zones up to now.
+    pub(super) fn advance_accounts(&mut self, instant: Instant) {
         let now = self.clock.timestamp(instant);
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
@@ -14,7 +15,8 @@
         }
     }
 
-    pub(super) fn last_account(&mut self) {
+    /// Writes the last account before the process ends.
+    pub(super) fn write_final_account(&mut self) {
         let now = self.clock.timestamp(Instant::now());
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
@@ -23,12 +25,13 @@
         }
     }
 
+    /// Logs counts, sizes and the state of the subsystems.
     pub(super) fn report(&self) {
-        let (out, lines, pools) = self.pools.sizes();
+        let (attempts, connections, pools) = self.pools.sizes();
         let state = &self.state;
         info!(self.log, "figures"; "counts" => self.counts.words(), "open" => state.requests.len(),
-            "calls" => state.calls.len(), "clients" => state.clients.len(), "out" => out,
-            "lines" => lines, "pools" => pools, "ids" => state.references.len(), "timers" => state.limits.len() + state.wakes.len(),
+            "calls" => state.client_requests.len(), "clients" => state.clients.len(), "out" => attempts,
+            "lines" => connections, "pools" => pools, "ids" => state.references.len(), "timers" => state.deadlines.len() + state.timers.len(),
             "held" => self.pools.shared.held.bytes(), "process" => process_figures());
         if let Some(shared) = &self.decisions.crossings.shared {
             info!(self.log, "store counts"; "what" => shared.figures());
@@ -50,7 +53,7 @@
     }
 }
 
-/// Resident memory with its peak, descriptors and processor time, as the system tells them.
+/// Resident memory with its peak, open descriptors and processor time, as the kernel reports them.
 fn process_figures() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let field = |name: &str| {
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -1,4 +1,4 @@
-//! Events of the journal: hosts and purges.
+//! Journal entries: changes of the host list, and purges.
 
 use super::Dispatch;
 use crate::checks::count;
@@ -7,18 +7,19 @@
 use trailproxy::units::{AttemptNo, GroupId, ObjectId, Timestamp};
 
 impl Dispatch {
-    /// What is told at the start: first all stamps, which bound each other's ages.
-    pub(super) fn known(&mut self, now: Timestamp, known: Vec<JournalEntry>) {
-        for entry in &known {
-            self.hear_stamps(now, entry);
+    /// Handles the entries that are known at the start. The timestamps of all entries are recorded
+    /// first, because they bound the age of each entry.
+    pub(super) fn load_known_entries(&mut self, now: Timestamp, entries: Vec<JournalEntry>) {
+        for entry in &entries {
+            self.record_stamps(now, entry);
         }
-        for entry in known {
-            self.journal(now, entry);
+        for entry in entries {
+            self.on_journal_entry(now, entry);
         }
     }
 
-    /// The decisions are told of a purge, by its stamp.
-    pub(super) fn tell_purge(
+    /// Passes a purge to the decisions, with the smallest age that its timestamp allows.
+    pub(super) fn handle_purge(
         &mut self,
         now: Timestamp,
         object: Option<ObjectId>,
@@ -31,42 +32,44 @@
             age: self.state.stamps.least_age(now, stamp),
             stamp: Some(stamp),
         };
-        self.tell(now, purged);
+        self.handle_event(now, purged);
     }
 
-    fn hear_stamps(&mut self, now: Timestamp, entry: &JournalEntry) {
+    /// Records the timestamps of an entry, which bound how far the clocks are apart.
+    fn record_stamps(&mut self, now: Timestamp, entry: &JournalEntry) {
         for stamp in entry.stamps() {
             self.state.stamps.heard(now, stamp);
         }
     }
 
-    pub(super) fn journal(&mut self, now: Timestamp, entry: JournalEntry) {
-        let (mut purged, mut listed, mut recalls) = (None, false, Vec::new());
-        self.state.place = self.state.place.max(entry.position);
-        self.hear_stamps(now, &entry);
+    /// Handles one journal entry.
+    pub(super) fn on_journal_entry(&mut self, now: Timestamp, entry: JournalEntry) {
+        let (mut purged, mut hosts_changed, mut cancelled) = (None, false, Vec::new());
+        self.state.journal_position = self.state.journal_position.max(entry.position);
+        self.record_stamps(now, &entry);
         let trace = &self.pools.shared.trace;
         trace.journal(entry.position, entry.change.as_str());
         match entry.change {
             JournalChange::Hosts {
-                kind: form,
-                hosts: mut members,
-                unreadable: unread,
+                kind,
+                mut hosts,
+                unreadable,
             } => {
-                listed = true;
-                for member in &mut members {
-                    let stamp = member.entry.stamp;
-                    member.entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
+                hosts_changed = true;
+                for host in &mut hosts {
+                    let stamp = host.entry.stamp;
+                    host.entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
                 }
-                self.pools.list(form, &members);
-                for _ in 0..unread {
+                self.pools.list(kind, &hosts);
+                for _ in 0..unreadable {
                     count(&self.counts.bad_entries);
                 }
-                let entries: Vec<HostEntry> = members.iter().map(|member| member.entry).collect();
-                let told = Event::HostList {
-                    kind: form,
+                let entries: Vec<HostEntry> = hosts.iter().map(|host| host.entry).collect();
+                let host_list = Event::HostList {
+                    kind,
                     entries: entries.clone(),
                 };
-                self.tell(now, told);
+                self.handle_event(now, host_list);
                 if let Some(peers) = &mut self.decisions.crossings.peers {
                     peers.listed(now, &entries, entry.position);
                 }
@@ -77,35 +80,36 @@
                 stamp,
             } => {
                 purged = Some((object, group));
-                self.tell_purge(now, object, group, stamp);
+                self.handle_purge(now, object, group, stamp);
                 if let Some(peers) = &mut self.decisions.crossings.peers {
                     peers.purged(now, object, group, stamp);
                 }
             }
         }
-        // What waits for a dial or for room is dropped; what has begun to go out runs on.
-        for (&request, open) in &self.state.requests {
+        // Attempts that still wait for a connection or for room are cancelled; attempts that have
+        // begun to be written continue.
+        for (&request, pending) in &self.state.requests {
             let purged = match purged {
-                Some((Some(object), _)) => open.call.object == object,
-                Some((None, group)) => open.call.group == group,
+                Some((Some(object), _)) => pending.client_request.object == object,
+                Some((None, group)) => pending.client_request.group == group,
                 None => false,
             };
-            for (no, attempt) in (0..).map(AttemptNo).zip(&open.attempts) {
+            for (number, attempt) in (0..).map(AttemptNo).zip(&pending.attempts) {
                 let hosts = [Some(attempt.host), attempt.source];
-                let unready = || {
+                let any_not_ready = || {
                     hosts
                         .iter()
                         .flatten()
                         .any(|&host| !self.pools.is_ready(host))
                 };
-                if !attempt.over && (purged || listed && unready()) {
-                    recalls.push(AttemptId {
+                if !attempt.ended && (purged || hosts_changed && any_not_ready()) {
+                    cancelled.push(AttemptId {
                         request,
-                        attempt: no,
+                        attempt: number,
                     });
                 }
             }
         }
-        recalls.into_iter().for_each(|id| self.pools.recall(id));
+        cancelled.into_iter().for_each(|id| self.pools.recall(id));
     }
 }
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! The one task that owns the decisions: it takes all queued events, settles once and carries out the
-//! actions. It keeps the open requests and the timers.
+//! The task that owns the decisions. It takes all queued events, applies them in one step and
+//! carries out the resulting actions. It keeps the open requests and the timers.
 
 mod attempts;
 mod clients;
@@ -30,85 +30,108 @@
 use trailproxy::units::{AttemptNo, HostId, RequestId, TimerId, Timestamp};
 use trailproxy_terms::Reports;
 
-/// Requests still come for so long after the signal to end.
-const STILL_COMING: Duration = Duration::from_millis(700);
-/// What goes to other dispatchers at the end is on its way by then.
-const LAST_WORDS: Duration = Duration::from_millis(20);
-const REPORT_EVERY: Duration = Duration::from_secs(10);
+/// New connections and requests are accepted for this long after the signal to end.
+const SHUTDOWN_ACCEPT_TIME: Duration = Duration::from_millis(700);
+/// Time for the last messages to other dispatchers to be sent before the process ends.
+const FINAL_SEND_TIME: Duration = Duration::from_millis(20);
+/// How often counts and sizes are logged.
+const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
+/// One attempt of a request.
 struct AttemptState {
     host: HostId,
+    /// The other host that fills a miss, if one does.
     source: Option<HostId>,
-    sent: Timestamp,
-    line: Option<ConnectionId>,
-    over: bool,
-    /// Whether it may have run.
-    ran: bool,
+    sent_at: Timestamp,
+    /// The connection on which it ended, once that is known.
+    connection: Option<ConnectionId>,
+    ended: bool,
+    /// Whether the host may have run it.
+    may_have_run: bool,
 }
 
-struct Request {
-    call: Rc<ClientRequest>,
-    limit: Timestamp,
-    /// It has its final answer, or needs none.
+/// A request that has no final answer yet, or that still has pending attempts.
+struct PendingRequest {
+    client_request: Rc<ClientRequest>,
+    /// When its client stops waiting.
+    deadline: Timestamp,
+    /// Whether it has its final answer or no longer needs one.
     closed: bool,
     attempts: Vec<AttemptState>,
 }
 
-impl Request {
-    /// Its attempts that have not ended.
-    fn out(&self) -> impl Iterator<Item = AttemptNo> {
+impl PendingRequest {
+    /// The attempts that have not ended.
+    fn pending_attempts(&self) -> impl Iterator<Item = AttemptNo> {
         let all = (0..).map(AttemptNo).zip(&self.attempts);
-        all.filter(|(_, attempt)| !attempt.over).map(|(no, _)| no)
+        all.filter(|(_, attempt)| !attempt.ended)
+            .map(|(number, _)| number)
     }
 }
 
+/// A connected client.
 struct Client {
     replies: mpsc::Sender<ToClient>,
-    /// Whether anything was done for it.
+    /// Whether any of its requests was served.
     proven: bool,
-    /// It has ended its side: nothing begins for it any more.
-    shut: bool,
+    /// Whether it has closed its side of the connection: nothing new begins for it.
+    half_closed: bool,
 }
 
+/// The decisions of one dispatcher, with its connections, subsystems, requests and timers.
 pub struct Dispatch {
+    /// Decides which host gets each attempt and when a request is given up.
     pub decisions: Dispatcher<Subsystems>,
-    /// What tells of traffic between zones, with what a new account of it is made of.
+    /// Reports on traffic between zones, with the settings and the seed from which the subsystems
+    /// are built.
     pub accounts: Option<(Accounts, DispatcherSettings, u64)>,
+    /// The connections to hosts.
     pub pools: Pools,
     pub clock: Clock,
+    /// How load reports of hosts are read.
     pub reports: Reports,
-    /// By track.
+    /// Whether a request may run more than once, by class.
     pub effects: Vec<Effect>,
     pub counts: Rc<Counts>,
     pub log: Logger,
-    /// Its name among the other dispatchers.
+    /// The name of this dispatcher among the others.
     pub name: String,
     state: State,
 }
 
+/// Requests, clients and timers.
 #[derive(Default)]
 struct State {
-    requests: BTreeMap<RequestId, Request>,
-    calls: BTreeMap<ClientRequestId, RequestId>,
-    /// The ids of open requests, which hosts tell their answers by, and of those that were open as
-    /// lately as a host may still have them: for it a second request under one would be a second copy.
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// Requests without a final answer, by client and number.
+    client_requests: BTreeMap<ClientRequestId, RequestId>,
+    /// Ids of open requests, under which hosts send their answers, and ids that were open so
+    /// recently that a host may still know them: a host would treat a second request under such an
+    /// id as another copy of the first.
     references: BTreeSet<Rc<str>>,
-    fading: VecDeque<(Timestamp, Rc<str>)>,
+    /// Ids of removed requests, each with the time until which it stays reserved.
+    retired_references: VecDeque<(Timestamp, Rc<str>)>,
     clients: BTreeMap<ClientId, Client>,
-    limits: BTreeSet<(Timestamp, RequestId)>,
-    wakes: BTreeSet<(Timestamp, TimerId)>,
-    next: u64,
-    /// The last place in the journal, and the stamps that it has told.
-    place: u64,
+    /// Deadlines of requests without a final answer.
+    deadlines: BTreeSet<(Timestamp, RequestId)>,
+    /// Timers that the decisions have set.
+    timers: BTreeSet<(Timestamp, TimerId)>,
+    last_request_id: u64,
+    /// The last journal position, and the timestamps that journal entries bore.
+    journal_position: u64,
     stamps: Stamps,
-    /// Whether the decisions took an event since they last settled.
-    told: bool,
-    ending: Option<Instant>,
-    finished: bool,
-    all_in: bool,
+    /// Whether the decisions have handled an event since their actions were last carried out.
+    has_new_events: bool,
+    /// When the process was asked to end.
+    shutdown_requested_at: Option<Instant>,
+    /// Whether clients were told to finish, and no new ones are accepted.
+    clients_told_to_finish: bool,
+    /// Whether every connection that waited in the backlog has been accepted.
+    all_accepted: bool,
 }
 
 impl Dispatch {
+    /// Creates the task. `effects`: by class.
     pub fn new(
         decisions: Dispatcher<Subsystems>,
         pools: Pools,
@@ -129,41 +152,44 @@
         }
     }
 
-    /// Runs until it is asked to end and all is answered and read.
+    /// Runs until the process is asked to end and every request is answered and every client has
+    /// closed, or the time for that is over.
     pub async fn run(
         mut self,
-        known: Vec<JournalEntry>,
+        known_entries: Vec<JournalEntry>,
         mut queue: mpsc::Receiver<Inbound>,
         stop: impl FnOnce(),
     ) {
         let mut stop = Some(stop);
         let mut report_at = Instant::now();
         let now = self.clock.timestamp(report_at);
-        self.known(now, known);
-        self.settle(now);
+        self.load_known_entries(now, known_entries);
+        self.apply_actions(now);
         loop {
             let now = Instant::now();
-            self.account(now);
+            self.advance_accounts(now);
             if now >= report_at {
-                report_at = now + REPORT_EVERY;
+                report_at = now + REPORT_INTERVAL;
                 self.report();
             }
-            if let Some(asked) = self.state.ending {
-                // Whoever rests is told now, though others still wait for hosts that may hang for long.
-                if now >= asked + STILL_COMING && !self.state.finished {
-                    self.state.finished = true;
+            if let Some(requested_at) = self.state.shutdown_requested_at {
+                // Idle clients are told now, although others may still wait for hosts that hang for
+                // long.
+                if now >= requested_at + SHUTDOWN_ACCEPT_TIME && !self.state.clients_told_to_finish
+                {
+                    self.state.clients_told_to_finish = true;
                     stop.take().into_iter().for_each(|stop| stop());
                     for client in self.state.clients.values() {
                         let _ = client.replies.send(ToClient::Finish);
                     }
                 }
-                let lingered = now >= asked + STILL_COMING + self.longest_limit();
-                let all_gone = self.state.all_in && self.state.clients.is_empty();
-                if self.state.finished && (all_gone || lingered) {
-                    self.check_nothing_owed();
-                    self.last_account();
+                let grace_over = now >= requested_at + SHUTDOWN_ACCEPT_TIME + self.max_deadline();
+                let all_gone = self.state.all_accepted && self.state.clients.is_empty();
+                if self.state.clients_told_to_finish && (all_gone || grace_over) {
+                    self.check_all_answered();
+                    self.write_final_account();
                     self.report();
-                    return self.leave().await;
+                    return self.leave_fleet().await;
                 }
             }
             let accounts = self
@@ -171,7 +197,7 @@
                 .as_ref()
                 .filter(|_| self.decisions.crossings.zones.is_some());
             let account_at = accounts.map_or(report_at, |(accounts, ..)| accounts.next());
-            let until = self.next_timer().min(report_at).min(account_at);
+            let until = self.next_wakeup().min(report_at).min(account_at);
             let first = tokio::select! {
                 biased;
                 first = queue.recv() => first,
@@ -180,41 +206,43 @@
             let now = self.clock.timestamp(Instant::now());
             let mut next = first;
             while let Some(inbound) = next {
-                self.take(now, inbound);
+                self.handle_inbound(now, inbound);
                 next = next_queued(&mut queue);
             }
-            self.pass_time(now);
-            self.settle(now);
+            self.advance_timers(now);
+            self.apply_actions(now);
         }
     }
 
-    /// Whoever still waits for an answer as the process ends was promised one.
-    fn check_nothing_owed(&self) {
-        let owed = self.state.calls.len();
+    /// Checks that every request is answered when the process ends.
+    fn check_all_answered(&self) {
+        let owed = self.state.client_requests.len();
         if owed > 0 {
             warn!(self.log, "ends with answers owed"; "calls" => owed);
         }
         must(owed == 0, &self.counts.broken_ended_owing);
     }
 
-    /// The other dispatchers are told that it ends, and the way there is given the time to say so.
-    async fn leave(&mut self) {
+    /// Tells the other dispatchers that this one ends, and leaves time for the messages to be sent.
+    async fn leave_fleet(&mut self) {
         let now = self.clock.timestamp(Instant::now());
-        let beside = &mut self.decisions.crossings;
-        if beside.peers.is_some() || beside.divided.is_some() {
-            beside.leave(now);
-            tokio::time::sleep(LAST_WORDS).await;
+        let subsystems = &mut self.decisions.crossings;
+        if subsystems.peers.is_some() || subsystems.divided.is_some() {
+            subsystems.leave(now);
+            tokio::time::sleep(FINAL_SEND_TIME).await;
         }
     }
 
-    fn tell(&mut self, now: Timestamp, event: Event) {
-        self.state.told = true;
+    /// Passes an event to the decisions.
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
+        self.state.has_new_events = true;
         self.decisions.handle_event(now, event);
     }
 
-    fn take(&mut self, now: Timestamp, inbound: Inbound) {
+    /// Handles one message of another task.
+    fn handle_inbound(&mut self, now: Timestamp, inbound: Inbound) {
         match inbound {
-            Inbound::Client(from) => self.client(now, from),
+            Inbound::Client(from) => self.handle_client(now, from),
             Inbound::Host(FromHost::Probed {
                 id,
                 host,
@@ -223,32 +251,34 @@
             }) => {
                 if self.pools.probed(host, id) {
                     let load = self.reports.load(&report);
-                    self.tell(now, Event::Probed { host, ending, load });
+                    self.handle_event(now, Event::Probed { host, ending, load });
                 }
             }
-            Inbound::Host(told) => {
-                if let Some((id, line, answer)) = self.pools.told(told) {
-                    self.ended(now, id, line, answer);
+            Inbound::Host(message) => {
+                if let Some((id, connection, answer)) = self.pools.told(message) {
+                    self.on_attempt_ended(now, id, connection, answer);
                 }
             }
-            Inbound::Journal(entry) => self.journal(now, entry),
-            Inbound::Settings(told) => self.follow(now, *told),
-            Inbound::OperatorConfig(told) => {
-                if let Err(why) = self.operator(told) {
+            Inbound::Journal(entry) => self.on_journal_entry(now, entry),
+            Inbound::Settings(settings) => self.apply_settings(now, *settings),
+            Inbound::OperatorConfig(config) => {
+                if let Err(why) = self.apply_operator_config(config) {
                     warn!(self.log, "operator's file refused"; "why" => why);
                 }
             }
-            Inbound::Peers(told) => self.decisions.crossings.message(now, told),
-            Inbound::Store(told) => {
+            Inbound::Peers(message) => self.decisions.crossings.message(now, message),
+            Inbound::Store(message) => {
                 if let Some(shared) = &mut self.decisions.crossings.shared {
-                    shared.told(now, told);
+                    shared.told(now, message);
                 }
             }
             Inbound::Terminate => {
                 info!(self.log, "asked to end"; "open" => self.state.requests.len());
-                self.state.ending.get_or_insert_with(Instant::now);
+                self.state
+                    .shutdown_requested_at
+                    .get_or_insert_with(Instant::now);
             }
-            Inbound::AllAccepted => self.state.all_in = true,
+            Inbound::AllAccepted => self.state.all_accepted = true,
         }
     }
 }
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -1,6 +1,6 @@
-//! The life of a request, from its arrival to its one final answer.
+//! Requests, from their arrival to their one final answer.
 
-use super::{Dispatch, Request};
+use super::{Dispatch, PendingRequest};
 use crate::checks::{count, must};
 use crate::messages::{AttemptId, ClientRequest, ClientRequestId, Reply};
 use crate::subsystems::came;
@@ -11,132 +11,152 @@
 use trailproxy::units::{RequestId, TimeSpan, Timestamp};
 
 impl Dispatch {
-    /// Drops what of a request is not begun, also where the settings allow no withdrawal of what is. Whether any
-    /// attempt of it had not ended.
-    pub(super) fn recall(&mut self, request: RequestId) -> bool {
-        let open = self.state.requests.get(&request);
-        let mut any = false;
-        for no in open.into_iter().flat_map(Request::out) {
-            self.pools.recall(AttemptId {
-                request,
-                attempt: no,
-            });
-            any = true;
+    /// Cancels the attempts of a request that are not written yet, also where the settings do not
+    /// allow the cancellation of attempts that are. Returns whether any attempt of the request was
+    /// pending.
+    pub(super) fn cancel_unsent(&mut self, request: RequestId) -> bool {
+        let pending = self.state.requests.get(&request);
+        let mut any_pending = false;
+        for attempt in pending
+            .into_iter()
+            .flat_map(PendingRequest::pending_attempts)
+        {
+            self.pools.recall(AttemptId { request, attempt });
+            any_pending = true;
         }
-        any
+        any_pending
     }
 
-    pub(super) fn arrived(&mut self, now: Timestamp, call: ClientRequest) {
+    /// Takes a new request: refuses it if the table is full, fails it if its id is in use, and
+    /// otherwise hands it to the decisions, or first to the subsystem that knows earlier attempts
+    /// under its key.
+    pub(super) fn on_request(&mut self, now: Timestamp, client_request: ClientRequest) {
         count(&self.counts.accesses);
-        let most = self.pools.shared.bounds.max_open;
-        if !permits::may_take(self.state.requests.len(), most) {
+        let max_open = self.pools.shared.bounds.max_open;
+        if !permits::may_take(self.state.requests.len(), max_open) {
             count(&self.counts.rejected);
             count(self.counts.given_up(GiveUpReason::TableFull));
-            let retry_after = self.decisions.retry_after(now, call.class);
-            return self.reply(call.id, Reply::Refused { retry_after });
+            let retry_after = self.decisions.retry_after(now, client_request.class);
+            return self.send_reply(client_request.id, Reply::Refused { retry_after });
         }
-        if !self.state.references.insert(call.reference.clone()) {
+        if !self
+            .state
+            .references
+            .insert(client_request.reference.clone())
+        {
             count(&self.counts.bad_clients);
             count(&self.counts.ids_again);
-            return self.reply(call.id, Reply::Failed);
+            return self.send_reply(client_request.id, Reply::Failed);
         }
-        self.state.next += 1;
-        let id = RequestId(self.state.next);
-        let limit = self.clock.timestamp(call.arrived_at) + call.time_left;
+        self.state.last_request_id += 1;
+        let id = RequestId(self.state.last_request_id);
+        let deadline = self.clock.timestamp(client_request.arrived_at) + client_request.time_left;
         let arrival = Arrival {
             id,
-            time_left: limit.since(now),
-            class: call.class,
-            object: call.object,
-            group: call.group,
-            part: call.part,
-            size_kb: call.size_kb,
+            time_left: deadline.since(now),
+            class: client_request.class,
+            object: client_request.object,
+            group: client_request.group,
+            part: client_request.part,
+            size_kb: client_request.size_kb,
         };
-        self.pools.shared.trace.taken(&call, arrival.time_left);
-        self.state.limits.insert((limit, id));
-        self.state.calls.insert(call.id, id);
-        let keyed = self.effects[usize::from(call.class.0)] != Effect::Idempotent;
-        let mark = call.idempotency_key.clone().filter(|_| keyed);
+        self.pools
+            .shared
+            .trace
+            .taken(&client_request, arrival.time_left);
+        self.state.deadlines.insert((deadline, id));
+        self.state.client_requests.insert(client_request.id, id);
+        let keyed = self.effects[usize::from(client_request.class.0)] != Effect::Idempotent;
+        let key = client_request.idempotency_key.clone().filter(|_| keyed);
         let (closed, attempts) = (false, Vec::new());
         self.state.requests.insert(
             id,
-            Request {
-                call: Rc::new(call),
-                limit,
+            PendingRequest {
+                client_request: Rc::new(client_request),
+                deadline,
                 closed,
                 attempts,
             },
         );
-        let held = mark.is_some_and(|mark| self.decisions.crossings.come(now, arrival, &mark));
+        let held = key.is_some_and(|key| self.decisions.crossings.come(now, arrival, &key));
         if !held {
-            self.tell(now, Event::Arrived(arrival));
+            self.handle_event(now, Event::Arrived(arrival));
         }
     }
 
-    pub(super) fn left(&mut self, now: Timestamp, call: ClientRequestId) {
-        if let Some(id) = self.state.calls.remove(&call) {
+    /// Handles a request whose client has cancelled it or has gone.
+    pub(super) fn on_request_cancelled(&mut self, now: Timestamp, request: ClientRequestId) {
+        if let Some(id) = self.state.client_requests.remove(&request) {
             count(&self.counts.left);
-            self.came(now, id, None);
-            self.recall(id);
+            self.report_outcome(now, id, None);
+            self.cancel_unsent(id);
             self.trace_closed(id, "none", "client_left");
-            self.close(id);
-            self.tell(now, Event::ClientGone { id });
-            self.forget(now, id);
+            self.close_request(id);
+            self.handle_event(now, Event::ClientGone { id });
+            self.remove_if_finished(now, id);
         }
     }
 
-    fn trace_closed(&self, id: RequestId, how: &str, why: &str) {
+    fn trace_closed(&self, id: RequestId, result: &str, reason: &str) {
         if let Some(request) = self.state.requests.get(&id) {
             let trace = &self.pools.shared.trace;
-            trace.closed(&request.call, how, why);
+            trace.closed(&request.client_request, result, reason);
         }
     }
 
-    /// No answer is owed any more; what is out may still end.
-    pub(super) fn close(&mut self, id: RequestId) {
+    /// Marks a request as closed: no answer is owed any more. Pending attempts may still end.
+    pub(super) fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.state.requests.get_mut(&id) {
             must(!request.closed, &self.counts.broken_two_finals);
             request.closed = true;
-            request.call.closed.set(true);
-            self.state.calls.remove(&request.call.id);
-            self.state.limits.remove(&(request.limit, id));
+            request.client_request.closed.set(true);
+            self.state
+                .client_requests
+                .remove(&request.client_request.id);
+            self.state.deadlines.remove(&(request.deadline, id));
         }
     }
 
-    pub(super) fn forget(&mut self, now: Timestamp, id: RequestId) {
-        let longest = self.pools.shared.bounds.longest_limit;
-        let over = |request: &Request| request.closed && request.out().next().is_none();
-        if self.state.requests.get(&id).is_some_and(over)
+    /// Removes a request that is closed and has no pending attempt. Its id stays reserved for as
+    /// long as a host may still know the request.
+    pub(super) fn remove_if_finished(&mut self, now: Timestamp, id: RequestId) {
+        let max_deadline = self.pools.shared.bounds.longest_limit;
+        let finished = |request: &PendingRequest| {
+            request.closed && request.pending_attempts().next().is_none()
+        };
+        if self.state.requests.get(&id).is_some_and(finished)
             && let Some(request) = self.state.requests.remove(&id)
         {
-            let reference = request.call.reference.clone();
-            // No host has it longer than its time or the longest one; a client that says it waits for an hour must
-            // not make all that ends behind it be remembered as long.
-            let until = request.limit.min(now + longest) + longest;
-            self.state.fading.push_back((until, reference));
-            let most = self.pools.shared.bounds.max_open;
-            if self.state.fading.len() > most
-                && let Some((_, oldest)) = self.state.fading.pop_front()
+            let reference = request.client_request.reference.clone();
+            // No host keeps a request longer than its own deadline or the longest deadline of any
+            // class. The second bound matters because a client may state a wait of an hour, and
+            // that must not keep all ids that end behind it.
+            let until = request.deadline.min(now + max_deadline) + max_deadline;
+            self.state.retired_references.push_back((until, reference));
+            let max_open = self.pools.shared.bounds.max_open;
+            if self.state.retired_references.len() > max_open
+                && let Some((_, oldest)) = self.state.retired_references.pop_front()
             {
                 self.state.references.remove(&oldest);
             }
         }
     }
 
-    /// Others are to know what came of it.
-    pub(super) fn came(&mut self, now: Timestamp, id: RequestId, done: Option<&[u8]>) {
-        let beside = &mut self.decisions.crossings;
+    /// Tells the subsystems shared with other dispatchers how a request with a key ended. `done`:
+    /// the body that was served, if any.
+    pub(super) fn report_outcome(&mut self, now: Timestamp, id: RequestId, done: Option<&[u8]>) {
+        let subsystems = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
-            && request.call.idempotency_key.is_some()
-            && beside.knows_keys()
+            && request.client_request.idempotency_key.is_some()
+            && subsystems.knows_keys()
         {
-            let ran = request.attempts.iter().any(|attempt| attempt.ran);
-            beside.ended(now, id, &came(done, ran));
+            let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
+            subsystems.ended(now, id, &came(done, may_have_run));
         }
     }
 
-    /// The one final answer of a request.
-    pub(super) fn answer(&mut self, now: Timestamp, id: RequestId, reply: Reply, why: &str) {
+    /// Gives a request its one final answer. A request that is closed gets none.
+    pub(super) fn answer(&mut self, now: Timestamp, id: RequestId, reply: Reply, reason: &str) {
         let Some(request) = self
             .state
             .requests
@@ -145,11 +165,11 @@
         else {
             return;
         };
-        if now.since(request.limit) > TimeSpan::from_millis(50) {
+        if now.since(request.deadline) > TimeSpan::from_millis(50) {
             count(&self.counts.late_finals);
         }
-        let call = request.call.id;
-        self.came(
+        let client_request = request.client_request.id;
+        self.report_outcome(
             now,
             id,
             match &reply {
@@ -162,8 +182,8 @@
             Reply::Refused { .. } => &self.counts.rejected,
             Reply::Failed => &self.counts.aborted,
         });
-        self.trace_closed(id, reply.as_str(), why);
-        self.close(id);
-        self.reply(call, reply);
+        self.trace_closed(id, reply.as_str(), reason);
+        self.close_request(id);
+        self.send_reply(client_request, reply);
     }
 }
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -1,4 +1,5 @@
-//! Sections of the settings and of the operator's file: each subsystem is switched on, changed or off.
+//! Applies the settings and the sections of the operator's file: each subsystem is switched on,
+//! changed or switched off.
 
 use super::Dispatch;
 use crate::operator::{PeersTold, Told, longest_window};
@@ -23,72 +24,78 @@
 use trailproxy_zones::{Rules, Zones};
 
 impl Dispatch {
-    /// Other settings, with the same tracks, zone, kinds and bounds: what is open goes on. Budgets of traffic
-    /// between zones start afresh, when the operator's file is read again behind this.
-    pub(super) fn follow(
+    /// Applies other settings that have the same classes, zone, host kinds and bounds. Open
+    /// requests continue. The budgets of traffic between zones start again when the operator's
+    /// file, which is read after the settings, is applied.
+    pub(super) fn apply_settings(
         &mut self,
         now: Timestamp,
-        (terms, reports): (DispatcherSettings, Reports),
+        (settings, reports): (DispatcherSettings, Reports),
     ) {
-        info!(self.log, "settings followed"; "probes" => terms.probes_enabled, "sizes_told" => terms.capacities_reported,
-            "link_told" => terms.link_load_reported, "straight" => terms.allows_direct, "open" => self.state.requests.len());
+        info!(self.log, "settings followed"; "probes" => settings.probes_enabled, "sizes_told" => settings.capacities_reported,
+            "link_told" => settings.link_load_reported, "straight" => settings.allows_direct, "open" => self.state.requests.len());
         self.reports = reports;
         if let Some((_, known, _)) = &mut self.accounts {
-            *known = terms.clone();
+            *known = settings.clone();
         }
         self.decisions.crossings.zones = None;
-        self.decisions.apply_settings(now, terms);
-        self.state.told = true;
+        self.decisions.apply_settings(now, settings);
+        self.state.has_new_events = true;
     }
 
-    /// What the operator's file says: each subsystem is switched on, changed or off.
-    pub fn operator(&mut self, told: Told) -> Result<(), String> {
-        self.zones(told.zones);
-        self.store(told.store);
-        self.peers(told.peers)?;
+    /// Applies the operator's file: each subsystem is switched on, changed or switched off.
+    pub fn apply_operator_config(&mut self, config: Told) -> Result<(), String> {
+        self.apply_zones_section(config.zones);
+        self.apply_store_section(config.store);
+        self.apply_peers_section(config.peers)?;
         let now = self.clock.timestamp(Instant::now());
-        if let Some((_, terms, seed)) = &self.accounts {
-            let beside = &mut self.decisions.crossings;
-            let fresh = (
+        if let Some((_, settings, seed)) = &self.accounts {
+            let subsystems = &mut self.decisions.crossings;
+            let member = (
                 self.name.as_str(),
                 life(now, *seed ^ u64::from(std::process::id())),
             );
-            let told = told.budgets.as_deref();
-            beside.budgets(now, told, fresh, (terms, *seed), &self.log);
+            let section = config.budgets.as_deref();
+            subsystems.budgets(now, section, member, (settings, *seed), &self.log);
         }
         Ok(())
     }
 
-    /// What is held in common with other dispatchers: another section begins anew. Where its socket can't be had, the
-    /// former one is gone as well.
-    pub(super) fn peers(&mut self, told: Option<Box<PeersTold>>) -> Result<(), String> {
+    /// Applies the section `peers`. A section that differs from the present one ends the present
+    /// state and starts again. If the socket of the new section cannot be opened, the former one is
+    /// closed all the same.
+    pub(super) fn apply_peers_section(
+        &mut self,
+        section: Option<Box<PeersTold>>,
+    ) -> Result<(), String> {
         let now = self.clock.timestamp(Instant::now());
-        let kept = &mut self.decisions.crossings.peers;
-        if kept.as_ref().map(|kept| &kept.told) == told.as_deref() {
+        let present = &mut self.decisions.crossings.peers;
+        if present.as_ref().map(|present| &present.told) == section.as_deref() {
             return Ok(());
         }
         let mut socket = None;
-        let ended = kept.take().map(|mut kept| {
-            kept.leave(now);
-            // The same address goes on with the same socket.
-            let same = told.as_ref().map(|told| told.addresses.listen);
-            socket = Some(kept.socket.clone()).filter(|_| same == Some(kept.told.addresses.listen));
-            kept.end()
+        let ended = present.take().map(|mut present| {
+            present.leave(now);
+            // The socket is kept if the address stays the same.
+            let listen = section.as_ref().map(|section| section.addresses.listen);
+            socket = Some(present.socket.clone())
+                .filter(|_| listen == Some(present.told.addresses.listen));
+            present.end()
         });
         for arrival in ended.into_iter().flatten() {
-            self.go(now, arrival);
+            self.submit_arrival(now, arrival);
         }
-        let (Some((_, terms, seed)), log) = (&self.accounts, &self.log) else {
+        let (Some((_, settings, seed)), log) = (&self.accounts, &self.log) else {
             return Ok(());
         };
-        let Some(told) = told else {
+        let Some(section) = section else {
             info!(log, "peers are off");
             return Ok(());
         };
-        let config = &told.config;
-        let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, terms.purge_propagation)?;
-        let listen = told.addresses.listen;
+        let config = &section.config;
+        let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
+        let rules = config.rules(longest, settings.purge_propagation)?;
+        let listen = section.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
             .map_err(|e| {
@@ -96,101 +103,103 @@
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
                 config.wrong("listen", &found, "an address of this machine that is free")
             })?;
-        // Never the same for two processes.
-        let drawn = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
+        // Differs between any two processes.
+        let seed = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
         let own = Own {
             id: PeerId::of_name(&self.name),
-            address: told.addresses.advertise,
-            life: life(now, drawn),
-            seeds: told.addresses.seeds.clone(),
-            topology: told.topology.clone(),
+            address: section.addresses.advertise,
+            life: life(now, seed),
+            seeds: section.addresses.seeds.clone(),
+            topology: section.topology.clone(),
         };
-        let site = sites::site_of(&config.sites, told.addresses.advertise);
-        info!(log, "peers are on"; "file" => &config.file, "fleet" => &config.fleet, "seeds" => told.addresses.seeds.len(),
+        let site = sites::site_of(&config.sites, section.addresses.advertise);
+        info!(log, "peers are on"; "file" => &config.file, "fleet" => &config.fleet, "seeds" => section.addresses.seeds.len(),
             "site" => site.map_or("none", |site| &site.name));
-        let (to, asked) = mpsc::channel();
-        let seal = Seal::new(&config.fleet, &told.secret);
+        let (to, orders) = mpsc::channel();
+        let seal = Seal::new(&config.fleet, &section.secret);
         let queue = self.pools.shared.queue.clone();
         tokio::task::spawn_local(peers::carry(
             socket.clone(),
             seal,
             queue,
-            asked,
+            orders,
             log.clone(),
         ));
-        let dues = terms.classes.iter().map(|track| track.target).collect();
-        let core = Peers::new(now, own, rules, drawn);
-        let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
+        let targets = settings.classes.iter().map(|class| class.target).collect();
+        let decisions = Peers::new(now, own, rules, seed);
+        let mut runtime = Peered::new(*section, decisions, (socket, to), targets, log.clone());
         let (kind, entries) = (HostListKind::Full, self.pools.entries());
-        begun.listed(now, &entries, self.state.place);
-        begun.heard(&Event::HostList { kind, entries });
-        self.decisions.crossings.peers = Some(begun);
+        runtime.listed(now, &entries, self.state.journal_position);
+        runtime.heard(&Event::HostList { kind, entries });
+        self.decisions.crossings.peers = Some(runtime);
         Ok(())
     }
 
-    /// What dispatchers share: another section begins anew, and whoever waited for the store goes on.
-    pub(super) fn store(&mut self, told: Option<Box<StoreSheet>>) {
+    /// Applies the section `store`. A section that differs from the present one starts again with a
+    /// new connection, and requests that waited for the store continue.
+    pub(super) fn apply_store_section(&mut self, section: Option<Box<StoreSheet>>) {
         let now = self.clock.timestamp(Instant::now());
-        let Some((_, terms, seed)) = &self.accounts else {
+        let Some((_, settings, seed)) = &self.accounts else {
             return;
         };
         let shared = &mut self.decisions.crossings.shared;
-        if shared.as_ref().map(|shared| &shared.config) == told.as_deref() {
+        if shared.as_ref().map(|shared| &shared.config) == section.as_deref() {
             return;
         }
         let ended = shared.take();
-        if let Some(config) = told {
-            let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-            match config.rules(longest, terms.purge_propagation) {
+        if let Some(config) = section {
+            let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
+            match config.rules(longest, settings.purge_propagation) {
                 Ok(rules) => {
-                    // Never the same for two processes, or one would take another's records for its own.
+                    // Differs between any two processes; otherwise one would take records of the
+                    // other for its own.
                     let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
-                    let (to, asked) = mpsc::channel();
+                    let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
                     tokio::task::spawn_local(store::carry(
                         *config.clone(),
                         queue,
-                        asked,
+                        orders,
                         log.clone(),
                     ));
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
-                    let dues = terms.classes.iter().map(|track| track.target).collect();
-                    let mut begun =
-                        Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
+                    let targets = settings.classes.iter().map(|class| class.target).collect();
+                    let mut client =
+                        Shared::new(*config, Sharing::new(now, rules, life), to, targets, log);
                     let (kind, entries) = (HostListKind::Full, self.pools.entries());
-                    begun.heard(now, &Event::HostList { kind, entries });
-                    *shared = Some(begun);
+                    client.heard(now, &Event::HostList { kind, entries });
+                    *shared = Some(client);
                 }
-                Err(why) => warn!(self.log, "operator's file refused"; "why" => why),
+                Err(reason) => warn!(self.log, "operator's file refused"; "why" => reason),
             }
         } else {
             info!(self.log, "store is off");
         }
         for arrival in ended.into_iter().flat_map(Shared::end) {
-            self.go(now, arrival);
+            self.submit_arrival(now, arrival);
         }
     }
 
-    /// What the operator's file says of traffic between zones: counts and what is open are kept.
-    pub(super) fn zones(&mut self, told: Option<Box<(ZonesSheet, Rules)>>) {
+    /// Applies the section about traffic between zones. Counts and open crossings are kept.
+    pub(super) fn apply_zones_section(&mut self, section: Option<Box<(ZonesSheet, Rules)>>) {
         let now = self.clock.timestamp(Instant::now());
-        let Some((accounts, terms, seed)) = &mut self.accounts else {
+        let Some((accounts, settings, seed)) = &mut self.accounts else {
             return;
         };
         let crossings = &mut self.decisions.crossings.zones;
-        let Some(told) = told else {
+        let Some(section) = section else {
             if crossings.take().is_some() {
                 info!(self.log, "zones are off");
             }
             return;
         };
-        let (config, rules) = *told;
+        let (config, rules) = *section;
         accounts.follow(&config);
         info!(self.log, "zones are on"; "file" => &config.file, "limits" => rules.limits.len());
         match crossings {
             Some(zones) => zones.change(now, rules),
             None => {
-                let mut zones = Zones::new(terms, rules, *seed);
+                let mut zones = Zones::new(settings, rules, *seed);
                 let kind = HostListKind::Full;
                 let entries = self.pools.entries();
                 zones.on_event(now, &Event::HostList { kind, entries });
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -1,4 +1,5 @@
-//! What the subsystems hand back: requests that go on, answers that others have, hosts that others know.
+//! Applies what the subsystems report: requests that may continue, answers from records, and hosts
+//! that other dispatchers know to be restricted.
 
 use super::Dispatch;
 use crate::buffered::Parcel;
@@ -9,58 +10,61 @@
 use trailproxy::units::{HostId, Timestamp};
 
 impl Dispatch {
-    /// A request goes to the decisions, with the time that is left of it.
-    pub(super) fn go(&mut self, now: Timestamp, mut arrival: Arrival) {
+    /// Passes a request to the decisions, with the time that is left until its deadline.
+    pub(super) fn submit_arrival(&mut self, now: Timestamp, mut arrival: Arrival) {
         let request = self.state.requests.get(&arrival.id);
         if let Some(request) = request.filter(|request| !request.closed) {
-            arrival.time_left = request.limit.since(now);
-            self.tell(now, Event::Arrived(arrival));
+            arrival.time_left = request.deadline.since(now);
+            self.handle_event(now, Event::Arrived(arrival));
         }
     }
 
-    /// What others' answers, or their absence, lead to.
-    pub(super) fn share(&mut self, now: Timestamp) {
+    /// Lets time pass in the subsystems and applies what they report.
+    pub(super) fn apply_subsystem_events(&mut self, now: Timestamp) {
         self.decisions.crossings.advance(now);
         if let Some((caches, parents)) = self.decisions.crossings.cold() {
             self.decisions.set_slow_start_shares(now, caches, parents);
         }
         while let Some(due) = self.decisions.crossings.take() {
             match due {
-                Due::Arrived(arrival) => self.go(now, arrival),
+                Due::Arrived(arrival) => self.submit_arrival(now, arrival),
                 Due::Answered(id, body) => {
                     let body = Parcel::new(&body, &self.pools.shared.held);
                     self.answer(now, id, Reply::Served(body), "from_record");
-                    self.forget(now, id);
+                    self.remove_if_finished(now, id);
                 }
                 Due::Tell(Event::Purged {
                     object,
                     group,
                     stamp: Some(stamp),
                     ..
-                }) => self.tell_purge(now, object, group, stamp),
-                Due::Tell(event) => self.tell(now, event),
-                Due::Restricted(host, told) => self.restricted(now, host, told),
+                }) => self.handle_purge(now, object, group, stamp),
+                Due::Tell(event) => self.handle_event(now, event),
+                Due::Restricted(host, restriction) => {
+                    self.apply_host_restriction(now, host, restriction)
+                }
             }
         }
     }
 
-    /// A host counts as others know it, or again as the own list has it.
-    pub(super) fn restricted(
+    /// Applies the state that other dispatchers report of a host. `None`: the state in the own host
+    /// list applies again.
+    pub(super) fn apply_host_restriction(
         &mut self,
         now: Timestamp,
         host: HostId,
-        told: Option<(HostState, Option<Timestamp>)>,
+        restriction: Option<(HostState, Option<Timestamp>)>,
     ) {
         let entries = self.pools.entries();
         let Some(mut entry) = entries.into_iter().find(|entry| entry.host == host) else {
             return;
         };
-        if let Some((state, stamp)) = told {
+        if let Some((state, stamp)) = restriction {
             (entry.state, entry.stamp) = (state, stamp);
             entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
         }
-        info!(self.log, "host restricted"; "host" => format!("{:x}", host.0), "by_others" => told.is_some());
+        info!(self.log, "host restricted"; "host" => format!("{:x}", host.0), "by_others" => restriction.is_some());
         let (kind, entries) = (HostListKind::Delta, vec![entry]);
-        self.tell(now, Event::HostList { kind, entries });
+        self.handle_event(now, Event::HostList { kind, entries });
     }
 }
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -1,6 +1,6 @@
-//! Timers: outer limits, wake-ups and waits for connections.
+//! Timers: deadlines of requests, timers of the decisions and waits for connections.
 
-use super::{Dispatch, REPORT_EVERY, STILL_COMING};
+use super::{Dispatch, REPORT_INTERVAL, SHUTDOWN_ACCEPT_TIME};
 use crate::messages::{Answer, AttemptId};
 use std::time::Duration;
 use tokio::time::Instant;
@@ -8,57 +8,70 @@
 use trailproxy::units::{AttemptNo, RequestId, TimerId, Timestamp};
 
 impl Dispatch {
-    pub(super) fn longest_limit(&self) -> Duration {
+    /// The longest deadline of any class.
+    pub(super) fn max_deadline(&self) -> Duration {
         Duration::from_micros(self.pools.shared.bounds.longest_limit.0)
     }
 
-    pub(super) fn next_timer(&self) -> Instant {
+    /// When the task has something to do next, even if no message arrives.
+    pub(super) fn next_wakeup(&self) -> Instant {
         let state = &self.state;
-        let limit = state.limits.first().map(|&(at, _)| at);
-        let wake = state.wakes.first().map(|&(at, _)| at);
-        let shared = self.decisions.crossings.next();
-        let timed = [limit, wake, shared]
+        let deadline = state.deadlines.first().map(|&(at, _)| at);
+        let timer = state.timers.first().map(|&(at, _)| at);
+        let subsystems = self.decisions.crossings.next();
+        let timed = [deadline, timer, subsystems]
             .into_iter()
             .flatten()
             .map(|at| self.clock.instant(at));
-        let ending = state.ending.map(|asked| match state.finished {
-            true => asked + STILL_COMING + self.longest_limit(),
-            false => (asked + STILL_COMING).max(Instant::now() + Duration::from_millis(10)),
-        });
-        let all = timed.chain(self.pools.next_expiry()).chain(ending);
-        all.min().unwrap_or_else(|| Instant::now() + REPORT_EVERY)
+        let shutdown =
+            state
+                .shutdown_requested_at
+                .map(|requested_at| match state.clients_told_to_finish {
+                    true => requested_at + SHUTDOWN_ACCEPT_TIME + self.max_deadline(),
+                    false => (requested_at + SHUTDOWN_ACCEPT_TIME)
+                        .max(Instant::now() + Duration::from_millis(10)),
+                });
+        let all = timed.chain(self.pools.next_expiry()).chain(shutdown);
+        all.min()
+            .unwrap_or_else(|| Instant::now() + REPORT_INTERVAL)
     }
 
-    /// What is due by now: waits for connections, outer limits, wake-ups.
-    pub(super) fn pass_time(&mut self, now: Timestamp) {
+    /// Handles everything that is due by now: waits for connections, ids whose reservation is over,
+    /// deadlines and timers.
+    pub(super) fn advance_timers(&mut self, now: Timestamp) {
         self.pools.expire(self.clock.instant(now));
-        while let Some((_, id)) = self.state.fading.pop_front_if(|(until, _)| *until <= now) {
+        while let Some((_, id)) = self
+            .state
+            .retired_references
+            .pop_front_if(|(until, _)| *until <= now)
+        {
             self.state.references.remove(&id);
         }
         let due: Vec<RequestId> = {
-            let due = self.state.limits.iter().take_while(|(at, _)| *at <= now);
+            let due = self.state.deadlines.iter().take_while(|(at, _)| *at <= now);
             due.map(|&(_, id)| id).collect()
         };
         for id in due {
             let Some(request) = self.state.requests.get(&id) else {
                 continue;
             };
-            let out: Vec<AttemptNo> = request.out().collect();
-            self.state.limits.remove(&(request.limit, id));
-            for no in out {
+            let pending: Vec<AttemptNo> = request.pending_attempts().collect();
+            self.state.deadlines.remove(&(request.deadline, id));
+            for attempt in pending {
                 let attempt = AttemptId {
                     request: id,
-                    attempt: no,
+                    attempt,
                 };
                 self.pools.kill(attempt);
-                self.ended(now, attempt, None, Answer::without_body(Ending::TimedOut));
+                self.on_attempt_ended(now, attempt, None, Answer::without_body(Ending::TimedOut));
             }
-            // The decisions give the final answer, woken by their own timer or by this.
-            self.tell(now, Event::TimerFired { timer: TimerId(0) });
+            // The decisions give the final answer when this event or their own timer makes them
+            // look again.
+            self.handle_event(now, Event::TimerFired { timer: TimerId(0) });
         }
-        while let Some(&(at, timer)) = self.state.wakes.first().filter(|(at, _)| *at <= now) {
-            self.state.wakes.remove(&(at, timer));
-            self.tell(now, Event::TimerFired { timer });
+        while let Some(&(at, timer)) = self.state.timers.first().filter(|(at, _)| *at <= now) {
+            self.state.timers.remove(&(at, timer));
+            self.handle_event(now, Event::TimerFired { timer });
         }
     }
 }
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -143,7 +143,7 @@
     // Its points in the budgets are drawn apart from the decisions' own chance.
     dispatch.accounts = Some((accounts, terms, !start.seed));
     dispatch.name = name;
-    dispatch.operator(told)?;
+    dispatch.apply_operator_config(told)?;
     dispatch
         .run(start.known, inbound, move || drop(stop.send(())))
         .await;
