--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -1,4 +1,5 @@
-//! Requests that are held back for what others know of them, and what they are known by.
+//! Requests held back until a shared subsystem has reported earlier attempts under their keys, and
+//! events of these subsystems for the task that owns the decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::interface::*;
