--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -379,7 +379,7 @@
                 Transfer::Bytes(0) => {
                     let left_at = self.earliest(first);
                     let trace = &self.shared.trace;
-                    trace.client_ended_its_side(self.id, left_at.elapsed());
+                    trace.client_half_closed(self.id, left_at.elapsed());
                     self.eof = Some(left_at);
                     self.state.closed_at.set(Some(left_at));
                 }
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -103,7 +103,7 @@
         self.pools
             .shared
             .trace
-            .attempt(&attempt.request, attempt.id, host);
+            .attempt_assigned(&attempt.request, attempt.id, host);
         self.decisions.crossings.went(now, id, host);
         self.pools.submit(attempt);
     }
@@ -169,7 +169,7 @@
         let request = self.state.requests.get(&id.request);
         if let Some(request) = request {
             let trace = &self.pools.shared.trace;
-            trace.ended(&request.client_request, id, ending, elapsed);
+            trace.attempt_ended(&request.client_request, id, ending, elapsed);
         }
         let request_closed = request.is_none_or(|request| request.closed);
         let client_proven = self
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -48,7 +48,7 @@
         self.state.journal_position = self.state.journal_position.max(entry.position);
         self.record_stamps(now, &entry);
         let trace = &self.pools.shared.trace;
-        trace.journal(entry.position, entry.change.as_str());
+        trace.journal_entry(entry.position, entry.change.as_str());
         match entry.change {
             JournalChange::Hosts {
                 kind,
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -63,7 +63,7 @@
         self.pools
             .shared
             .trace
-            .taken(&client_request, arrival.time_left);
+            .request_read(&client_request, arrival.time_left);
         self.state.deadlines.insert((deadline, id));
         self.state.client_requests.insert(client_request.id, id);
         let keyed = self.effects[usize::from(client_request.class.0)] != Effect::Idempotent;
@@ -100,7 +100,7 @@
     fn trace_closed(&self, id: RequestId, result: &str, reason: &str) {
         if let Some(request) = self.state.requests.get(&id) {
             let trace = &self.pools.shared.trace;
-            trace.closed(&request.client_request, result, reason);
+            trace.request_closed(&request.client_request, result, reason);
         }
     }
 
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -127,7 +127,7 @@
             "reset" | "read failed" | "write failed" => count(&self.shared.counts.lines_reset),
             _ => {}
         }
-        self.shared.trace.line_closed(self.host, self.id, why);
+        self.shared.trace.connection_closed(self.host, self.id, why);
         if !self.open.is_empty() || !self.unsent.is_empty() {
             let (host, open) = (format!("{:x}", self.host.0), self.open.len());
             info!(self.shared.log, "host connection broken"; "host" => host, "open" => open, "why" => why);
@@ -311,7 +311,7 @@
         let clock = &self.shared.clock;
         self.shared
             .trace
-            .begun(&sending.request, sending.id, self.id);
+            .attempt_begun(&sending.request, sending.id, self.id);
         let late = permits::begun_against_a_rule(clock.timestamp(now), &sending.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let passed_on = self.deadline_holds(now);
@@ -423,7 +423,9 @@
             Packet::Sending(sending) => {
                 let (now, call) = (Instant::now(), &sending.request);
                 if let Err(why) = sending.may_send(&self.shared.clock, now) {
-                    self.shared.trace.denied(call, sending.id, why.as_str());
+                    self.shared
+                        .trace
+                        .attempt_dropped(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
                 resp::put_array(&mut out, WORDS);
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -283,7 +283,7 @@
                     Err(why) => {
                         shared
                             .trace
-                            .denied(&sending.request, sending.id, why.as_str());
+                            .attempt_dropped(&sending.request, sending.id, why.as_str());
                         shared.dropped(sending, Ending::NotSent);
                     }
                     // The host is not to blame for what was lacking here.
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -59,7 +59,7 @@
     }
 
     /// A request was read whole.
-    pub fn taken(&self, call: &ClientRequest, left: TimeSpan) {
+    pub fn request_read(&self, call: &ClientRequest, left: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "taken", "ref" => &*call.reference, "client" => call.id.client.0,
                 "left_ms" => left.0 / 1000);
@@ -67,7 +67,7 @@
     }
 
     /// An attempt is given to the connections of a host.
-    pub fn attempt(&self, call: &ClientRequest, id: AttemptId, host: HostId) {
+    pub fn attempt_assigned(&self, call: &ClientRequest, id: AttemptId, host: HostId) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "attempt", "ref" => &*call.reference, "no" => id.attempt.0,
                 "host" => format!("{:x}", host.0));
@@ -75,20 +75,26 @@
     }
 
     /// The first byte of an attempt has gone out.
-    pub fn begun(&self, call: &ClientRequest, id: AttemptId, line: ConnectionId) {
+    pub fn attempt_begun(&self, call: &ClientRequest, id: AttemptId, line: ConnectionId) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "begun", "ref" => &*call.reference, "no" => id.attempt.0, "line" => line.0);
         }
     }
 
     /// An attempt was dropped before its first byte.
-    pub fn denied(&self, call: &ClientRequest, id: AttemptId, why: &str) {
+    pub fn attempt_dropped(&self, call: &ClientRequest, id: AttemptId, why: &str) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "denied", "ref" => &*call.reference, "no" => id.attempt.0, "why" => why);
         }
     }
 
-    pub fn ended(&self, call: &ClientRequest, id: AttemptId, ending: Ending, took: TimeSpan) {
+    pub fn attempt_ended(
+        &self,
+        call: &ClientRequest,
+        id: AttemptId,
+        ending: Ending,
+        took: TimeSpan,
+    ) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.attempt.0,
                 "ending" => ending_name(ending), "took_ms" => took.0 / 1000);
@@ -96,21 +102,21 @@
     }
 
     /// The final answer, or that none is owed any more.
-    pub fn closed(&self, call: &ClientRequest, how: &str, why: &str) {
+    pub fn request_closed(&self, call: &ClientRequest, how: &str, why: &str) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "closed", "ref" => &*call.reference, "how" => how, "why" => why);
         }
     }
 
     /// Discovery has told something new.
-    pub fn journal(&self, place: u64, what: &str) {
+    pub fn journal_entry(&self, place: u64, what: &str) {
         if let Some(log) = &self.log {
             info!(log, "journal told"; "place" => place, "what" => what);
         }
     }
 
     /// A client has ended its side, so long ago as far as that is known.
-    pub fn client_ended_its_side(&self, client: ClientId, ago: Duration) {
+    pub fn client_half_closed(&self, client: ClientId, ago: Duration) {
         if let Some(log) = &self.log {
             info!(log, "client ended its side"; "client" => client.0, "ago_ms" => ago.as_millis() as u64);
         }
@@ -122,7 +128,7 @@
         }
     }
 
-    pub fn line_closed(&self, host: HostId, line: ConnectionId, why: &str) {
+    pub fn connection_closed(&self, host: HostId, line: ConnectionId, why: &str) {
         if let Some(log) = &self.log {
             info!(log, "line closed"; "host" => format!("{:x}", host.0), "line" => line.0, "why" => why);
         }
