--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -1,7 +1,8 @@
-//! A line of log for each step of each request, each close, each retry and each refusal, with the reason.
+//! Logs one line for each step of each request, each close, each retry and each refusal, with the
+//! reason.
 //!
-//! Off unless `RELAY_TRACE` is `1`: it is for the search for faults, not for every day. Requests are named by the id that
-//! their clients gave them, which hosts see as well.
+//! It is off unless `RELAY_TRACE` is `1`: it is meant for the search for faults, not for daily use.
+//! Requests are named by the ids that their clients gave them, which hosts see as well.
 
 use crate::messages::{AttemptId, ClientId, ClientRequest, ConnectionId};
 use slog::{Logger, info};
@@ -9,7 +10,8 @@
 use trailproxy::interface::{Ending, Note};
 use trailproxy::units::{HostId, TimeSpan};
 
-const VARIABLE: &str = "RELAY_TRACE";
+/// The environment variable that switches the trace on.
+const TRACE_VARIABLE: &str = "RELAY_TRACE";
 
 /// The name of a note in log lines, which operators match.
 pub fn note_name(note: Note) -> &'static str {
@@ -43,94 +45,97 @@
     }
 }
 
-/// Where steps are told, if they are.
+/// Logs the steps of requests, if the trace is on.
 #[derive(Clone)]
 pub struct Trace {
     log: Option<Logger>,
 }
 
 impl Trace {
-    /// As the environment has it.
+    /// On or off as the environment says.
     pub fn new(log: &Logger) -> Trace {
-        let on = std::env::var(VARIABLE).is_ok_and(|value| value == "1");
+        let on = std::env::var(TRACE_VARIABLE).is_ok_and(|value| value == "1");
         Trace {
             log: on.then(|| log.clone()),
         }
     }
 
-    /// A request was read whole.
-    pub fn request_read(&self, call: &ClientRequest, left: TimeSpan) {
+    /// A request was read completely.
+    pub fn request_read(&self, request: &ClientRequest, time_left: TimeSpan) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "taken", "ref" => &*call.reference, "client" => call.id.client.0,
-                "left_ms" => left.0 / 1000);
+            info!(log, "request"; "step" => "taken", "ref" => &*request.reference, "client" => request.id.client.0,
+                "left_ms" => time_left.0 / 1000);
         }
     }
 
-    /// An attempt is given to the connections of a host.
-    pub fn attempt_assigned(&self, call: &ClientRequest, id: AttemptId, host: HostId) {
+    /// An attempt was handed to the connections of a host.
+    pub fn attempt_assigned(&self, request: &ClientRequest, id: AttemptId, host: HostId) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "attempt", "ref" => &*call.reference, "no" => id.attempt.0,
+            info!(log, "request"; "step" => "attempt", "ref" => &*request.reference, "no" => id.attempt.0,
                 "host" => format!("{:x}", host.0));
         }
     }
 
-    /// The first byte of an attempt has gone out.
-    pub fn attempt_begun(&self, call: &ClientRequest, id: AttemptId, line: ConnectionId) {
+    /// The first byte of an attempt was sent.
+    pub fn attempt_begun(&self, request: &ClientRequest, id: AttemptId, connection: ConnectionId) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "begun", "ref" => &*call.reference, "no" => id.attempt.0, "line" => line.0);
+            info!(log, "request"; "step" => "begun", "ref" => &*request.reference, "no" => id.attempt.0, "line" => connection.0);
         }
     }
 
     /// An attempt was dropped before its first byte.
-    pub fn attempt_dropped(&self, call: &ClientRequest, id: AttemptId, why: &str) {
+    pub fn attempt_dropped(&self, request: &ClientRequest, id: AttemptId, reason: &str) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "denied", "ref" => &*call.reference, "no" => id.attempt.0, "why" => why);
+            info!(log, "request"; "step" => "denied", "ref" => &*request.reference, "no" => id.attempt.0, "why" => reason);
         }
     }
 
+    /// An attempt has ended.
     pub fn attempt_ended(
         &self,
-        call: &ClientRequest,
+        request: &ClientRequest,
         id: AttemptId,
         ending: Ending,
-        took: TimeSpan,
+        elapsed: TimeSpan,
     ) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.attempt.0,
-                "ending" => ending_name(ending), "took_ms" => took.0 / 1000);
+            info!(log, "request"; "step" => "ended", "ref" => &*request.reference, "no" => id.attempt.0,
+                "ending" => ending_name(ending), "took_ms" => elapsed.0 / 1000);
         }
     }
 
-    /// The final answer, or that none is owed any more.
-    pub fn request_closed(&self, call: &ClientRequest, how: &str, why: &str) {
+    /// A request got its final answer, or none is owed any more.
+    pub fn request_closed(&self, request: &ClientRequest, result: &str, reason: &str) {
         if let Some(log) = &self.log {
-            info!(log, "request"; "step" => "closed", "ref" => &*call.reference, "how" => how, "why" => why);
+            info!(log, "request"; "step" => "closed", "ref" => &*request.reference, "how" => result, "why" => reason);
         }
     }
 
-    /// Discovery has told something new.
-    pub fn journal_entry(&self, place: u64, what: &str) {
+    /// A journal entry was received.
+    pub fn journal_entry(&self, position: u64, change: &str) {
         if let Some(log) = &self.log {
-            info!(log, "journal told"; "place" => place, "what" => what);
+            info!(log, "journal told"; "place" => position, "what" => change);
         }
     }
 
-    /// A client has ended its side, so long ago as far as that is known.
+    /// A client closed its side of the connection, this long ago as far as that is known.
     pub fn client_half_closed(&self, client: ClientId, ago: Duration) {
         if let Some(log) = &self.log {
             info!(log, "client ended its side"; "client" => client.0, "ago_ms" => ago.as_millis() as u64);
         }
     }
 
-    pub fn client_closed(&self, client: ClientId, why: &str, owed: usize) {
+    /// A client connection was closed with this many answers owed.
+    pub fn client_closed(&self, client: ClientId, reason: &str, owed: usize) {
         if let Some(log) = &self.log {
-            info!(log, "client closed"; "client" => client.0, "why" => why, "owed" => owed);
+            info!(log, "client closed"; "client" => client.0, "why" => reason, "owed" => owed);
         }
     }
 
-    pub fn connection_closed(&self, host: HostId, line: ConnectionId, why: &str) {
+    /// A connection to a host was closed.
+    pub fn connection_closed(&self, host: HostId, connection: ConnectionId, reason: &str) {
         if let Some(log) = &self.log {
-            info!(log, "line closed"; "host" => format!("{:x}", host.0), "line" => line.0, "why" => why);
+            info!(log, "line closed"; "host" => format!("{:x}", host.0), "line" => connection.0, "why" => reason);
         }
     }
 }
