--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -114,14 +114,14 @@
     /// A journal entry was received.
     pub fn journal_entry(&self, position: u64, change: &str) {
         if let Some(log) = &self.log {
-            info!(log, "journal told"; "place" => position, "what" => change);
+            info!(log, "journal entry"; "place" => position, "what" => change);
         }
     }
 
     /// A client closed its side of the connection, this long ago as far as that is known.
     pub fn client_half_closed(&self, client: ClientId, ago: Duration) {
         if let Some(log) = &self.log {
-            info!(log, "client ended its side"; "client" => client.0, "ago_ms" => ago.as_millis() as u64);
+            info!(log, "client closed its side"; "client" => client.0, "ago_ms" => ago.as_millis() as u64);
         }
     }
 
@@ -135,7 +135,7 @@
     /// A connection to a host was closed.
     pub fn connection_closed(&self, host: HostId, connection: ConnectionId, reason: &str) {
         if let Some(log) = &self.log {
-            info!(log, "line closed"; "host" => format!("{:x}", host.0), "line" => connection.0, "why" => reason);
+            info!(log, "host connection closed"; "host" => format!("{:x}", host.0), "line" => connection.0, "why" => reason);
         }
     }
 }
