--- a/crates/trailproxyd/src/accounts.rs
+++ b/crates/trailproxyd/src/accounts.rs
@@ -1,7 +1,9 @@
-//! What is told of traffic between zones: a log line a window, rises as they come, and a file of Prometheus text.
+//! Reports on traffic between zones: a log line for each reporting interval, alerts when traffic
+//! rises, and a file of Prometheus text.
 //!
-//! The file is written by a thread of its own, which is there only where a file is named: a slow disk holds up no
-//! request, and a report that finds the one before still being written is left out.
+//! A thread of its own writes the file, and runs only if a file is configured. A slow disk
+//! therefore delays no request: a report that is due while the one before is still being written is
+//! skipped.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -20,73 +22,79 @@
 use trailproxy_zones::decide::sheet::{Names, Sheet};
 use trailproxy_zones::report::Report;
 
-/// How often the account is brought up to now: rises are told in half seconds.
-const PASS: Duration = Duration::from_millis(250);
+/// How often the account is brought up to date. Rises are reported within half a second.
+const ADVANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Where reports go, and when the next is due.
+/// Writes reports on traffic between zones to the log and to the metrics file.
 pub struct Accounts {
+    /// Names of zones and classes, for the reports.
     pub names: Names,
+    /// The name of this dispatcher.
     dispatcher: String,
+    /// Number of this process, by which a restart is recognised.
     life: u64,
     log: Logger,
-    report_every: Duration,
-    pass_at: Instant,
+    report_interval: Duration,
+    advance_at: Instant,
     report_at: Instant,
+    /// The metrics file and the queue of the thread that writes it.
     metrics: Option<(PathBuf, SyncSender<(PathBuf, Report)>)>,
 }
 
 impl Accounts {
+    /// Reports every 10 s until a configuration says otherwise.
     pub fn new(names: Names, dispatcher: String, now: Timestamp, log: Logger) -> Accounts {
-        let soon = Instant::now() + PASS;
+        let first_at = Instant::now() + ADVANCE_INTERVAL;
         Accounts {
             names,
             dispatcher,
             life: now.0,
             log,
-            report_every: Duration::from_secs(10),
-            pass_at: soon,
-            report_at: soon,
+            report_interval: Duration::from_secs(10),
+            advance_at: first_at,
+            report_at: first_at,
             metrics: None,
         }
     }
 
-    /// Follows what the operator's file says now.
-    pub fn follow(&mut self, config: &Sheet) {
-        self.report_every = Duration::from_secs_f64(config.report_s.clamp(0.5, 3_600.0));
-        self.report_at = self.report_at.min(Instant::now() + self.report_every);
-        let named =
-            Some(PathBuf::from(&config.metrics)).filter(|path| !path.as_os_str().is_empty());
-        self.metrics = match (named, self.metrics.take()) {
+    /// Applies a new configuration. The reporting interval is kept between 0.5 s and 1 h.
+    pub fn apply_config(&mut self, config: &Sheet) {
+        self.report_interval = Duration::from_secs_f64(config.report_s.clamp(0.5, 3_600.0));
+        self.report_at = self.report_at.min(Instant::now() + self.report_interval);
+        let path = Some(PathBuf::from(&config.metrics)).filter(|path| !path.as_os_str().is_empty());
+        self.metrics = match (path, self.metrics.take()) {
             (Some(path), Some((_, to))) => Some((path, to)),
-            (Some(path), None) => writer(self.log.clone()).map(|to| (path, to)),
+            (Some(path), None) => spawn_metrics_writer(self.log.clone()).map(|to| (path, to)),
             (None, _) => None,
         };
     }
 
-    /// When it has something to do next.
-    pub fn next(&self) -> Instant {
-        self.pass_at.min(self.report_at)
+    /// When `advance` has something to do next.
+    pub fn next_due(&self) -> Instant {
+        self.advance_at.min(self.report_at)
     }
 
+    /// Brings the account up to date and writes the reports that are due.
     pub fn advance(&mut self, zones: &mut Zones, now: Timestamp, instant: Instant) {
-        if instant >= self.pass_at {
-            self.pass_at = instant + PASS;
+        if instant >= self.advance_at {
+            self.advance_at = instant + ADVANCE_INTERVAL;
             for rise in zones.advance(now) {
-                let what = serde_json::to_string(&rise).unwrap_or_default();
-                let zone =
-                    |nth: u16| trailproxy_zones::report::name(&self.names.zones, usize::from(nth));
+                let details = serde_json::to_string(&rise).unwrap_or_default();
+                let zone = |index: u16| {
+                    trailproxy_zones::report::name(&self.names.zones, usize::from(index))
+                };
                 info!(self.log, "{}", if rise.begins { "rise" } else { "rise over" };
-                    "out_of" => zone(rise.from), "into" => zone(rise.to), "what" => what);
+                    "out_of" => zone(rise.from), "into" => zone(rise.to), "what" => details);
             }
         }
         if instant >= self.report_at {
-            self.report_at = instant + self.report_every;
-            self.tell(zones, now);
+            self.report_at = instant + self.report_interval;
+            self.write_report(zones, now);
         }
     }
 
-    /// One report now.
-    pub fn tell(&mut self, zones: &mut Zones, now: Timestamp) {
+    /// Writes a report now.
+    pub fn write_report(&mut self, zones: &mut Zones, now: Timestamp) {
         let report = Report::of(zones, &self.names, &self.dispatcher, self.life, now);
         let text = serde_json::to_string(&report).unwrap_or_default();
         info!(self.log, "zones"; "report" => text);
@@ -99,16 +107,17 @@
     }
 }
 
-fn writer(log: Logger) -> Option<SyncSender<(PathBuf, Report)>> {
+/// Starts the thread that writes the metrics file. `None` if no thread can be started.
+fn spawn_metrics_writer(log: Logger) -> Option<SyncSender<(PathBuf, Report)>> {
     let (to, from) = sync_channel::<(PathBuf, Report)>(1);
-    let noted = log.clone();
+    let thread_log = log.clone();
     let run = move || {
         let mut failed = false;
         while let Ok((path, report)) = from.recv() {
-            let written = write(&path, &report);
-            // Told once, and again when it has worked between.
+            let written = write_metrics(&path, &report);
+            // Logged once for each series of failures.
             if let (Err(e), false) = (&written, failed) {
-                warn!(noted, "metrics can't be written"; "file" => %path.display(), "why" => %e);
+                warn!(thread_log, "metrics can't be written"; "file" => %path.display(), "why" => %e);
             }
             failed = written.is_err();
         }
@@ -125,16 +134,17 @@
     }
 }
 
-/// A reader finds the file before or the file after, never half of one.
-fn write(path: &Path, report: &Report) -> std::io::Result<()> {
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".new");
-    std::fs::write(&beside, text(report))?;
-    std::fs::rename(&beside, path)
+/// Replaces the file in one step, so that a reader never finds a partly written one.
+fn write_metrics(path: &Path, report: &Report) -> std::io::Result<()> {
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".new");
+    std::fs::write(&temporary, prometheus_text(report))?;
+    std::fs::rename(&temporary, path)
 }
 
+/// Labels of the traffic between two zones. The field names are the label names.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct OfLine {
+struct CrossingLabels {
     out_of: String,
     into: String,
     tier: String,
@@ -142,75 +152,79 @@
     cause: String,
 }
 
+/// Label of a budget.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct OfName {
+struct BudgetLabels {
     name: String,
 }
 
+/// Label of a class of requests.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
-struct OfTrack {
+struct ClassLabels {
     track: String,
 }
 
-type Sum = Counter<f64, AtomicU64>;
-type Level = Gauge<f64, AtomicU64>;
+type FloatCounter = Counter<f64, AtomicU64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// A report as Prometheus text, in bytes.
-pub fn text(report: &Report) -> String {
+/// A report as Prometheus text; amounts are in bytes.
+pub fn prometheus_text(report: &Report) -> String {
     let (bytes, moves) = (
-        Family::<OfLine, Sum>::default(),
-        Family::<OfLine, Counter>::default(),
+        Family::<CrossingLabels, FloatCounter>::default(),
+        Family::<CrossingLabels, Counter>::default(),
     );
     for line in &report.lines {
-        let of = OfLine {
+        let labels = CrossingLabels {
             out_of: line.from.clone(),
             into: line.to.clone(),
             tier: line.tier.clone(),
             track: line.track.clone(),
             cause: line.cause.clone(),
         };
-        bytes.get_or_create(&of).inc_by((line.kb * 1024.0).max(0.0));
-        moves.get_or_create(&of).inc_by(line.moves);
+        bytes
+            .get_or_create(&labels)
+            .inc_by((line.kb * 1024.0).max(0.0));
+        moves.get_or_create(&labels).inc_by(line.moves);
     }
     let (rates, saved) = (
-        Family::<OfName, Level>::default(),
-        Family::<OfName, Level>::default(),
+        Family::<BudgetLabels, FloatGauge>::default(),
+        Family::<BudgetLabels, FloatGauge>::default(),
     );
     for budget in &report.budgets {
-        let of = OfName {
+        let labels = BudgetLabels {
             name: budget.name.clone(),
         };
-        rates.get_or_create(&of).set(budget.kb_per_s * 1024.0);
-        saved.get_or_create(&of).set(budget.saved_kb * 1024.0);
+        rates.get_or_create(&labels).set(budget.kb_per_s * 1024.0);
+        saved.get_or_create(&labels).set(budget.saved_kb * 1024.0);
     }
-    let refused = Family::<OfTrack, Counter>::default();
-    for of in &report.turned_away {
-        let track = of.track.clone();
+    let refused = Family::<ClassLabels, Counter>::default();
+    for class in &report.turned_away {
+        let track = class.track.clone();
         refused
-            .get_or_create(&OfTrack { track })
-            .inc_by(of.accesses);
+            .get_or_create(&ClassLabels { track })
+            .inc_by(class.accesses);
     }
-    let under_way = Level::default();
-    under_way.set(report.under_way_kb * 1024.0);
+    let in_flight = FloatGauge::default();
+    in_flight.set(report.under_way_kb * 1024.0);
     let mut registry = Registry::with_prefix("trailproxy");
-    let of_bytes = || Unit::Bytes;
-    registry.register_with_unit("crossed", "What crossed between zones", of_bytes(), bytes);
+    let unit = || Unit::Bytes;
+    registry.register_with_unit("crossed", "What crossed between zones", unit(), bytes);
     registry.register(
         "crossings",
         "Hand-offs that moved something between zones",
         moves,
     );
-    let rate = "Rate that a budget allows all dispatchers of its zone, in bytes a second";
-    registry.register("budget_rate", rate, rates);
-    let left = "What this dispatcher has saved of a budget; owed where negative";
-    registry.register_with_unit("budget_saved", left, of_bytes(), saved);
+    let rate_help = "Rate that a budget allows all dispatchers of its zone, in bytes a second";
+    registry.register("budget_rate", rate_help, rates);
+    let saved_help = "What this dispatcher has saved of a budget; owed where negative";
+    registry.register_with_unit("budget_saved", saved_help, unit(), saved);
     registry.register(
         "no_room",
         "Accesses that found no room in a budget",
         refused,
     );
-    let flying = "Expected of what is under way between zones";
-    registry.register_with_unit("under_way", flying, of_bytes(), under_way);
+    let in_flight_help = "Expected of what is under way between zones";
+    registry.register_with_unit("under_way", in_flight_help, unit(), in_flight);
     let mut text = String::new();
     let _ = encode(&mut text, &registry);
     text
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -21,7 +21,7 @@
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
         {
-            accounts.tell(zones, now);
+            accounts.write_report(zones, now);
         }
     }
 
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -196,7 +196,7 @@
                 .accounts
                 .as_ref()
                 .filter(|_| self.decisions.crossings.zones.is_some());
-            let account_at = accounts.map_or(report_at, |(accounts, ..)| accounts.next());
+            let account_at = accounts.map_or(report_at, |(accounts, ..)| accounts.next_due());
             let until = self.next_wakeup().min(report_at).min(account_at);
             let first = tokio::select! {
                 biased;
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -194,7 +194,7 @@
             return;
         };
         let (config, rules) = *section;
-        accounts.follow(&config);
+        accounts.apply_config(&config);
         info!(self.log, "zones are on"; "file" => &config.file, "limits" => rules.limits.len());
         match crossings {
             Some(zones) => zones.change(now, rules),
