--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -27,7 +27,7 @@
 
 use serving::serve;
 use slog::{Drain, Logger, o};
-use starting::{persist, without_panic};
+use starting::{retry, without_panic};
 use std::process::ExitCode;
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -84,13 +84,13 @@
 
 /// Starts, serves, and ends by a signal.
 fn run() -> Result<(), String> {
-    let runtime = persist(|| without_panic("the runtime can't be started", new_runtime))?;
+    let runtime = retry(|| without_panic("the runtime can't be started", new_runtime))?;
     // Before anything else: until they are heard, a signal ends the process by itself.
     let hear = || runtime.block_on(async { Signals::hear() });
-    let signals = persist(|| without_panic("signals can't be heard", hear))?;
-    let start = persist(startup::read)?;
+    let signals = retry(|| without_panic("signals can't be heard", hear))?;
+    let start = retry(startup::read)?;
     let begin_log = || Ok(logging::new_log());
-    let (drain, guard) = persist(|| without_panic("the log can't be started", begin_log))?;
+    let (drain, guard) = retry(|| without_panic("the log can't be started", begin_log))?;
     let log = Logger::root(drain.fuse(), o!("name" => start.name.clone()));
     let ended = LocalSet::new().block_on(&runtime, serve(start, signals, log));
     logging::finish(guard);
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -98,10 +98,10 @@
             let why = format!("{path}: found no sections ({error})");
             match error.is_eof() {
                 true => StepError::HalfWritten(why),
-                false => StepError::Unfit(why),
+                false => StepError::Invalid(why),
             }
         })?;
-        self.sections(all, against).map_err(StepError::Unfit)
+        self.sections(all, against).map_err(StepError::Invalid)
     }
 
     /// What the sections say.
@@ -188,13 +188,13 @@
         };
         let ended = timeout(WITHIN, whole).await;
         let (status, said, complained) = ended.map_err(|_| {
-            StepError::Unfit(format!(
+            StepError::Invalid(format!(
                 "{reader} said nothing of {} within {WITHIN:?}",
                 self.path.display()
             ))
         })?;
         if said.len() as u64 >= MOST_BYTES {
-            return Err(StepError::Unfit(format!(
+            return Err(StepError::Invalid(format!(
                 "{reader} said more than {MOST_BYTES} bytes of {}",
                 self.path.display()
             )));
@@ -202,7 +202,7 @@
         if !status.is_ok_and(|status| status.success()) {
             let words = String::from_utf8_lossy(&complained);
             let words = words.trim().trim_start_matches("trailproxy: ");
-            return Err(StepError::Unfit(match words {
+            return Err(StepError::Invalid(match words {
                 "" => format!("{reader} failed on {}", self.path.display()),
                 words => words.to_owned(),
             }));
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -3,7 +3,7 @@
 use crate::list;
 use crate::messages::{Inbound, InboundSender};
 use crate::operator::{Against, Source, Told};
-use crate::starting::persist_awake;
+use crate::starting::retry_async;
 use crate::startup::{self, Start};
 use local_channel::mpsc;
 use serde_json::Value;
@@ -29,7 +29,7 @@
         let log = &followers.log;
         let read = async || startup::read();
         let tell = |why: &str| info!(log, "new configuration not read yet"; "why" => why);
-        let start = match persist_awake(tell, read).await {
+        let start = match retry_async(tell, read).await {
             Ok(start) => start,
             // It changes nothing.
             Err(why) => {
@@ -63,7 +63,7 @@
     };
     let read = async || source.read(against).await;
     let tell = |why: &str| info!(log, "operator's file not read yet"; "why" => why);
-    persist_awake(tell, read).await
+    retry_async(tell, read).await
 }
 
 /// What the dispatcher runs by: the file that was read last, with the settings that hold, and what of its start
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -8,7 +8,7 @@
 use crate::pulse::Pulse;
 use crate::reload::{Followers, Running, follow_hangups, read_operator};
 use crate::servers::Pools;
-use crate::starting::{StepError, persist_awake};
+use crate::starting::{StepError, retry_async};
 use crate::startup::Start;
 use crate::trace::Trace;
 use crate::{Signals, client_slots, clients, link_context, list, operator, subsystems};
@@ -157,7 +157,7 @@
         bind(listen).map_err(failed)
     };
     let tell = |why: &str| warn!(log, "can't listen yet"; "why" => why);
-    persist_awake(tell, listens).await
+    retry_async(tell, listens).await
 }
 
 fn bind(listen: SocketAddr) -> std::io::Result<TcpListener> {
--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -1,6 +1,6 @@
-//! The steps of a start, each tried again while its failure may pass.
+//! The steps of a start. Each is retried while its failure may be temporary.
 //!
-//! Which failures may pass, and for how long they are waited for, is told by `policy/system_errors`.
+//! `policy/system_errors` says which failures may be temporary, and for how long they are retried.
 
 use crate::system_calls::errno;
 use std::any::Any;
@@ -12,112 +12,120 @@
 };
 use trailproxy::units::TimeSpan;
 
-/// Why a step has not been done.
+/// Why a step failed.
 #[derive(Debug)]
 pub enum StepError {
-    /// A system call failed; the text says what was tried.
+    /// A system call failed; the text names the operation.
     System(String, io::Error),
-    /// A file seems to be half written.
+    /// A file seems to be partly written.
     HalfWritten(String),
-    /// What it was told can't be followed, however often it is tried.
-    Unfit(String),
+    /// The input is invalid, however often it is read.
+    Invalid(String),
 }
 
 impl StepError {
+    /// The message for the log.
     fn text(&self) -> String {
         match self {
-            StepError::System(what, error) => format!("{what}: {error}"),
-            StepError::HalfWritten(why) | StepError::Unfit(why) => why.clone(),
+            StepError::System(operation, error) => format!("{operation}: {error}"),
+            StepError::HalfWritten(reason) | StepError::Invalid(reason) => reason.clone(),
         }
     }
 
-    /// For how long the step is tried that fails so.
-    fn tries_for(&self) -> Duration {
-        let span = match self {
+    /// For how long a step that failed in this way is retried.
+    fn retry_time(&self) -> Duration {
+        let retry_time = match self {
             StepError::System(_, error) => start_tries_for(errno(error)),
             StepError::HalfWritten(_) => START_IS_TAKEN_FOR,
-            StepError::Unfit(_) => TimeSpan::ZERO,
+            StepError::Invalid(_) => TimeSpan::ZERO,
         };
-        Duration::from_micros(span.0)
+        Duration::from_micros(retry_time.0)
     }
 }
 
-/// The tries of one step.
-struct Tries {
-    began: Instant,
+/// The retries of one step.
+struct Retries {
+    started_at: Instant,
     pause: Duration,
 }
 
-impl Tries {
-    fn new() -> Tries {
-        Tries {
-            began: Instant::now(),
+impl Retries {
+    fn new() -> Retries {
+        Retries {
+            started_at: Instant::now(),
             pause: Duration::from_micros(START_AGAIN.0),
         }
     }
 
-    /// How long to wait before the next try, with a line that says why; the error: it has lasted too long.
-    fn again(&mut self, error: &StepError) -> Result<(Duration, String), String> {
-        let tried = self.began.elapsed();
+    /// The pause before the next try, with a message for the log. The error: the step has been
+    /// tried for long enough.
+    fn next_pause(&mut self, error: &StepError) -> Result<(Duration, String), String> {
+        let tried = self.started_at.elapsed();
         let (text, seconds) = (error.text(), tried.as_secs_f64());
-        let most = error.tries_for();
-        if matches!(error, StepError::Unfit(_)) {
+        let retry_time = error.retry_time();
+        if matches!(error, StepError::Invalid(_)) {
             return Err(text);
         }
-        if tried >= most {
+        if tried >= retry_time {
             return Err(format!("{text}, tried for {seconds:.1} s"));
         }
         let pause = self.pause;
-        let longest = Duration::from_micros(START_AGAIN_AT_MOST.0);
-        self.pause = (pause * 2).min(longest);
+        let max_pause = Duration::from_micros(START_AGAIN_AT_MOST.0);
+        self.pause = (pause * 2).min(max_pause);
         Ok((pause, format!("{text}, tried for {seconds:.1} s so far")))
     }
 }
 
-/// Tries a step until it is done, without a runtime. Each failure is told on standard output.
-pub fn persist<T>(mut step: impl FnMut() -> Result<T, StepError>) -> Result<T, String> {
-    let mut tries = Tries::new();
+/// Tries a step until it succeeds, without a runtime. Each failure is written to standard output.
+pub fn retry<T>(mut step: impl FnMut() -> Result<T, StepError>) -> Result<T, String> {
+    let mut retries = Retries::new();
     loop {
         let error = match step() {
             Ok(done) => return Ok(done),
             Err(error) => error,
         };
-        let (pause, why) = tries.again(&error)?;
-        // There is no log yet, and nobody is lost if nobody reads this.
-        let _ = writeln!(io::stdout(), "trailproxyd: not started yet: {why}");
+        let (pause, reason) = retries.next_pause(&error)?;
+        // There is no log yet, and a failed write must not end the start.
+        let _ = writeln!(io::stdout(), "trailproxyd: not started yet: {reason}");
         std::thread::sleep(pause);
     }
 }
 
-/// The same within the runtime, which goes on meanwhile.
-pub async fn persist_awake<T>(
-    tell: impl Fn(&str),
+/// As `retry`, within the runtime: other tasks continue during the pauses.
+pub async fn retry_async<T>(
+    log_failure: impl Fn(&str),
     mut step: impl AsyncFnMut() -> Result<T, StepError>,
 ) -> Result<T, String> {
-    let mut tries = Tries::new();
+    let mut retries = Retries::new();
     loop {
         let error = match step().await {
             Ok(done) => return Ok(done),
             Err(error) => error,
         };
-        let (pause, why) = tries.again(&error)?;
-        tell(&why);
+        let (pause, reason) = retries.next_pause(&error)?;
+        log_failure(&reason);
         tokio::time::sleep(pause).await;
     }
 }
 
-/// Runs what panics where the system lacks descriptors, threads or memory, and takes that for a failure that may pass.
-pub fn without_panic<T>(what: &str, step: impl FnOnce() -> io::Result<T>) -> Result<T, StepError> {
+/// Runs a step that panics where the system lacks descriptors, threads or memory, and turns the
+/// panic into an error that may be temporary.
+pub fn without_panic<T>(
+    operation: &str,
+    step: impl FnOnce() -> io::Result<T>,
+) -> Result<T, StepError> {
     let hook = take_hook();
     set_hook(Box::new(|_| {}));
     let done = catch_unwind(AssertUnwindSafe(step));
     set_hook(hook);
-    let done = done.unwrap_or_else(|panic| Err(as_lack(panic.as_ref())));
-    done.map_err(|error| StepError::System(what.to_owned(), error))
+    let done = done.unwrap_or_else(|panic| Err(error_of_panic(panic.as_ref())));
+    done.map_err(|error| StepError::System(operation.to_owned(), error))
 }
 
-/// What a library says of itself as it panics over a failed call.
-fn as_lack(panic: &(dyn Any + Send)) -> io::Error {
+/// The error behind a panic. Libraries panic with a formatted message, a `String`, when a system
+/// call fails; the error is then the last one of the system. Otherwise a lack of descriptors is
+/// assumed.
+fn error_of_panic(panic: &(dyn Any + Send)) -> io::Error {
     let last = io::Error::last_os_error();
     match panic.is::<String>() && errno(&last) != 0 {
         true => last,
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -37,14 +37,14 @@
 
 /// Reads all of it; the error says in plain words what is wrong.
 pub fn read() -> Result<Start, StepError> {
-    let unset = || StepError::Unfit("RELAY_CONFIG is not set".into());
+    let unset = || StepError::Invalid("RELAY_CONFIG is not set".into());
     let path = variable("RELAY_CONFIG").ok_or_else(unset)?;
     let text = std::fs::read_to_string(&path)
         .map_err(|error| StepError::System(format!("{path} can't be read"), error))?;
     let json: Value = serde_json::from_str(&text).map_err(|e| not_json(&path, &e))?;
     let start = from_json(&json, variable("RELAY_NAME"), variable("RELAY_LISTEN"));
     start.map_err(|why| {
-        StepError::Unfit(match line_of(&text, &why) {
+        StepError::Invalid(match line_of(&text, &why) {
             Some(line) => format!("{path}, line {line}: {why}"),
             None => format!("{path}: {why}"),
         })
@@ -56,7 +56,7 @@
     let why = format!("{path} is not JSON: {error}");
     match error.is_eof() {
         true => StepError::HalfWritten(why),
-        false => StepError::Unfit(why),
+        false => StepError::Invalid(why),
     }
 }
 
