--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -4,7 +4,7 @@
 use crate::messages::{Inbound, InboundSender};
 use crate::operator::{Against, Source, Told};
 use crate::starting::retry_async;
-use crate::startup::{self, Start};
+use crate::startup::{self, StartConfig};
 use local_channel::mpsc;
 use serde_json::Value;
 use slog::{Logger, info, warn};
@@ -77,15 +77,15 @@
 impl Running {
     /// Why other settings can't be followed without a new start: requests that are open, and host entries that
     /// are known, name tracks, zones and kinds by their places, and sockets keep their bounds.
-    fn differs(&self, start: &Start) -> Option<&'static str> {
+    fn differs(&self, start: &StartConfig) -> Option<&'static str> {
         let effects =
             |terms: &DispatcherSettings| terms.classes.iter().map(|t| t.effect).collect::<Vec<_>>();
         let kinds = |terms: &DispatcherSettings| (terms.parent_kind, terms.origin_kind, terms.zone);
         if self.bounds != start.bounds {
             Some("names of tracks, zones or kinds, outer limits, or bounds of sockets")
-        } else if effects(&self.terms) != effects(&start.terms) {
+        } else if effects(&self.terms) != effects(&start.settings) {
             Some("whether a track may run again")
-        } else if kinds(&self.terms) != kinds(&start.terms) {
+        } else if kinds(&self.terms) != kinds(&start.settings) {
             Some("the own zone, or which kinds are parents and the origin")
         } else {
             None
@@ -95,7 +95,11 @@
     /// What a new file says of the journal service holds at once, and other settings do if what is open can go on under
     /// them; what else it changes needs a new start. What comes back is the operator's own file, if it names one, to be
     /// read again as well, and the settings to follow.
-    fn compare(&mut self, start: Start, followers: &Followers) -> (Option<Source>, Option<Other>) {
+    fn compare(
+        &mut self,
+        start: StartConfig,
+        followers: &Followers,
+    ) -> (Option<Source>, Option<Other>) {
         let changed = |name: &&str| self.file.get(name) != start.file.get(name);
         let differs = self.differs(&start);
         let follows = changed(&"settings") && differs.is_none();
@@ -107,7 +111,7 @@
             warn!(log, "settings wait for a new start"; "what" => why);
         }
         info!(log, "configuration read again"; "journal" => start.journal.map(|at| at.to_string()),
-            "known" => start.known_until, "needs_a_new_start" => waiting);
+            "known" => start.known_position, "needs_a_new_start" => waiting);
         // Until others are followed, those that hold are what the next file is held against.
         let mut file = start.file;
         let settings = std::mem::replace(&mut file["settings"], self.file["settings"].take());
@@ -116,7 +120,7 @@
             address: start.journal,
             known: start.known,
         });
-        let other = follows.then_some((settings, (start.terms, start.reports)));
+        let other = follows.then_some((settings, (start.settings, start.reports)));
         (start.operator, other)
     }
 }
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -9,7 +9,7 @@
 use crate::reload::{Followers, Running, follow_hangups, read_operator};
 use crate::servers::Pools;
 use crate::starting::{StepError, retry_async};
-use crate::startup::Start;
+use crate::startup::StartConfig;
 use crate::trace::Trace;
 use crate::{Signals, client_slots, clients, link_context, list, operator, subsystems};
 use local_channel::mpsc;
@@ -27,7 +27,7 @@
 const RESERVE: usize = 20;
 
 /// Serves until a signal ends it.
-pub async fn serve(start: Start, signals: Signals, log: Logger) -> Result<(), String> {
+pub async fn serve(start: StartConfig, signals: Signals, log: Logger) -> Result<(), String> {
     let Signals {
         hangup,
         mut terminate,
@@ -39,8 +39,8 @@
     };
     let against = operator::Against {
         names: names.clone(),
-        longest_window: operator::longest_window(&start.terms, start.bounds.longest_limit),
-        purges_last: start.terms.purge_propagation,
+        longest_window: operator::longest_window(&start.settings, start.bounds.longest_limit),
+        purges_last: start.settings.purge_propagation,
         peers: start.peers.clone(),
     };
     let told = tokio::select! {
@@ -73,7 +73,7 @@
         log: log.clone(),
         trace: Trace::new(&log),
     });
-    info!(log, "started"; "listen" => %listen, "known" => start.known_until, "unread" => start.known_unread,
+    info!(log, "started"; "listen" => %listen, "known" => start.known_position, "unread" => start.known_unreadable,
         "descriptors" => start.descriptors, "memory" => start.memory_bytes);
     let (stop, stopped) = mpsc::channel();
     tokio::task::spawn_local(clients::accept(listener, stopped, shared.clone()));
@@ -81,7 +81,7 @@
     let journal = list::Journal {
         address: start.journal,
         names: start.names,
-        last: start.known_until,
+        last: start.known_position,
         again: list::CALL_AGAIN,
         chance: fastrand::Rng::with_seed(start.seed.rotate_left(17)),
         queue: queue.clone(),
@@ -91,7 +91,7 @@
     tokio::task::spawn_local(list::follow(journal, moves));
     let running = Running {
         file: start.file,
-        terms: start.terms.clone(),
+        terms: start.settings.clone(),
         bounds: start.bounds.clone(),
     };
     let followers = Followers {
@@ -112,7 +112,7 @@
         });
     }
     let effects = start
-        .terms
+        .settings
         .classes
         .iter()
         .map(|track| track.effect)
@@ -124,8 +124,12 @@
         Clock::new().timestamp(Instant::now()),
         log.clone(),
     );
-    let terms = start.terms.clone();
-    let decisions = Dispatcher::new(subsystems::Subsystems::default(), start.terms, start.seed);
+    let terms = start.settings.clone();
+    let decisions = Dispatcher::new(
+        subsystems::Subsystems::default(),
+        start.settings,
+        start.seed,
+    );
     let most_lines = start.descriptors.saturating_sub(most_clients + RESERVE);
     let pools = Pools::new(Rc::new(link_context::Shared {
         queue,
