--- a/crates/trailproxyd/src/logging.rs
+++ b/crates/trailproxyd/src/logging.rs
@@ -1,5 +1,5 @@
-//! The log on standard output: written by a thread of its own, which outlasts writes that fail, and which nothing waits
-//! for.
+//! The log on standard output. A thread of its own writes it, continues after failed writes, and
+//! delays no other task.
 
 use slog::{Drain, Level, Never, OwnedKVList, Record, b, record};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
@@ -8,46 +8,49 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// Lines that wait for the log's own thread; more are dropped and their number is logged.
-const LOG_LINES: usize = 4096;
-/// The last lines have so long to go out. Whoever reads them may not read.
-const LAST_LINES_WITHIN: Duration = Duration::from_millis(300);
+/// How many lines may wait for the log thread. Further lines are dropped and their number is
+/// logged.
+const MAX_QUEUED_LINES: usize = 4096;
+/// How long the last lines may take to be written: the reader of the log may have stopped reading.
+const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A log, and what lets its last lines go out.
+/// Creates the log, with a guard that writes the remaining lines when it is dropped.
 pub fn new_log() -> (Async, AsyncGuard) {
     let plain = slog_term::PlainDecorator::new(std::io::stdout());
     let lines = slog_term::FullFormat::new(plain)
         .use_utc_timestamp()
         .build();
     let lost = AtomicU64::new(0);
-    Async::new(Lasting { lines, lost })
-        .chan_size(LOG_LINES)
+    Async::new(PersistentDrain { lines, lost })
+        .chan_size(MAX_QUEUED_LINES)
         .overflow_strategy(OverflowStrategy::DropAndReport)
         .build_with_guard()
 }
 
-/// Waits for the last lines, for as long as they may take.
+/// Waits until the last lines are written, for a limited time.
 pub fn finish(guard: AsyncGuard) {
-    let (tell, told) = channel();
-    // Where no thread can be had, it is left as it is: to drop it here would wait without end.
+    let (done, finished) = channel();
+    // If no thread can be started, the guard is not dropped: dropping it here could wait without
+    // end.
     let guard = ManuallyDrop::new(guard);
-    let waiting = std::thread::Builder::new().spawn(move || {
+    let thread = std::thread::Builder::new().spawn(move || {
         drop(ManuallyDrop::into_inner(guard));
-        let _ = tell.send(());
+        let _ = done.send(());
     });
-    if waiting.is_ok() {
-        let _ = told.recv_timeout(LAST_LINES_WITHIN);
+    if thread.is_ok() {
+        let _ = finished.recv_timeout(LAST_LINES_TIMEOUT);
     }
 }
 
-/// A drain that goes on after a write that failed: a disk that is full or a reader that is gone may be so for a while. How
-/// many lines were lost is said once one goes out again.
-struct Lasting<D> {
+/// A drain that continues after a failed write, because a full disk or a reader that is gone may be
+/// temporary. The number of lost lines is logged with the next line that is written.
+struct PersistentDrain<D> {
     lines: D,
+    /// Lines lost since the last one that was written.
     lost: AtomicU64,
 }
 
-impl<D: Drain> Drain for Lasting<D> {
+impl<D: Drain> Drain for PersistentDrain<D> {
     type Ok = ();
     type Err = Never;
 
