--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -1,4 +1,5 @@
-//! A trailproxy dispatcher on sockets: clients in, cache hosts out, the journal service beside.
+//! A trailproxy dispatcher as a process: it serves clients, fetches from cache hosts, parents and
+//! the origin, and follows the journal service.
 
 mod accounts;
 mod checks;
@@ -34,6 +35,7 @@
 use tokio::task::LocalSet;
 use trailproxyd::{buffered, http, msgpack, pulse, resp, ring, sse};
 
+/// The text of `--help`.
 const HELP: &str = "\
 trailproxyd: a trailproxy dispatcher on sockets
 
@@ -50,8 +52,8 @@
 SIGHUP reads the configuration again; SIGTERM and SIGINT end it once all is answered.
 Exit codes: 0 after a signal; 1 where it can't start; 2 for arguments that it does not take.";
 
-/// What it says to an argument, and how it ends then.
-fn told_by(arguments: &[String]) -> Option<ExitCode> {
+/// Handles the arguments, and returns the exit code if the process ends with them.
+fn handle_arguments(arguments: &[String]) -> Option<ExitCode> {
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
     match words[..] {
         [] => return None,
@@ -68,42 +70,44 @@
     Some(ExitCode::SUCCESS)
 }
 
+/// Handles the arguments and runs the dispatcher.
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    if let Some(end) = told_by(&arguments) {
-        return end;
+    if let Some(exit_code) = handle_arguments(&arguments) {
+        return exit_code;
     }
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("trailproxyd: {why}");
+        Err(reason) => {
+            eprintln!("trailproxyd: {reason}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Starts, serves, and ends by a signal.
+/// Starts the dispatcher and serves until a signal ends it.
 fn run() -> Result<(), String> {
     let runtime = retry(|| without_panic("the runtime can't be started", new_runtime))?;
-    // Before anything else: until they are heard, a signal ends the process by itself.
-    let hear = || runtime.block_on(async { Signals::hear() });
-    let signals = retry(|| without_panic("signals can't be heard", hear))?;
+    // The first step: until the handlers are installed, a signal ends the process at once.
+    let install = || runtime.block_on(async { Signals::install() });
+    let signals = retry(|| without_panic("signals can't be heard", install))?;
     let start = retry(startup::read)?;
-    let begin_log = || Ok(logging::new_log());
-    let (drain, guard) = retry(|| without_panic("the log can't be started", begin_log))?;
+    let new_log = || Ok(logging::new_log());
+    let (drain, guard) = retry(|| without_panic("the log can't be started", new_log))?;
     let log = Logger::root(drain.fuse(), o!("name" => start.name.clone()));
-    let ended = LocalSet::new().block_on(&runtime, serve(start, signals, log));
+    let result = LocalSet::new().block_on(&runtime, serve(start, signals, log));
     logging::finish(guard);
-    ended
+    result
 }
 
+/// A runtime that runs all tasks on this thread.
 fn new_runtime() -> std::io::Result<Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
 }
 
-/// What it is told by signals.
+/// The signals that the process handles.
 struct Signals {
     hangup: Signal,
     terminate: Signal,
@@ -111,7 +115,7 @@
 }
 
 impl Signals {
-    fn hear() -> std::io::Result<Signals> {
+    fn install() -> std::io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
             terminate: signal(SignalKind::terminate())?,
