--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration is read again, and what of it can be followed is followed.
+//! SIGHUP: reads the configuration again and applies what can change without a restart.
 
 use crate::list;
 use crate::messages::{Inbound, InboundSender};
@@ -12,118 +12,140 @@
 use trailproxy::interface::DispatcherSettings;
 use trailproxy_terms::Bounds;
 
-/// Where what a new configuration says goes.
-pub struct Followers {
-    /// To whom settings and the operator's file go.
+/// Where the parts of a new configuration are sent.
+pub struct ConfigReceivers {
+    /// Receives settings and the operator's file.
     pub queue: InboundSender,
-    /// To whom the address of the journal service goes.
-    pub moved: mpsc::Sender<list::Moved>,
-    /// What the operator's file is held against.
-    pub against: Against,
+    /// Receives the address of the journal service.
+    pub journal_address: mpsc::Sender<list::Moved>,
+    /// What the operator's file is checked against.
+    pub context: Against,
+    /// Where refusals and applied changes are logged.
     pub log: Logger,
 }
 
 /// Reads the configuration again at every SIGHUP.
-pub async fn follow_hangups(mut hangup: Signal, mut running: Running, followers: Followers) {
+pub async fn handle_hangups(
+    mut hangup: Signal,
+    mut active: ActiveConfig,
+    receivers: ConfigReceivers,
+) {
     while hangup.recv().await.is_some() {
-        let log = &followers.log;
+        let log = &receivers.log;
         let read = async || startup::read();
-        let tell = |why: &str| info!(log, "new configuration not read yet"; "why" => why);
-        let start = match retry_async(tell, read).await {
+        let log_failure =
+            |reason: &str| info!(log, "new configuration not read yet"; "why" => reason);
+        let start = match retry_async(log_failure, read).await {
             Ok(start) => start,
-            // It changes nothing.
-            Err(why) => {
-                warn!(log, "new configuration refused"; "why" => why);
+            // The configuration in force stays unchanged.
+            Err(reason) => {
+                warn!(log, "new configuration refused"; "why" => reason);
                 continue;
             }
         };
-        let (source, other) = running.compare(start, &followers);
-        match read_operator(source.as_ref(), &followers.against, log).await {
-            Ok(told) => {
-                if let Some((settings, other)) = other {
-                    running.file["settings"] = settings;
-                    let _ = followers.queue.send(Inbound::Settings(Box::new(other)));
+        let (source, new_settings) = active.compare(start, &receivers);
+        match read_operator(source.as_ref(), &receivers.context, log).await {
+            Ok(config) => {
+                if let Some((file_settings, settings)) = new_settings {
+                    active.file["settings"] = file_settings;
+                    let _ = receivers.queue.send(Inbound::Settings(Box::new(settings)));
                 }
-                drop(followers.queue.send(Inbound::OperatorConfig(told)));
+                drop(receivers.queue.send(Inbound::OperatorConfig(config)));
             }
-            // The settings read with it do not hold either.
-            Err(why) => warn!(log, "operator's file refused"; "why" => why),
+            // The settings read with it are not applied either.
+            Err(reason) => warn!(log, "operator's file refused"; "why" => reason),
         }
     }
 }
 
-/// The operator's own file, where there is one. One that is being replaced is read again for a while.
+/// Reads the operator's file, if there is one. A file that is being replaced is read again for a
+/// while.
 pub async fn read_operator(
     source: Option<&Source>,
-    against: &Against,
+    context: &Against,
     log: &Logger,
 ) -> Result<Told, String> {
     let Some(source) = source else {
         return Ok(Told::default());
     };
-    let read = async || source.read(against).await;
-    let tell = |why: &str| info!(log, "operator's file not read yet"; "why" => why);
-    retry_async(tell, read).await
+    let read = async || source.read(context).await;
+    let log_failure = |reason: &str| info!(log, "operator's file not read yet"; "why" => reason);
+    retry_async(log_failure, read).await
 }
 
-/// What the dispatcher runs by: the file that was read last, with the settings that hold, and what of its start
-/// settings that are followed have in common with them.
-pub struct Running {
+/// The configuration in force: the file that was read last, with the settings in force, and the
+/// parts of the start settings that new settings must share with them.
+pub struct ActiveConfig {
+    /// The file that was read last, with the settings in force.
     pub file: Value,
-    pub terms: DispatcherSettings,
+    /// The settings of the start.
+    pub settings: DispatcherSettings,
+    /// The limits of the start.
     pub bounds: Bounds,
 }
 
-impl Running {
-    /// Why other settings can't be followed without a new start: requests that are open, and host entries that
-    /// are known, name tracks, zones and kinds by their places, and sockets keep their bounds.
-    fn differs(&self, start: &StartConfig) -> Option<&'static str> {
-        let effects =
-            |terms: &DispatcherSettings| terms.classes.iter().map(|t| t.effect).collect::<Vec<_>>();
-        let kinds = |terms: &DispatcherSettings| (terms.parent_kind, terms.origin_kind, terms.zone);
+impl ActiveConfig {
+    /// Why other settings cannot be applied without a restart, if they cannot: open requests and
+    /// known host entries refer to classes, zones and kinds by index, and connections keep their
+    /// limits.
+    fn restart_reason(&self, start: &StartConfig) -> Option<&'static str> {
+        let effects = |settings: &DispatcherSettings| {
+            settings
+                .classes
+                .iter()
+                .map(|class| class.effect)
+                .collect::<Vec<_>>()
+        };
+        let kinds = |settings: &DispatcherSettings| {
+            (settings.parent_kind, settings.origin_kind, settings.zone)
+        };
         if self.bounds != start.bounds {
-            Some("names of tracks, zones or kinds, outer limits, or bounds of sockets")
-        } else if effects(&self.terms) != effects(&start.settings) {
-            Some("whether a track may run again")
-        } else if kinds(&self.terms) != kinds(&start.settings) {
+            Some("names of classes, zones or kinds, deadlines, or limits of connections")
+        } else if effects(&self.settings) != effects(&start.settings) {
+            Some("whether a request of a class may run again")
+        } else if kinds(&self.settings) != kinds(&start.settings) {
             Some("the own zone, or which kinds are parents and the origin")
         } else {
             None
         }
     }
 
-    /// What a new file says of the journal service holds at once, and other settings do if what is open can go on under
-    /// them; what else it changes needs a new start. What comes back is the operator's own file, if it names one, to be
-    /// read again as well, and the settings to follow.
+    /// Compares a new file with the one in force. Changes of the journal service apply at once, and
+    /// other settings apply if open requests can continue under them; other changes need a restart.
+    /// Returns where the operator's file is, if the new file names one, which is to be read again
+    /// as well, and the settings to apply.
     fn compare(
         &mut self,
         start: StartConfig,
-        followers: &Followers,
-    ) -> (Option<Source>, Option<Other>) {
+        receivers: &ConfigReceivers,
+    ) -> (Option<Source>, Option<NewSettings>) {
         let changed = |name: &&str| self.file.get(name) != start.file.get(name);
-        let differs = self.differs(&start);
-        let follows = changed(&"settings") && differs.is_none();
-        let fixed = ["settings", "limits", "listen", "name"].into_iter();
-        let waits = |name: &&str| changed(name) && !(follows && *name == "settings");
-        let waiting = fixed.filter(waits).collect::<Vec<_>>().join(" ");
-        let log = &followers.log;
-        if let Some(why) = differs {
-            warn!(log, "settings wait for a new start"; "what" => why);
+        let restart_reason = self.restart_reason(&start);
+        let applies = changed(&"settings") && restart_reason.is_none();
+        let restart_only = ["settings", "limits", "listen", "name"].into_iter();
+        let needs_restart = |name: &&str| changed(name) && !(applies && *name == "settings");
+        let pending = restart_only
+            .filter(needs_restart)
+            .collect::<Vec<_>>()
+            .join(" ");
+        let log = &receivers.log;
+        if let Some(reason) = restart_reason {
+            warn!(log, "settings wait for a new start"; "what" => reason);
         }
         info!(log, "configuration read again"; "journal" => start.journal.map(|at| at.to_string()),
-            "known" => start.known_position, "needs_a_new_start" => waiting);
-        // Until others are followed, those that hold are what the next file is held against.
+            "known" => start.known_position, "needs_a_new_start" => pending);
+        // Until new settings are applied, the next file is compared with those in force.
         let mut file = start.file;
         let settings = std::mem::replace(&mut file["settings"], self.file["settings"].take());
         self.file = file;
-        let _ = followers.moved.send(list::Moved {
+        let _ = receivers.journal_address.send(list::Moved {
             address: start.journal,
             known: start.known,
         });
-        let other = follows.then_some((settings, (start.settings, start.reports)));
-        (start.operator, other)
+        let new_settings = applies.then_some((settings, (start.settings, start.reports)));
+        (start.operator, new_settings)
     }
 }
 
-/// Settings to follow, as the file has them and as they are read.
-type Other = (Value, (DispatcherSettings, trailproxy_terms::Reports));
+/// Settings to apply, as they stand in the file and as they are read.
+type NewSettings = (Value, (DispatcherSettings, trailproxy_terms::Reports));
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -1,4 +1,4 @@
-//! Everything that runs while it serves, put together.
+//! Builds and runs all tasks of a serving dispatcher.
 
 use crate::accounts::Accounts;
 use crate::buffered::Held;
@@ -6,7 +6,7 @@
 use crate::dispatch::Dispatch;
 use crate::messages::{Clock, Inbound};
 use crate::pulse::Pulse;
-use crate::reload::{Followers, Running, follow_hangups, read_operator};
+use crate::reload::{ActiveConfig, ConfigReceivers, handle_hangups, read_operator};
 use crate::servers::Pools;
 use crate::starting::{StepError, retry_async};
 use crate::startup::StartConfig;
@@ -22,9 +22,10 @@
 use tokio::time::Instant;
 use trailproxy::logic::Dispatcher;
 
+/// How many clients may wait in the backlog of the listener.
 const BACKLOG: u32 = 1024;
 /// Descriptors kept for the listener, the journal, the log and the runtime, which take 15 at most.
-const RESERVE: usize = 20;
+const RESERVED_DESCRIPTORS: usize = 20;
 
 /// Serves until a signal ends it.
 pub async fn serve(start: StartConfig, signals: Signals, log: Logger) -> Result<(), String> {
@@ -37,34 +38,37 @@
         zones: start.bounds.zone_names.clone(),
         tracks: start.bounds.track_names.clone(),
     };
-    let against = operator::Against {
+    let context = operator::Against {
         names: names.clone(),
         longest_window: operator::longest_window(&start.settings, start.bounds.longest_limit),
         purges_last: start.settings.purge_propagation,
         peers: start.peers.clone(),
     };
-    let told = tokio::select! {
-        told = read_operator(start.operator.as_ref(), &against, &log) => told?,
-        // Nothing has been taken yet: asked to end, it just ends.
+    let config = tokio::select! {
+        config = read_operator(start.operator.as_ref(), &context, &log) => config?,
+        // No client is accepted yet, so the process ends at once when it is asked to.
         _ = terminate.recv() => return Ok(()),
         _ = interrupt.recv() => return Ok(()),
     };
     let listen = start.listen;
     let listener = tokio::select! {
-        listener = listen_patiently(listen, &log) => listener?,
+        listener = listen_with_retries(listen, &log) => listener?,
         _ = terminate.recv() => return Ok(()),
         _ = interrupt.recv() => return Ok(()),
     };
     let (queue, inbound) = mpsc::channel();
     let (counts, held) = (Rc::new(Counts::default()), Held::default());
     let pulse = Rc::new(Pulse::default());
-    // Usual clients hold a third; what others hold beyond that is closed when it is wanted.
-    let most_clients = start.descriptors / 2;
-    let tracks = start.bounds.track_names.iter().cloned();
+    // Clients of ordinary behaviour hold a third of the descriptors. Connections beyond that are
+    // closed when a slot is needed.
+    let max_clients = start.descriptors / 2;
+    let class_names = start.bounds.track_names.iter().cloned();
     let shared = Rc::new(clients::Shared {
         queue: queue.clone(),
-        tracks: tracks.zip((0..).map(trailproxy::units::ClassId)).collect(),
-        places: RefCell::new(client_slots::Slots::new(most_clients)),
+        tracks: class_names
+            .zip((0..).map(trailproxy::units::ClassId))
+            .collect(),
+        places: RefCell::new(client_slots::Slots::new(max_clients)),
         longest_limit: Duration::from_micros(start.bounds.longest_limit.0),
         ending: Cell::new(false),
         held: held.clone(),
@@ -77,7 +81,7 @@
         "descriptors" => start.descriptors, "memory" => start.memory_bytes);
     let (stop, stopped) = mpsc::channel();
     tokio::task::spawn_local(clients::accept(listener, stopped, shared.clone()));
-    let (moved, moves) = mpsc::channel();
+    let (journal_address, address_changes) = mpsc::channel();
     let journal = list::Journal {
         address: start.journal,
         names: start.names,
@@ -88,26 +92,26 @@
         counts: counts.clone(),
         log: log.clone(),
     };
-    tokio::task::spawn_local(list::follow(journal, moves));
-    let running = Running {
+    tokio::task::spawn_local(list::follow(journal, address_changes));
+    let active_config = ActiveConfig {
         file: start.file,
-        terms: start.settings.clone(),
+        settings: start.settings.clone(),
         bounds: start.bounds.clone(),
     };
-    let followers = Followers {
+    let receivers = ConfigReceivers {
         queue: queue.clone(),
-        moved,
-        against,
+        journal_address,
+        context,
         log: log.clone(),
     };
-    tokio::task::spawn_local(follow_hangups(hangup, running, followers));
-    let asked = queue.clone();
+    tokio::task::spawn_local(handle_hangups(hangup, active_config, receivers));
+    let queue_of_signals = queue.clone();
     for mut stream in [terminate, interrupt] {
-        let (asked, shared) = (asked.clone(), shared.clone());
+        let (queue, shared) = (queue_of_signals.clone(), shared.clone());
         tokio::task::spawn_local(async move {
             while stream.recv().await.is_some() {
                 shared.ending.set(true);
-                let _ = asked.send(Inbound::Terminate);
+                let _ = queue.send(Inbound::Terminate);
             }
         });
     }
@@ -115,7 +119,7 @@
         .settings
         .classes
         .iter()
-        .map(|track| track.effect)
+        .map(|class| class.effect)
         .collect();
     let name = start.name.clone();
     let accounts = Accounts::new(
@@ -124,18 +128,20 @@
         Clock::new().timestamp(Instant::now()),
         log.clone(),
     );
-    let terms = start.settings.clone();
+    let settings = start.settings.clone();
     let decisions = Dispatcher::new(
         subsystems::Subsystems::default(),
         start.settings,
         start.seed,
     );
-    let most_lines = start.descriptors.saturating_sub(most_clients + RESERVE);
+    let max_connections = start
+        .descriptors
+        .saturating_sub(max_clients + RESERVED_DESCRIPTORS);
     let pools = Pools::new(Rc::new(link_context::Shared {
         queue,
         bounds: start.bounds,
         clock: Clock::new(),
-        most_lines: most_lines.max(1),
+        most_lines: max_connections.max(1),
         held,
         pulse,
         held_limit: start.memory_bytes / 2,
@@ -144,24 +150,25 @@
         log,
     }));
     let mut dispatch = Dispatch::new(decisions, pools, start.reports, effects);
-    // Its points in the budgets are drawn apart from the decisions' own chance.
-    dispatch.accounts = Some((accounts, terms, !start.seed));
+    // The random points of the budgets are drawn with another seed than the random choices of the
+    // decisions.
+    dispatch.accounts = Some((accounts, settings, !start.seed));
     dispatch.name = name;
-    dispatch.apply_operator_config(told)?;
+    dispatch.apply_operator_config(config)?;
     dispatch
         .run(start.known, inbound, move || drop(stop.send(())))
         .await;
     Ok(())
 }
 
-/// Listens, for as long as it takes a failure that may pass.
-async fn listen_patiently(listen: SocketAddr, log: &Logger) -> Result<TcpListener, String> {
-    let listens = async || {
+/// Opens the listener, and retries while a failure may be temporary.
+async fn listen_with_retries(listen: SocketAddr, log: &Logger) -> Result<TcpListener, String> {
+    let listen_once = async || {
         let failed = |error| StepError::System(format!("can't listen on {listen}"), error);
         bind(listen).map_err(failed)
     };
-    let tell = |why: &str| warn!(log, "can't listen yet"; "why" => why);
-    retry_async(tell, listens).await
+    let log_failure = |reason: &str| warn!(log, "can't listen yet"; "why" => reason);
+    retry_async(log_failure, listen_once).await
 }
 
 fn bind(listen: SocketAddr) -> std::io::Result<TcpListener> {
