--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -2,7 +2,7 @@
 //! changed or switched off.
 
 use super::Dispatch;
-use crate::operator::{PeersTold, Told, longest_window};
+use crate::operator::{ResolvedPeers, Told, longest_window};
 use crate::peered::Peered;
 use crate::peers;
 use crate::store;
@@ -66,7 +66,7 @@
     /// closed all the same.
     pub(super) fn apply_peers_section(
         &mut self,
-        section: Option<Box<PeersTold>>,
+        section: Option<Box<ResolvedPeers>>,
     ) -> Result<(), String> {
         let now = self.clock.timestamp(Instant::now());
         let present = &mut self.decisions.crossings.peers;
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -37,13 +37,13 @@
 pub struct Told {
     pub zones: Option<Box<(Sheet, Rules)>>,
     pub store: Option<Box<StoreSheet>>,
-    pub peers: Option<Box<PeersTold>>,
+    pub peers: Option<Box<ResolvedPeers>>,
     pub budgets: Option<Box<BudgetsSheet>>,
 }
 
 /// The section `peers`, with what it comes to here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeersTold {
+pub struct ResolvedPeers {
     pub config: PeersConfig,
     pub addresses: Addresses,
     /// Where this dispatcher is, if the file has sites.
@@ -126,7 +126,11 @@
             None => None,
         };
         let peers = match peers {
-            Some(config) => Some(Box::new(PeersTold::of(config, store.as_deref(), against)?)),
+            Some(config) => Some(Box::new(ResolvedPeers::of(
+                config,
+                store.as_deref(),
+                against,
+            )?)),
             None => None,
         };
         let budgets = all.as_object_mut().and_then(|all| all.remove("budgets"));
@@ -211,12 +215,12 @@
     }
 }
 
-impl PeersTold {
+impl ResolvedPeers {
     fn of(
         config: PeersConfig,
         store: Option<&StoreSheet>,
         against: &Against,
-    ) -> Result<PeersTold, String> {
+    ) -> Result<ResolvedPeers, String> {
         config.rules(against.longest_window, against.purges_last)?;
         let addresses = config.addresses(against.peers.as_deref())?;
         if config.records && store.is_some_and(|store| store.records) {
@@ -225,7 +229,7 @@
         }
         let secret = config.secret()?;
         let topology = config.topology(addresses.advertise)?;
-        Ok(PeersTold {
+        Ok(ResolvedPeers {
             config,
             addresses,
             topology,
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -1,7 +1,7 @@
 //! State held in common with the other dispatchers, as long as it is on: the decisions of it, and what they do here.
 
 use crate::messages::ToPeers;
-use crate::operator::PeersTold;
+use crate::operator::ResolvedPeers;
 use crate::waiting::{Due, Waiting};
 use local_channel::mpsc;
 use slog::{Logger, info};
@@ -16,7 +16,7 @@
 
 pub struct Peered {
     /// The section that it runs by.
-    pub told: PeersTold,
+    pub told: ResolvedPeers,
     folding: Folding,
     peers: Peers,
     pub socket: Rc<UdpSocket>,
@@ -30,7 +30,7 @@
 impl Peered {
     /// `dues`: by track.
     pub fn new(
-        told: PeersTold,
+        told: ResolvedPeers,
         peers: Peers,
         (socket, to): (Rc<UdpSocket>, mpsc::Sender<ToPeers>),
         dues: Vec<TimeSpan>,
