--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -2,7 +2,7 @@
 //! changed or switched off.
 
 use super::Dispatch;
-use crate::operator::{ResolvedPeers, Told, longest_window};
+use crate::operator::{OperatorConfig, ResolvedPeers, longest_window};
 use crate::peered::Peered;
 use crate::peers;
 use crate::store;
@@ -44,7 +44,7 @@
     }
 
     /// Applies the operator's file: each subsystem is switched on, changed or switched off.
-    pub fn apply_operator_config(&mut self, config: Told) -> Result<(), String> {
+    pub fn apply_operator_config(&mut self, config: OperatorConfig) -> Result<(), String> {
         self.apply_zones_section(config.zones);
         self.apply_store_section(config.store);
         self.apply_peers_section(config.peers)?;
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -3,7 +3,7 @@
 //! wire formats.
 
 use crate::buffered::Parcel;
-use crate::operator::Told;
+use crate::operator::OperatorConfig;
 use local_channel::mpsc;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     /// Other settings, which apply from now on.
     Settings(Box<(DispatcherSettings, Reports)>),
     /// The operator's file, read again.
-    OperatorConfig(Told),
+    OperatorConfig(OperatorConfig),
     /// An event of the connection to the shared store.
     Store(FromStore),
     /// A message of another dispatcher.
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -34,7 +34,7 @@
 
 /// What the file says of each subsystem: nothing where it is off.
 #[derive(Default)]
-pub struct Told {
+pub struct OperatorConfig {
     pub zones: Option<Box<(Sheet, Rules)>>,
     pub store: Option<Box<StoreSheet>>,
     pub peers: Option<Box<ResolvedPeers>>,
@@ -87,7 +87,7 @@
     }
 
     /// What the file says; the message names file, line and field of what does not fit.
-    pub async fn read(&self, against: &Against) -> Result<Told, StepError> {
+    pub async fn read(&self, against: &Against) -> Result<OperatorConfig, StepError> {
         let path = self.path.display();
         let text = match self.path.extension().is_some_and(|end| end == "json") {
             true => of_file(&self.path)
@@ -105,7 +105,7 @@
     }
 
     /// What the sections say.
-    fn sections(&self, mut all: Value, against: &Against) -> Result<Told, String> {
+    fn sections(&self, mut all: Value, against: &Against) -> Result<OperatorConfig, String> {
         let path = self.path.display();
         let unread = |e| format!("{path}: found no sections ({e})");
         let store = all.as_object_mut().and_then(|all| all.remove("store"));
@@ -161,7 +161,7 @@
             }
             None => None,
         };
-        Ok(Told {
+        Ok(OperatorConfig {
             zones,
             store,
             peers,
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::list;
 use crate::messages::{Inbound, InboundSender};
-use crate::operator::{Against, Source, Told};
+use crate::operator::{Against, OperatorConfig, Source};
 use crate::starting::retry_async;
 use crate::startup::{self, StartConfig};
 use local_channel::mpsc;
@@ -64,9 +64,9 @@
     source: Option<&Source>,
     context: &Against,
     log: &Logger,
-) -> Result<Told, String> {
+) -> Result<OperatorConfig, String> {
     let Some(source) = source else {
-        return Ok(Told::default());
+        return Ok(OperatorConfig::default());
     };
     let read = async || source.read(context).await;
     let log_failure = |reason: &str| info!(log, "operator's file not read yet"; "why" => reason);
--- a/crates/trailproxyd/src/sse.rs
+++ b/crates/trailproxyd/src/sse.rs
@@ -4,7 +4,7 @@
 pub const LONGEST_EVENT: usize = 4 * 1024 * 1024;
 
 #[derive(Debug, PartialEq)]
-pub struct Told {
+pub struct OperatorConfig {
     pub id: String,
     pub data: String,
 }
@@ -22,7 +22,7 @@
 
 impl Events {
     /// Takes what came and adds the events that are whole now.
-    pub fn feed(&mut self, bytes: &[u8], told: &mut Vec<Told>) -> Result<(), TooLong> {
+    pub fn feed(&mut self, bytes: &[u8], told: &mut Vec<OperatorConfig>) -> Result<(), TooLong> {
         for &byte in bytes {
             let after_cr = std::mem::replace(&mut self.after_cr, byte == b'\r');
             match byte {
@@ -40,12 +40,12 @@
         Ok(())
     }
 
-    fn end_line(&mut self, line: &str, told: &mut Vec<Told>) {
+    fn end_line(&mut self, line: &str, told: &mut Vec<OperatorConfig>) {
         if line.is_empty() {
             let data = std::mem::take(&mut self.data);
             if !data.is_empty() {
                 let id = self.id.clone();
-                told.push(Told { id, data });
+                told.push(OperatorConfig { id, data });
             }
             return;
         }
