--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -53,7 +53,7 @@
 
 /// What the deployment's settings say that a file is held against.
 #[derive(Clone)]
-pub struct Against {
+pub struct ValidationContext {
     pub names: Names,
     /// The longest window of a track with its outer limit.
     pub longest_window: TimeSpan,
@@ -87,7 +87,7 @@
     }
 
     /// What the file says; the message names file, line and field of what does not fit.
-    pub async fn read(&self, against: &Against) -> Result<OperatorConfig, StepError> {
+    pub async fn read(&self, against: &ValidationContext) -> Result<OperatorConfig, StepError> {
         let path = self.path.display();
         let text = match self.path.extension().is_some_and(|end| end == "json") {
             true => of_file(&self.path)
@@ -105,7 +105,11 @@
     }
 
     /// What the sections say.
-    fn sections(&self, mut all: Value, against: &Against) -> Result<OperatorConfig, String> {
+    fn sections(
+        &self,
+        mut all: Value,
+        against: &ValidationContext,
+    ) -> Result<OperatorConfig, String> {
         let path = self.path.display();
         let unread = |e| format!("{path}: found no sections ({e})");
         let store = all.as_object_mut().and_then(|all| all.remove("store"));
@@ -219,7 +223,7 @@
     fn of(
         config: PeersConfig,
         store: Option<&StoreSheet>,
-        against: &Against,
+        against: &ValidationContext,
     ) -> Result<ResolvedPeers, String> {
         config.rules(against.longest_window, against.purges_last)?;
         let addresses = config.addresses(against.peers.as_deref())?;
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -2,7 +2,7 @@
 
 use crate::list;
 use crate::messages::{Inbound, InboundSender};
-use crate::operator::{Against, OperatorConfig, Source};
+use crate::operator::{OperatorConfig, Source, ValidationContext};
 use crate::starting::retry_async;
 use crate::startup::{self, StartConfig};
 use local_channel::mpsc;
@@ -19,7 +19,7 @@
     /// Receives the address of the journal service.
     pub journal_address: mpsc::Sender<list::Moved>,
     /// What the operator's file is checked against.
-    pub context: Against,
+    pub context: ValidationContext,
     /// Where refusals and applied changes are logged.
     pub log: Logger,
 }
@@ -62,7 +62,7 @@
 /// while.
 pub async fn read_operator(
     source: Option<&Source>,
-    context: &Against,
+    context: &ValidationContext,
     log: &Logger,
 ) -> Result<OperatorConfig, String> {
     let Some(source) = source else {
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -38,7 +38,7 @@
         zones: start.bounds.zone_names.clone(),
         tracks: start.bounds.track_names.clone(),
     };
-    let context = operator::Against {
+    let context = operator::ValidationContext {
         names: names.clone(),
         longest_window: operator::longest_window(&start.settings, start.bounds.longest_limit),
         purges_last: start.settings.purge_propagation,
