--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -4,7 +4,7 @@
 use super::Dispatch;
 use crate::buffered::Parcel;
 use crate::messages::Reply;
-use crate::waiting::Due;
+use crate::waiting::SubsystemEvent;
 use slog::info;
 use trailproxy::interface::{Arrival, Event, HostListKind, HostState};
 use trailproxy::units::{HostId, Timestamp};
@@ -27,20 +27,20 @@
         }
         while let Some(due) = self.decisions.crossings.take() {
             match due {
-                Due::Arrived(arrival) => self.submit_arrival(now, arrival),
-                Due::Answered(id, body) => {
+                SubsystemEvent::MayStart(arrival) => self.submit_arrival(now, arrival),
+                SubsystemEvent::AnsweredFromRecord(id, body) => {
                     let body = Parcel::new(&body, &self.pools.shared.held);
                     self.answer(now, id, Reply::Served(body), "from_record");
                     self.remove_if_finished(now, id);
                 }
-                Due::Tell(Event::Purged {
+                SubsystemEvent::Event(Event::Purged {
                     object,
                     group,
                     stamp: Some(stamp),
                     ..
                 }) => self.handle_purge(now, object, group, stamp),
-                Due::Tell(event) => self.handle_event(now, event),
-                Due::Restricted(host, restriction) => {
+                SubsystemEvent::Event(event) => self.handle_event(now, event),
+                SubsystemEvent::Restricted(host, restriction) => {
                     self.apply_host_restriction(now, host, restriction)
                 }
             }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::ToPeers;
 use crate::operator::ResolvedPeers;
-use crate::waiting::{Due, Waiting};
+use crate::waiting::{SubsystemEvent, Waiting};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::rc::Rc;
@@ -139,7 +139,7 @@
         }
     }
 
-    pub fn take(&mut self) -> Option<Due> {
+    pub fn take(&mut self) -> Option<SubsystemEvent> {
         self.waiting.take()
     }
 
@@ -166,7 +166,7 @@
                 Action::Decided { id, verdict } => self.waiting.decided(id, verdict),
                 Action::Purged { object, group, at } => {
                     // How long ago is for whoever knows the journal's stamps to say.
-                    self.waiting.due(Due::Tell(Event::Purged {
+                    self.waiting.due(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
                         age: TimeSpan::ZERO,
@@ -184,12 +184,12 @@
                         Listed::Draining | Listed::Gone => HostState::Draining,
                     };
                     self.waiting
-                        .due(Due::Restricted(host, Some((state, started))));
+                        .due(SubsystemEvent::Restricted(host, Some((state, started))));
                 }
-                Action::Freed { host } => self.waiting.due(Due::Restricted(host, None)),
+                Action::Freed { host } => self.waiting.due(SubsystemEvent::Restricted(host, None)),
                 Action::Hinted { host } => self
                     .waiting
-                    .due(Due::Tell(Event::PeerBreakerOpened { host })),
+                    .due(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
                 Action::Beside(from, of, bytes) => self.beside.push((from, of, bytes)),
                 Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.word()),
                 Action::Member(id, standing) => {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -4,7 +4,7 @@
 use crate::divided::Divided;
 use crate::messages::{FromPeers, FromStore, ToStore};
 use crate::peered::Peered;
-use crate::waiting::{Due, Waiting};
+use crate::waiting::{SubsystemEvent, Waiting};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use trailproxy::interface::*;
@@ -209,7 +209,7 @@
         self.cold.take()
     }
 
-    pub fn take(&mut self) -> Option<Due> {
+    pub fn take(&mut self) -> Option<SubsystemEvent> {
         let shared = self.shared.as_mut().and_then(Shared::take);
         shared.or_else(|| self.peers.as_mut().and_then(Peered::take))
     }
@@ -305,7 +305,7 @@
         }
     }
 
-    pub fn take(&mut self) -> Option<Due> {
+    pub fn take(&mut self) -> Option<SubsystemEvent> {
         self.waiting.take()
     }
 
@@ -339,7 +339,7 @@
                 }
                 Act::Decided { id, verdict } => self.waiting.decided(id, verdict),
                 Act::Purged { object, group, ago } => {
-                    self.waiting.due(Due::Tell(Event::Purged {
+                    self.waiting.due(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
                         age: ago,
@@ -348,7 +348,7 @@
                 }
                 Act::Hinted { host } => self
                     .waiting
-                    .due(Due::Tell(Event::PeerBreakerOpened { host })),
+                    .due(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
                 Act::Posted { from, bytes } => self.posted.push((from, bytes)),
                 Act::Turned { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -7,12 +7,12 @@
 use trailproxy_shared_store::decide::records::Verdict;
 
 /// What the one task has to do for the parts beside the decisions.
-pub enum Due {
+pub enum SubsystemEvent {
     /// A request goes to the decisions now.
-    Arrived(Arrival),
+    MayStart(Arrival),
     /// A request is answered from a record.
-    Answered(RequestId, Vec<u8>),
-    Tell(Event),
+    AnsweredFromRecord(RequestId, Vec<u8>),
+    Event(Event),
     /// A host is restricted by what others know of it: it counts as in this state, and as started then; `None`: the own
     /// list holds again.
     Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
@@ -23,7 +23,7 @@
     hosts: BTreeMap<HostId, (ZoneId, CellId)>,
     /// By track.
     dues: Vec<TimeSpan>,
-    out: VecDeque<Due>,
+    out: VecDeque<SubsystemEvent>,
 }
 
 impl Waiting {
@@ -52,16 +52,16 @@
             return;
         };
         self.out.push_back(match verdict {
-            Verdict::Go => Due::Arrived(arrival),
-            Verdict::Answer(body) => Due::Answered(id, body),
+            Verdict::Go => SubsystemEvent::MayStart(arrival),
+            Verdict::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
         });
     }
 
-    pub fn due(&mut self, due: Due) {
+    pub fn due(&mut self, due: SubsystemEvent) {
         self.out.push_back(due);
     }
 
-    pub fn take(&mut self) -> Option<Due> {
+    pub fn take(&mut self) -> Option<SubsystemEvent> {
         self.out.pop_front()
     }
 
