--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::ToPeers;
 use crate::operator::ResolvedPeers;
-use crate::waiting::{SubsystemEvent, Waiting};
+use crate::waiting::{HeldRequests, SubsystemEvent};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::rc::Rc;
@@ -21,7 +21,7 @@
     peers: Peers,
     pub socket: Rc<UdpSocket>,
     to: mpsc::Sender<ToPeers>,
-    waiting: Waiting,
+    waiting: HeldRequests,
     /// Words of other subsystems, from whom.
     beside: Vec<(PeerId, u8, Vec<u8>)>,
     log: Logger,
@@ -42,7 +42,7 @@
             peers,
             socket,
             to,
-            waiting: Waiting::new(dues),
+            waiting: HeldRequests::new(dues),
             beside: Vec::new(),
             log,
         }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -4,7 +4,7 @@
 use crate::divided::Divided;
 use crate::messages::{FromPeers, FromStore, ToStore};
 use crate::peered::Peered;
-use crate::waiting::{SubsystemEvent, Waiting};
+use crate::waiting::{HeldRequests, SubsystemEvent};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use trailproxy::interface::*;
@@ -222,7 +222,7 @@
     sharing: Sharing,
     to: mpsc::Sender<ToStore>,
     run: String,
-    waiting: Waiting,
+    waiting: HeldRequests,
     /// Words of other subsystems, from whom.
     posted: Vec<(BoxId, Vec<u8>)>,
     log: Logger,
@@ -242,7 +242,7 @@
             sharing,
             to,
             run: String::new(),
-            waiting: Waiting::new(dues),
+            waiting: HeldRequests::new(dues),
             posted: Vec::new(),
             log,
         }
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -18,7 +18,7 @@
     Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
-pub struct Waiting {
+pub struct HeldRequests {
     held: BTreeMap<RequestId, Arrival>,
     hosts: BTreeMap<HostId, (ZoneId, CellId)>,
     /// By track.
@@ -26,10 +26,10 @@
     out: VecDeque<SubsystemEvent>,
 }
 
-impl Waiting {
+impl HeldRequests {
     /// `dues`: by track.
-    pub fn new(dues: Vec<TimeSpan>) -> Waiting {
-        Waiting {
+    pub fn new(dues: Vec<TimeSpan>) -> HeldRequests {
+        HeldRequests {
             held: BTreeMap::new(),
             hosts: BTreeMap::new(),
             dues,
