--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -21,19 +21,19 @@
     peers: Peers,
     pub socket: Rc<UdpSocket>,
     to: mpsc::Sender<ToPeers>,
-    waiting: HeldRequests,
+    held: HeldRequests,
     /// Words of other subsystems, from whom.
     beside: Vec<(PeerId, u8, Vec<u8>)>,
     log: Logger,
 }
 
 impl Peered {
-    /// `dues`: by track.
+    /// `targets`: by track.
     pub fn new(
         told: ResolvedPeers,
         peers: Peers,
         (socket, to): (Rc<UdpSocket>, mpsc::Sender<ToPeers>),
-        dues: Vec<TimeSpan>,
+        targets: Vec<TimeSpan>,
         log: Logger,
     ) -> Peered {
         Peered {
@@ -42,7 +42,7 @@
             peers,
             socket,
             to,
-            waiting: HeldRequests::new(dues),
+            held: HeldRequests::new(targets),
             beside: Vec::new(),
             log,
         }
@@ -50,21 +50,21 @@
 
     /// A request with a key comes: it waits for the others for as long as that may take.
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
-        let due = self.waiting.hold(now, arrival);
+        let due = self.held.hold(now, arrival);
         let key = self.folding.key(arrival.class, mark);
         self.peers.come(now, arrival.id, key, due);
         self.act();
     }
 
     pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.waiting.place(host) {
+        if let Some(place) = self.held.location_of(host) {
             self.peers.hand_off(now, id, place);
             self.act();
         }
     }
 
     pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
-        self.waiting.forget(id);
+        self.held.forget(id);
         self.peers.ended(now, id, came);
         self.act();
     }
@@ -125,7 +125,7 @@
     }
 
     pub fn heard(&mut self, event: &Event) {
-        self.waiting.heard(event);
+        self.held.on_event(event);
     }
 
     pub fn next(&self) -> Timestamp {
@@ -140,7 +140,7 @@
     }
 
     pub fn take(&mut self) -> Option<SubsystemEvent> {
-        self.waiting.take()
+        self.held.take_event()
     }
 
     /// It ends in order: the others need not find out.
@@ -152,7 +152,7 @@
     /// Nothing is held in common any more: whoever waits goes on.
     pub fn end(self) -> impl Iterator<Item = Arrival> {
         let _ = self.to.send(ToPeers::Stop);
-        self.waiting.end()
+        self.held.into_arrivals()
     }
 
     pub fn figures(&self, now: Timestamp) -> String {
@@ -163,10 +163,10 @@
         for act in self.peers.take() {
             match act {
                 Action::Send(to, message) => drop(self.to.send(ToPeers::Send(to, message))),
-                Action::Decided { id, verdict } => self.waiting.decided(id, verdict),
+                Action::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Action::Purged { object, group, at } => {
                     // How long ago is for whoever knows the journal's stamps to say.
-                    self.waiting.due(SubsystemEvent::Event(Event::Purged {
+                    self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
                         age: TimeSpan::ZERO,
@@ -183,13 +183,15 @@
                         // One that is gone elsewhere is left alone here until the own list says so.
                         Listed::Draining | Listed::Gone => HostState::Draining,
                     };
-                    self.waiting
-                        .due(SubsystemEvent::Restricted(host, Some((state, started))));
+                    self.held
+                        .push_event(SubsystemEvent::Restricted(host, Some((state, started))));
+                }
+                Action::Freed { host } => {
+                    self.held.push_event(SubsystemEvent::Restricted(host, None))
                 }
-                Action::Freed { host } => self.waiting.due(SubsystemEvent::Restricted(host, None)),
                 Action::Hinted { host } => self
-                    .waiting
-                    .due(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
+                    .held
+                    .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
                 Action::Beside(from, of, bytes) => self.beside.push((from, of, bytes)),
                 Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.word()),
                 Action::Member(id, standing) => {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -222,7 +222,7 @@
     sharing: Sharing,
     to: mpsc::Sender<ToStore>,
     run: String,
-    waiting: HeldRequests,
+    held: HeldRequests,
     /// Words of other subsystems, from whom.
     posted: Vec<(BoxId, Vec<u8>)>,
     log: Logger,
@@ -233,7 +233,7 @@
         config: Sheet,
         sharing: Sharing,
         to: mpsc::Sender<ToStore>,
-        dues: Vec<TimeSpan>,
+        targets: Vec<TimeSpan>,
         log: Logger,
     ) -> Shared {
         Shared {
@@ -242,7 +242,7 @@
             sharing,
             to,
             run: String::new(),
-            waiting: HeldRequests::new(dues),
+            held: HeldRequests::new(targets),
             posted: Vec::new(),
             log,
         }
@@ -257,14 +257,14 @@
 
     /// A request comes: one with a key waits for the store for as long as that may take.
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
-        let due = self.waiting.hold(now, arrival);
+        let due = self.held.hold(now, arrival);
         let key = self.folding.key(arrival.class, mark);
         self.sharing.come(now, arrival.id, key, due);
         self.act();
     }
 
     pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.waiting.place(host) {
+        if let Some(place) = self.held.location_of(host) {
             self.sharing.hand_off(now, id, place);
             self.act();
         }
@@ -272,14 +272,14 @@
 
     /// It has its final answer, or its client left; the decisions may never have heard of it.
     pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
-        self.waiting.forget(id);
+        self.held.forget(id);
         self.sharing.ended(now, id, came);
         self.act();
     }
 
     /// Nothing is shared any more: whoever waits goes on.
     pub fn end(self) -> impl Iterator<Item = Arrival> {
-        self.waiting.end()
+        self.held.into_arrivals()
     }
 
     pub fn told(&mut self, now: Timestamp, told: FromStore) {
@@ -306,7 +306,7 @@
     }
 
     pub fn take(&mut self) -> Option<SubsystemEvent> {
-        self.waiting.take()
+        self.held.take_event()
     }
 
     pub fn figures(&self) -> String {
@@ -337,9 +337,9 @@
                     let request = Box::new(request(&op, &under));
                     let _ = self.to.send(ToStore::Execute(id, request));
                 }
-                Act::Decided { id, verdict } => self.waiting.decided(id, verdict),
+                Act::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Act::Purged { object, group, ago } => {
-                    self.waiting.due(SubsystemEvent::Event(Event::Purged {
+                    self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
                         age: ago,
@@ -347,8 +347,8 @@
                     }));
                 }
                 Act::Hinted { host } => self
-                    .waiting
-                    .due(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
+                    .held
+                    .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
                 Act::Posted { from, bytes } => self.posted.push((from, bytes)),
                 Act::Turned { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
@@ -358,7 +358,7 @@
     }
 
     pub fn heard(&mut self, now: Timestamp, event: &Event) {
-        self.waiting.heard(event);
+        self.held.on_event(event);
         if let Event::Purged {
             object, group, age, ..
         } = event
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -6,83 +6,91 @@
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::Verdict;
 
-/// What the one task has to do for the parts beside the decisions.
+/// What a subsystem reports to the task that owns the decisions.
 pub enum SubsystemEvent {
-    /// A request goes to the decisions now.
+    /// A held request may go to the decisions now.
     MayStart(Arrival),
-    /// A request is answered from a record.
+    /// A request is answered with the body of a record.
     AnsweredFromRecord(RequestId, Vec<u8>),
+    /// An event for the decisions.
     Event(Event),
-    /// A host is restricted by what others know of it: it counts as in this state, and as started then; `None`: the own
-    /// list holds again.
+    /// Other dispatchers restrict a host: it counts as in this state, and as started then. `None`:
+    /// the state in the own host list applies again.
     Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
+/// Requests that wait for a subsystem, with the locations of hosts and the pending events.
 pub struct HeldRequests {
     held: BTreeMap<RequestId, Arrival>,
-    hosts: BTreeMap<HostId, (ZoneId, CellId)>,
-    /// By track.
-    dues: Vec<TimeSpan>,
-    out: VecDeque<SubsystemEvent>,
+    locations: BTreeMap<HostId, (ZoneId, CellId)>,
+    /// How long requests wait at most, by class.
+    targets: Vec<TimeSpan>,
+    events: VecDeque<SubsystemEvent>,
 }
 
 impl HeldRequests {
-    /// `dues`: by track.
-    pub fn new(dues: Vec<TimeSpan>) -> HeldRequests {
+    /// `targets`: how long requests wait at most, by class.
+    pub fn new(targets: Vec<TimeSpan>) -> HeldRequests {
         HeldRequests {
             held: BTreeMap::new(),
-            hosts: BTreeMap::new(),
-            dues,
-            out: VecDeque::new(),
+            locations: BTreeMap::new(),
+            targets,
+            events: VecDeque::new(),
         }
     }
 
-    /// One is held back; when it is due.
+    /// Holds a request back and returns until when.
     pub fn hold(&mut self, now: Timestamp, arrival: Arrival) -> Timestamp {
         self.held.insert(arrival.id, arrival);
-        now + self.dues[usize::from(arrival.class.0)].min(arrival.time_left)
+        now + self.targets[usize::from(arrival.class.0)].min(arrival.time_left)
     }
 
+    /// Drops a held request.
     pub fn forget(&mut self, id: RequestId) {
         self.held.remove(&id);
     }
 
-    pub fn decided(&mut self, id: RequestId, verdict: Verdict) {
+    /// Releases a held request as the subsystem has decided.
+    pub fn on_decided(&mut self, id: RequestId, verdict: Verdict) {
         let Some(arrival) = self.held.remove(&id) else {
             return;
         };
-        self.out.push_back(match verdict {
+        self.events.push_back(match verdict {
             Verdict::Go => SubsystemEvent::MayStart(arrival),
             Verdict::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
         });
     }
 
-    pub fn due(&mut self, due: SubsystemEvent) {
-        self.out.push_back(due);
+    /// Adds an event.
+    pub fn push_event(&mut self, event: SubsystemEvent) {
+        self.events.push_back(event);
     }
 
-    pub fn take(&mut self) -> Option<SubsystemEvent> {
-        self.out.pop_front()
+    /// Takes the next event.
+    pub fn take_event(&mut self) -> Option<SubsystemEvent> {
+        self.events.pop_front()
     }
 
-    pub fn place(&self, host: HostId) -> Option<(ZoneId, CellId)> {
-        self.hosts.get(&host).copied()
+    /// The zone and cell of a listed host.
+    pub fn location_of(&self, host: HostId) -> Option<(ZoneId, CellId)> {
+        self.locations.get(&host).copied()
     }
 
-    pub fn heard(&mut self, event: &Event) {
+    /// Records the locations of hosts from a host list.
+    pub fn on_event(&mut self, event: &Event) {
         let Event::HostList { entries, .. } = event else {
             return;
         };
         for entry in entries {
             match entry.state {
-                HostState::Gone => drop(self.hosts.remove(&entry.host)),
-                _ => drop(self.hosts.insert(entry.host, (entry.zone, entry.cell))),
+                HostState::Gone => drop(self.locations.remove(&entry.host)),
+                _ => drop(self.locations.insert(entry.host, (entry.zone, entry.cell))),
             }
         }
     }
 
-    /// Whoever waits goes on.
-    pub fn end(self) -> impl Iterator<Item = Arrival> {
+    /// All held requests, which may continue.
+    pub fn into_arrivals(self) -> impl Iterator<Item = Arrival> {
         self.held.into_values()
     }
 }
