--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -118,13 +118,7 @@
         let (to, orders) = mpsc::channel();
         let seal = Seal::new(&config.fleet, &section.secret);
         let queue = self.pools.shared.queue.clone();
-        tokio::task::spawn_local(peers::carry(
-            socket.clone(),
-            seal,
-            queue,
-            orders,
-            log.clone(),
-        ));
+        tokio::task::spawn_local(peers::run(socket.clone(), seal, queue, orders, log.clone()));
         let targets = settings.classes.iter().map(|class| class.target).collect();
         let decisions = Peers::new(now, own, rules, seed);
         let mut runtime = Peered::new(*section, decisions, (socket, to), targets, log.clone());
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -1,7 +1,7 @@
-//! The way to the other dispatchers: datagrams on one socket, on the same thread.
+//! The connection to the other dispatchers: datagrams on one UDP socket, on the same thread.
 //!
-//! It only carries. A datagram that can't be sent now is lost, as any may be; one that is not of the fleet costs a sum
-//! over its bytes and no more.
+//! It only sends and receives. A datagram that cannot be sent at once is lost, as any datagram may
+//! be. A datagram that is not from the fleet costs one checksum over its bytes and nothing more.
 
 use crate::messages::{FromPeers, Inbound, InboundSender, ToPeers};
 use crate::system_calls::{LACK_PASSES, errno};
@@ -16,33 +16,38 @@
 use trailproxy_peers::decide::messages::Address;
 use trailproxy_peers::wire::{MOST_BYTES, Seal, Unread};
 
-/// What was not read is told this often at most.
-const TELL_EVERY: Duration = Duration::from_secs(10);
-/// So many datagrams are read in a row before others have their turn.
-const IN_A_ROW: usize = 64;
+/// How often unreadable datagrams are logged at most.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// How many datagrams are read in a row before other tasks run.
+const MAX_READS_IN_A_ROW: usize = 64;
 
-/// What could not be read, by cause.
+/// Counts of datagrams, or parts of them, that cannot be read, by cause.
 #[derive(Default)]
-struct Unreads {
+struct UnreadableCounts {
+    /// From outside the fleet.
     foreign: Cell<u64>,
+    /// Of a newer version.
     newer: Cell<u64>,
+    /// Damaged.
     garbled: Cell<u64>,
+    /// Message parts of an unknown kind.
     unknown_notes: Cell<u64>,
-    told: Cell<Option<Instant>>,
+    /// When the counts were last logged.
+    logged_at: Cell<Option<Instant>>,
 }
 
-impl Unreads {
-    fn tell(&self, log: &Logger) {
-        let due = |at: Instant| at.elapsed() >= TELL_EVERY;
-        if self.told.get().is_none_or(due) {
-            self.told.set(Some(Instant::now()));
+impl UnreadableCounts {
+    fn log(&self, log: &Logger) {
+        let is_due = |at: Instant| at.elapsed() >= LOG_INTERVAL;
+        if self.logged_at.get().is_none_or(is_due) {
+            self.logged_at.set(Some(Instant::now()));
             info!(log, "peers not understood"; "foreign" => self.foreign.get(), "newer" => self.newer.get(),
                 "garbled" => self.garbled.get(), "unknown_notes" => self.unknown_notes.get());
         }
     }
 }
 
-/// Opens the socket.
+/// Opens the socket, which does not block.
 pub fn bind(at: Address) -> std::io::Result<Rc<UdpSocket>> {
     let socket = std::net::UdpSocket::bind(to_socket(at))?;
     socket.set_nonblocking(true)?;
@@ -53,70 +58,72 @@
     SocketAddrV4::new(Ipv4Addr::from(at.ip), at.port).into()
 }
 
-/// Carries until it is told to end.
-pub async fn carry(
+/// Sends and receives until it is told to stop.
+pub async fn run(
     socket: Rc<UdpSocket>,
     seal: Seal,
     queue: InboundSender,
-    mut asked: mpsc::Receiver<ToPeers>,
+    mut orders: mpsc::Receiver<ToPeers>,
     log: Logger,
 ) {
-    let hearing = tokio::task::spawn_local(hear(socket.clone(), seal.clone(), queue, log));
-    while let Some(ToPeers::Send(to, message)) = asked.recv().await {
+    let receiving = tokio::task::spawn_local(receive(socket.clone(), seal.clone(), queue, log));
+    while let Some(ToPeers::Send(to, message)) = orders.recv().await {
         if let Some(bytes) = seal.write(&message) {
             let _ = socket.try_send_to(&bytes, to_socket(to));
         }
     }
-    hearing.abort();
+    receiving.abort();
 }
 
-async fn hear(socket: Rc<UdpSocket>, seal: Seal, queue: InboundSender, log: Logger) {
+/// Receives datagrams and passes their messages on.
+async fn receive(socket: Rc<UdpSocket>, seal: Seal, queue: InboundSender, log: Logger) {
     let mut bytes = vec![0; MOST_BYTES + 1];
-    let (unreads, mut row) = (Unreads::default(), 0);
-    let more = |count: &Cell<u64>, by: usize| count.set(count.get() + by as u64);
+    let (unreadable, mut reads) = (UnreadableCounts::default(), 0);
+    let add = |count: &Cell<u64>, by: usize| count.set(count.get() + by as u64);
     loop {
         let (size, from) = match socket.recv_from(&mut bytes).await {
             Ok((size, SocketAddr::V4(from))) => (size, from),
-            // The system lacks something for the moment.
+            // The system lacks a resource for the moment.
             Err(e) if of_stream(errno(&e)) == StreamError::Later => {
                 tokio::time::sleep(LACK_PASSES).await;
                 continue;
             }
-            // An error is another's: a port that nobody listens on any more tells so here.
+            // Any other error concerns a datagram sent earlier: a port on which nobody listens any
+            // more is reported here.
             Ok(_) | Err(_) => {
                 tokio::task::yield_now().await;
                 continue;
             }
         };
-        row += 1;
-        if row % IN_A_ROW == 0 {
+        reads += 1;
+        if reads % MAX_READS_IN_A_ROW == 0 {
             tokio::task::yield_now().await;
         }
         match seal.read(&bytes[..size]) {
             Ok((message, unknown)) => {
                 if unknown > 0 {
-                    more(&unreads.unknown_notes, unknown);
-                    unreads.tell(&log);
+                    add(&unreadable.unknown_notes, unknown);
+                    unreadable.log(&log);
                 }
                 let from = Address {
                     ip: from.ip().octets(),
                     port: from.port(),
                 };
-                let told = FromPeers { from, message };
-                if queue.send(Inbound::Peers(told)).is_err() {
+                let received = FromPeers { from, message };
+                if queue.send(Inbound::Peers(received)).is_err() {
                     return;
                 }
             }
-            Err(why) => {
-                more(
-                    match why {
-                        Unread::Foreign => &unreads.foreign,
-                        Unread::Newer => &unreads.newer,
-                        Unread::Garbled => &unreads.garbled,
+            Err(cause) => {
+                add(
+                    match cause {
+                        Unread::Foreign => &unreadable.foreign,
+                        Unread::Newer => &unreadable.newer,
+                        Unread::Garbled => &unreadable.garbled,
                     },
                     1,
                 );
-                unreads.tell(&log);
+                unreadable.log(&log);
             }
         }
     }
