--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -1,5 +1,6 @@
-//! The operator's own file. The script is run by `trailproxy`, a process beside this one, which hands its checked
-//! sections on as JSON: a script that runs long or grows large costs that process, and no request waits for it.
+//! The operator's file. Where it is a script, the program `trailproxy` runs it in a process of its
+//! own and hands the checked sections back as JSON: a script that runs for long or grows large
+//! harms only that process, and no request waits for it.
 
 use crate::starting::StepError;
 use serde_json::Value;
@@ -18,101 +19,117 @@
 use trailproxy_zones::Rules;
 use trailproxy_zones::decide::sheet::{Names, Sheet};
 
-/// A reader that says nothing for so long is ended.
-const WITHIN: Duration = Duration::from_secs(3);
-/// More is no answer of a reader, nor a file of sections.
-const MOST_BYTES: u64 = 4 << 20;
-const MOST_WORDS: u64 = 16 << 10;
+/// How long the reader may run.
+const READER_TIMEOUT: Duration = Duration::from_secs(3);
+/// The size of a file of sections, or of the output of a reader, is less than this.
+const MAX_OUTPUT_BYTES: u64 = 4 << 20;
+/// How much of the error output of a reader is read.
+const MAX_ERROR_BYTES: u64 = 16 << 10;
 
-/// Where the file is, and the program that reads scripts. A file that ends in `.json` holds what such a program
-/// said, and is taken as it is.
+/// Where the file is, and the program that reads scripts. A file that ends in `.json` holds the
+/// output of such a program and is read directly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
+    /// The file.
     pub path: PathBuf,
+    /// The program that reads scripts.
     pub reader: PathBuf,
 }
 
-/// What the file says of each subsystem: nothing where it is off.
+/// The sections of the file; `None` where a subsystem is off.
 #[derive(Default)]
 pub struct OperatorConfig {
+    /// Traffic between zones: the section, and the rules that follow from it.
     pub zones: Option<Box<(Sheet, Rules)>>,
+    /// The store that dispatchers share.
     pub store: Option<Box<StoreSheet>>,
+    /// State held together with other dispatchers.
     pub peers: Option<Box<ResolvedPeers>>,
+    /// Budgets divided among dispatchers.
     pub budgets: Option<Box<BudgetsSheet>>,
 }
 
-/// The section `peers`, with what it comes to here.
+/// The section `peers`, with what follows from it on this machine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ResolvedPeers {
+    /// The section.
     pub config: PeersConfig,
+    /// Where it listens, where others reach it, and the first members to contact.
     pub addresses: Addresses,
-    /// Where this dispatcher is, if the file has sites.
+    /// The location of this dispatcher, if the file has sites.
     pub topology: Option<Topology>,
+    /// The secret of the fleet.
     pub secret: Vec<u8>,
 }
 
-/// What the deployment's settings say that a file is held against.
+/// What the file is checked against: parts of the deployment's settings.
 #[derive(Clone)]
 pub struct ValidationContext {
+    /// Names of zones and classes.
     pub names: Names,
-    /// The longest window of a track with its outer limit.
+    /// The longest repeat window of any class, together with the longest deadline.
     pub longest_window: TimeSpan,
+    /// How long a purge may take to reach all hosts.
     pub purges_last: TimeSpan,
-    /// Where this one is written to by the others, where the environment or the configuration says so.
+    /// The address at which other dispatchers reach this one, if the environment or the
+    /// configuration names it.
     pub peers: Option<String>,
 }
 
 /// How long a record of a keyed request has to be kept at least.
-pub fn longest_window(terms: &DispatcherSettings, longest_limit: TimeSpan) -> TimeSpan {
-    let windows = terms.classes.iter().map(|track| match track.effect {
+pub fn longest_window(settings: &DispatcherSettings, max_deadline: TimeSpan) -> TimeSpan {
+    let windows = settings.classes.iter().map(|class| match class.effect {
         Effect::Keyed { window, .. } => window,
         _ => TimeSpan::ZERO,
     });
-    windows.max().unwrap_or_default() + longest_limit
+    windows.max().unwrap_or_default() + max_deadline
 }
 
 impl Source {
-    /// From `RELAY_OPERATOR` and `RELAY_READER`, or else `operator` and `reader` in the configuration; `None`: there is
-    /// no such file.
+    /// From `RELAY_OPERATOR` and `RELAY_READER`, or else from `operator` and `reader` in the
+    /// configuration. `None`: there is no such file.
     pub fn of(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<Source> {
         let key = |name: &str| json.get(name).and_then(Value::as_str).map(str::to_owned);
         let path = variable("RELAY_OPERATOR").or(key("operator"))?;
-        let beside = || Some(std::env::current_exe().ok()?.parent()?.join("trailproxy"));
+        let next_to_daemon = || Some(std::env::current_exe().ok()?.parent()?.join("trailproxy"));
         let reader = variable("RELAY_READER").or(key("reader"));
-        let reader = reader.map(PathBuf::from).or_else(beside);
+        let reader = reader.map(PathBuf::from).or_else(next_to_daemon);
         Some(Source {
             path: path.into(),
             reader: reader.unwrap_or_else(|| "trailproxy".into()),
         })
     }
 
-    /// What the file says; the message names file, line and field of what does not fit.
-    pub async fn read(&self, against: &ValidationContext) -> Result<OperatorConfig, StepError> {
+    /// Reads and checks the file. The error names the file, the line and the field that do not fit.
+    pub async fn read(&self, context: &ValidationContext) -> Result<OperatorConfig, StepError> {
         let path = self.path.display();
         let text = match self.path.extension().is_some_and(|end| end == "json") {
-            true => of_file(&self.path)
+            true => read_file(&self.path)
                 .map_err(|error| StepError::System(format!("{path} can't be read"), error))?,
-            false => self.run().await?,
+            false => self.run_reader().await?,
         };
-        let all: Value = serde_json::from_slice(&text).map_err(|error| {
-            let why = format!("{path}: found no sections ({error})");
+        let sections: Value = serde_json::from_slice(&text).map_err(|error| {
+            let reason = format!("{path}: found no sections ({error})");
             match error.is_eof() {
-                true => StepError::HalfWritten(why),
-                false => StepError::Invalid(why),
+                true => StepError::HalfWritten(reason),
+                false => StepError::Invalid(reason),
             }
         })?;
-        self.sections(all, against).map_err(StepError::Invalid)
+        self.check_sections(sections, context)
+            .map_err(StepError::Invalid)
     }
 
-    /// What the sections say.
-    fn sections(
+    /// Reads and checks the sections.
+    fn check_sections(
         &self,
-        mut all: Value,
-        against: &ValidationContext,
+        mut sections: Value,
+        context: &ValidationContext,
     ) -> Result<OperatorConfig, String> {
         let path = self.path.display();
-        let unread = |e| format!("{path}: found no sections ({e})");
-        let store = all.as_object_mut().and_then(|all| all.remove("store"));
+        let invalid = |e| format!("{path}: found no sections ({e})");
+        let store = sections
+            .as_object_mut()
+            .and_then(|sections| sections.remove("store"));
         let store: Option<Box<StoreSheet>> = match store {
             Some(store) => {
                 serde_json::from_value(store).map_err(|e| format!("{path}: section store: {e}"))?
@@ -120,9 +137,11 @@
             None => None,
         };
         if let Some(store) = &store {
-            store.rules(against.longest_window, against.purges_last)?;
+            store.rules(context.longest_window, context.purges_last)?;
         }
-        let peers = all.as_object_mut().and_then(|all| all.remove("peers"));
+        let peers = sections
+            .as_object_mut()
+            .and_then(|sections| sections.remove("peers"));
         let peers: Option<PeersConfig> = match peers {
             Some(peers) => {
                 serde_json::from_value(peers).map_err(|e| format!("{path}: section peers: {e}"))?
@@ -133,11 +152,13 @@
             Some(config) => Some(Box::new(ResolvedPeers::of(
                 config,
                 store.as_deref(),
-                against,
+                context,
             )?)),
             None => None,
         };
-        let budgets = all.as_object_mut().and_then(|all| all.remove("budgets"));
+        let budgets = sections
+            .as_object_mut()
+            .and_then(|sections| sections.remove("budgets"));
         let budgets: Option<Box<BudgetsSheet>> = match budgets {
             Some(budgets) => serde_json::from_value(budgets)
                 .map_err(|e| format!("{path}: section budgets: {e}"))?,
@@ -150,17 +171,19 @@
                 return Err(budgets.wrong("on", "True", accepted));
             }
         }
-        let empty = all.as_object().is_some_and(|all| all.is_empty());
+        let empty = sections
+            .as_object()
+            .is_some_and(|sections| sections.is_empty());
         let config: Option<Sheet> = match empty {
             true => None,
-            false => serde_json::from_value(all).map_err(unread)?,
+            false => serde_json::from_value(sections).map_err(invalid)?,
         };
         let zones = match config.filter(|config| config.on) {
             Some(config) => {
-                let rules = config.resolve(&against.names);
+                let rules = config.resolve(&context.names);
                 Some(Box::new((
                     config,
-                    rules.map_err(|unfit| unfit.to_string())?,
+                    rules.map_err(|error| error.to_string())?,
                 )))
             }
             None => None,
@@ -173,7 +196,8 @@
         })
     }
 
-    async fn run(&self) -> Result<Vec<u8>, StepError> {
+    /// Runs the reader on the file and returns its output.
+    async fn run_reader(&self) -> Result<Vec<u8>, StepError> {
         let reader = self.reader.display();
         let mut child = Command::new(&self.reader)
             .args(["zones", "sheet"])
@@ -185,37 +209,39 @@
             .spawn()
             .map_err(|error| {
                 let path = self.path.display();
-                let what = format!("{reader}, which reads {path}, can't be started");
-                StepError::System(what, error)
+                let operation = format!("{reader}, which reads {path}, can't be started");
+                StepError::System(operation, error)
             })?;
-        let (said, complained) = (child.stdout.take(), child.stderr.take());
-        let whole = async {
-            let (said, complained) =
-                tokio::join!(all(said, MOST_BYTES), all(complained, MOST_WORDS));
-            (child.wait().await, said, complained)
+        let (stdout, stderr) = (child.stdout.take(), child.stderr.take());
+        let finished = async {
+            let (output, errors) = tokio::join!(
+                read_all(stdout, MAX_OUTPUT_BYTES),
+                read_all(stderr, MAX_ERROR_BYTES)
+            );
+            (child.wait().await, output, errors)
         };
-        let ended = timeout(WITHIN, whole).await;
-        let (status, said, complained) = ended.map_err(|_| {
+        let result = timeout(READER_TIMEOUT, finished).await;
+        let (status, output, errors) = result.map_err(|_| {
             StepError::Invalid(format!(
-                "{reader} said nothing of {} within {WITHIN:?}",
+                "{reader} said nothing of {} within {READER_TIMEOUT:?}",
                 self.path.display()
             ))
         })?;
-        if said.len() as u64 >= MOST_BYTES {
+        if output.len() as u64 >= MAX_OUTPUT_BYTES {
             return Err(StepError::Invalid(format!(
-                "{reader} said more than {MOST_BYTES} bytes of {}",
+                "{reader} said more than {MAX_OUTPUT_BYTES} bytes of {}",
                 self.path.display()
             )));
         }
         if !status.is_ok_and(|status| status.success()) {
-            let words = String::from_utf8_lossy(&complained);
-            let words = words.trim().trim_start_matches("trailproxy: ");
-            return Err(StepError::Invalid(match words {
+            let message = String::from_utf8_lossy(&errors);
+            let message = message.trim().trim_start_matches("trailproxy: ");
+            return Err(StepError::Invalid(match message {
                 "" => format!("{reader} failed on {}", self.path.display()),
-                words => words.to_owned(),
+                message => message.to_owned(),
             }));
         }
-        Ok(said)
+        Ok(output)
     }
 }
 
@@ -223,10 +249,10 @@
     fn of(
         config: PeersConfig,
         store: Option<&StoreSheet>,
-        against: &ValidationContext,
+        context: &ValidationContext,
     ) -> Result<ResolvedPeers, String> {
-        config.rules(against.longest_window, against.purges_last)?;
-        let addresses = config.addresses(against.peers.as_deref())?;
+        config.rules(context.longest_window, context.purges_last)?;
+        let addresses = config.addresses(context.peers.as_deref())?;
         if config.records && store.is_some_and(|store| store.records) {
             let accepted = "records in one of the sections store and peers";
             return Err(config.wrong("records", "True, and True in section store", accepted));
@@ -242,19 +268,21 @@
     }
 }
 
-fn of_file(path: &Path) -> std::io::Result<Vec<u8>> {
+/// Reads the file, up to the limit.
+fn read_file(path: &Path) -> std::io::Result<Vec<u8>> {
     use std::io::Read;
     let mut text = Vec::new();
     std::fs::File::open(path)?
-        .take(MOST_BYTES)
+        .take(MAX_OUTPUT_BYTES)
         .read_to_end(&mut text)?;
     Ok(text)
 }
 
-async fn all(from: Option<impl AsyncRead + Unpin>, most: u64) -> Vec<u8> {
+/// Reads a stream to its end, or to a limit.
+async fn read_all(stream: Option<impl AsyncRead + Unpin>, max_bytes: u64) -> Vec<u8> {
     let mut text = Vec::new();
-    if let Some(from) = from {
-        let _ = from.take(most).read_to_end(&mut text).await;
+    if let Some(stream) = stream {
+        let _ = stream.take(max_bytes).read_to_end(&mut text).await;
     }
     text
 }
