--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -22,7 +22,7 @@
 impl Hosting {
     /// Takes a whole batch and gives the reply to it.
     pub fn turn(&mut self, batch: &Batch) -> Read1<Vec<u8>> {
-        let now = Moment(batch.clock);
+        let now = Timestamp(batch.clock);
         let mut fields = Fields::new(&batch.records);
         let mut acting = Vec::new();
         for i in 0..batch.count {
@@ -38,7 +38,7 @@
                 continue;
             };
             if std::mem::take(&mut seat.has_event) {
-                for action in seat.dispatcher.settle(now) {
+                for action in seat.dispatcher.take_actions(now) {
                     write(&mut reply, who, action);
                 }
             }
@@ -46,14 +46,14 @@
         Ok(reply.finish())
     }
 
-    fn record(&mut self, f: &mut Fields, now: Moment, acting: &mut Vec<u16>) -> Read1<()> {
+    fn record(&mut self, f: &mut Fields, now: Timestamp, acting: &mut Vec<u16>) -> Read1<()> {
         let (code, who) = (f.u16()?, f.u16()?);
         if code == 1070 {
             let seed = f.u64()?;
             let read = read_terms(&Lines::from_text(f.text()?));
             let (terms, reports) = read.map_err(|Unreadable(why)| Malformed(why))?;
-            let tracks = terms.tracks.len();
-            let dispatcher = Dispatcher::with(Free, terms, seed);
+            let tracks = terms.classes.len();
+            let dispatcher = Dispatcher::new(Standalone, terms, seed);
             let seat = Seat {
                 dispatcher,
                 tracks,
@@ -70,7 +70,7 @@
         }
         let seat = self.seats.get_mut(&who).ok_or_else(unknown)?;
         if let Some(event) = read_event(code, f, seat)? {
-            seat.dispatcher.take(now, event);
+            seat.dispatcher.handle_event(now, event);
         }
         if !std::mem::replace(&mut seat.has_event, true) {
             acting.push(who);
@@ -100,33 +100,33 @@
             Event::Purged {
                 object: (object != 0).then_some(ObjectId(object)),
                 group: GroupId(f.u16()?.into()),
-                ago: Span(f.u32()?.into()),
+                age: TimeSpan(f.u32()?.into()),
                 stamp: None,
             }
         }
         1040 => {
-            let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
+            let (id, attempt) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
             f.host()?;
             f.u32()?;
-            Event::Begun { id, hand_off }
+            Event::ResponseStarted { id, attempt }
         }
         1060 => arrival(f, seat.tracks)?,
         1080 => outcome(f, &seat.reports)?,
-        1090 => Event::Left {
+        1090 => Event::ClientGone {
             id: RequestId(f.u64()?),
         },
-        1100 => Event::Woken {
-            wake: WakeId(f.u32()?),
+        1100 => Event::TimerFired {
+            timer: TimerId(f.u32()?),
         },
         _ => return Err(format!("unknown event code {code}").into()),
     }))
 }
 
 fn hosts(f: &mut Fields) -> Read1<Event> {
-    let form = match f.u8()? {
-        0 | 1 => ListForm::Whole,
-        2 => ListForm::Changes,
-        3 => ListForm::Failed,
+    let kind = match f.u8()? {
+        0 | 1 => HostListKind::Full,
+        2 => HostListKind::Delta,
+        3 => HostListKind::Failed,
         other => return Err(format!("unknown form {other} of a list").into()),
     };
     f.u64()?;
@@ -135,7 +135,7 @@
     for _ in 0..n {
         entries.push(entry(f)?);
     }
-    Ok(Event::Hosts { form, entries })
+    Ok(Event::HostList { kind, entries })
 }
 
 fn entry(f: &mut Fields) -> Read1<HostEntry> {
@@ -143,7 +143,7 @@
     let host = HostId(f.host()?);
     let zone = ZoneId(f.u16()?);
     let started = f.u64()?;
-    let size = f64::from(f.f32()?);
+    let capacity = f64::from(f.f32()?);
     let state = match f.u8()? {
         0 => HostState::Gone,
         1 => HostState::Ready,
@@ -151,7 +151,7 @@
         other => return Err(format!("unknown readiness {other} of a host").into()),
     };
     let kind = KindId(f.u8()?);
-    let started = (started > 0).then_some(Moment(started));
+    let started = (started > 0).then_some(Timestamp(started));
     Ok(HostEntry {
         host,
         cell,
@@ -159,13 +159,13 @@
         kind,
         started,
         stamp: started,
-        size,
+        capacity,
         state,
     })
 }
 
 fn arrival(f: &mut Fields, tracks: usize) -> Read1<Event> {
-    let (id, left, track) = (RequestId(f.u64()?), Span(f.u32()?.into()), f.u16()?);
+    let (id, time_left, track) = (RequestId(f.u64()?), TimeSpan(f.u32()?.into()), f.u16()?);
     if usize::from(track) >= tracks {
         return Err(format!("unknown category {track}").into());
     }
@@ -178,8 +178,8 @@
     let size_kb = (kbytes.is_finite() && kbytes > 0.0).then_some(kbytes);
     Ok(Event::Arrived(Arrival {
         id,
-        left,
-        track: ClassId(track),
+        time_left,
+        class: ClassId(track),
         object,
         group,
         part,
@@ -188,11 +188,11 @@
 }
 
 fn outcome(f: &mut Fields, reports: &Reports) -> Read1<Event> {
-    let (id, hand_off) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
+    let (id, attempt) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
     f.host()?;
     let ending = ending(f.u8()?)?;
-    let took = Span(f.u32()?.into());
-    let closed = f.u8()? != 0;
+    let elapsed = TimeSpan(f.u32()?.into());
+    let request_closed = f.u8()? != 0;
     let note = match f.u32()? {
         1 => Note::Hit,
         2 => Note::Filled,
@@ -201,25 +201,26 @@
         5 => Note::Stale,
         6 => Note::SourceRefused,
         7 => Note::SourceLost,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
+        8 => Note::SourceMiss,
+        9 => Note::NoFillSlot,
         10 => Note::OriginFailed,
-        _ => Note::Untold,
+        _ => Note::NotReported,
     };
-    let waited = f.u32()?;
-    let waited = (waited > 0).then_some(Span(waited.into()));
+    let first_byte_latency = f.u32()?;
+    let first_byte_latency =
+        (first_byte_latency > 0).then_some(TimeSpan(first_byte_latency.into()));
     let load = reports.load(&values(f)?);
     Ok(Event::Outcome(Outcome {
         id,
-        hand_off,
+        attempt,
         ending,
-        took,
-        closed,
+        elapsed,
+        request_closed,
         note,
-        waited,
+        first_byte_latency,
         load,
-        proven: true,
-        came_kb: None,
+        client_proven: true,
+        received_kb: None,
     }))
 }
 
@@ -235,16 +236,16 @@
         2 => Ending::Full,
         3 => Ending::TimedOut,
         4 => Ending::NoConnection,
-        5 => Ending::Lost,
-        6 => Ending::Withdrawn,
+        5 => Ending::ConnectionLost,
+        6 => Ending::Cancelled,
         7 => Ending::NotSent,
-        8 => Ending::Missed,
+        8 => Ending::Miss,
         other => return Err(format!("unknown outcome {other}").into()),
     })
 }
 
 /// Time-outs and ages travel as 32 bits, of which the top one would make them negative.
-fn wire_span(span: Span) -> u32 {
+fn wire_span(span: TimeSpan) -> u32 {
     span.0.clamp(1, i32::MAX as u64) as u32
 }
 
@@ -254,29 +255,32 @@
             let code = if fill.is_some() { 1120 } else { 1000 };
             reply.record(code, who).u64(id.0).host(host.0).u32(0);
             if let Some(fill) = fill {
-                let how =
-                    u8::from(fill.join) | u8::from(fill.held_only) << 1 | u8::from(fill.renew) << 3;
+                let how = u8::from(fill.join)
+                    | u8::from(fill.only_if_cached) << 1
+                    | u8::from(fill.revalidate) << 3;
                 reply.host(fill.source.0).u8(fill.rank);
-                reply.u32(fill.oldest.map_or(0, wire_span)).u8(how);
+                reply.u32(fill.max_age.map_or(0, wire_span)).u8(how);
             }
         }
-        Action::Refuse { id, come_back, .. } => {
-            let come_back = come_back.map_or(0, wire_span);
-            reply.record(1010, who).u64(id.0).u32(come_back);
+        Action::Refuse {
+            id, retry_after, ..
+        } => {
+            let retry_after = retry_after.map_or(0, wire_span);
+            reply.record(1010, who).u64(id.0).u32(retry_after);
         }
         Action::Fail { id, .. } => {
             reply.record(1020, who).u64(id.0);
         }
-        Action::Withdraw { id, hand_off } => {
-            reply.record(1030, who).u64(id.0).u8(hand_off.0);
+        Action::Cancel { id, attempt } => {
+            reply.record(1030, who).u64(id.0).u8(attempt.0);
         }
-        Action::Wake { at, wake } => {
-            reply.record(1040, who).u64(at.0).u32(wake.0);
+        Action::SetTimer { at, timer } => {
+            reply.record(1040, who).u64(at.0).u32(timer.0);
         }
         Action::Probe { host } => {
             reply.record(1050, who).host(host.0);
         }
-        Action::FollowList => {
+        Action::RequestHostList => {
             reply.record(1100, who).u8(1);
         }
         Action::Log { text } => {
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -15,8 +15,8 @@
         floors: 0.25,
         tickets: 64,
         voters: 3,
-        lasts: Span::from_secs(2),
-        guard: Span::ZERO,
+        lasts: TimeSpan::from_secs(2),
+        guard: TimeSpan::ZERO,
     };
     let name = name.into();
     Named {
@@ -28,7 +28,7 @@
 
 /// Dispatchers of which the first three vote, with ways that can be cut.
 struct Fleet {
-    now: Moment,
+    now: Timestamp,
     all: Vec<Option<Shares>>,
     cut: Vec<bool>,
     needs: Vec<f64>,
@@ -41,7 +41,7 @@
 impl Fleet {
     fn new(n: usize) -> Fleet {
         let mut fleet = Fleet {
-            now: Moment(1_000_000_000),
+            now: Timestamp(1_000_000_000),
             all: (0..n).map(|_| None).collect(),
             cut: vec![false; n],
             needs: vec![1.0; n],
@@ -72,9 +72,9 @@
     }
 
     fn run(&mut self, ms: u64) {
-        let end = self.now + Span::from_millis(ms);
+        let end = self.now + TimeSpan::from_millis(ms);
         while self.now < end {
-            self.now = self.now + Span::from_millis(20);
+            self.now = self.now + TimeSpan::from_millis(20);
             for nth in 0..self.all.len() {
                 let (now, need, first) = (self.now, self.needs[nth], self.first[nth]);
                 if let Some(shares) = &mut self.all[nth] {
@@ -285,11 +285,11 @@
 
 #[test]
 fn a_weight_follows_traffic_and_not_every_change_of_it() {
-    let (mut traffic, mut now) = (Traffic::default(), Moment(0));
+    let (mut traffic, mut now) = (Traffic::default(), Timestamp(0));
     let mut told = Vec::new();
     for nth in 0..2_000 {
         // Forty a second, then eighty.
-        now = now + Span::from_millis(if nth < 1_000 { 25 } else { 12 });
+        now = now + TimeSpan::from_millis(if nth < 1_000 { 25 } else { 12 });
         traffic.arrived(now);
         told.push(traffic.weight(now));
     }
@@ -297,7 +297,7 @@
     assert!(steady.iter().all(|of| *of == steady[0]), "{steady:?}");
     assert!((100..=200).contains(&told[999]), "{}", told[999]);
     assert!((240..=400).contains(&told[1_999]), "{}", told[1_999]);
-    assert_eq!(traffic.weight(now + Span::from_secs(120)), 1);
+    assert_eq!(traffic.weight(now + TimeSpan::from_secs(120)), 1);
 }
 
 #[test]
@@ -324,8 +324,8 @@
 #[test]
 fn a_word_is_read_as_written_and_what_is_none_is_not() {
     let mut shares = Shares::new(HolderId(7), LifeId(1), vec![HolderId(1)], 3);
-    shares.set(Moment(0), vec![named(LINK, 5.0, 2)]);
-    shares.advance(Moment(1_000_000));
+    shares.set(Timestamp(0), vec![named(LINK, 5.0, 2)]);
+    shares.advance(Timestamp(1_000_000));
     let sent = shares.take().into_iter().find_map(|act| match act {
         Act::Send(_, note) => Some(note),
         _ => None,
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -1,13 +1,13 @@
 //! Budgets that all members divide among them, and whether their parts ever exceed the whole.
 
 use crate::layout::Layout;
-use trailproxy::units::{Moment, Span};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::shares::{Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, HolderId, LifeId};
 use trailproxy_budgets::sheet::Sheet;
 
 /// How often needs are told and parts are summed up.
-pub const EVERY: Span = Span::from_millis(100);
+pub const EVERY: TimeSpan = TimeSpan::from_millis(100);
 /// Names of the budgets, and what all members together need of each, as a part of its whole.
 const BUDGETS: [(&str, f64); 3] = [("crossing", 0.6), ("origin", 1.5), ("refill", 4.0)];
 const VOTERS: usize = 5;
@@ -15,7 +15,7 @@
 const LASTS_S: f64 = 2.0;
 const WHOLE: f64 = 1_000.0;
 /// The need of a site rises and falls by half over this.
-const SWING: Span = Span::from_secs(20);
+const SWING: TimeSpan = TimeSpan::from_secs(20);
 /// Sums of parts beyond the whole by less are rounding.
 const ROUNDING: f64 = 1e-9;
 
@@ -39,7 +39,7 @@
 
 /// One member's side of all budgets.
 pub fn shares(
-    now: Moment,
+    now: Timestamp,
     own: (HolderId, LifeId),
     voters: &[String],
     seats: usize,
@@ -59,7 +59,7 @@
 }
 
 /// Tells what a member needs now: uneven by its load, and swinging with its site.
-pub fn tell_needs(shares: &mut Shares, now: Moment, layout: &Layout, member: usize) {
+pub fn tell_needs(shares: &mut Shares, now: Timestamp, layout: &Layout, member: usize) {
     let location = &layout.members[member];
     let phase = now.0 as f64 / SWING.0 as f64 + location.site as f64 / 7.0;
     let swing = 1.0 + 0.5 * (phase * std::f64::consts::TAU).sin();
@@ -70,7 +70,7 @@
 }
 
 /// Budgets of which all these members together may use more than the whole.
-pub fn overruns<'a>(now: Moment, all: impl Iterator<Item = &'a Shares> + Clone) -> u64 {
+pub fn overruns<'a>(now: Timestamp, all: impl Iterator<Item = &'a Shares> + Clone) -> u64 {
     let overrun = |name: &str| {
         let id = BudgetId::of_name(name);
         let parts = all.clone().filter_map(|shares| shares.part(now, id));
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
-use trailproxy::units::{Moment, Span};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::shares::Act;
 use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
@@ -31,12 +31,12 @@
 use trailproxy_shared_store::decide::records::Folding;
 
 /// When virtual time begins.
-const START: Moment = Moment(1_700_000_000_000_000);
+const START: Timestamp = Timestamp(1_700_000_000_000_000);
 const SEEDS_PER_REGION: usize = 1;
 /// How often it is looked whether the fleet is settled.
-const SETTLED_EVERY: Span = Span::from_millis(100);
+const SETTLED_EVERY: TimeSpan = TimeSpan::from_millis(100);
 /// How often it is looked whether members still tell each other who is there, and of how many members one may.
-const QUIET_EVERY: Span = Span::from_secs(2);
+const QUIET_EVERY: TimeSpan = TimeSpan::from_secs(2);
 const QUIET_PART: u64 = 20;
 const UPDATES_IN_MESSAGE: usize = 24;
 
@@ -52,15 +52,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Settling {
     /// All members know just each other.
-    pub agreed: Option<Span>,
+    pub agreed: Option<TimeSpan>,
     /// They lack nothing either.
-    pub settled: Option<Span>,
+    pub settled: Option<TimeSpan>,
 }
 
 /// All members, the network between them, and what was counted.
 #[derive(Clone)]
 pub struct Fleet {
-    pub now: Moment,
+    pub now: Timestamp,
     pub layout: Arc<Layout>,
     pub settings: Settings,
     pub members: Vec<Member>,
@@ -68,7 +68,7 @@
     pub purges: PurgeLedger,
     pub budget_overruns: u64,
     /// Since when traffic is counted.
-    pub counted_from: Moment,
+    pub counted_from: Timestamp,
     pub events_handled: u64,
     network: Network,
     queue: EventQueue,
@@ -140,7 +140,7 @@
     }
 
     /// Runs until hardly any member tells others who is there, or `most` is over.
-    pub fn run_until_quiet(&mut self, most: Span) {
+    pub fn run_until_quiet(&mut self, most: TimeSpan) {
         let begun = self.now;
         while self.now.since(begun) < most {
             let before = self.updates_sent();
@@ -213,7 +213,7 @@
     }
 
     /// Time goes on by `span`.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let until = self.now + span;
         while let Some((at, event)) = self.queue.pop(until) {
             self.now = at;
@@ -223,7 +223,7 @@
     }
 
     /// Runs until all members know each other and lack nothing, or `most` is over.
-    pub fn run_until_settled(&mut self, most: Span) -> Settling {
+    pub fn run_until_settled(&mut self, most: TimeSpan) -> Settling {
         let begun = self.now;
         let mut settling = Settling::default();
         while settling.settled.is_none() && self.now.since(begun) < most {
@@ -319,7 +319,7 @@
         if let Some(peers) = of.peers.as_mut().filter(|peers| peers.next() <= now) {
             peers.advance(now);
         }
-        let due = |at: Option<Moment>| at.is_some_and(|at| at <= now);
+        let due = |at: Option<Timestamp>| at.is_some_and(|at| at <= now);
         if let Some(shares) = of.shares.as_mut().filter(|shares| due(shares.next())) {
             shares.advance(now);
         }
@@ -451,7 +451,7 @@
         let of = &mut self.members[member];
         let Some(next) = of.next() else { return };
         // A core that is due at once is woken after what happens now.
-        let at = next.max(self.now + Span(1));
+        let at = next.max(self.now + TimeSpan(1));
         if of
             .wakes_at
             .is_none_or(|queued| at < queued || queued < self.now)
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -14,41 +14,41 @@
 
 /// Who decides at a dispatcher.
 pub trait Decider {
-    fn take(&mut self, now: Moment, event: Event);
-    fn settle(&mut self, now: Moment) -> Vec<Action>;
+    fn handle_event(&mut self, now: Timestamp, event: Event);
+    fn take_actions(&mut self, now: Timestamp) -> Vec<Action>;
     /// The true pace of each host, as far as it is told: only the oracle looks at it.
-    fn truth(&mut self, _now: Moment, _paces: &[(HostId, f64)]) {}
+    fn truth(&mut self, _now: Timestamp, _paces: &[(HostId, f64)]) {}
     /// How many hosts it keeps something of.
-    fn hosts_kept(&self) -> usize;
+    fn tracked_hosts(&self) -> usize;
     /// Its account of traffic between zones, where it keeps one.
     fn zones(&mut self) -> Option<&mut Zones> {
         None
     }
     /// What its budgets come to now, where they are divided.
-    fn divide(&mut self, _now: Moment, _following: &mut Following) {}
+    fn set_slow_start_shares(&mut self, _now: Timestamp, _following: &mut Following) {}
 }
 
 impl Decider for Dispatcher<Option<Zones>> {
-    fn take(&mut self, now: Moment, event: Event) {
-        Dispatcher::take(self, now, event);
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
+        Dispatcher::handle_event(self, now, event);
     }
 
-    fn settle(&mut self, now: Moment) -> Vec<Action> {
-        Dispatcher::settle(self, now)
+    fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
+        Dispatcher::take_actions(self, now)
     }
 
-    fn hosts_kept(&self) -> usize {
-        Dispatcher::hosts_kept(self)
+    fn tracked_hosts(&self) -> usize {
+        Dispatcher::tracked_hosts(self)
     }
 
     fn zones(&mut self) -> Option<&mut Zones> {
         self.crossings.as_mut()
     }
 
-    fn divide(&mut self, now: Moment, following: &mut Following) {
+    fn set_slow_start_shares(&mut self, now: Timestamp, following: &mut Following) {
         following.advance(now, &mut self.crossings);
         if let Some((caches, parents)) = following.cold() {
-            Dispatcher::divide(self, now, caches, parents);
+            Dispatcher::set_slow_start_shares(self, now, caches, parents);
         }
     }
 }
@@ -95,12 +95,17 @@
     }
 
     /// A decider for one dispatcher.
-    pub fn decider(self, terms: Terms, rules: Option<&Rules>, seed: u64) -> Box<dyn Decider> {
+    pub fn decider(
+        self,
+        terms: DispatcherSettings,
+        rules: Option<&Rules>,
+        seed: u64,
+    ) -> Box<dyn Decider> {
         match self {
             Policy::Design => {
                 // Its points in the budgets are drawn apart from the decisions' own chance.
                 let zones = rules.map(|rules| Zones::new(&terms, rules.clone(), !seed));
-                Box::new(Dispatcher::with(zones, terms, seed))
+                Box::new(Dispatcher::new(zones, terms, seed))
             }
             policy => Box::new(Baseline::new(policy, terms, seed)),
         }
@@ -108,15 +113,15 @@
 }
 
 /// The window of the plain breaker, the share of failures that opens it, and for how long.
-const WINDOW: Span = Span::from_secs(10);
+const WINDOW: TimeSpan = TimeSpan::from_secs(10);
 const LEAST: usize = 10;
-const OPEN_FOR: Span = Span::from_secs(10);
+const OPEN_FOR: TimeSpan = TimeSpan::from_secs(10);
 /// A host below this part of its pace is left out by the oracle.
 const WELL: f64 = 0.5;
 /// Part of a cold host's told limit that all use together, and what an answer takes beside its sending.
 const COLD_USE: f64 = 0.4;
-const HOP: Span = Span::from_millis(40);
-const COME_BACK: Span = Span::from_millis(500);
+const HOP: TimeSpan = TimeSpan::from_millis(40);
+const DEFAULT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
@@ -129,25 +134,25 @@
     entry: HostEntry,
     role: Role,
     out: u32,
-    recent: VecDeque<(Moment, bool)>,
-    open_until: Moment,
+    recent: VecDeque<(Timestamp, bool)>,
+    open_until: Timestamp,
     pace: f64,
     /// What is left of its cold limit, and when that was reckoned.
-    allowance: (f64, Moment),
+    allowance: (f64, Timestamp),
 }
 
 struct Try {
     host: HostId,
     source: HostId,
-    sent: Moment,
+    sent: Timestamp,
     out: bool,
     may_have_run: bool,
     withdrawn: bool,
 }
 
 struct Request {
-    asked: Arrival,
-    limit: Moment,
+    arrival: Arrival,
+    limit: Timestamp,
     tries: Vec<Try>,
     failed: BTreeSet<HostId>,
     ended: bool,
@@ -156,21 +161,24 @@
 /// One dispatcher under a plain policy.
 pub struct Baseline {
     policy: Policy,
-    terms: Terms,
+    terms: DispatcherSettings,
     chance: fastrand::Rng,
     seats: f64,
     hosts: BTreeMap<HostId, Host>,
     accesses: BTreeMap<RequestId, Request>,
     touched: BTreeSet<RequestId>,
-    limits: BTreeSet<(Moment, RequestId)>,
-    armed: Option<Moment>,
-    purges: BTreeMap<(GroupId, Option<ObjectId>), Moment>,
+    limits: BTreeSet<(Timestamp, RequestId)>,
+    armed: Option<Timestamp>,
+    purges: BTreeMap<(GroupId, Option<ObjectId>), Timestamp>,
     actions: Vec<Action>,
 }
 
 impl Baseline {
-    pub fn new(policy: Policy, terms: Terms, seed: u64) -> Baseline {
-        let seats = terms.seats.get(usize::from(terms.zone.0)).copied();
+    pub fn new(policy: Policy, terms: DispatcherSettings, seed: u64) -> Baseline {
+        let seats = terms
+            .dispatchers_by_zone
+            .get(usize::from(terms.zone.0))
+            .copied();
         Baseline {
             policy,
             chance: fastrand::Rng::with_seed(seed),
@@ -194,8 +202,8 @@
         }
     }
 
-    fn list(&mut self, now: Moment, form: ListForm, entries: Vec<HostEntry>) {
-        if form == ListForm::Whole {
+    fn list(&mut self, now: Timestamp, form: HostListKind, entries: Vec<HostEntry>) {
+        if form == HostListKind::Full {
             self.hosts
                 .values_mut()
                 .for_each(|host| host.entry.state = HostState::Gone);
@@ -207,13 +215,13 @@
                 role,
                 out: 0,
                 recent: VecDeque::new(),
-                open_until: Moment(0),
+                open_until: Timestamp(0),
                 pace: 1.0,
                 allowance: (0.0, now),
             };
             let host = self.hosts.entry(entry.host).or_insert_with(fresh);
             if host.entry.started != entry.started {
-                (host.recent, host.open_until) = (VecDeque::new(), Moment(0));
+                (host.recent, host.open_until) = (VecDeque::new(), Timestamp(0));
                 host.allowance = (-self.chance.f64(), now);
             }
             host.entry = entry;
@@ -228,37 +236,37 @@
             .retain(|id, host| host.entry.state != HostState::Gone || named.contains(id));
     }
 
-    fn track(&self, access: &Request) -> &ClassTerms {
-        &self.terms.tracks[usize::from(access.asked.track.0)]
+    fn track(&self, access: &Request) -> &ClassSettings {
+        &self.terms.classes[usize::from(access.arrival.class.0)]
     }
 
-    fn send_time(&self, access: &Request) -> Span {
+    fn send_time(&self, access: &Request) -> TimeSpan {
         let kb = access
-            .asked
+            .arrival
             .size_kb
-            .unwrap_or(self.terms.flow_kb_per_s * 0.05);
-        Span::from_secs_f64(kb / self.terms.flow_kb_per_s)
+            .unwrap_or(self.terms.stream_kb_per_s * 0.05);
+        TimeSpan::from_secs_f64(kb / self.terms.stream_kb_per_s)
     }
 
-    fn cold(&self, role: Role) -> Cold {
+    fn cold(&self, role: Role) -> SlowStart {
         if role == Role::Cache {
-            self.terms.cold_cache
+            self.terms.cache_slow_start
         } else {
-            self.terms.cold_parent
+            self.terms.parent_slow_start
         }
     }
 
-    fn warmth(&self, now: Moment, host: &Host) -> f64 {
+    fn warmth(&self, now: Timestamp, host: &Host) -> f64 {
         let cold = self.cold(host.role);
         let age = host.entry.started.map(|at| now.since(at).as_secs_f64());
         let risen = age.map_or(1.0, |age| {
-            (age / cold.warm_after.as_secs_f64().max(1e-3)).min(1.0)
+            (age / cold.duration.as_secs_f64().max(1e-3)).min(1.0)
         });
-        cold.from + (1.0 - cold.from) * risen
+        cold.initial_capacity + (1.0 - cold.initial_capacity) * risen
     }
 
     /// The fourth rule, for all dispatchers together: each has an equal part of a cold host's limit.
-    fn spares(&self, now: Moment, host: &Host, work: Span) -> bool {
+    fn spares(&self, now: Timestamp, host: &Host, work: TimeSpan) -> bool {
         self.warmth(now, host) >= 1.0
             || (self.allowance(now, host) >= 0.0
                 && self.cost(now, host, work) <= self.all(host.role))
@@ -272,23 +280,23 @@
         }
     }
 
-    fn cost(&self, now: Moment, host: &Host, work: Span) -> f64 {
+    fn cost(&self, now: Timestamp, host: &Host, work: TimeSpan) -> f64 {
         let cold = self.cold(host.role);
-        let told = cold.fall_multiple * cold.fall_after.as_secs_f64();
-        let limit = told * COLD_USE * self.warmth(now, host) * host.entry.size;
+        let told = cold.overload_factor * cold.overload_window.as_secs_f64();
+        let limit = told * COLD_USE * self.warmth(now, host) * host.entry.capacity;
         work.as_secs_f64() * self.all(host.role) / limit.max(1e-9)
     }
 
-    fn allowance(&self, now: Moment, host: &Host) -> f64 {
-        let span = self.cold(host.role).fall_after.as_secs_f64().max(1e-3);
+    fn allowance(&self, now: Timestamp, host: &Host) -> f64 {
+        let span = self.cold(host.role).overload_window.as_secs_f64().max(1e-3);
         (host.allowance.0 + now.since(host.allowance.1).as_secs_f64() / span).min(1.0)
     }
 
     /// Whether the policy lets this host be asked at all.
-    fn usable(&self, now: Moment, access: &Request, id: HostId) -> bool {
+    fn usable(&self, now: Timestamp, access: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let ready = host.entry.state == HostState::Ready && !access.failed.contains(&id);
-        let work = self.send_time(access).max(Span::from_millis(20));
+        let work = self.send_time(access).max(TimeSpan::from_millis(20));
         let open = match self.policy {
             Policy::NoRamp => now < host.open_until,
             Policy::Oracle => host.pace < WELL,
@@ -297,7 +305,7 @@
         ready && !open && self.spares(now, host, work)
     }
 
-    fn order(&mut self, now: Moment, id: RequestId, role: Role) -> Vec<HostId> {
+    fn order(&mut self, now: Timestamp, id: RequestId, role: Role) -> Vec<HostId> {
         let access = &self.accesses[&id];
         let zone = self.terms.zone;
         let meant =
@@ -313,9 +321,9 @@
             .filter(|&host| self.usable(now, access, host))
             .collect();
         let (object, part) = (
-            access.asked.object,
+            access.arrival.object,
             if role == Role::Cache {
-                access.asked.part
+                access.arrival.part
             } else {
                 0
             },
@@ -327,7 +335,7 @@
                 let score = |host: &HostId| {
                     let x = crate::chance::mix(object.0 ^ (u64::from(part) << 52), host.0);
                     let even = ((x >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
-                    -even.ln() / self.hosts[host].entry.size.max(0.01)
+                    -even.ln() / self.hosts[host].entry.capacity.max(0.01)
                 };
                 all.sort_by(|a, b| score(a).total_cmp(&score(b)));
             }
@@ -336,7 +344,7 @@
     }
 
     /// Rule 2: whether what may have run allows a hand-off there.
-    fn may_go(&self, now: Moment, access: &Request, to: HostId) -> bool {
+    fn may_go(&self, now: Timestamp, access: &Request, to: HostId) -> bool {
         let mut ran = access.tries.iter().filter(|t| t.out || t.may_have_run);
         match self.track(access).effect {
             Effect::Idempotent => access.tries.iter().all(|t| !t.out),
@@ -353,23 +361,23 @@
         }
     }
 
-    fn step(&mut self, now: Moment, id: RequestId) {
+    fn step(&mut self, now: Timestamp, id: RequestId) {
         let Some(access) = self.accesses.get(&id).filter(|access| !access.ended) else {
             return self.forget(id);
         };
         if access.tries.iter().any(|t| t.out) && now < access.limit {
             return;
         }
-        if now >= access.limit || access.tries.len() >= self.terms.max_hand_offs {
+        if now >= access.limit || access.tries.len() >= self.terms.max_attempts {
             return self.give_up(id);
         }
-        let written = self.track(access).written;
+        let written = self.track(access).is_write;
         let caches = self.order(now, id, Role::Cache);
         let parents = self.order(now, id, Role::Parent);
         let origin = self.order(now, id, Role::Origin).first().copied();
         let (host, source) = match (written, caches.first(), parents.first().copied().or(origin)) {
             (true, cache, _) => {
-                let host = if self.terms.straight {
+                let host = if self.terms.allows_direct {
                     origin
                 } else {
                     cache.copied()
@@ -377,7 +385,10 @@
                 (host, origin)
             }
             (false, Some(&cache), source) => (Some(cache), source.or(Some(cache))),
-            (false, None, source) => (source.filter(|_| self.terms.straight), origin.or(source)),
+            (false, None, source) => (
+                source.filter(|_| self.terms.allows_direct),
+                origin.or(source),
+            ),
         };
         let (Some(host), Some(source)) = (host, source) else {
             return self.give_up(id);
@@ -390,24 +401,24 @@
         self.send(now, id, host, source, written);
     }
 
-    fn send(&mut self, now: Moment, id: RequestId, host: HostId, source: HostId, written: bool) {
+    fn send(&mut self, now: Timestamp, id: RequestId, host: HostId, source: HostId, written: bool) {
         let access = &self.accesses[&id];
         let track = self.track(access);
-        let (object, group) = (access.asked.object, access.asked.group);
+        let (object, group) = (access.arrival.object, access.arrival.group);
         let keys = [(GroupId::default(), Some(object)), (group, None)];
         let since = keys
             .iter()
             .filter_map(|key| Some(now.since(*self.purges.get(key)?)));
-        let oldest = since.chain(track.fresh).min();
+        let max_age = since.chain(track.fresh_for).min();
         let fill = Fill {
             source,
             rank: u8::from(!written),
-            oldest,
-            join: self.terms.joins && source != host,
-            held_only: false,
-            renew: track.fresh.is_some() && source != host,
+            max_age,
+            join: self.terms.joins_fills && source != host,
+            only_if_cached: false,
+            revalidate: track.fresh_for.is_some() && source != host,
         };
-        let work = self.send_time(access).max(Span::from_millis(20));
+        let work = self.send_time(access).max(TimeSpan::from_millis(20));
         let costs = [host, source].map(|id| (id, self.cost(now, &self.hosts[&id], work)));
         for (nth, (id, cost)) in costs.into_iter().enumerate() {
             let left = self.allowance(now, &self.hosts[&id]);
@@ -440,22 +451,26 @@
         let access = &self.accesses[&id];
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
         let harmless = permits::may_refuse(self.track(access).effect, ran);
-        let come_back = self
+        let retry_after = self
             .terms
-            .longest_away
-            .map(|longest| COME_BACK.min(longest));
+            .max_retry_after
+            .map(|longest| DEFAULT_RETRY_AFTER.min(longest));
         self.actions.push(if harmless {
-            let why = GiveUpReason::NoHostInTime;
-            Action::Refuse { id, come_back, why }
+            let reason = GiveUpReason::NoHostInTime;
+            Action::Refuse {
+                id,
+                retry_after,
+                reason,
+            }
         } else {
-            let why = GiveUpReason::NoHostInTime;
-            Action::Fail { id, why }
+            let reason = GiveUpReason::NoHostInTime;
+            Action::Fail { id, reason }
         });
         self.close(id);
     }
 
     fn close(&mut self, id: RequestId) {
-        let may = self.terms.may_withdraw;
+        let may = self.terms.may_cancel;
         if let Some(access) = self.accesses.get_mut(&id) {
             access.ended = true;
             for (no, attempt) in access
@@ -465,9 +480,9 @@
                 .filter(|(_, t)| may && t.out && !t.withdrawn)
             {
                 attempt.withdrawn = true;
-                self.actions.push(Action::Withdraw {
+                self.actions.push(Action::Cancel {
                     id,
-                    hand_off: AttemptNo(no as u8),
+                    attempt: AttemptNo(no as u8),
                 });
             }
         }
@@ -482,10 +497,10 @@
         }
     }
 
-    fn outcome(&mut self, now: Moment, outcome: &Outcome) {
+    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let id = outcome.id;
         let tries = self.accesses.get_mut(&id).map(|access| &mut access.tries);
-        let attempt = tries.and_then(|tries| tries.get_mut(usize::from(outcome.hand_off.0)));
+        let attempt = tries.and_then(|tries| tries.get_mut(usize::from(outcome.attempt.0)));
         let Some(attempt) = attempt.filter(|t| t.out) else {
             return;
         };
@@ -497,7 +512,7 @@
             .into_iter()
             .for_each(|host| host.out = host.out.saturating_sub(1));
         let bad = match outcome.ending {
-            Ending::Done | Ending::Missed | Ending::Withdrawn | Ending::NotSent => None,
+            Ending::Done | Ending::Miss | Ending::Cancelled | Ending::NotSent => None,
             Ending::Error if host != source => Some(source),
             _ => Some(host),
         };
@@ -521,7 +536,7 @@
         if let Some(access) = self.accesses.get_mut(&id) {
             access.failed.extend(bad);
         }
-        if outcome.closed {
+        if outcome.request_closed {
             self.close(id);
         }
         self.touched.insert(id);
@@ -529,42 +544,42 @@
 }
 
 impl Decider for Baseline {
-    fn take(&mut self, now: Moment, event: Event) {
+    fn handle_event(&mut self, now: Timestamp, event: Event) {
         match event {
-            Event::Hosts { form, entries } => self.list(now, form, entries),
-            Event::Arrived(asked) => {
-                let limit = now + asked.left;
+            Event::HostList { kind, entries } => self.list(now, kind, entries),
+            Event::Arrived(arrival) => {
+                let limit = now + arrival.time_left;
                 let (tries, failed) = (Vec::new(), BTreeSet::new());
                 self.accesses.insert(
-                    asked.id,
+                    arrival.id,
                     Request {
-                        asked,
+                        arrival,
                         limit,
                         tries,
                         failed,
                         ended: false,
                     },
                 );
-                self.limits.insert((limit, asked.id));
-                self.touched.insert(asked.id);
+                self.limits.insert((limit, arrival.id));
+                self.touched.insert(arrival.id);
             }
-            Event::Begun { id, .. } | Event::Left { id } => self.close(id),
+            Event::ResponseStarted { id, .. } | Event::ClientGone { id } => self.close(id),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
-            Event::Woken { .. } => self.armed = None,
-            Event::Probed { .. } | Event::Hinted { .. } => {}
+            Event::TimerFired { .. } => self.armed = None,
+            Event::Probed { .. } | Event::PeerBreakerOpened { .. } => {}
             Event::Purged {
-                object, group, ago, ..
+                object, group, age, ..
             } => {
-                let forget = self.terms.purge_done.times(3.0);
+                let forget = self.terms.purge_propagation.mul_f64(3.0);
                 self.purges.retain(|_, &mut at| now.since(at) < forget);
                 let group = object.map_or(group, |_| GroupId::default());
                 let at = self.purges.entry((group, object)).or_default();
-                *at = (*at).max(now - ago);
+                *at = (*at).max(now - age);
             }
         }
     }
 
-    fn settle(&mut self, now: Moment) -> Vec<Action> {
+    fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
         while let Some(&(at, id)) = self.limits.first().filter(|(at, _)| *at <= now) {
             self.limits.remove(&(at, id));
             self.touched.insert(id);
@@ -575,19 +590,19 @@
         let next = self.limits.first().map(|&(at, _)| at);
         if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
             self.armed = Some(at);
-            self.actions.push(Action::Wake {
+            self.actions.push(Action::SetTimer {
                 at,
-                wake: WakeId(0),
+                timer: TimerId(0),
             });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn hosts_kept(&self) -> usize {
+    fn tracked_hosts(&self) -> usize {
         self.hosts.len()
     }
 
-    fn truth(&mut self, _now: Moment, paces: &[(HostId, f64)]) {
+    fn truth(&mut self, _now: Timestamp, paces: &[(HostId, f64)]) {
         for (id, pace) in paces {
             self.hosts
                 .get_mut(id)
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -49,7 +49,7 @@
     pub operators: Vec<serde_json::Value>,
     pub variables: Vec<Vec<(String, String)>>,
     /// What happens to the processes, and when.
-    pub strikes: Vec<(Moment, Strike)>,
+    pub strikes: Vec<(Timestamp, Strike)>,
     /// What is seen from outside, for whoever counts by keys.
     pub watch: Option<Rc<RefCell<dyn Watch>>>,
     /// Tries of one client go to another dispatcher each, where there are several.
@@ -57,7 +57,7 @@
     /// This part of first tries goes to the first dispatcher that is up, beside its share of the rest.
     pub busy: f64,
     /// How long a client waits for an answer before it comes again; `None`: to its outer limit.
-    pub patience: Option<Span>,
+    pub patience: Option<TimeSpan>,
     /// At the end, so many of the last requests with keys that were done are sent again, to every dispatcher.
     pub again: usize,
     /// Where each seat finds the journal service, given where that is; `None`: there.
@@ -73,9 +73,9 @@
 #[derive(Clone)]
 pub enum Strike {
     /// Killed, and started again after the span.
-    Kill(Vec<usize>, Span),
+    Kill(Vec<usize>, TimeSpan),
     /// Stopped for the span, and then let on.
-    Pause(Vec<usize>, Span),
+    Pause(Vec<usize>, TimeSpan),
     /// Asked to end, waited for, and started again, one after the other.
     Roll(Vec<usize>),
     Reread(Vec<usize>),
@@ -85,10 +85,10 @@
 /// Whoever counts from outside.
 pub trait Watch {
     /// A request with a key is about to be sent to a seat.
-    fn asked(&mut self, at: Moment, id: RequestId, key: &str, track: ClassId, seat: usize);
+    fn asked(&mut self, at: Timestamp, id: RequestId, key: &str, track: ClassId, seat: usize);
     /// `None`: no answer.
-    fn answered(&mut self, at: Moment, id: RequestId, how: Option<Final>);
-    fn seen(&mut self, at: Moment, seen: &Seen);
+    fn answered(&mut self, at: Timestamp, id: RequestId, how: Option<Final>);
+    fn seen(&mut self, at: Timestamp, seen: &Seen);
 }
 
 /// Bodies have this part of the bytes that they stand for.
@@ -103,14 +103,14 @@
 /// All is up before the day begins.
 const LEAD: Duration = Duration::from_millis(1_500);
 /// What is seen at two ends of a socket may differ by this on a busy machine.
-const SLACK: Span = Span::from_millis(200);
+const SLACK: TimeSpan = TimeSpan::from_millis(200);
 
 /// Everything that is noted, in one place.
 struct Books {
     checker: Checker,
     tally: Tally,
-    seen: UnboundedReceiver<(Moment, Seen)>,
-    copies: BTreeMap<u64, Moment>,
+    seen: UnboundedReceiver<(Timestamp, Seen)>,
+    copies: BTreeMap<u64, Timestamp>,
     crossed: Crossed,
     watch: Option<Rc<RefCell<dyn Watch>>>,
 }
@@ -192,11 +192,11 @@
     watch: Option<Rc<RefCell<dyn Watch>>>,
     elsewhere: bool,
     busy: f64,
-    patience: Option<Span>,
+    patience: Option<TimeSpan>,
     again: usize,
     /// Requests with keys that were done, the last ones.
     done: RefCell<VecDeque<(Wish, String)>>,
-    strikes: Vec<(Moment, Strike)>,
+    strikes: Vec<(Timestamp, Strike)>,
 }
 
 /// Plays one day against real dispatchers; an error is one of this machine, not of the program.
@@ -242,7 +242,7 @@
             .map(|zone| zone.name.clone())
             .collect(),
         scale: scale(&scenario),
-        notes: scenario.terms.notes,
+        notes: scenario.terms.note_level,
         list_delay: scenario.list_delay,
         purge_delay: scenario.purge_delay,
     };
@@ -603,13 +603,13 @@
         }
     }
 
-    async fn strikes(self: Rc<Run>, at: Moment, strike: Strike) {
+    async fn strikes(self: Rc<Run>, at: Timestamp, strike: Strike) {
         sleep_until(self.clock.instant(at)).await;
         let of = |seats: &[usize]| -> Vec<Rc<Seat>> {
             let seats = seats.iter().filter_map(|&nth| self.seats.get(nth));
             seats.cloned().collect()
         };
-        let wait = |span: Span| sleep(Duration::from_micros(span.0));
+        let wait = |span: TimeSpan| sleep(Duration::from_micros(span.0));
         match strike {
             Strike::Do(what) => what(),
             Strike::Reread(seats) => of(&seats).iter().for_each(|seat| seat.signal("HUP")),
@@ -656,7 +656,7 @@
     async fn want(self: Rc<Run>, wish: Wish) {
         let track = &self.scenario.shape.tracks[usize::from(wish.track.0)];
         let send = wish.kb / self.scenario.shape.flow_kb_per_s;
-        let due = wish.at + track.due + Span::from_secs_f64(send * track.due_stretch);
+        let due = wish.at + track.target + TimeSpan::from_secs_f64(send * track.target_stretch);
         let until = wish.at + self.scenario.limits[usize::from(wish.track.0)];
         let fingerprint = format!(
             "{:016x}{:016x}",
@@ -688,7 +688,7 @@
             let own = self
                 .scenario
                 .away
-                .times(0.75 + 0.5 * self.chance.borrow_mut().random::<f64>());
+                .mul_f64(0.75 + 0.5 * self.chance.borrow_mut().random::<f64>());
             let wait = away.unwrap_or(own);
             if tries == self.scenario.retries || self.clock.now() + wait >= until {
                 return;
@@ -718,9 +718,9 @@
         seat: &Seat,
         nth: usize,
         wish: Wish,
-        until: Moment,
+        until: Timestamp,
         fingerprint: &str,
-    ) -> (Option<Final>, Option<Span>) {
+    ) -> (Option<Final>, Option<TimeSpan>) {
         let reference = self.next.get() + 1;
         self.next.set(reference);
         let id = RequestId(reference);
@@ -753,7 +753,7 @@
                 .borrow_mut()
                 .asked(now, id, fingerprint, wish.track, nth);
         }
-        let body = if track.written {
+        let body = if track.is_write {
             (wish.kb * 1024.0 * scale(&self.scenario)).clamp(1.0, 48_000.0) as usize
         } else {
             0
@@ -788,7 +788,7 @@
         }
         let (how, away) = match reply {
             Reply::Done { .. } => (Final::Done, None),
-            Reply::Rejected { cooldown } => (Final::Rejected, cooldown.map(Span::from_millis)),
+            Reply::Rejected { cooldown } => (Final::Rejected, cooldown.map(TimeSpan::from_millis)),
             Reply::Aborted { .. } => (Final::Aborted, None),
             Reply::Broken => {
                 // With the dispatcher up, a connection that ends owes an answer.
@@ -808,7 +808,7 @@
             }
         };
         let copy = minted
-            .filter(|_| !track.written)
+            .filter(|_| !track.is_write)
             .map(|minted| (wish.object, wish.group, minted));
         if keyed && how == Final::Done && self.again > 0 {
             let mut done = self.done.borrow_mut();
@@ -843,8 +843,8 @@
         .clone()
         .map(|(nth, track)| {
             let (semantics, group, window) = match track.effect {
-                Effect::Idempotent => ("repeatable", "all", Span::ZERO),
-                Effect::NonIdempotent => ("once", "all", Span::ZERO),
+                Effect::Idempotent => ("repeatable", "all", TimeSpan::ZERO),
+                Effect::NonIdempotent => ("once", "all", TimeSpan::ZERO),
                 Effect::Keyed { group, window } => {
                     let group = match group {
                         RepeatGroup::All => "all",
@@ -855,10 +855,10 @@
                 }
             };
             json!({
-                "name": scenario.track_names[nth], "on_time_us": track.due.0,
+                "name": scenario.track_names[nth], "on_time_us": track.target.0,
                 "hard_limit_us": scenario.limits[nth].0, "importance": scenario.importance[nth],
                 "semantics": semantics, "group": group, "repeat_window_us": window.0,
-                "aim_stretch": track.due_stretch,
+                "aim_stretch": track.target_stretch,
             })
         })
         .collect();
@@ -868,15 +868,15 @@
         .iter()
         .map(|zone| zone.link_kb_per_s)
         .collect();
-    let notes = match terms.notes {
+    let notes = match terms.note_level {
         trailproxy::interface::NoteLevel::All => "all",
         trailproxy::interface::NoteLevel::Hits => "hit",
         trailproxy::interface::NoteLevel::None => "none",
     };
-    let of = |value: &dyn Fn(&trailproxy::interface::ClassTerms) -> u64| -> Vec<u64> {
+    let of = |value: &dyn Fn(&trailproxy::interface::ClassSettings) -> u64| -> Vec<u64> {
         tracks.clone().map(|(_, track)| value(track)).collect()
     };
-    let written: Vec<bool> = tracks.clone().map(|(_, track)| track.written).collect();
+    let written: Vec<bool> = tracks.clone().map(|(_, track)| track.is_write).collect();
     json!({
         "az": zone.0,
         "balancers": terms.dispatchers,
@@ -886,27 +886,27 @@
         "weights": "nominal",
         "classes": classes,
         "ceilings": {
-            "max_attempts": terms.max_hand_offs, "max_open": 20_000, "max_streams": 32,
-            "cancel": terms.may_withdraw, "retry_after": terms.longest_away.is_some(),
-            "max_retry_after_us": terms.longest_away.map_or(0, |away| away.0),
+            "max_attempts": terms.max_attempts, "max_open": 20_000, "max_streams": 32,
+            "cancel": terms.may_cancel, "retry_after": terms.max_retry_after.is_some(),
+            "max_retry_after_us": terms.max_retry_after.map_or(0, |away| away.0),
             "dial_timeout_us": 400_000, "idle_close_us": 30_000_000,
         },
         "rules": {
-            "start_capacity": terms.cold_cache.from, "cold_us": terms.cold_cache.warm_after.0,
-            "overload_factor": terms.cold_cache.fall_multiple, "tip_after_us": terms.cold_cache.fall_after.0,
+            "start_capacity": terms.cache_slow_start.initial_capacity, "cold_us": terms.cache_slow_start.duration.0,
+            "overload_factor": terms.cache_slow_start.overload_factor, "tip_after_us": terms.cache_slow_start.overload_window.0,
             "stop_sending_within_us": 2_000_000,
         },
         "family_info": {
             "second_tier_kind": terms.parent_kind.map_or(-1, |kind| i64::from(kind.0)),
             "master_kind": terms.origin_kind.map_or(-1, |kind| i64::from(kind.0)),
-            "parent_starts_at": terms.cold_parent.from, "parent_ramp_us": terms.cold_parent.warm_after.0,
-            "upper_fall_multiple": terms.cold_parent.fall_multiple,
-            "stream_kb_per_s": terms.flow_kb_per_s, "feed_kb_per_s": links,
+            "parent_starts_at": terms.parent_slow_start.initial_capacity, "parent_ramp_us": terms.parent_slow_start.duration.0,
+            "upper_fall_multiple": terms.parent_slow_start.overload_factor,
+            "stream_kb_per_s": terms.stream_kb_per_s, "feed_kb_per_s": links,
             "seats_by_zone": scenario.seats, "note_level": notes,
-            "straight": terms.straight, "joins": terms.joins,
-            "max_age_us": of(&|track| track.fresh.map_or(0, |fresh| fresh.0)),
-            "usable_after_us": of(&|track| track.grace.0),
-            "never_kept": written, "cleared_within_us": terms.purge_done.0,
+            "straight": terms.allows_direct, "joins": terms.joins_fills,
+            "max_age_us": of(&|track| track.fresh_for.map_or(0, |fresh| fresh.0)),
+            "usable_after_us": of(&|track| track.stale_grace.0),
+            "never_kept": written, "cleared_within_us": terms.purge_propagation.0,
         },
         "report": {"via": "silent", "fields": []},
     })
--- a/crates/lab/src/model/attempts.rs
+++ b/crates/lab/src/model/attempts.rs
@@ -4,14 +4,14 @@
 use crate::rules::Final;
 use rand::Rng;
 use trailproxy::interface::{Attempt, Ending, Event, Load, NoteLevel, Outcome};
-use trailproxy::units::{AttemptNo, Span};
+use trailproxy::units::{AttemptNo, TimeSpan};
 use trailproxy_standins::fleet::{Answer, Pull, Said, Ticket};
 use trailproxy_standins::shape::told;
 
 impl World<'_> {
-    pub(super) fn hand_off(&mut self, seat: usize, hand_off: Attempt) {
+    pub(super) fn hand_off(&mut self, seat: usize, attempt: Attempt) {
         let (now, hop) = (self.now, self.scenario.hop);
-        let Some(open) = self.open.get_mut(&hand_off.id) else {
+        let Some(open) = self.open.get_mut(&attempt.id) else {
             return;
         };
         self.next_id += 1;
@@ -21,18 +21,18 @@
         let wish = open.wish;
         let pull = Pull {
             ticket,
-            host: hand_off.host,
+            host: attempt.host,
             zone: wish.zone,
             track: wish.track,
             object: wish.object,
             group: wish.group,
             part: wish.part,
             kb: wish.kb,
-            fill: hand_off.fill,
+            fill: attempt.fill,
         };
         let life = self.seats[seat].life;
         let out = Out {
-            access: hand_off.id,
+            access: attempt.id,
             no,
             seat,
             life,
@@ -42,10 +42,10 @@
         };
         self.out.insert(ticket, out);
         self.tally.hand_offs += 1;
-        let source = hand_off.fill.map(|fill| fill.source);
+        let source = attempt.fill.map(|fill| fill.source);
         self.checker
-            .sent(now, hand_off.id, no.0, hand_off.host, source, wish.kb);
-        let jitter = Span(self.chance.random_range(0..200));
+            .sent(now, attempt.id, no.0, attempt.host, source, wish.kb);
+        let jitter = TimeSpan(self.chance.random_range(0..200));
         self.file(now + hop + jitter, Ev::Asked(ticket));
     }
 
@@ -62,7 +62,7 @@
         let now = self.now;
         match said {
             Said::Answer(answer) => {
-                let jitter = Span(self.chance.random_range(0..200));
+                let jitter = TimeSpan(self.chance.random_range(0..200));
                 self.file(
                     now + self.scenario.hop + jitter,
                     Ev::Outcome(answer.ticket, answer),
@@ -75,20 +75,20 @@
                     let delay = self
                         .scenario
                         .list_delay
-                        .times(0.5 + self.chance.random::<f64>());
+                        .mul_f64(0.5 + self.chance.random::<f64>());
                     self.file(now + late + delay, Ev::Told(seat, entry));
                 }
             }
             Said::Purged { object, group } => {
                 self.checker.purged(now, object, group);
-                let old = self.scenario.shape.purge_done.times(4.0);
+                let old = self.scenario.shape.purge_done.mul_f64(4.0);
                 self.purged.retain(|purge| now.since(purge.2) < old);
                 self.purged.push((object, group, now));
                 for seat in 0..self.seats.len() {
                     let delay = self
                         .scenario
                         .purge_delay
-                        .times(0.5 + self.chance.random::<f64>());
+                        .mul_f64(0.5 + self.chance.random::<f64>());
                     self.file(now + delay, Ev::Purged(seat, object, group, now));
                 }
             }
@@ -109,11 +109,11 @@
         if self.seats[out.seat].life != out.life {
             return;
         }
-        let mut closed = false;
+        let mut request_closed = false;
         if let Some(open) = self.open.get_mut(&id) {
             open.last = Some(answer.ending);
-            closed = answer.ending == Ending::Done && !open.closed;
-            if closed {
+            request_closed = answer.ending == Ending::Done && !open.closed;
+            if request_closed {
                 open.closed = true;
                 self.file(
                     now + self.scenario.hop,
@@ -121,21 +121,22 @@
                 );
             }
         }
-        let notes = self.scenario.terms.notes;
+        let notes = self.scenario.terms.note_level;
         let outcome = Outcome {
             id,
-            hand_off: out.no,
+            attempt: out.no,
             ending: answer.ending,
-            took: now.since(out.sent),
-            closed,
+            elapsed: now.since(out.sent),
+            request_closed,
             note: told(notes, answer.note),
-            waited: answer.waited.filter(|_| notes == NoteLevel::All),
+            first_byte_latency: answer.waited.filter(|_| notes == NoteLevel::All),
             load: Load {
-                link_full: Some(answer.link_full).filter(|_| self.scenario.terms.link_told),
+                link_utilization: Some(answer.link_full)
+                    .filter(|_| self.scenario.terms.link_load_reported),
                 ..Load::default()
             },
-            proven: true,
-            came_kb: None,
+            client_proven: true,
+            received_kb: None,
         };
         self.tell(out.seat, Event::Outcome(outcome));
     }
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -5,7 +5,7 @@
 use crate::rules::Final;
 use crate::scenario::Kill;
 use crate::tally::Cause;
-use trailproxy::interface::{Action, Ending, Event, ListForm};
+use trailproxy::interface::{Action, Ending, Event, HostListKind};
 use trailproxy::units::RequestId;
 use trailproxy_budgets::decide::following::Following;
 use trailproxy_budgets::decide::{HolderId, LifeId};
@@ -22,20 +22,20 @@
         let rules = self.scenario.zones.as_ref();
         let mut decider = self.policy.decider(self.scenario.terms(zone), rules, seed);
         let entries = self.fleet.list();
-        decider.take(
+        decider.handle_event(
             self.now,
-            Event::Hosts {
-                form: ListForm::Whole,
+            Event::HostList {
+                kind: HostListKind::Full,
                 entries,
             },
         );
         for &(object, group, at) in &self.purged {
-            decider.take(
+            decider.handle_event(
                 self.now,
                 Event::Purged {
                     object,
                     group,
-                    ago: self.now.since(at),
+                    age: self.now.since(at),
                     stamp: Some(at),
                 },
             );
@@ -83,7 +83,7 @@
         else {
             return;
         };
-        decider.divide(now, following);
+        decider.set_slow_start_shares(now, following);
         for (to, note) in following.messages() {
             let place = (0..self.seats.len()).find(|&nth| HolderId::of_name(&name(nth)) == to);
             if let Some(place) = place {
@@ -103,7 +103,7 @@
             return;
         };
         following.iter_mut().for_each(|on| on.event(now, &event));
-        decider.take(now, event);
+        decider.handle_event(now, event);
         self.settle(seat);
     }
 
@@ -112,7 +112,7 @@
         let actions = self.seats[seat]
             .decider
             .as_mut()
-            .map(|decider| decider.settle(now));
+            .map(|decider| decider.take_actions(now));
         for action in actions.into_iter().flatten() {
             self.act(seat, action);
         }
@@ -121,20 +121,22 @@
     pub(super) fn act(&mut self, seat: usize, action: Action) {
         let (now, hop) = (self.now, self.scenario.hop);
         match action {
-            Action::Attempt(hand_off) => self.hand_off(seat, hand_off),
-            Action::Refuse { id, come_back, .. } => {
+            Action::Attempt(attempt) => self.hand_off(seat, attempt),
+            Action::Refuse {
+                id, retry_after, ..
+            } => {
                 self.given_up(id);
-                self.file(now + hop, Ev::Final(id, Final::Rejected, come_back, None));
+                self.file(now + hop, Ev::Final(id, Final::Rejected, retry_after, None));
             }
             Action::Fail { id, .. } => {
                 self.given_up(id);
                 self.file(now + hop, Ev::Final(id, Final::Aborted, None, None));
             }
-            Action::Withdraw { id, hand_off } => {
+            Action::Cancel { id, attempt } => {
                 let ticket = self
                     .open
                     .get(&id)
-                    .and_then(|open| open.tickets.get(usize::from(hand_off.0)));
+                    .and_then(|open| open.tickets.get(usize::from(attempt.0)));
                 let out = ticket.copied().and_then(|ticket| self.out.get_mut(&ticket));
                 if let Some(out) = out.filter(|out| !out.withdrawn) {
                     out.withdrawn = true;
@@ -142,12 +144,12 @@
                     self.file(now + hop, Ev::Withdrawn(ticket));
                 }
             }
-            Action::Wake { at, wake } => {
+            Action::SetTimer { at, timer } => {
                 let life = self.seats[seat].life;
-                self.file(at.max(now), Ev::Wake(seat, life, wake));
+                self.file(at.max(now), Ev::Wake(seat, life, timer));
             }
             // The model's hosts tell their load with answers; scenarios ask for no probes.
-            Action::FollowList | Action::Probe { .. } => {}
+            Action::RequestHostList | Action::Probe { .. } => {}
             Action::Log { text } => self.log(seat, &text),
         }
     }
@@ -170,8 +172,8 @@
             let cause = match open.last {
                 None => Cause::Unsent,
                 Some(Ending::Full) => Cause::Full,
-                Some(Ending::Missed) => Cause::Missed,
-                Some(Ending::Withdrawn | Ending::TimedOut) => Cause::TimedOut,
+                Some(Ending::Miss) => Cause::Missed,
+                Some(Ending::Cancelled | Ending::TimedOut) => Cause::TimedOut,
                 Some(_) => Cause::Failed,
             };
             *self.tally.causes.entry(cause).or_default() += 1;
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -1,8 +1,8 @@
 //! One event of the queue after another.
 
 use super::{CROSSED_STEP, DIVIDE_EVERY, Ev, PASS, RUN_OUT, TRUTH_EVERY, WITHDRAWN_AFTER, World};
-use trailproxy::interface::{Ending, Event, ListForm, Note};
-use trailproxy::units::{Span, ZoneId};
+use trailproxy::interface::{Ending, Event, HostListKind, Note};
+use trailproxy::units::{TimeSpan, ZoneId};
 use trailproxy_standins::fleet::Answer;
 use trailproxy_standins::shape::DAWN;
 
@@ -21,8 +21,8 @@
                 self.fleet.withdraw(now, ticket);
                 let none = Answer {
                     ticket,
-                    ending: Ending::Withdrawn,
-                    note: Note::Untold,
+                    ending: Ending::Cancelled,
+                    note: Note::NotReported,
                     waited: None,
                     minted: None,
                     link_full: 0.0,
@@ -30,17 +30,17 @@
                 self.file(now + WITHDRAWN_AFTER, Ev::Outcome(ticket, none));
             }
             Ev::Outcome(ticket, answer) => self.outcome(ticket, answer),
-            Ev::Wake(seat, life, wake) => {
+            Ev::Wake(seat, life, timer) => {
                 if self.seats[seat].life == life {
-                    self.tell(seat, Event::Woken { wake });
+                    self.tell(seat, Event::TimerFired { timer });
                 }
             }
             Ev::Told(seat, entry) => {
                 let entries = vec![entry];
                 self.tell(
                     seat,
-                    Event::Hosts {
-                        form: ListForm::Changes,
+                    Event::HostList {
+                        kind: HostListKind::Delta,
                         entries,
                     },
                 );
@@ -51,7 +51,7 @@
                     Event::Purged {
                         object,
                         group,
-                        ago: now.since(at),
+                        age: now.since(at),
                         stamp: Some(at),
                     },
                 );
@@ -102,7 +102,7 @@
             Ev::Tick => {
                 self.sample();
                 if now < DAWN + self.scenario.length {
-                    self.file(now + Span::from_secs(1), Ev::Tick);
+                    self.file(now + TimeSpan::from_secs(1), Ev::Tick);
                 }
             }
         }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -250,25 +250,25 @@
     pub parts: u32,
     pub local: f64,
     pub once: f64,
-    pub from: Moment,
-    pub until: Moment,
+    pub from: Timestamp,
+    pub until: Timestamp,
     pub told: bool,
 }
 
 #[derive(Clone, Debug)]
 pub struct Burst {
     pub track: ClassId,
-    pub from: Moment,
-    pub until: Moment,
+    pub from: Timestamp,
+    pub until: Timestamp,
     pub times: f64,
 }
 
 /// Dispatchers of this share are killed, and start again from nothing after the span.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Kill {
-    pub at: Moment,
+    pub at: Timestamp,
     pub share: f64,
-    pub away: Span,
+    pub away: TimeSpan,
 }
 
 impl Kill {
@@ -283,26 +283,26 @@
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub name: String,
-    pub length: Span,
-    pub counted_from: Moment,
+    pub length: TimeSpan,
+    pub counted_from: Timestamp,
     pub shape: Shape,
     /// Dispatchers by zone.
     pub seats: Vec<u32>,
     pub track_names: Vec<String>,
     pub importance: Vec<f64>,
-    pub limits: Vec<Span>,
+    pub limits: Vec<TimeSpan>,
     pub loads: Vec<Load>,
     pub bursts: Vec<Burst>,
     pub script: Vec<Cue>,
     pub kills: Vec<Kill>,
     pub retries: u32,
-    pub away: Span,
-    pub hop: Span,
-    pub list_delay: Span,
-    pub purge_delay: Span,
-    pub purge_grace: Span,
+    pub away: TimeSpan,
+    pub hop: TimeSpan,
+    pub list_delay: TimeSpan,
+    pub purge_delay: TimeSpan,
+    pub purge_grace: TimeSpan,
     pub whole_bodies: bool,
-    pub terms: Terms,
+    pub terms: DispatcherSettings,
     /// Budgets are divided among the dispatchers, in the model by so many voters, the first ones.
     pub divided: Option<Divided>,
     /// Traffic between zones is accounted for, and kept within these limits.
@@ -311,16 +311,16 @@
     pub zones_sheet: Option<trailproxy_zones::decide::sheet::Sheet>,
 }
 
-fn millis(section: &Section, field: &str) -> Span {
-    Span::from_secs_f64(section.number(field) / 1e3)
+fn millis(section: &Section, field: &str) -> TimeSpan {
+    TimeSpan::from_secs_f64(section.number(field) / 1e3)
 }
 
-fn at_second(section: &Section, field: &str) -> Moment {
-    DAWN + Span::from_secs_f64(section.number(field))
+fn at_second(section: &Section, field: &str) -> Timestamp {
+    DAWN + TimeSpan::from_secs_f64(section.number(field))
 }
 
-fn some(span: Span) -> Option<Span> {
-    Some(span).filter(|&span| span > Span::ZERO)
+fn some(span: TimeSpan) -> Option<TimeSpan> {
+    Some(span).filter(|&span| span > TimeSpan::ZERO)
 }
 
 /// How budgets are divided in the model; on loopback a trial says it.
@@ -423,7 +423,7 @@
                 return Err(section.wrong("dispatchers", "none in a zone that has no cache"));
             }
         }
-        let tracks: Vec<ClassTerms> = sheet.all("track").map(track).collect();
+        let classes: Vec<ClassSettings> = sheet.all("track").map(track).collect();
         for section in sheet.all("track") {
             if section.number("due_ms") > section.number("limit_ms") {
                 return Err(section.wrong("due_ms", "a due time no longer than limit_ms"));
@@ -432,7 +432,7 @@
         let shape = Shape {
             zones,
             hosts,
-            tracks: tracks.clone(),
+            tracks: classes.clone(),
             flow_kb_per_s: fleet.number("flow_kb_per_s"),
             fill_kb_per_s: fleet.number("flow_kb_per_s") * fleet.number("fill_pace"),
             cold_cache: cold(fleet, "cold_from", "cold_ms", "cold_multiple"),
@@ -455,36 +455,36 @@
                 .any(|host| host.role == role)
                 .then(|| kind_of(role))
         };
-        let terms = Terms {
+        let terms = DispatcherSettings {
             zone: ZoneId(0),
             dispatchers: seats.iter().sum(),
-            seats: seats.clone(),
+            dispatchers_by_zone: seats.clone(),
             parent_kind: has(Role::Parent),
             origin_kind: has(Role::Origin),
-            tracks,
-            flow_kb_per_s: shape.flow_kb_per_s,
+            classes,
+            stream_kb_per_s: shape.flow_kb_per_s,
             link_kb_per_s: None,
-            link_told: fleet.flag("link_told"),
-            sizes_tell: true,
-            probes: false,
-            joins: fleet.flag("joins"),
-            straight: fleet.flag("straight"),
-            notes: match fleet.text("notes") {
+            link_load_reported: fleet.flag("link_told"),
+            capacities_reported: true,
+            probes_enabled: false,
+            joins_fills: fleet.flag("joins"),
+            allows_direct: fleet.flag("straight"),
+            note_level: match fleet.text("notes") {
                 "all" => NoteLevel::All,
                 "hits" => NoteLevel::Hits,
                 _ => NoteLevel::None,
             },
-            max_hand_offs: fleet.whole("max_hand_offs") as usize,
-            may_withdraw: fleet.flag("withdraw"),
-            longest_away: some(millis(fleet, "longest_away_ms")),
-            list_on_request: false,
-            cold_cache: shape.cold_cache,
-            cold_parent: shape.cold_parent,
-            purge_done: shape.purge_done,
+            max_attempts: fleet.whole("max_hand_offs") as usize,
+            may_cancel: fleet.flag("withdraw"),
+            max_retry_after: some(millis(fleet, "longest_away_ms")),
+            host_list_on_request: false,
+            cache_slow_start: shape.cold_cache,
+            parent_slow_start: shape.cold_parent,
+            purge_propagation: shape.purge_done,
         };
         let mut scenario = Scenario {
             name: head.text("name").into(),
-            length: Span::from_secs_f64(head.number("seconds")),
+            length: TimeSpan::from_secs_f64(head.number("seconds")),
             counted_from: at_second(head, "from_s"),
             seats,
             track_names: sheet
@@ -508,7 +508,9 @@
                 .map_or(1, |clients| clients.whole("retries") as u32),
             away: sheet
                 .one("clients")
-                .map_or(Span::from_millis(300), |clients| millis(clients, "away_ms")),
+                .map_or(TimeSpan::from_millis(300), |clients| {
+                    millis(clients, "away_ms")
+                }),
             hop: millis(fleet, "hop_ms"),
             list_delay: millis(fleet, "list_delay_ms"),
             purge_delay: millis(fleet, "purge_delay_ms"),
@@ -568,7 +570,7 @@
             scenario.bursts.push(Burst {
                 track: track_id(section.text("track")),
                 from,
-                until: from + Span::from_secs_f64(section.number("for_s")),
+                until: from + TimeSpan::from_secs_f64(section.number("for_s")),
                 times: section.number("times"),
             });
         }
@@ -591,7 +593,7 @@
         );
         let (at, span) = (
             at_second(section, "at_s"),
-            Span::from_secs_f64(section.number("for_s")),
+            TimeSpan::from_secs_f64(section.number("for_s")),
         );
         let one = |trouble| vec![Cue { at, trouble }];
         let cues = match kind {
@@ -601,7 +603,7 @@
                 };
                 one(Trouble::Link(ZoneId(zone as u16), by.max(1e-3), span))
             }
-            "late_list" => one(Trouble::LateList(Span::from_secs_f64(by), span)),
+            "late_list" => one(Trouble::LateList(TimeSpan::from_secs_f64(by), span)),
             "purge" => {
                 let Ok(group) = target.parse::<u32>() else {
                     return Err(section.wrong("target", "the number of a group, for a purge"));
@@ -658,7 +660,7 @@
                         ),
                     };
                     Cue {
-                        at: at + Span::from_secs_f64(step * nth as f64),
+                        at: at + TimeSpan::from_secs_f64(step * nth as f64),
                         trouble,
                     }
                 };
@@ -670,10 +672,10 @@
     }
 
     /// What a dispatcher in a zone is told when it starts.
-    pub fn terms(&self, zone: ZoneId) -> Terms {
+    pub fn terms(&self, zone: ZoneId) -> DispatcherSettings {
         let link = self.shape.zones[usize::from(zone.0)].link_kb_per_s;
         let link_kb_per_s = Some(link).filter(|&kb| kb > 0.0);
-        Terms {
+        DispatcherSettings {
             zone,
             link_kb_per_s,
             ..self.terms.clone()
@@ -710,22 +712,22 @@
             parent_kind: kind_of(Role::Parent),
             origin_kind: kind_of(Role::Origin),
             flow_kb_per_s: self.shape.flow_kb_per_s,
-            drain_within: Span::from_secs(2),
+            drain_within: TimeSpan::from_secs(2),
             purge_grace: self.purge_grace,
-            slack: Span::from_millis(60),
-            overlap: Span::ZERO,
+            slack: TimeSpan::from_millis(60),
+            overlap: TimeSpan::ZERO,
             cold_slack: 1.1,
         }
     }
 }
 
-fn cold(fleet: &Section, from: &str, warm: &str, multiple: &str) -> Cold {
-    Cold {
-        from: fleet.number(from),
-        warm_after: millis(fleet, warm),
-        fall_multiple: fleet.number(multiple),
-        fall_after: millis(fleet, "cold_within_ms"),
-        among: None,
+fn cold(fleet: &Section, from: &str, warm: &str, multiple: &str) -> SlowStart {
+    SlowStart {
+        initial_capacity: fleet.number(from),
+        duration: millis(fleet, warm),
+        overload_factor: fleet.number(multiple),
+        overload_window: millis(fleet, "cold_within_ms"),
+        shared_by: None,
     }
 }
 
@@ -737,10 +739,10 @@
     }
 }
 
-fn track(section: &Section) -> ClassTerms {
-    ClassTerms {
-        due: millis(section, "due_ms"),
-        due_stretch: section.number("stretch"),
+fn track(section: &Section) -> ClassSettings {
+    ClassSettings {
+        target: millis(section, "due_ms"),
+        target_stretch: section.number("stretch"),
         effect: match section.text("effect") {
             "retriable" => Effect::Idempotent,
             "binding" => Effect::NonIdempotent,
@@ -753,8 +755,8 @@
                 window: millis(section, "window_ms"),
             },
         },
-        fresh: some(millis(section, "fresh_ms")),
-        grace: millis(section, "grace_ms"),
-        written: section.flag("written"),
+        fresh_for: some(millis(section, "fresh_ms")),
+        stale_grace: millis(section, "grace_ms"),
+        is_write: section.flag("written"),
     }
 }
--- a/crates/lab/tests/rules.rs
+++ b/crates/lab/tests/rules.rs
@@ -7,26 +7,26 @@
 const HOST: HostId = HostId(1);
 const OTHER: HostId = HostId(2);
 
-fn track(effect: Effect) -> ClassTerms {
-    ClassTerms {
-        due: Span::from_millis(500),
-        due_stretch: 1.0,
+fn track(effect: Effect) -> ClassSettings {
+    ClassSettings {
+        target: TimeSpan::from_millis(500),
+        target_stretch: 1.0,
         effect,
-        fresh: None,
-        grace: Span::ZERO,
-        written: false,
+        fresh_for: None,
+        stale_grace: TimeSpan::ZERO,
+        is_write: false,
     }
 }
 
 fn checker() -> Checker {
-    let cold = Cold {
-        from: 0.25,
-        warm_after: Span::from_secs(10),
-        fall_multiple: 4.0,
-        fall_after: Span::from_secs(1),
-        among: None,
+    let cold = SlowStart {
+        initial_capacity: 0.25,
+        duration: TimeSpan::from_secs(10),
+        overload_factor: 4.0,
+        overload_window: TimeSpan::from_secs(1),
+        shared_by: None,
     };
-    let window = Span::from_secs(2);
+    let window = TimeSpan::from_secs(2);
     let cell = RepeatGroup::Cell;
     let mut checker = Checker::new(Bounds {
         tracks: vec![
@@ -42,10 +42,10 @@
         parent_kind: KindId(1),
         origin_kind: KindId(2),
         flow_kb_per_s: 1_000.0,
-        drain_within: Span::from_secs(2),
-        purge_grace: Span::from_millis(500),
-        slack: Span::from_millis(50),
-        overlap: Span::ZERO,
+        drain_within: TimeSpan::from_secs(2),
+        purge_grace: TimeSpan::from_millis(500),
+        slack: TimeSpan::from_millis(50),
+        overlap: TimeSpan::ZERO,
         cold_slack: 1.1,
     });
     checker.listed(secs(0.0), entry(HOST, 0, HostState::Ready));
@@ -61,13 +61,13 @@
         kind: KindId(0),
         started: None,
         stamp: None,
-        size: 4.0,
+        capacity: 4.0,
         state,
     }
 }
 
-fn secs(s: f64) -> Moment {
-    Moment(0) + Span::from_secs_f64(s)
+fn secs(s: f64) -> Timestamp {
+    Timestamp(0) + TimeSpan::from_secs_f64(s)
 }
 
 fn id(n: u64) -> RequestId {
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 struct Asking {
     id: RequestId,
-    asked: Moment,
+    asked: Timestamp,
     /// Who has not answered, and how many have to be sure.
     open: BTreeSet<PeerId>,
     /// Who is asked as soon as one of the others is not sure.
@@ -42,7 +42,7 @@
     /// No other has it.
     Mine,
     /// Another has it, or had it, as far as was known when it was asked at that moment.
-    Found(Moment, Record),
+    Found(Timestamp, Record),
     /// All have answered, and too few are sure.
     Unsure,
 }
@@ -53,8 +53,8 @@
     fact: Fact,
     /// `None`: whoever keeps it by then.
     to: Option<BTreeSet<PeerId>>,
-    at: Moment,
-    pause: Span,
+    at: Timestamp,
+    pause: TimeSpan,
     no: AskNo,
 }
 
@@ -62,10 +62,10 @@
 const MOST_ASKING: usize = 2_048;
 const MOST_OWED: usize = 8_192;
 /// How long an answer is of use, for what has not gone out yet.
-const FORGET: Span = Span::from_secs(4);
+const FORGET: TimeSpan = TimeSpan::from_secs(4);
 /// What is owed is told again after this, then after twice as long, up to the longest pause; then it is left.
-const AGAIN: Span = Span::from_millis(60);
-const LONGEST: Span = Span::from_secs(4);
+const AGAIN: TimeSpan = TimeSpan::from_millis(60);
+const LONGEST: TimeSpan = TimeSpan::from_secs(4);
 
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
@@ -74,7 +74,7 @@
     /// Questions that are to go out now, of the reserve.
     to_ask: Vec<(AskNo, RequestId, PeerId)>,
     owed: BTreeMap<FactId, Owed>,
-    timed: BTreeSet<(Moment, FactId)>,
+    timed: BTreeSet<(Timestamp, FactId)>,
 }
 
 impl Claims {
@@ -91,7 +91,13 @@
     }
 
     /// The claim of an access, made with the first question for it. `None`: it has yielded, and only looks.
-    pub fn claim(&mut self, now: Moment, id: RequestId, key: Key, token: Token) -> Option<Claim> {
+    pub fn claim(
+        &mut self,
+        now: Timestamp,
+        id: RequestId,
+        key: Key,
+        token: Token,
+    ) -> Option<Claim> {
         let own = self.own.entry(id).or_insert_with(|| Own {
             key,
             claim: Claim {
@@ -109,7 +115,7 @@
     /// A round begins: these are asked, of whom `enough` have to be sure.
     pub fn ask(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         no: AskNo,
         id: RequestId,
         whom: BTreeSet<PeerId>,
@@ -136,7 +142,7 @@
     /// One that was asked answers.
     pub fn stood(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         no: AskNo,
         from: PeerId,
         sure: bool,
@@ -202,7 +208,7 @@
         claims.collect()
     }
 
-    fn yield_to(&mut self, now: Moment, id: RequestId) {
+    fn yield_to(&mut self, now: Timestamp, id: RequestId) {
         if let Some(own) = self.own.get_mut(&id).filter(|own| !own.yielded) {
             own.yielded = true;
             let mut claim = own.claim.clone();
@@ -215,11 +221,11 @@
     /// A hand-off goes out. It is told after `delay`, together with the end where that comes before.
     pub fn sent(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: RequestId,
         place: (ZoneId, CellId),
         token: Token,
-        delay: Span,
+        delay: TimeSpan,
     ) {
         let Some(own) = self.own.get_mut(&id) else {
             return;
@@ -244,7 +250,7 @@
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Moment, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         let Some(own) = self.own.remove(&id).filter(|own| !own.yielded) else {
             return;
         };
@@ -260,7 +266,7 @@
         self.owe(now, key, claim);
     }
 
-    fn owe(&mut self, at: Moment, key: u128, claim: Claim) {
+    fn owe(&mut self, at: Timestamp, key: u128, claim: Claim) {
         let claims = vec![claim];
         let fact = Fact::Record { key, claims };
         let id = fact.id();
@@ -303,14 +309,14 @@
         }
     }
 
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.timed.first().map(|&(at, _)| at)
     }
 
     /// What is to be told by now, to whom: those who keep it, as `keepers` has them.
     pub fn advance(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         mut no: impl FnMut() -> AskNo,
         keepers: impl Fn(FactId) -> BTreeSet<PeerId>,
     ) -> Vec<(AskNo, Fact, BTreeSet<PeerId>)> {
@@ -331,7 +337,7 @@
                 to.retain(|id| present.contains(id));
             }
             (owed.no, owed.at) = (no(), now + owed.pause);
-            owed.pause = owed.pause.times(2.0);
+            owed.pause = owed.pause.mul_f64(2.0);
             let (again, told) = (owed.at, (owed.no, owed.fact.clone(), to.clone()));
             if to.is_empty() {
                 self.owed.remove(&id);
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -11,48 +11,48 @@
 use super::locality::{Distance, Locality, Topology};
 use super::messages::{Address, AskNo, Life, MemberUpdate, Note, PeerId, Standing, State};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use trailproxy::units::{Moment, Span};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How often one other is pinged. Shorter costs messages, longer finds a dead one later.
-pub const PERIOD: Span = Span::from_millis(400);
+pub const PERIOD: TimeSpan = TimeSpan::from_millis(400);
 /// A ping that is not answered by then goes by others; one to another region has further to go.
-const DIRECT: Span = Span::from_millis(120);
-const DIRECT_FAR: Span = Span::from_millis(240);
+const DIRECT: TimeSpan = TimeSpan::from_millis(120);
+const DIRECT_FAR: TimeSpan = TimeSpan::from_millis(240);
 /// A member that has not said where it is for so long is of a form that does not say.
-const LOCATE: Span = Span::from_secs(5);
+const LOCATE: TimeSpan = TimeSpan::from_secs(5);
 /// Others that are asked to ping one that does not answer.
 const HELPERS: usize = 3;
 /// A suspected one has this long to say that it is well, and longer in a large fleet, by the doublings of its number.
-const DOUBT: Span = Span::from_millis(900);
-const DOUBT_EACH: Span = Span::from_millis(100);
+const DOUBT: TimeSpan = TimeSpan::from_millis(900);
+const DOUBT_EACH: TimeSpan = TimeSpan::from_millis(100);
 /// A dead one is remembered for this long, and knocked at.
-const REMEMBER: Span = Span::from_secs(3_600);
+const REMEMBER: TimeSpan = TimeSpan::from_secs(3_600);
 /// How often one that is not there is knocked at.
-const KNOCK: Span = Span::from_millis(500);
+const KNOCK: TimeSpan = TimeSpan::from_millis(500);
 /// Updates in one message.
 const UPDATES: usize = 10;
 /// Updates in one message of the whole fleet, and how often it is asked for where two know different ones.
 const ROSTER: usize = 24;
-const ROSTER_EVERY: Span = Span::from_millis(500);
+const ROSTER_EVERY: TimeSpan = TimeSpan::from_millis(500);
 /// Those lost lately are told with it.
-const LATELY: Span = Span::from_secs(30);
+const LATELY: TimeSpan = TimeSpan::from_secs(30);
 /// A bound on the fleet; more are not taken in.
 pub const MOST: usize = 1_024;
 /// In the first while of its life, a process takes the name from one that had it before.
-const NEW: Span = Span::from_secs(3);
+const NEW: TimeSpan = TimeSpan::from_secs(3);
 
 #[derive(Clone, Debug)]
 pub struct Member {
     pub update: MemberUpdate,
     /// Since when it stands so.
-    pub since: Moment,
+    pub since: Timestamp,
     pub state: State,
     /// It answers others, and not this one.
     pub one_way: bool,
     /// Where it is, as it says itself.
     locality: Option<Locality>,
     /// When it became known.
-    met: Moment,
+    met: Timestamp,
     /// Times that its update is still to be passed on.
     telling: u32,
 }
@@ -73,7 +73,7 @@
 struct Probe {
     no: AskNo,
     whom: PeerId,
-    sent: Moment,
+    sent: Timestamp,
     by_others: bool,
 }
 
@@ -149,20 +149,20 @@
 pub struct Members {
     own: MemberUpdate,
     locality: Option<Locality>,
-    born: Moment,
+    born: Timestamp,
     seeds: Vec<Address>,
     members: BTreeMap<PeerId, Member>,
     /// Who is pinged next in this round.
     round: VecDeque<PeerId>,
     probe: Option<Probe>,
     /// Pings on behalf of others: their number here, whom to tell, their number there.
-    helping: BTreeMap<AskNo, (Address, AskNo, PeerId, Moment)>,
-    ping_at: Moment,
-    knock_at: Moment,
+    helping: BTreeMap<AskNo, (Address, AskNo, PeerId, Timestamp)>,
+    ping_at: Timestamp,
+    knock_at: Timestamp,
     knock_next: usize,
     next_no: u64,
     /// Not before this is another asked for all that it knows.
-    roster_at: Moment,
+    roster_at: Timestamp,
     pub shadowed: bool,
     /// It may be on the smaller side of a cut: what it thinks of the others is told to nobody.
     cut_off: bool,
@@ -174,7 +174,7 @@
 }
 
 impl Members {
-    pub fn new(now: Moment, own: Own, chance: &mut fastrand::Rng) -> Members {
+    pub fn new(now: Timestamp, own: Own, chance: &mut fastrand::Rng) -> Members {
         let update = MemberUpdate {
             id: own.id,
             address: own.address,
@@ -195,7 +195,7 @@
             round: VecDeque::new(),
             probe: None,
             helping: BTreeMap::new(),
-            ping_at: now + PERIOD.times(chance.f64()),
+            ping_at: now + PERIOD.mul_f64(chance.f64()),
             knock_at: now,
             knock_next: chance.usize(0..1_024),
             next_no: chance.u64(0..1 << 32),
@@ -243,9 +243,9 @@
 
     /// Whoever is there, with where it is. One that was met just now and has not said so yet is left out; it is known from
     /// when on that is to be looked at again.
-    pub fn located(&self, now: Moment) -> (Vec<Located>, Option<Moment>) {
+    pub fn located(&self, now: Timestamp) -> (Vec<Located>, Option<Timestamp>) {
         let mut located = vec![(self.own.id, self.locality)];
-        let mut again: Option<Moment> = None;
+        let mut again: Option<Timestamp> = None;
         for (id, member) in self.there() {
             let until = member.met + LOCATE;
             if self.locality.is_some() && member.locality.is_none() && now < until {
@@ -264,7 +264,7 @@
     }
 
     /// How long an answer to a ping is waited for.
-    fn direct(&self, whom: PeerId) -> Span {
+    fn direct(&self, whom: PeerId) -> TimeSpan {
         let far =
             |(own, other): (Locality, Locality)| own.distance(other) == Distance::BetweenRegions;
         match self.locality.zip(self.locality(whom)).is_some_and(far) {
@@ -325,7 +325,7 @@
     }
 
     /// It was away: what it waited for says nothing of the others, and they may have given it up.
-    pub fn back(&mut self, now: Moment) {
+    pub fn back(&mut self, now: Timestamp) {
         (self.probe, self.ping_at, self.knock_at) = (None, now, now);
         self.helping.clear();
         for member in self.members.values_mut() {
@@ -361,7 +361,7 @@
     /// A message came from there: it is alive, in this life at least.
     pub fn heard(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: PeerId,
         address: Address,
         life: Life,
@@ -395,7 +395,7 @@
     }
 
     /// Somebody says something of a member.
-    pub fn update(&mut self, now: Moment, update: MemberUpdate) {
+    pub fn update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.id == self.own.id {
             return self.of_self(now, update);
         }
@@ -440,7 +440,7 @@
         }
     }
 
-    fn of_self(&mut self, now: Moment, update: MemberUpdate) {
+    fn of_self(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.life > self.own.life {
             // A former life with a clock that went ahead, or one elsewhere that this one takes the name from.
             let new = now.since(self.born) < NEW;
@@ -493,7 +493,7 @@
     /// A note about who is there; `false`: it is none of these.
     pub fn note(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         from: PeerId,
         address: Address,
         note: &Note,
@@ -578,7 +578,7 @@
         self.index.there.wrapping_add(roster_part(&self.own))
     }
 
-    fn state(&mut self, now: Moment, from: PeerId, address: Address, state: State) {
+    fn state(&mut self, now: Timestamp, from: PeerId, address: Address, state: State) {
         if let Some(member) = self.members.get_mut(&from) {
             member.state = state;
         }
@@ -607,7 +607,7 @@
         }
     }
 
-    pub fn next(&self) -> Moment {
+    pub fn next(&self) -> Timestamp {
         let probe = self
             .probe
             .filter(|probe| !probe.by_others)
@@ -623,12 +623,12 @@
         suspected.filter_map(|id| self.members.get(id))
     }
 
-    fn doubt(&self) -> Span {
-        DOUBT + DOUBT_EACH.times(f64::from(self.doublings()))
+    fn doubt(&self) -> TimeSpan {
+        DOUBT + DOUBT_EACH.mul_f64(f64::from(self.doublings()))
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Moment, own: State, chance: &mut fastrand::Rng) {
+    pub fn advance(&mut self, now: Timestamp, own: State, chance: &mut fastrand::Rng) {
         let doubt = self.doubt();
         let dead = self.suspected();
         let dead = dead.filter(|member| now.since(member.since) >= doubt);
@@ -648,11 +648,11 @@
             }
         }
         if now >= self.ping_at {
-            self.ping_at = now + PERIOD.times(0.9 + 0.2 * chance.f64());
+            self.ping_at = now + PERIOD.mul_f64(0.9 + 0.2 * chance.f64());
             self.ping(now, own, chance);
         }
         if now >= self.knock_at {
-            self.knock_at = now + KNOCK.times(0.75 + 0.5 * chance.f64());
+            self.knock_at = now + KNOCK.mul_f64(0.75 + 0.5 * chance.f64());
             self.members
                 .retain(|_, member| member.there() || now.since(member.since) < REMEMBER);
             self.index = Index::of(&self.members);
@@ -674,7 +674,7 @@
         }
     }
 
-    fn doubted(&mut self, now: Moment, whom: PeerId) {
+    fn doubted(&mut self, now: Timestamp, whom: PeerId) {
         let Some(member) = self.members.get(&whom) else {
             return;
         };
@@ -690,7 +690,7 @@
         }
     }
 
-    fn ping(&mut self, now: Moment, own: State, chance: &mut fastrand::Rng) {
+    fn ping(&mut self, now: Timestamp, own: State, chance: &mut fastrand::Rng) {
         loop {
             let Some(whom) = self.round.pop_front() else {
                 let mut all: Vec<PeerId> = self.there().map(|(id, _)| id).collect();
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -13,10 +13,10 @@
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
-pub const WAIT: Span = Span::from_millis(20);
-pub const WINDOW: Span = Span::from_secs(4);
-pub const LIMIT: Span = Span::from_secs(2);
-pub const DAWN: Moment = Moment(1_700_000_000_000_000);
+pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
+pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
+pub const LIMIT: TimeSpan = TimeSpan::from_secs(2);
+pub const DAWN: Timestamp = Timestamp(1_700_000_000_000_000);
 
 pub fn rules() -> Rules {
     Rules {
@@ -26,8 +26,8 @@
         hints: true,
         refuse: false,
         wait: WAIT,
-        keep: Span::from_secs(8),
-        purges_last: Span::from_secs(30),
+        keep: TimeSpan::from_secs(8),
+        purges_last: TimeSpan::from_secs(30),
     }
 }
 
@@ -38,7 +38,7 @@
     /// Shares of messages, and a delay beside the usual one, at the mean.
     pub lost: f64,
     pub doubled: f64,
-    pub slower: Span,
+    pub slower: TimeSpan,
 }
 
 /// What is done wrong on purpose, by changing what one says to others.
@@ -73,15 +73,15 @@
     waiting: Vec<(Address, Message)>,
     open: BTreeMap<RequestId, Open>,
     born: u64,
-    woke: Moment,
+    woke: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Open {
     key: u64,
-    come: Moment,
+    come: Timestamp,
     zone: ZoneId,
-    ends_at: Option<Moment>,
+    ends_at: Option<Timestamp>,
 }
 
 /// A hand-off as the hosts saw it.
@@ -89,7 +89,7 @@
 pub struct Sent {
     pub key: u64,
     pub node: usize,
-    pub at: Moment,
+    pub at: Timestamp,
     pub zone: ZoneId,
     /// The others had said that nobody else has it.
     pub granted: bool,
@@ -101,7 +101,7 @@
     pub answered: u64,
     pub refused: u64,
     /// How long each access with a key was held.
-    pub held: Vec<Span>,
+    pub held: Vec<TimeSpan>,
     pub purges: BTreeSet<(usize, u64)>,
     pub hints: BTreeSet<(usize, u64)>,
     pub restricted: BTreeMap<(usize, u64), bool>,
@@ -110,7 +110,7 @@
 }
 
 pub struct World {
-    pub now: Moment,
+    pub now: Timestamp,
     pub nodes: Vec<Node>,
     pub ways: BTreeMap<(usize, usize), Way>,
     pub seen: Seen,
@@ -118,27 +118,27 @@
     pub chance: fastrand::Rng,
     rules: Rules,
     folding: Folding,
-    flying: BTreeMap<(Moment, u64), (usize, usize, Message)>,
+    flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
     by_address: BTreeMap<Address, usize>,
     next: u64,
     /// How long a hand-off runs.
-    pub runs: Span,
+    pub runs: TimeSpan,
     /// Whether messages are put into bytes to know their size.
     pub weighs: bool,
     /// How far apart events of one node may be seen: timers are looked at so often.
-    pub step: Span,
+    pub step: TimeSpan,
     zones: Vec<NearId>,
 }
 
 /// How long a message is on its way, without faults: from, and at the most.
-fn travel(distance: Distance) -> (Span, Span) {
+fn travel(distance: Distance) -> (TimeSpan, TimeSpan) {
     let (least, most) = match distance {
         Distance::Site => (100, 400),
         Distance::Zone => (700, 1_500),
         Distance::Region => (5_000, 10_000),
         Distance::BetweenRegions => (30_000, 80_000),
     };
-    (Span(least), Span(most))
+    (TimeSpan(least), TimeSpan(most))
 }
 
 fn address(n: usize) -> Address {
@@ -171,9 +171,9 @@
             flying: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
             next: 0,
-            runs: Span::from_millis(60),
+            runs: TimeSpan::from_millis(60),
             weighs: false,
-            step: Span::from_millis(5),
+            step: TimeSpan::from_millis(5),
             zones: Vec::new(),
         };
         world.fill(n, |_| None);
@@ -190,7 +190,7 @@
     ) -> World {
         let mut world = World::with(0, seed, rules);
         world.by_address = (0..n).map(|n| (address(n), n)).collect();
-        world.step = Span::from_millis(1);
+        world.step = TimeSpan::from_millis(1);
         world.zones = zones;
         world.fill(n, place);
         world
@@ -222,11 +222,11 @@
         ZoneId(place.unwrap_or(node % 2) as u16)
     }
 
-    pub fn clock(&self, node: usize) -> Moment {
+    pub fn clock(&self, node: usize) -> Timestamp {
         let of = &self.nodes[node];
         let since = self.now.since(DAWN).0 as f64;
         let off = of.ahead + (since * of.faster) as i64;
-        Moment(self.now.0.saturating_add_signed(off))
+        Timestamp(self.now.0.saturating_add_signed(off))
     }
 
     /// Begins anew, with nothing known but three addresses.
@@ -407,13 +407,13 @@
         }
     }
 
-    fn usual(&mut self, from: usize, to: usize) -> Span {
+    fn usual(&mut self, from: usize, to: usize) -> TimeSpan {
         let places = self.nodes[from].locality.zip(self.nodes[to].locality);
         let (least, most) = match places {
             Some((from, to)) => travel(from.distance(to)),
-            None => (Span(200), Span(500)),
+            None => (TimeSpan(200), TimeSpan(500)),
         };
-        least + (most - least).times(self.chance.f64())
+        least + (most - least).mul_f64(self.chance.f64())
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
@@ -430,7 +430,7 @@
         let copies = 1 + usize::from(self.chance.f64() < way.doubled);
         for _ in 0..copies {
             let usual = self.usual(from, to);
-            let slower = way.slower.times(-(1.0 - self.chance.f64()).ln());
+            let slower = way.slower.mul_f64(-(1.0 - self.chance.f64()).ln());
             self.next += 1;
             let at = self.now + usual + slower;
             self.flying
@@ -456,7 +456,7 @@
         let folded = self.folding.key(ClassId(0), &key.to_string());
         let eager = self.planted == Some(Planted::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
-            peers.come(now, id, folded, now + Span::from_secs(1));
+            peers.come(now, id, folded, now + TimeSpan::from_secs(1));
         }
         if eager {
             // It goes as if it had been alone, and says so afterwards.
@@ -488,8 +488,8 @@
         let earlier = peers.earlier(id);
         // As the decisions do it: repeats are dropped within a zone, for a while from the first hand-off.
         let may = earlier.is_none_or(|earlier| {
-            let near = earlier.place.is_some_and(|(zone, _)| zone == place.0);
-            near && now.since(earlier.first) < WINDOW
+            let near = earlier.location.is_some_and(|(zone, _)| zone == place.0);
+            near && now.since(earlier.first_sent) < WINDOW
         });
         if !may {
             self.seen.refused += 1;
@@ -536,7 +536,7 @@
     }
 
     /// Something done to one node's peers.
-    pub fn with_peers(&mut self, node: usize, what: impl FnOnce(&mut Peers, Moment)) {
+    pub fn with_peers(&mut self, node: usize, what: impl FnOnce(&mut Peers, Timestamp)) {
         let now = self.clock(node);
         if let Some(peers) = &mut self.nodes[node].peers {
             what(peers, now);
@@ -550,7 +550,7 @@
     }
 
     /// Time goes on by this.
-    pub fn run(&mut self, span: Span) {
+    pub fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         let step = self.step;
         while self.now < end {
@@ -630,13 +630,17 @@
     }
 
     /// Runs until this holds; how long that took, `None` where it does not in `most`.
-    pub fn until(&mut self, most: Span, mut holds: impl FnMut(&mut World) -> bool) -> Option<Span> {
+    pub fn until(
+        &mut self,
+        most: TimeSpan,
+        mut holds: impl FnMut(&mut World) -> bool,
+    ) -> Option<TimeSpan> {
         let begun = self.now;
         while self.now.since(begun) < most {
             if holds(self) {
                 return Some(self.now.since(begun));
             }
-            self.run(Span::from_millis(50));
+            self.run(TimeSpan::from_millis(50));
         }
         None
     }
--- a/crates/shared-store/src/decide/news.rs
+++ b/crates/shared-store/src/decide/news.rs
@@ -18,29 +18,29 @@
 }
 
 /// A hint that is older says nothing: the design's own breakers know better by then.
-const HINT_LASTS: Span = Span::from_secs(5);
+const HINT_LASTS: TimeSpan = TimeSpan::from_secs(5);
 /// A purge told at nearly the same moment by another is the same.
-pub const SAME: Span = Span::from_millis(250);
+pub const SAME: TimeSpan = TimeSpan::from_millis(250);
 /// How often the store is asked, spread by half of it; also the sign of life on an idle day.
-const EVERY: Span = Span::from_millis(400);
+const EVERY: TimeSpan = TimeSpan::from_millis(400);
 /// One who heard of a purge waits up to this long whether another tells it: hundreds hear of it at once.
-const TELL_WITHIN: Span = Span::from_millis(300);
+const TELL_WITHIN: TimeSpan = TimeSpan::from_millis(300);
 /// Words remembered, so that each is passed on once. More purges than that come at the cost of telling some twice.
 const MOST: usize = 8_192;
 
 #[derive(Clone, Debug)]
 pub struct News {
     /// What is known already, with the latest moment at which it was said to have happened.
-    known: BTreeMap<Word, Moment>,
+    known: BTreeMap<Word, Timestamp>,
     /// What is to be told, and when.
-    telling: BTreeMap<Word, (Moment, Moment)>,
-    ask_at: Moment,
-    purges_last: Span,
+    telling: BTreeMap<Word, (Timestamp, Timestamp)>,
+    ask_at: Timestamp,
+    purges_last: TimeSpan,
 }
 
 impl News {
     /// `purges_last`: after that every copy from before a purge is gone.
-    pub fn new(now: Moment, purges_last: Span) -> News {
+    pub fn new(now: Timestamp, purges_last: TimeSpan) -> News {
         News {
             known: BTreeMap::new(),
             telling: BTreeMap::new(),
@@ -49,7 +49,7 @@
         }
     }
 
-    fn lasts(&self, word: Word) -> Span {
+    fn lasts(&self, word: Word) -> TimeSpan {
         match word {
             Word::Purged { .. } => self.purges_last,
             Word::Opened { .. } => HINT_LASTS,
@@ -60,7 +60,7 @@
         self.known.len() + self.telling.len()
     }
 
-    fn learn(&mut self, now: Moment, word: Word, at: Moment) -> bool {
+    fn learn(&mut self, now: Timestamp, word: Word, at: Timestamp) -> bool {
         let news = self.known.get(&word).is_none_or(|&known| at > known + SAME);
         if news {
             if self.known.len() >= MOST {
@@ -79,10 +79,10 @@
     }
 
     /// It happened here at `at`; `drawn` is from 0 to 1.
-    pub fn happened(&mut self, now: Moment, word: Word, at: Moment, drawn: f64) {
+    pub fn happened(&mut self, now: Timestamp, word: Word, at: Timestamp, drawn: f64) {
         if self.learn(now, word, at) && self.telling.len() < MOST {
             let when = match word {
-                Word::Purged { .. } => now + TELL_WITHIN.times(drawn),
+                Word::Purged { .. } => now + TELL_WITHIN.mul_f64(drawn),
                 Word::Opened { .. } => now,
             };
             self.telling.insert(word, (when, at));
@@ -90,7 +90,7 @@
     }
 
     /// The store says that it happened at `at`. `true`: that is news here.
-    pub fn told(&mut self, now: Moment, word: Word, at: Moment) -> bool {
+    pub fn told(&mut self, now: Timestamp, word: Word, at: Timestamp) -> bool {
         let at = at.min(now);
         if self
             .telling
@@ -102,24 +102,24 @@
         now.since(at) < self.lasts(word) && self.learn(now, word, at)
     }
 
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         let telling = self.telling.values().map(|&(when, _)| when).min();
         telling.into_iter().chain([self.ask_at]).min()
     }
 
     /// Whether the store is to be asked for news now.
-    pub fn asks(&mut self, now: Moment, drawn: f64) -> bool {
+    pub fn asks(&mut self, now: Timestamp, drawn: f64) -> bool {
         let due = now >= self.ask_at;
         if due {
-            self.ask_at = now + EVERY.times(0.75 + 0.5 * drawn);
+            self.ask_at = now + EVERY.mul_f64(0.75 + 0.5 * drawn);
         }
         due
     }
 
     /// What is to be told by now, with how long ago it happened. What got old while the store was away is dropped.
-    pub fn take(&mut self, now: Moment) -> Vec<(Word, Span)> {
+    pub fn take(&mut self, now: Timestamp) -> Vec<(Word, TimeSpan)> {
         let due = self.telling.iter().filter(|(_, (when, _))| now >= *when);
-        let due: Vec<(Word, Moment)> = due.map(|(&word, &(_, at))| (word, at)).collect();
+        let due: Vec<(Word, Timestamp)> = due.map(|(&word, &(_, at))| (word, at)).collect();
         self.telling.retain(|_, (when, _)| now < *when);
         let fresh = due.into_iter().map(|(word, at)| (word, now.since(at)));
         fresh
@@ -128,11 +128,12 @@
     }
 
     /// The store is another: all that still counts is told to it again.
-    pub fn tell_again(&mut self, now: Moment, chance: &mut fastrand::Rng) {
-        let known: Vec<(Word, Moment)> = self.known.iter().map(|(&word, &at)| (word, at)).collect();
+    pub fn tell_again(&mut self, now: Timestamp, chance: &mut fastrand::Rng) {
+        let known: Vec<(Word, Timestamp)> =
+            self.known.iter().map(|(&word, &at)| (word, at)).collect();
         for (word, at) in known {
             if now.since(at) < self.lasts(word) {
-                let when = now + TELL_WITHIN.times(chance.f64());
+                let when = now + TELL_WITHIN.mul_f64(chance.f64());
                 self.telling.insert(word, (when, at));
             }
         }
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -6,7 +6,7 @@
 //! known goes the way it would without a store.
 
 use std::collections::BTreeMap;
-use trailproxy::interface::Earlier;
+use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
 
 /// A client's key for all tries of one request, folded so that a long one costs no more than a short one.
@@ -65,7 +65,7 @@
     pub stand: Stand,
     pub place: Option<(ZoneId, CellId)>,
     /// How long ago the first hand-off was claimed, by the store's clock.
-    pub age: Span,
+    pub age: TimeSpan,
     /// The answer, where it is small enough to be kept.
     pub body: Option<Vec<u8>>,
 }
@@ -94,10 +94,10 @@
 const WAIT_PART: f64 = 0.02;
 const JOIN_PART: f64 = 0.25;
 /// How often one that joins asks again, at first and at most.
-const JOIN_EVERY: Span = Span::from_millis(10);
-const JOIN_SLOWEST: Span = Span::from_millis(160);
+const JOIN_EVERY: TimeSpan = TimeSpan::from_millis(10);
+const JOIN_SLOWEST: TimeSpan = TimeSpan::from_millis(160);
 /// By how much the clocks of two stores, of which one takes the other's place, may differ.
-pub const CLOCKS_APART: Span = Span::from_millis(500);
+pub const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(500);
 /// Longer answers are not kept.
 pub const MOST_BODY: usize = 512;
 
@@ -106,7 +106,7 @@
     /// It waits for the claim's answer.
     Asking,
     /// Another has it under way.
-    Joining { again: Moment, every: Span },
+    Joining { again: Timestamp, every: TimeSpan },
     /// It is with the decisions.
     Gone,
 }
@@ -116,11 +116,11 @@
     key: Key,
     phase: Phase,
     /// It goes without an answer then.
-    until: Moment,
-    join_until: Moment,
+    until: Timestamp,
+    join_until: Timestamp,
     claimed: bool,
     place: Option<(ZoneId, CellId)>,
-    earlier: Option<Earlier>,
+    earlier: Option<PeerAttempt>,
 }
 
 /// The keyed accesses that are open here.
@@ -128,7 +128,7 @@
 pub struct Records {
     own: BTreeMap<RequestId, Own>,
     /// When each is to be looked at.
-    timed: std::collections::BTreeSet<(Moment, RequestId)>,
+    timed: std::collections::BTreeSet<(Timestamp, RequestId)>,
 }
 
 /// What to do about an access.
@@ -160,27 +160,27 @@
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<Earlier> {
+    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
         self.own.get(&id)?.earlier
     }
 
     /// An access comes. It waits where `wait` is given and the store is trusted, for no longer than that.
     pub fn come(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: RequestId,
         key: Key,
-        due: Moment,
-        wait: Option<Span>,
+        due: Timestamp,
+        wait: Option<TimeSpan>,
     ) -> Vec<Step> {
         let left = due.since(now);
-        let until = now + wait.map_or(Span::ZERO, |most| most.min(left.times(WAIT_PART)));
+        let until = now + wait.map_or(TimeSpan::ZERO, |most| most.min(left.mul_f64(WAIT_PART)));
         let waits = until > now;
         let own = Own {
             key,
             phase: if waits { Phase::Asking } else { Phase::Gone },
             until,
-            join_until: now + left.times(JOIN_PART),
+            join_until: now + left.mul_f64(JOIN_PART),
             claimed: false,
             place: None,
             earlier: None,
@@ -215,8 +215,8 @@
     /// Another has it, or had it: told at `now` to a question that went out at `asked`.
     pub fn found(
         &mut self,
-        now: Moment,
-        asked: Moment,
+        now: Timestamp,
+        asked: Timestamp,
         id: RequestId,
         record: Record,
     ) -> Vec<Step> {
@@ -224,9 +224,12 @@
             return Vec::new();
         };
         // Taken for as old as it can be, so that its window ends here no later than at the hosts.
-        let first = Moment(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
-        let place = record.place;
-        own.earlier = Some(Earlier { place, first });
+        let first_sent = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
+        let location = record.place;
+        own.earlier = Some(PeerAttempt {
+            location,
+            first_sent,
+        });
         // An answer from the record is never given to one that has gone to the decisions.
         if own.phase == Phase::Gone {
             return Vec::new();
@@ -238,7 +241,7 @@
             }
             (Stand::Claimed | Stand::Sent, _) if now < own.join_until => {
                 let every = match own.phase {
-                    Phase::Joining { every, .. } => every.times(2.0).min(JOIN_SLOWEST),
+                    Phase::Joining { every, .. } => every.mul_f64(2.0).min(JOIN_SLOWEST),
                     _ => JOIN_EVERY,
                 };
                 let again = (now + every).min(own.join_until);
@@ -282,15 +285,15 @@
         let own = self.own.remove(&id)?;
         // What another sent first is that one's to end, unless this one found out that it is done.
         let others = own.earlier.is_some() && !matches!(came, Came::Done(_));
-        (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.place))))
+        (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.location))))
     }
 
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         self.timed.first().map(|&(at, _)| at)
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Moment) -> Vec<Step> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<Step> {
         let mut steps = Vec::new();
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
             self.timed.remove(&(at, id));
--- a/crates/shared-store/src/decide/trust.rs
+++ b/crates/shared-store/src/decide/trust.rs
@@ -8,7 +8,7 @@
 //! begins a new one, in which a missing record may be one that was lost: only when everything that could have been
 //! written before has run out does "not found" mean "never there".
 
-use trailproxy::units::{Moment, Span};
+use trailproxy::units::{TimeSpan, Timestamp};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trust {
@@ -78,14 +78,14 @@
 /// So many operations in a row have to come in time before accesses wait again: fewer flap.
 const PROOFS: u32 = 8;
 /// A store that owes an answer and says nothing for so long is left.
-const SILENT: Span = Span::from_secs(1);
+const SILENT: TimeSpan = TimeSpan::from_secs(1);
 /// The first pause before a new connection and the longest. Each is drawn between half and the whole of it.
-const FIRST_PAUSE: Span = Span::from_millis(200);
-const LONGEST_PAUSE: Span = Span::from_secs(8);
+const FIRST_PAUSE: TimeSpan = TimeSpan::from_millis(200);
+const LONGEST_PAUSE: TimeSpan = TimeSpan::from_secs(8);
 /// A connection that held for so long begins again with the first pause.
-const HELD: Span = Span::from_secs(10);
+const HELD: TimeSpan = TimeSpan::from_secs(10);
 /// When hundreds find a store back at once, each begins with the little that it asks before, at a point of this.
-const SPREAD: Span = Span::from_secs(2);
+const SPREAD: TimeSpan = TimeSpan::from_secs(2);
 
 /// One dispatcher's trust in the store.
 #[derive(Clone, Debug)]
@@ -96,19 +96,19 @@
     seen: u32,
     in_row: u32,
     /// When something was heard last, and since when an answer is owed.
-    heard: Moment,
-    owed: Option<Moment>,
-    pause: Span,
-    connect_at: Option<Moment>,
-    since: Moment,
+    heard: Timestamp,
+    owed: Option<Timestamp>,
+    pause: TimeSpan,
+    connect_at: Option<Timestamp>,
+    since: Timestamp,
     /// What it does not know says nothing before this.
-    whole_at: Option<Moment>,
+    whole_at: Option<Timestamp>,
     /// Not asked before this, so that a restarted store is not fallen upon.
-    quiet_until: Moment,
+    quiet_until: Timestamp,
 }
 
 impl Trusting {
-    pub fn new(now: Moment) -> Trusting {
+    pub fn new(now: Timestamp) -> Trusting {
         Trusting {
             state: Trust::Alone,
             recent: 0,
@@ -134,22 +134,22 @@
     }
 
     /// Whether operations go out at all.
-    pub fn may_send(&self, now: Moment) -> bool {
+    pub fn may_send(&self, now: Timestamp) -> bool {
         self.state != Trust::Alone && now >= self.quiet_until
     }
 
     /// From when on a new connection may be asked.
-    pub fn quiet_until(&self) -> Moment {
+    pub fn quiet_until(&self) -> Timestamp {
         self.quiet_until
     }
 
     /// Whether "not found" means "never there".
-    pub fn whole(&self, now: Moment) -> bool {
+    pub fn whole(&self, now: Timestamp) -> bool {
         self.whole_at.is_some_and(|at| now >= at)
     }
 
     /// Whether a connection is due; it is asked for once.
-    pub fn wants_connection(&mut self, now: Moment) -> bool {
+    pub fn wants_connection(&mut self, now: Timestamp) -> bool {
         let due = self.connect_at.is_some_and(|at| now >= at);
         if due {
             self.connect_at = None;
@@ -158,12 +158,12 @@
     }
 
     /// When something is to be done by itself next.
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         let silent = self.owed.map(|owed| owed.max(self.heard) + SILENT);
         [self.connect_at, silent].into_iter().flatten().min()
     }
 
-    fn turn(&mut self, now: Moment, state: Trust, cause: Cause) -> Option<Cause> {
+    fn turn(&mut self, now: Timestamp, state: Trust, cause: Cause) -> Option<Cause> {
         (self.recent, self.seen, self.in_row) = (0, 0, 0);
         let changed = self.state != state;
         if changed {
@@ -173,34 +173,34 @@
     }
 
     /// A connection stands; `drawn` is from 0 to 1.
-    pub fn connected(&mut self, now: Moment, drawn: f64) -> Option<Cause> {
+    pub fn connected(&mut self, now: Timestamp, drawn: f64) -> Option<Cause> {
         (self.heard, self.owed, self.connect_at) = (now, None, None);
         // The very first connection of a process waits for nothing: it starts apart from the others anyway.
         let first = self.pause == FIRST_PAUSE && self.whole_at.is_none();
-        self.quiet_until = now + SPREAD.times(if first { 0.0 } else { drawn });
+        self.quiet_until = now + SPREAD.mul_f64(if first { 0.0 } else { drawn });
         self.turn(now, Trust::Returning, Cause::Connected)
     }
 
     /// The connection is over, or could not be made.
-    pub fn broken(&mut self, now: Moment, cause: Cause, drawn: f64) -> Option<Cause> {
+    pub fn broken(&mut self, now: Timestamp, cause: Cause, drawn: f64) -> Option<Cause> {
         if self.state != Trust::Alone && now.since(self.since) >= HELD {
             self.pause = FIRST_PAUSE;
         }
         if self.connect_at.is_none() {
-            self.connect_at = Some(now + self.pause.times(0.5 + 0.5 * drawn));
-            self.pause = self.pause.times(2.0).min(LONGEST_PAUSE);
+            self.connect_at = Some(now + self.pause.mul_f64(0.5 + 0.5 * drawn));
+            self.pause = self.pause.mul_f64(2.0).min(LONGEST_PAUSE);
         }
         (self.owed, self.whole_at) = (None, None);
         self.turn(now, Trust::Alone, cause)
     }
 
     /// The store told its epoch, which is so old; what was written before it has run out `over` after its birth.
-    pub fn epoch(&mut self, now: Moment, age: Span, over: Span) {
+    pub fn epoch(&mut self, now: Timestamp, age: TimeSpan, over: TimeSpan) {
         self.whole_at = Some(now + (over - age));
     }
 
     /// It is another history than the one that was trusted.
-    pub fn lost_epoch(&mut self, now: Moment) -> Option<Cause> {
+    pub fn lost_epoch(&mut self, now: Timestamp) -> Option<Cause> {
         self.whole_at = None;
         if self.state == Trust::Alone {
             return None;
@@ -209,18 +209,18 @@
     }
 
     /// An operation goes out.
-    pub fn asked(&mut self, now: Moment) {
+    pub fn asked(&mut self, now: Timestamp) {
         self.owed.get_or_insert(now);
     }
 
     /// Something came from the store; `more`: it owes another answer still.
-    pub fn heard(&mut self, now: Moment, more: bool) {
+    pub fn heard(&mut self, now: Timestamp, more: bool) {
         self.heard = now;
         self.owed = Some(now).filter(|_| more);
     }
 
     /// An operation ended, or its time passed without an answer.
-    pub fn ended(&mut self, now: Moment, ending: Ending) -> Option<Cause> {
+    pub fn ended(&mut self, now: Timestamp, ending: Ending) -> Option<Cause> {
         let amiss = ending != Ending::InTime;
         let mask = (1u32 << WATCHED) - 1;
         self.recent = (self.recent << 1 | u32::from(amiss)) & mask;
@@ -242,7 +242,7 @@
     }
 
     /// Time passes: a store that owes an answer for too long is left. `true`: the connection has to go.
-    pub fn silent(&self, now: Moment) -> bool {
+    pub fn silent(&self, now: Timestamp) -> bool {
         let since = self.owed.map(|owed| owed.max(self.heard));
         self.state != Trust::Alone && since.is_some_and(|since| now.since(since) >= SILENT)
     }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
-use trailproxy::units::{Moment, Span};
+use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_lab::rules::Final;
 use trailproxy_lab::traffic::Wish;
 use trailproxy_standins::client::take_messages;
@@ -27,7 +27,7 @@
 const ANSWER_CROSSES: Duration = Duration::from_millis(400);
 const MOST_BYTES: usize = 4 << 20;
 /// Requests that come later than this after SIGTERM are not owed an answer.
-const TAKEN_BEHIND_THE_END: Span = Span::from_millis(700);
+const TAKEN_BEHIND_THE_END: TimeSpan = TimeSpan::from_millis(700);
 
 /// What a client does with a request.
 #[derive(Clone, Copy, Debug)]
@@ -156,7 +156,7 @@
             };
             let sent = Instant::now();
             let sent_at = self.oracle.now();
-            let deadline = sent_at + Span(question.allow.as_micros() as u64);
+            let deadline = sent_at + TimeSpan(question.allow.as_micros() as u64);
             if !crossed {
                 self.oracle.asks(Asking {
                     reference,
@@ -204,7 +204,7 @@
     }
 
     /// Whether the dispatcher was killed since, or the request came too long after the word to end.
-    fn owed_nothing(&self, sent: Moment, reference: u64) -> bool {
+    fn owed_nothing(&self, sent: Timestamp, reference: u64) -> bool {
         let killed = self.dispatcher.killed_at.get();
         let told = self.dispatcher.told_to_end_at.get();
         let behind_the_end = told.is_some_and(|told| sent > told + TAKEN_BEHIND_THE_END);
@@ -229,7 +229,7 @@
         number: u64,
         answer: oneshot::Receiver<Reply>,
         question: &Question<'_>,
-        deadline: Moment,
+        deadline: Timestamp,
     ) -> Option<Reply> {
         let reference = question.reference;
         let left = Duration::from_micros(deadline.since(self.oracle.now()).0);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,7 +16,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::interface::Effect;
-use trailproxy::units::{HostId, Moment, Span, ZoneId};
+use trailproxy::units::{HostId, TimeSpan, Timestamp, ZoneId};
 use trailproxy_fault_control::{Control, Kind as Call};
 use trailproxy_lab::chance::mix;
 use trailproxy_lab::loopback::settings;
@@ -40,9 +40,9 @@
 /// The second half of a configuration follows after this.
 const HALF_WRITTEN: Duration = Duration::from_millis(150);
 /// What discovery has to tell counts as told so long after at the latest.
-const TOLD_AT_LAST: Span = Span::from_secs(7);
+const TOLD_AT_LAST: TimeSpan = TimeSpan::from_secs(7);
 /// Discovery is called again within this once it is back.
-const CALLED_AGAIN: Span = Span::from_secs(1);
+const CALLED_AGAIN: TimeSpan = TimeSpan::from_secs(1);
 const LOOK_AT_ITSELF: Duration = Duration::from_millis(10);
 const CHECK_EVERY: Duration = Duration::from_millis(100);
 /// References of requests begin here, and those of clients that misbehave there.
@@ -71,7 +71,7 @@
     /// Where discovery is reached; a new configuration may name another one.
     journals: Vec<String>,
     clients: Vec<Rc<Clients>>,
-    seen: RefCell<UnboundedReceiver<(Moment, Seen)>>,
+    seen: RefCell<UnboundedReceiver<(Timestamp, Seen)>>,
     next_rogue: Cell<u64>,
     /// What clients that misbehave ask for.
     rogues_wish: Option<Wish>,
@@ -94,7 +94,7 @@
                 .map(|zone| zone.name.clone())
                 .collect(),
             scale: SCALE,
-            notes: scenario.terms.notes,
+            notes: scenario.terms.note_level,
             list_delay: scenario.list_delay,
             purge_delay: scenario.purge_delay,
         };
@@ -218,7 +218,7 @@
             limit
         };
         let keyed = matches!(scenario.shape.tracks[class].effect, Effect::Keyed { .. });
-        let written = scenario.shape.tracks[class].written;
+        let written = scenario.shape.tracks[class].is_write;
         let question = Question {
             class: &scenario.track_names[class],
             wish,
@@ -274,7 +274,7 @@
     }
 
     /// When what discovery has to tell from a moment on counts as told, given what is done to discovery.
-    fn told_at(&self, at: Moment) -> Moment {
+    fn told_at(&self, at: Timestamp) -> Timestamp {
         let mut told = at;
         for event in &self.plan.events {
             let silent = matches!(
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -64,9 +64,9 @@
     pub ending: Ending,
     pub note: Note,
     /// Time to the first byte from the source, or to the fill's failure.
-    pub waited: Option<Span>,
+    pub waited: Option<TimeSpan>,
     /// When the origin gave out the copy that was answered.
-    pub minted: Option<Moment>,
+    pub minted: Option<Timestamp>,
     /// Transfers on the zone's link over those that fit.
     pub link_full: f64,
 }
@@ -99,8 +99,8 @@
     /// Flows, and a fetch, that are not over yet.
     pending: u8,
     note: Note,
-    waited: Option<Span>,
-    minted: Option<Moment>,
+    waited: Option<TimeSpan>,
+    minted: Option<Timestamp>,
 }
 
 /// One host gets a part from another.
@@ -112,15 +112,15 @@
     group: GroupId,
     kb: f64,
     rank: u8,
-    oldest: Option<Span>,
+    oldest: Option<TimeSpan>,
     held_only: bool,
     shared: bool,
     waiters: Vec<Waiter>,
     pending: u8,
-    asked: Moment,
-    begun: Option<Moment>,
+    asked: Timestamp,
+    begun: Option<Timestamp>,
     note: Note,
-    minted: Moment,
+    minted: Timestamp,
 }
 
 #[derive(Clone, Debug)]
@@ -137,19 +137,19 @@
     Pace(HostId),
     LinkBack(ZoneId),
     List(HostId),
-    Purge(HostId, Option<ObjectId>, GroupId, Moment),
+    Purge(HostId, Option<ObjectId>, GroupId, Timestamp),
 }
 
 /// How a host is out of order, each until a point in time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Ills {
-    silent: Moment,
-    slow: (f64, Moment),
-    stalled: Moment,
-    garbage: (f64, Moment),
-    resets: (f64, Moment),
+    silent: Timestamp,
+    slow: (f64, Timestamp),
+    stalled: Timestamp,
+    garbage: (f64, Timestamp),
+    resets: (f64, Timestamp),
     /// Falls to this part between the two moments.
-    ageing: Option<(f64, Moment, Moment)>,
+    ageing: Option<(f64, Timestamp, Timestamp)>,
 }
 
 struct Server {
@@ -158,7 +158,7 @@
     life: u32,
     up: bool,
     draining: bool,
-    started: Option<Moment>,
+    started: Option<Timestamp>,
     ills: Ills,
     out: Pipe<Flow>,
     store: Store,
@@ -166,15 +166,15 @@
     serving: BTreeSet<FetchId>,
     fetching: BTreeMap<PartOf, FetchId>,
     /// Work given while cold, for the span in which it counts.
-    given: VecDeque<(Moment, f64)>,
+    given: VecDeque<(Timestamp, f64)>,
     moved_before: f64,
 }
 
 /// Two spans of this are between the word of a drain and the end of the process.
-const DRAIN: Span = Span::from_secs(2);
+const DRAIN: TimeSpan = TimeSpan::from_secs(2);
 /// A renewal of what did not change moves this part of it.
 const UNCHANGED: f64 = 0.05;
-const COLD_STEP: Span = Span::from_millis(250);
+const COLD_STEP: TimeSpan = TimeSpan::from_millis(250);
 /// From this part of its fresh time on, a copy is renewed behind.
 const RENEW_FROM: f64 = 0.8;
 
@@ -185,18 +185,18 @@
     links: Vec<Pipe<Flow>>,
     jobs: BTreeMap<Ticket, Job>,
     fetches: BTreeMap<FetchId, Fetch>,
-    timers: BTreeMap<(Moment, u64), Timer>,
+    timers: BTreeMap<(Timestamp, u64), Timer>,
     /// When each pipe next has a transfer over: servers first, then links.
-    due: BTreeSet<(Moment, usize)>,
-    due_of: Vec<Option<Moment>>,
-    late_list: (Span, Moment),
+    due: BTreeSet<(Timestamp, usize)>,
+    due_of: Vec<Option<Timestamp>>,
+    late_list: (TimeSpan, Timestamp),
     chance: StdRng,
     next: u64,
     said: Vec<Said>,
     hit_kb: f64,
     /// KB of transfers that crossed a link whole, by zone and track.
     whole: Vec<Vec<f64>>,
-    now: Moment,
+    now: Timestamp,
 }
 
 impl Fleet {
@@ -238,13 +238,13 @@
             fetches: BTreeMap::new(),
             timers: BTreeMap::new(),
             due: BTreeSet::new(),
-            late_list: (Span::ZERO, Moment(0)),
+            late_list: (TimeSpan::ZERO, Timestamp(0)),
             chance: StdRng::seed_from_u64(seed),
             next: 0,
             said: Vec::new(),
             hit_kb: 0.0,
             whole: vec![vec![0.0; shape.tracks.len()]; shape.zones.len()],
-            now: Moment(0),
+            now: Timestamp(0),
             shape,
         };
         for cue in script {
@@ -269,16 +269,16 @@
     }
 
     /// How much later than usual the list is told now.
-    pub fn list_delay(&self, now: Moment) -> Span {
+    pub fn list_delay(&self, now: Timestamp) -> TimeSpan {
         if now < self.late_list.1 {
             self.late_list.0
         } else {
-            Span::ZERO
+            TimeSpan::ZERO
         }
     }
 
     /// The part of its usual pace at which a host serves now; 0 where nothing comes. No dispatcher sees this.
-    pub fn truth(&self, now: Moment, host: HostId) -> f64 {
+    pub fn truth(&self, now: Timestamp, host: HostId) -> f64 {
         let Some(server) = self.places.get(&host).map(|&at| &self.servers[at]) else {
             return 0.0;
         };
@@ -333,7 +333,7 @@
     }
 
     /// Puts copies where they would be had the fleet run for a while.
-    pub fn hold(&mut self, host: HostId, part: PartOf, group: GroupId, kb: f64, minted: Moment) {
+    pub fn hold(&mut self, host: HostId, part: PartOf, group: GroupId, kb: f64, minted: Timestamp) {
         if let Some(&at) = self.places.get(&host) {
             let rank = 1;
             self.servers[at].store.keep(
@@ -348,20 +348,20 @@
         }
     }
 
-    fn timer(&mut self, at: Moment, timer: Timer) {
+    fn timer(&mut self, at: Timestamp, timer: Timer) {
         self.next += 1;
         self.timers.insert((at, self.next), timer);
     }
 
     /// When it has something to do next.
-    pub fn next(&self) -> Option<Moment> {
+    pub fn next(&self) -> Option<Timestamp> {
         let timer = self.timers.first_key_value().map(|(&(at, _), _)| at);
         let pipe = self.due.first().map(|&(at, _)| at);
         timer.into_iter().chain(pipe).min()
     }
 
     /// Lets time pass and takes what was said until then.
-    pub fn advance(&mut self, now: Moment) -> Vec<Said> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<Said> {
         while let Some(at) = self.next().filter(|&at| at <= now) {
             self.now = self.now.max(at);
             let timer = self.timers.first_key_value().map(|(&key, _)| key);
@@ -425,23 +425,23 @@
         crosses.then_some(self.servers.len() + zone_at)
     }
 
-    fn way(&self, from: usize, to: ZoneId) -> Span {
+    fn way(&self, from: usize, to: ZoneId) -> TimeSpan {
         let there = self.servers[from].shape.zone;
         if there == to {
-            Span::ZERO
+            TimeSpan::ZERO
         } else {
             self.shape.zones[usize::from(to.0)].distance
         }
     }
 
     /// A request reaches a host.
-    pub fn hand_off(&mut self, now: Moment, pull: Pull) {
+    pub fn hand_off(&mut self, now: Timestamp, pull: Pull) {
         self.now = self.now.max(now);
         let Some(&at) = self.places.get(&pull.host) else {
             return self.say(
                 pull.ticket,
                 Ending::NoConnection,
-                Note::Untold,
+                Note::NotReported,
                 None,
                 None,
                 0.0,
@@ -451,21 +451,21 @@
             pull,
             at,
             pending: 0,
-            note: Note::Untold,
+            note: Note::NotReported,
             waited: None,
             minted: None,
         };
         self.jobs.insert(pull.ticket, job);
         self.servers[at].jobs.insert(pull.ticket);
         let way = self.way(at, pull.zone);
-        if way == Span::ZERO {
+        if way == TimeSpan::ZERO {
             return self.job_comes(pull.ticket);
         }
         self.timer(self.now + way, Timer::JobComes(pull.ticket));
     }
 
     /// The sender gives a request up: no answer is owed. What fills the host goes on.
-    pub fn withdraw(&mut self, now: Moment, ticket: Ticket) {
+    pub fn withdraw(&mut self, now: Timestamp, ticket: Ticket) {
         self.now = self.now.max(now);
         self.end_job(ticket);
     }
@@ -485,8 +485,8 @@
         ticket: Ticket,
         ending: Ending,
         note: Note,
-        waited: Option<Span>,
-        minted: Option<Moment>,
+        waited: Option<TimeSpan>,
+        minted: Option<Timestamp>,
         link_full: f64,
     ) {
         self.said.push(Said::Answer(Answer {
@@ -516,18 +516,18 @@
             && self.now < ills.garbage.1
             && self.chance.random_bool(ills.garbage.0)
         {
-            ending = Ending::Lost;
+            ending = Ending::ConnectionLost;
         }
         let minted = job.minted.filter(|_| ending == Ending::Done);
-        let note = if matches!(ending, Ending::Lost | Ending::NoConnection) {
-            Note::Untold
+        let note = if matches!(ending, Ending::ConnectionLost | Ending::NoConnection) {
+            Note::NotReported
         } else {
             note
         };
         self.say(ticket, ending, note, job.waited, minted, full);
     }
 
-    fn track(&self, track: ClassId) -> &trailproxy::interface::ClassTerms {
+    fn track(&self, track: ClassId) -> &trailproxy::interface::ClassSettings {
         &self.shape.tracks[usize::from(track.0)]
     }
 
@@ -538,42 +538,47 @@
         let (pull, at) = (job.pull, job.at);
         let server = &self.servers[at];
         if !server.up {
-            return self.answer(ticket, Ending::NoConnection, Note::Untold);
+            return self.answer(ticket, Ending::NoConnection, Note::NotReported);
         }
         let ills = server.ills;
         if self.now < ills.silent {
             return self.timer(ills.silent, Timer::JobComes(ticket));
         }
         if self.now < ills.resets.1 && self.chance.random_bool(ills.resets.0) {
-            return self.answer(ticket, Ending::Lost, Note::Untold);
+            return self.answer(ticket, Ending::ConnectionLost, Note::NotReported);
         }
         if server.jobs.len() + server.serving.len() > server.shape.places {
-            return self.answer(ticket, Ending::Full, Note::Untold);
+            return self.answer(ticket, Ending::Full, Note::NotReported);
         }
         let role = server.shape.role;
         if self.given(at, pull.kb) {
             return;
         }
-        let written = self.track(pull.track).written;
+        let written = self.track(pull.track).is_write;
         if role == Role::Origin {
-            return self.job_from(ticket, at, Note::Untold, self.now);
+            return self.job_from(ticket, at, Note::NotReported, self.now);
         }
         let part = (pull.object, pull.part);
-        let (fits, held) = self.fit(at, part, pull.track, pull.fill.and_then(|fill| fill.oldest));
+        let (fits, held) = self.fit(
+            at,
+            part,
+            pull.track,
+            pull.fill.and_then(|fill| fill.max_age),
+        );
         if let Some(copy) = fits.filter(|_| !written) {
             return self.hit(ticket, at, copy, pull);
         }
         let Some(fill) = pull.fill.filter(|fill| fill.source != pull.host) else {
-            return self.answer(ticket, Ending::Missed, Note::Untold);
+            return self.answer(ticket, Ending::Miss, Note::NotReported);
         };
         let under_way = self.servers[at].fetching.get(&part).copied();
-        let bound = fill.oldest.or(self.track(pull.track).fresh);
+        let bound = fill.max_age.or(self.track(pull.track).fresh_for);
         let joined = under_way
             .filter(|id| (fill.join || role == Role::Parent) && !written && self.joins(*id, bound));
         let fetch = match joined {
             Some(fetch) => Some(fetch),
             None => {
-                let kb = if held.is_some() && fill.oldest.is_none() {
+                let kb = if held.is_some() && fill.max_age.is_none() {
                     pull.kb * UNCHANGED
                 } else {
                     pull.kb
@@ -589,7 +594,7 @@
                     kb,
                     rank,
                     bound,
-                    fill.held_only,
+                    fill.only_if_cached,
                     !written,
                 )
             }
@@ -609,14 +614,14 @@
     }
 
     /// Whether a fetch under way can bring no copy that is older than this.
-    fn joins(&self, id: FetchId, oldest: Option<Span>) -> bool {
+    fn joins(&self, id: FetchId, oldest: Option<TimeSpan>) -> bool {
         let Some(fetch) = self.fetches.get(&id) else {
             return false;
         };
         let least = match (self.is_origin(fetch.from), fetch.oldest) {
             (true, _) => fetch.asked,
             (false, Some(bound)) => fetch.asked - bound,
-            (false, None) => Moment(0),
+            (false, None) => Timestamp(0),
         };
         oldest.is_none_or(|oldest| self.now.since(least) <= oldest)
     }
@@ -627,10 +632,10 @@
         at: usize,
         part: PartOf,
         track: ClassId,
-        oldest: Option<Span>,
+        oldest: Option<TimeSpan>,
     ) -> (Option<Copy>, Option<Copy>) {
         let held = self.servers[at].store.look(part);
-        let limit = oldest.or(self.track(track).fresh);
+        let limit = oldest.or(self.track(track).fresh_for);
         let young = |copy: &Copy| limit.is_none_or(|limit| self.now.since(copy.minted) <= limit);
         (held.filter(young), held)
     }
@@ -642,10 +647,10 @@
             .store
             .used(part, fill.map_or(0, |fill| fill.rank));
         let age = self.now.since(copy.minted);
-        let fresh = self.track(pull.track).fresh;
+        let fresh = self.track(pull.track).fresh_for;
         let stale = fresh.is_some_and(|fresh| age > fresh);
-        let ageing = fresh.is_some_and(|fresh| age > fresh.times(RENEW_FROM));
-        let renews = |fill: &Fill| fill.renew && ageing && fill.source != pull.host;
+        let ageing = fresh.is_some_and(|fresh| age > fresh.mul_f64(RENEW_FROM));
+        let renews = |fill: &Fill| fill.revalidate && ageing && fill.source != pull.host;
         let idle = !self.servers[at].fetching.contains_key(&part);
         if let Some(fill) = fill.filter(renews).filter(|_| idle) {
             let kb = pull.kb * UNCHANGED;
@@ -672,7 +677,7 @@
     }
 
     /// The host itself answers, after its first byte.
-    fn job_from(&mut self, ticket: Ticket, at: usize, note: Note, minted: Moment) {
+    fn job_from(&mut self, ticket: Ticket, at: usize, note: Note, minted: Timestamp) {
         let wait = self.first_byte(at);
         if let Some(job) = self.jobs.get_mut(&ticket) {
             (job.note, job.minted) = (note, Some(minted));
@@ -680,7 +685,7 @@
         self.timer(self.now + wait, Timer::JobBegins(ticket));
     }
 
-    fn first_byte(&mut self, at: usize) -> Span {
+    fn first_byte(&mut self, at: usize) -> TimeSpan {
         let jitter = 0.8 + 0.4 * self.chance.random::<f64>();
         let server = &self.servers[at];
         let slow = if self.now < server.ills.slow.1 {
@@ -688,7 +693,7 @@
         } else {
             1.0
         };
-        server.shape.first_byte.times(slow * jitter)
+        server.shape.first_byte.mul_f64(slow * jitter)
     }
 
     fn job_begins(&mut self, ticket: Ticket) {
@@ -724,7 +729,7 @@
         group: GroupId,
         kb: f64,
         rank: u8,
-        oldest: Option<Span>,
+        oldest: Option<TimeSpan>,
         held_only: bool,
         shared: bool,
     ) -> Option<FetchId> {
@@ -829,7 +834,7 @@
             .find(|s| s.shape.role == Role::Origin)
             .map(|s| s.shape.id);
         let Some(origin) = origin.filter(|_| !held_only) else {
-            return self.fetch_fails(id, Note::SourceLacks);
+            return self.fetch_fails(id, Note::SourceMiss);
         };
         let behind = self.servers[from].fetching.get(&part).copied();
         // What leaves no copy is never joined: each has its own effect.
@@ -843,7 +848,7 @@
                 )
             });
         match behind {
-            None => self.fetch_fails(id, Note::SourceLacks),
+            None => self.fetch_fails(id, Note::SourceMiss),
             Some(behind) => {
                 if let Some(fetch) = self.fetches.get_mut(&id) {
                     fetch.pending += 1;
@@ -977,8 +982,8 @@
             note => note,
         };
         let ending = match note {
-            Note::SourceRefused | Note::NoFillPlace => Ending::Full,
-            Note::SourceLacks => Ending::Missed,
+            Note::SourceRefused | Note::NoFillSlot => Ending::Full,
+            Note::SourceMiss => Ending::Miss,
             _ => Ending::Error,
         };
         for waiter in fetch.waiters {
@@ -1005,11 +1010,11 @@
         let cold = self.shape.cold(self.servers[at].shape.role);
         let (now, work) = (self.now, kb / self.shape.flow_kb_per_s);
         let server = &mut self.servers[at];
-        let warmth = server.warmth(now, cold.from, cold.warm_after);
+        let warmth = server.warmth(now, cold.initial_capacity, cold.duration);
         let origin = server.shape.role == Role::Origin;
         let multiple = match (origin, self.shape.origin_bears) {
             (true, Some(bears)) => bears,
-            (false, _) if warmth < 1.0 => cold.fall_multiple,
+            (false, _) if warmth < 1.0 => cold.overload_factor,
             _ => {
                 server.given.clear();
                 return false;
@@ -1019,12 +1024,12 @@
         while server
             .given
             .front()
-            .is_some_and(|&(at, _)| now.since(at) > cold.fall_after)
+            .is_some_and(|&(at, _)| now.since(at) > cold.overload_window)
         {
             server.given.pop_front();
         }
         let sum: f64 = server.given.iter().map(|(_, work)| work).sum();
-        let bears = multiple * server.shape.size * warmth * cold.fall_after.as_secs_f64();
+        let bears = multiple * server.shape.size * warmth * cold.overload_window.as_secs_f64();
         let falls = sum > bears.max(work);
         if falls {
             let (id, away) = (server.shape.id, self.shape.fallen_for);
@@ -1043,13 +1048,13 @@
         let (now, flow) = (self.now, self.shape.flow_kb_per_s);
         let server = &mut self.servers[at];
         let silent = now < server.ills.silent;
-        let warmth = server.warmth(now, cold.from, cold.warm_after);
+        let warmth = server.warmth(now, cold.initial_capacity, cold.duration);
         let rate = server.shape.size * flow * warmth * server.vigour(now);
         server.out.set_rate(now, if silent { 0.0 } else { rate });
         self.touch(at);
     }
 
-    fn down(&mut self, id: HostId, away: Span) {
+    fn down(&mut self, id: HostId, away: TimeSpan) {
         let Some(&at) = self.places.get(&id) else {
             return;
         };
@@ -1067,7 +1072,7 @@
         let serving: Vec<FetchId> = server.serving.iter().copied().collect();
         let own: Vec<FetchId> = server.fetching.values().copied().collect();
         jobs.into_iter()
-            .for_each(|ticket| self.answer(ticket, Ending::Lost, Note::Untold));
+            .for_each(|ticket| self.answer(ticket, Ending::ConnectionLost, Note::NotReported));
         own.into_iter().for_each(|id| {
             self.unfile(id);
         });
@@ -1106,7 +1111,7 @@
                     .fetches
                     .get(&id)
                     .map(|fetch| self.servers[fetch.from].ills);
-                let until = from.map_or(Moment(0), |ills| ills.silent.max(ills.stalled));
+                let until = from.map_or(Timestamp(0), |ills| ills.silent.max(ills.stalled));
                 match self.now < until {
                     true => self.timer(until, Timer::FetchBegins(id)),
                     false => self.fetch_begins(id),
@@ -1129,7 +1134,7 @@
                     .get(&id)
                     .is_some_and(|&at| self.servers[at].life == life);
                 if same {
-                    self.down(id, Span::from_secs(2));
+                    self.down(id, TimeSpan::from_secs(2));
                 }
             }
             Timer::Warm(id, life) => {
@@ -1139,7 +1144,8 @@
                 self.pace(id);
                 let cold = self.shape.cold(self.servers[at].shape.role);
                 let server = &self.servers[at];
-                if server.life == life && server.warmth(self.now, cold.from, cold.warm_after) < 1.0
+                if server.life == life
+                    && server.warmth(self.now, cold.initial_capacity, cold.duration) < 1.0
                 {
                     self.timer(self.now + COLD_STEP, Timer::Warm(id, life));
                 }
@@ -1209,7 +1215,7 @@
                 let steps = 20;
                 for step in 1..=steps {
                     self.timer(
-                        now + span.times(f64::from(step) / f64::from(steps)),
+                        now + span.mul_f64(f64::from(step) / f64::from(steps)),
                         Timer::Pace(id),
                     );
                 }
@@ -1228,7 +1234,7 @@
                 }
             }
             Trouble::Replace(old, new, away) => {
-                self.down(old, Span::from_secs(1 << 30));
+                self.down(old, TimeSpan::from_secs(1 << 30));
                 if let Some(at) = self.places.remove(&old) {
                     let gone = HostEntry {
                         state: HostState::Gone,
@@ -1253,7 +1259,7 @@
                     let wait = self
                         .shape
                         .purge_done
-                        .times(0.05 + 0.9 * self.chance.random::<f64>());
+                        .mul_f64(0.05 + 0.9 * self.chance.random::<f64>());
                     self.timer(now + wait, Timer::Purge(host, object, group, now));
                 }
                 self.said.push(Said::Purged { object, group });
@@ -1276,19 +1282,19 @@
             kind: kind_of(self.shape.role),
             started: self.started,
             stamp: self.started,
-            size: self.shape.size,
+            capacity: self.shape.size,
             state,
         }
     }
 
-    fn warmth(&self, now: Moment, from: f64, after: Span) -> f64 {
+    fn warmth(&self, now: Timestamp, from: f64, after: TimeSpan) -> f64 {
         let age = self.started.map(|at| now.since(at).as_secs_f64());
         let risen = age.map_or(1.0, |age| (age / after.as_secs_f64().max(1e-3)).min(1.0));
         from + (1.0 - from) * risen
     }
 
     /// What ageing leaves of its capacity.
-    fn vigour(&self, now: Moment) -> f64 {
+    fn vigour(&self, now: Timestamp) -> f64 {
         self.ills.ageing.map_or(1.0, |(part, from, until)| {
             let gone = now.since(from).as_secs_f64() / until.since(from).as_secs_f64().max(1e-3);
             1.0 - (1.0 - part) * gone.min(1.0)
--- a/crates/standins/src/loopback.rs
+++ b/crates/standins/src/loopback.rs
@@ -40,15 +40,15 @@
     }
 
     /// Before the day begins, its beginning.
-    pub fn now(&self) -> Moment {
-        DAWN + Span(self.start.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Timestamp {
+        DAWN + TimeSpan(self.start.elapsed().as_micros() as u64)
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
+    pub fn instant(&self, at: Timestamp) -> Instant {
         self.start + Duration::from_micros(at.since(DAWN).0)
     }
 
-    pub fn unix_ms(&self, at: Moment) -> u64 {
+    pub fn unix_ms(&self, at: Timestamp) -> u64 {
         (self.unix_us + at.0).saturating_sub(DAWN.0) / 1000
     }
 }
@@ -71,7 +71,7 @@
     /// A copy went to a dispatcher: when it was minted.
     Copied {
         reference: u64,
-        minted: Moment,
+        minted: Timestamp,
     },
     Listed(HostEntry),
     Purged(Option<ObjectId>, GroupId),
@@ -89,7 +89,7 @@
 }
 
 /// How often the links' counters are read.
-pub const CROSSED_EVERY: Span = Span::from_millis(100);
+pub const CROSSED_EVERY: TimeSpan = TimeSpan::from_millis(100);
 
 /// How objects and tracks are named on the wire, and how bytes are scaled.
 #[derive(Clone, Debug)]
@@ -100,8 +100,8 @@
     pub scale: f64,
     pub notes: NoteLevel,
     /// How late the journal service tells things.
-    pub list_delay: Span,
-    pub purge_delay: Span,
+    pub list_delay: TimeSpan,
+    pub purge_delay: TimeSpan,
 }
 
 /// What an access was asked for: the wire does not tell hosts the size and the group.
@@ -178,7 +178,7 @@
         hosts: usize,
         wire: Wire,
         clock: Clock,
-        seen: UnboundedSender<(Moment, Seen)>,
+        seen: UnboundedSender<(Timestamp, Seen)>,
     ) -> io::Result<Stage> {
         Stage::open_behind(fleet, hosts, wire, clock, seen, |_, address| Ok(address)).await
     }
@@ -189,7 +189,7 @@
         hosts: usize,
         wire: Wire,
         clock: Clock,
-        seen: UnboundedSender<(Moment, Seen)>,
+        seen: UnboundedSender<(Timestamp, Seen)>,
         front: impl Fn(HostId, SocketAddr) -> io::Result<SocketAddr>,
     ) -> io::Result<Stage> {
         let (to_fleet, inbox) = unbounded_channel();
@@ -465,7 +465,7 @@
         port.told,
         wire.zones[usize::from(entry.zone.0)],
         entry.cell.0,
-        entry.size,
+        entry.capacity,
     )
 }
 
@@ -475,7 +475,7 @@
     wire: Wire,
     clock: Clock,
     ports: Vec<Port>,
-    seen: UnboundedSender<(Moment, Seen)>,
+    seen: UnboundedSender<(Timestamp, Seen)>,
     wanted: Rc<RefCell<BTreeMap<u64, Wanted>>>,
     open: BTreeMap<Ticket, OpenPull>,
     by_id: BTreeMap<(LineId, String), Ticket>,
@@ -484,13 +484,13 @@
     next: u64,
     journal: Journal,
     /// What the journal service is to tell, and when.
-    later: BTreeMap<(Moment, u64), String>,
+    later: BTreeMap<(Timestamp, u64), String>,
     to_fleet: UnboundedSender<ToFleet>,
 }
 
 impl Owner {
     async fn run(mut self, mut inbox: UnboundedReceiver<ToFleet>) {
-        let mut sample_at = self.clock.now() + Span::from_secs(1);
+        let mut sample_at = self.clock.now() + TimeSpan::from_secs(1);
         let mut crossed_at = DAWN;
         loop {
             let now = self.clock.now();
@@ -502,7 +502,7 @@
                 self.see(now, Seen::Crossed(crossed.collect()));
             }
             if now >= sample_at {
-                sample_at = sample_at + Span::from_secs(1);
+                sample_at = sample_at + TimeSpan::from_secs(1);
                 let crossed = zones.clone().map(|zone| self.fleet.crossed_kb(zone));
                 self.see(now, Seen::Moved(self.fleet.moved(), crossed.collect()));
                 let whole = zones.map(|zone| self.fleet.crossed_whole_kb(zone).to_vec());
@@ -525,7 +525,7 @@
         }
     }
 
-    fn see(&self, at: Moment, seen: Seen) {
+    fn see(&self, at: Timestamp, seen: Seen) {
         let _ = self.seen.send((at, seen));
     }
 
@@ -556,7 +556,7 @@
         }
     }
 
-    fn abandon(&mut self, now: Moment, ticket: Ticket) {
+    fn abandon(&mut self, now: Timestamp, ticket: Ticket) {
         self.fleet.withdraw(now, ticket);
         if let Some(open) = self.open.remove(&ticket) {
             self.by_id.remove(&(open.line, open.id));
@@ -574,7 +574,7 @@
 
     fn pull(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         line: LineId,
         back: UnboundedSender<Back>,
         host: HostId,
@@ -609,21 +609,21 @@
             rank: field("tier")
                 .and_then(|tier| tier.parse().ok())
                 .unwrap_or(0),
-            oldest: millis("fresh").map(Span::from_millis),
+            max_age: millis("fresh").map(TimeSpan::from_millis),
             join: has("merge"),
-            held_only: has("local"),
-            renew: has("revalidate"),
+            only_if_cached: has("local"),
+            revalidate: has("revalidate"),
         });
         let plain = Fill {
             source: host,
             rank: 0,
-            oldest: None,
+            max_age: None,
             join: false,
-            held_only: false,
-            renew: false,
+            only_if_cached: false,
+            revalidate: false,
         };
         let fill = fill.or(millis("fresh").map(|ms| Fill {
-            oldest: Some(Span::from_millis(ms)),
+            max_age: Some(TimeSpan::from_millis(ms)),
             ..plain
         }));
         self.next += 1;
@@ -673,7 +673,7 @@
         self.fleet.hand_off(now, pull);
     }
 
-    fn said(&mut self, now: Moment, said: Said) {
+    fn said(&mut self, now: Timestamp, said: Said) {
         match said {
             Said::Answer(answer) => self.answer(now, answer),
             Said::Listed(entry) => {
@@ -733,13 +733,13 @@
         }
     }
 
-    fn tell_later(&mut self, at: Moment, text: String) {
+    fn tell_later(&mut self, at: Timestamp, text: String) {
         self.next += 1;
         self.later.insert((at, self.next), text);
     }
 
     /// Puts what is due into the journal, under the next number.
-    fn publish(&mut self, now: Moment) {
+    fn publish(&mut self, now: Timestamp) {
         while let Some(entry) = self
             .later
             .first_entry()
@@ -752,7 +752,7 @@
         }
     }
 
-    fn answer(&mut self, now: Moment, answer: Answer) {
+    fn answer(&mut self, now: Timestamp, answer: Answer) {
         let Some(open) = self.open.remove(&answer.ticket) else {
             return;
         };
@@ -769,7 +769,7 @@
         );
         let word = match answer.ending {
             Ending::Done => "data",
-            Ending::Missed => "absent",
+            Ending::Miss => "absent",
             Ending::Full => "full",
             Ending::Error => "failed",
             _ => {
@@ -790,7 +790,7 @@
             );
         }
         let why = match told(self.wire.notes, answer.note) {
-            Note::Untold => "",
+            Note::NotReported => "",
             Note::Hit => "why=TCP_HIT",
             Note::Filled => "why=TCP_MISS",
             Note::FilledByOrigin => "why=TCP_MISS_ROOT",
@@ -798,8 +798,8 @@
             Note::Stale => "why=TCP_STALE",
             Note::SourceRefused => "why=PEER_DENY",
             Note::SourceLost => "why=PEER_DEAD",
-            Note::SourceLacks => "why=PEER_MISS",
-            Note::NoFillPlace => "why=FILL_FULL",
+            Note::SourceMiss => "why=PEER_MISS",
+            Note::NoFillSlot => "why=FILL_FULL",
             Note::OriginFailed => "why=ROOT_FAIL",
         };
         fields.push_str(why);
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -1,4 +1,4 @@
-//! Reads the start settings into [`Terms`], from `path=value` lines or from nested JSON.
+//! Reads the start settings into [`DispatcherSettings`], from `path=value` lines or from nested JSON.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -18,16 +18,16 @@
 
 type Read1<T> = Result<T, Unreadable>;
 
-/// What a socket layer needs of the settings besides [`Terms`].
+/// What a socket layer needs of the settings besides [`DispatcherSettings`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     pub track_names: Vec<String>,
     pub zone_names: Vec<String>,
     pub kind_names: Vec<String>,
     /// The longest outer limit of all tracks.
-    pub longest_limit: Span,
-    pub dial_within: Span,
-    pub idle_close: Span,
+    pub longest_limit: TimeSpan,
+    pub dial_within: TimeSpan,
+    pub idle_close: TimeSpan,
     pub max_streams: usize,
     pub max_open: usize,
 }
@@ -56,8 +56,8 @@
     pub fn load(&self, values: &[f64]) -> Load {
         let at = |at: Option<usize>| values.get(at?).copied().filter(|value| *value >= 0.0);
         Load {
-            busy: at(self.busy_at),
-            link_full: at(self.link_full_at),
+            utilization: at(self.busy_at),
+            link_utilization: at(self.link_full_at),
         }
     }
 }
@@ -147,8 +147,8 @@
             .ok_or_else(|| Unreadable(format!("setting {path} is {text:?}; accepted are {list}")))
     }
 
-    fn span(&self, path: &str) -> Read1<Span> {
-        Ok(Span(self.must(path)?))
+    fn span(&self, path: &str) -> Read1<TimeSpan> {
+        Ok(TimeSpan(self.must(path)?))
     }
 
     fn list<T: FromStr>(&self, path: &str) -> Read1<Vec<T>> {
@@ -167,17 +167,17 @@
             .map(KindId))
     }
 
-    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> Read1<Cold> {
-        Ok(Cold {
-            from: self.must(from)?,
-            warm_after: self.span(warm)?,
-            fall_multiple: self.must(multiple)?,
-            fall_after: self.span(after)?,
-            among: None,
+    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> Read1<SlowStart> {
+        Ok(SlowStart {
+            initial_capacity: self.must(from)?,
+            duration: self.span(warm)?,
+            overload_factor: self.must(multiple)?,
+            overload_window: self.span(after)?,
+            shared_by: None,
         })
     }
 
-    fn track(&self, i: usize) -> Read1<ClassTerms> {
+    fn track(&self, i: usize) -> Read1<ClassSettings> {
         let own = |name: &str| format!("classes.{i}.{name}");
         let of_family = |name: &str| -> Read1<u64> {
             let all = self.list(&format!("family_info.{name}"))?;
@@ -197,13 +197,13 @@
             other => return Err(format!("unknown semantics {other:?} of class {i}").into()),
         };
         let fresh = of_family("max_age_us")?;
-        Ok(ClassTerms {
-            due: self.span(&own("on_time_us"))?,
-            due_stretch: self.or(&own("aim_stretch"), 0.0)?,
+        Ok(ClassSettings {
+            target: self.span(&own("on_time_us"))?,
+            target_stretch: self.or(&own("aim_stretch"), 0.0)?,
             effect,
-            fresh: (fresh > 0).then_some(Span(fresh)),
-            grace: Span(of_family("usable_after_us")?),
-            written: self
+            fresh_for: (fresh > 0).then_some(TimeSpan(fresh)),
+            stale_grace: TimeSpan(of_family("usable_after_us")?),
+            is_write: self
                 .list("family_info.never_kept")?
                 .get(i)
                 .copied()
@@ -237,17 +237,17 @@
 }
 
 /// The terms, and what load reports hold.
-pub fn read_terms(lines: &Lines) -> Read1<(Terms, Reports)> {
+pub fn read_terms(lines: &Lines) -> Read1<(DispatcherSettings, Reports)> {
     let zone: u16 = lines.must("az")?;
-    let cold_cache = lines.cold(
+    let cache_slow_start = lines.cold(
         "rules.start_capacity",
         "rules.cold_us",
         "rules.overload_factor",
         "rules.tip_after_us",
     )?;
     let parent_kind = lines.kind("family_info.second_tier_kind")?;
-    let cold_parent = match parent_kind {
-        None => cold_cache,
+    let parent_slow_start = match parent_kind {
+        None => cache_slow_start,
         Some(_) => lines.cold(
             "family_info.parent_starts_at",
             "family_info.parent_ramp_us",
@@ -260,8 +260,8 @@
     let class_count = lines.class_count()?;
     let via = lines.one_of("report.via", &["piggyback", "pull", "silent"])?;
     let may_probe = lines.one_of("ceilings.may_probe", &["true", "false"])?;
-    let probes = via == Some("pull") && may_probe == Some("true");
-    let reported: Vec<String> = match probes || via == Some("piggyback") {
+    let probes_enabled = via == Some("pull") && may_probe == Some("true");
+    let reported: Vec<String> = match probes_enabled || via == Some("piggyback") {
         true => lines.list("report.fields")?,
         false => Vec::new(),
     };
@@ -277,37 +277,37 @@
         busy_at: at("util"),
         link_full_at: at("x1"),
     };
-    let terms = Terms {
+    let terms = DispatcherSettings {
         zone: ZoneId(zone),
         dispatchers: lines.must("balancers")?,
-        seats: lines.list("family_info.seats_by_zone")?,
+        dispatchers_by_zone: lines.list("family_info.seats_by_zone")?,
         parent_kind,
         origin_kind: lines.kind("family_info.master_kind")?,
-        tracks: (0..class_count)
+        classes: (0..class_count)
             .map(|i| lines.track(i))
             .collect::<Read1<_>>()?,
-        flow_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
+        stream_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
         link_kb_per_s: links.get(usize::from(zone)).copied().filter(|&kb| kb > 0.0),
-        link_told: reports.link_full_at.is_some(),
-        probes,
-        sizes_tell: lines.one_of("weights", &WEIGHTS)? != Some("silent"),
-        joins: lines.or("family_info.joins", false)?,
-        straight: lines.or("family_info.straight", false)?,
-        notes: match lines.text("family_info.note_level") {
+        link_load_reported: reports.link_full_at.is_some(),
+        probes_enabled,
+        capacities_reported: lines.one_of("weights", &WEIGHTS)? != Some("silent"),
+        joins_fills: lines.or("family_info.joins", false)?,
+        allows_direct: lines.or("family_info.straight", false)?,
+        note_level: match lines.text("family_info.note_level") {
             Some("all") => NoteLevel::All,
             Some("hit") => NoteLevel::Hits,
             _ => NoteLevel::None,
         },
-        max_hand_offs: lines.must("ceilings.max_attempts")?,
-        may_withdraw: lines.or("ceilings.cancel", false)?,
-        longest_away: match retry_after {
+        max_attempts: lines.must("ceilings.max_attempts")?,
+        may_cancel: lines.or("ceilings.cancel", false)?,
+        max_retry_after: match retry_after {
             true => Some(lines.span("ceilings.max_retry_after_us")?),
             false => None,
         },
-        list_on_request: lines.text("membership_mode") == Some("on_request"),
-        cold_cache,
-        cold_parent,
-        purge_done: Span(lines.or("family_info.cleared_within_us", 0)?),
+        host_list_on_request: lines.text("membership_mode") == Some("on_request"),
+        cache_slow_start,
+        parent_slow_start,
+        purge_propagation: TimeSpan(lines.or("family_info.cleared_within_us", 0)?),
     };
     Ok((terms, reports))
 }
@@ -321,7 +321,7 @@
         track_names: names.map(|path| lines.must(&path)).collect::<Read1<_>>()?,
         zone_names: lines.list("failure_domains")?,
         kind_names: lines.list("machine_types")?,
-        longest_limit: limits.into_iter().max().unwrap_or(Span::ZERO),
+        longest_limit: limits.into_iter().max().unwrap_or(TimeSpan::ZERO),
         dial_within: lines.span("ceilings.dial_timeout_us")?,
         idle_close: lines.span("ceilings.idle_close_us")?,
         max_streams: lines.must("ceilings.max_streams")?,
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -605,9 +605,9 @@
     match reply {
         Reply::Served(body) => return done(body.bytes(), &[]),
         Reply::Same => return done(&[], &[("same", "1")]),
-        Reply::Refused { come_back: None } => failed(&mut head, "Throttled", &[]),
+        Reply::Refused { retry_after: None } => failed(&mut head, "Throttled", &[]),
         Reply::Refused {
-            come_back: Some(span),
+            retry_after: Some(span),
         } => {
             let ms = (span.0 / 1000).max(1).to_string();
             failed(&mut head, "Throttled", &[("cooldown", &ms)]);
@@ -715,7 +715,7 @@
         id,
         come: Instant::now(),
         reference: passed("ref")?.into(),
-        left: Span::from_secs_f64(allow / 1000.0),
+        left: TimeSpan::from_secs_f64(allow / 1000.0),
         track,
         object: object_id(named("lookup")?)?,
         object_text: passed("lookup")?,
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -6,43 +6,47 @@
 use slog::{debug, info};
 use trailproxy::interface::{Action, Attempt, Effect, Ending, Event, Outcome};
 use trailproxy::policy::refusals::GiveUpReason;
-use trailproxy::units::{AttemptNo, Moment, RequestId};
+use trailproxy::units::{AttemptNo, RequestId, Timestamp};
 
 impl Dispatch {
-    pub(super) fn settle(&mut self, now: Moment) {
+    pub(super) fn settle(&mut self, now: Timestamp) {
         self.share(now);
         if !std::mem::take(&mut self.state.told) {
             return;
         }
-        for action in self.decisions.settle(now) {
+        for action in self.decisions.take_actions(now) {
             match action {
                 Action::Attempt(attempt) => self.attempt(now, attempt),
-                Action::Refuse { id, come_back, why } => {
-                    self.given_up(now, id, Reply::Refused { come_back }, why);
+                Action::Refuse {
+                    id,
+                    retry_after,
+                    reason,
+                } => {
+                    self.given_up(now, id, Reply::Refused { retry_after }, reason);
                 }
-                Action::Fail { id, why } => self.given_up(now, id, Reply::Failed, why),
-                Action::Withdraw { id, hand_off: no } => {
+                Action::Fail { id, reason } => self.given_up(now, id, Reply::Failed, reason),
+                Action::Cancel { id, attempt: no } => {
                     self.pools.kill(AttemptId { request: id, no });
                 }
-                Action::Wake { at, wake } => {
-                    self.state.wakes.insert((at, wake));
+                Action::SetTimer { at, timer } => {
+                    self.state.wakes.insert((at, timer));
                 }
                 Action::Probe { host } => self.pools.probe(host),
                 // The list comes by itself.
-                Action::FollowList => {}
+                Action::RequestHostList => {}
                 Action::Log { text } => info!(self.log, "decided"; "what" => text),
             }
         }
     }
 
     /// The decisions have given a request up.
-    fn given_up(&mut self, now: Moment, id: RequestId, reply: Reply, why: GiveUpReason) {
+    fn given_up(&mut self, now: Timestamp, id: RequestId, reply: Reply, why: GiveUpReason) {
         count(self.counts.given_up(why));
-        self.answer(now, id, reply, why.word());
+        self.answer(now, id, reply, why.as_str());
         self.forget(now, id);
     }
 
-    pub(super) fn attempt(&mut self, now: Moment, attempt: Attempt) {
+    pub(super) fn attempt(&mut self, now: Timestamp, attempt: Attempt) {
         let Attempt { id, host, fill } = attempt;
         let request = self.state.requests.get_mut(&id);
         let request = request.filter(|request| !request.closed);
@@ -99,7 +103,7 @@
     }
 
     /// An answer from a copy that a purge forbids is none: the host has failed to heed it.
-    fn admitted(&self, now: Moment, id: AttemptId, answer: Answer) -> Answer {
+    fn admitted(&self, now: Timestamp, id: AttemptId, answer: Answer) -> Answer {
         let admits = |minted| self.decisions.admits_copy(now, id.request, id.no, minted);
         let done = answer.ending == Ending::Done;
         if !done || answer.minted.is_none_or(admits) {
@@ -111,7 +115,7 @@
 
     pub(super) fn ended(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         id: AttemptId,
         line: Option<LineId>,
         answer: Answer,
@@ -126,19 +130,19 @@
         attempt.over = true;
         attempt.ran = !ending.never_ran();
         attempt.line = line;
-        let took = now.since(attempt.sent);
+        let elapsed = now.since(attempt.sent);
         match ending {
-            Ending::Lost => count(&self.counts.lost),
+            Ending::ConnectionLost => count(&self.counts.lost),
             Ending::NotSent => count(&self.counts.not_sent),
             Ending::NoConnection => count(&self.counts.no_connection),
-            Ending::Withdrawn => count(&self.counts.withdrawn),
+            Ending::Cancelled => count(&self.counts.withdrawn),
             Ending::TimedOut => count(&self.counts.timed_out),
             _ => {}
         }
         debug!(self.log, "ended"; "access" => id.request.0, "host" => format!("{:x}", attempt.host.0),
-            "ending" => ?ending, "note" => ?answer.note, "took" => took.0);
-        let came_kb = answer.body.as_ref();
-        let came_kb = came_kb.map(|body| body.bytes().len() as f64 / 1024.0);
+            "ending" => crate::trace::ending_name(ending), "note" => crate::trace::note_name(answer.note), "took" => elapsed.0);
+        let received_kb = answer.body.as_ref();
+        let received_kb = received_kb.map(|body| body.bytes().len() as f64 / 1024.0);
         if ending == Ending::Done {
             let reply = answer.body.map_or(Reply::Same, Reply::Served);
             self.answer(now, id.request, reply, "served");
@@ -150,10 +154,10 @@
         let request = self.state.requests.get(&id.request);
         if let Some(request) = request {
             let trace = &self.pools.shared.trace;
-            trace.ended(&request.call, id, ending, took);
+            trace.ended(&request.call, id, ending, elapsed);
         }
-        let closed = request.is_none_or(|request| request.closed);
-        let proven = self
+        let request_closed = request.is_none_or(|request| request.closed);
+        let client_proven = self
             .client_of(id.request)
             .is_some_and(|client| client.proven);
         let load = self.reports.load(&answer.report);
@@ -161,15 +165,15 @@
             now,
             Event::Outcome(Outcome {
                 id: id.request,
-                hand_off: id.no,
+                attempt: id.no,
                 ending,
-                took,
-                closed,
+                elapsed,
+                request_closed,
                 note: answer.note,
-                waited: answer.waited,
+                first_byte_latency: answer.waited,
                 load,
-                proven,
-                came_kb,
+                client_proven,
+                received_kb,
             }),
         );
         self.forget(now, id.request);
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -8,7 +8,7 @@
 use trailproxy::interface::{Arrival, Effect, Event};
 use trailproxy::policy::permits;
 use trailproxy::policy::refusals::GiveUpReason;
-use trailproxy::units::{Moment, RequestId, Span};
+use trailproxy::units::{RequestId, TimeSpan, Timestamp};
 
 impl Dispatch {
     /// Drops what of a request is not begun, also where the settings allow no withdrawal of what is. Whether any
@@ -23,14 +23,14 @@
         any
     }
 
-    pub(super) fn arrived(&mut self, now: Moment, call: Call) {
+    pub(super) fn arrived(&mut self, now: Timestamp, call: Call) {
         count(&self.counts.accesses);
         let most = self.pools.shared.bounds.max_open;
         if !permits::may_take(self.state.requests.len(), most) {
             count(&self.counts.rejected);
             count(self.counts.given_up(GiveUpReason::TableFull));
-            let come_back = self.decisions.come_back(now, call.track);
-            return self.reply(call.id, Reply::Refused { come_back });
+            let retry_after = self.decisions.retry_after(now, call.track);
+            return self.reply(call.id, Reply::Refused { retry_after });
         }
         if !self.state.references.insert(call.reference.clone()) {
             count(&self.counts.bad_clients);
@@ -42,14 +42,14 @@
         let limit = self.clock.moment(call.come) + call.left;
         let arrival = Arrival {
             id,
-            left: limit.since(now),
-            track: call.track,
+            time_left: limit.since(now),
+            class: call.track,
             object: call.object,
             group: call.group,
             part: call.part,
             size_kb: call.size_kb,
         };
-        self.pools.shared.trace.taken(&call, arrival.left);
+        self.pools.shared.trace.taken(&call, arrival.time_left);
         self.state.limits.insert((limit, id));
         self.state.calls.insert(call.id, id);
         let keyed = self.effects[usize::from(call.track.0)] != Effect::Idempotent;
@@ -70,14 +70,14 @@
         }
     }
 
-    pub(super) fn left(&mut self, now: Moment, call: CallId) {
+    pub(super) fn left(&mut self, now: Timestamp, call: CallId) {
         if let Some(id) = self.state.calls.remove(&call) {
             count(&self.counts.left);
             self.came(now, id, None);
             self.recall(id);
             self.trace_closed(id, "none", "client_left");
             self.close(id);
-            self.tell(now, Event::Left { id });
+            self.tell(now, Event::ClientGone { id });
             self.forget(now, id);
         }
     }
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn forget(&mut self, now: Moment, id: RequestId) {
+    pub(super) fn forget(&mut self, now: Timestamp, id: RequestId) {
         let longest = self.pools.shared.bounds.longest_limit;
         let over = |request: &Request| request.closed && request.out().next().is_none();
         if self.state.requests.get(&id).is_some_and(over)
@@ -121,7 +121,7 @@
     }
 
     /// Others are to know what came of it.
-    pub(super) fn came(&mut self, now: Moment, id: RequestId, done: Option<&[u8]>) {
+    pub(super) fn came(&mut self, now: Timestamp, id: RequestId, done: Option<&[u8]>) {
         let beside = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
             && request.call.mark.is_some()
@@ -133,7 +133,7 @@
     }
 
     /// The one final answer of a request.
-    pub(super) fn answer(&mut self, now: Moment, id: RequestId, reply: Reply, why: &str) {
+    pub(super) fn answer(&mut self, now: Timestamp, id: RequestId, reply: Reply, why: &str) {
         let Some(request) = self
             .state
             .requests
@@ -142,7 +142,7 @@
         else {
             return;
         };
-        if now.since(request.limit) > Span::from_millis(50) {
+        if now.since(request.limit) > TimeSpan::from_millis(50) {
             count(&self.counts.late_finals);
         }
         let call = request.call.id;
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -9,8 +9,8 @@
 use local_channel::mpsc;
 use slog::{info, warn};
 use tokio::time::Instant;
-use trailproxy::interface::{Crossings, Event, ListForm, Terms};
-use trailproxy::units::Moment;
+use trailproxy::interface::{CrossingLimits, DispatcherSettings, Event, HostListKind};
+use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::PeerId;
 use trailproxy_peers::decide::{Peers, life};
@@ -25,15 +25,19 @@
 impl Dispatch {
     /// Other settings, with the same tracks, zone, kinds and bounds: what is open goes on. Budgets of traffic
     /// between zones start afresh, when the operator's file is read again behind this.
-    pub(super) fn follow(&mut self, now: Moment, (terms, reports): (Terms, Reports)) {
-        info!(self.log, "settings followed"; "probes" => terms.probes, "sizes_told" => terms.sizes_tell,
-            "link_told" => terms.link_told, "straight" => terms.straight, "open" => self.state.requests.len());
+    pub(super) fn follow(
+        &mut self,
+        now: Timestamp,
+        (terms, reports): (DispatcherSettings, Reports),
+    ) {
+        info!(self.log, "settings followed"; "probes" => terms.probes_enabled, "sizes_told" => terms.capacities_reported,
+            "link_told" => terms.link_load_reported, "straight" => terms.allows_direct, "open" => self.state.requests.len());
         self.reports = reports;
         if let Some((_, known, _)) = &mut self.accounts {
             *known = terms.clone();
         }
         self.decisions.crossings.zones = None;
-        self.decisions.follow(now, terms);
+        self.decisions.apply_settings(now, terms);
         self.state.told = true;
     }
 
@@ -83,7 +87,7 @@
         };
         let config = &told.config;
         let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, terms.purge_done)?;
+        let rules = config.rules(longest, terms.purge_propagation)?;
         let listen = told.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
@@ -114,12 +118,12 @@
             asked,
             log.clone(),
         ));
-        let dues = terms.tracks.iter().map(|track| track.due).collect();
+        let dues = terms.classes.iter().map(|track| track.target).collect();
         let core = Peers::new(now, own, rules, drawn);
         let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
-        let (form, entries) = (ListForm::Whole, self.pools.entries());
+        let (kind, entries) = (HostListKind::Full, self.pools.entries());
         begun.listed(now, &entries, self.state.place);
-        begun.heard(&Event::Hosts { form, entries });
+        begun.heard(&Event::HostList { kind, entries });
         self.decisions.crossings.peers = Some(begun);
         Ok(())
     }
@@ -137,7 +141,7 @@
         let ended = shared.take();
         if let Some(config) = told {
             let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-            match config.rules(longest, terms.purge_done) {
+            match config.rules(longest, terms.purge_propagation) {
                 Ok(rules) => {
                     // Never the same for two processes, or one would take another's records for its own.
                     let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
@@ -150,11 +154,11 @@
                         log.clone(),
                     ));
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
-                    let dues = terms.tracks.iter().map(|track| track.due).collect();
+                    let dues = terms.classes.iter().map(|track| track.target).collect();
                     let mut begun =
                         Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
-                    let (form, entries) = (ListForm::Whole, self.pools.entries());
-                    begun.heard(now, &Event::Hosts { form, entries });
+                    let (kind, entries) = (HostListKind::Full, self.pools.entries());
+                    begun.heard(now, &Event::HostList { kind, entries });
                     *shared = Some(begun);
                 }
                 Err(why) => warn!(self.log, "operator's file refused"; "why" => why),
@@ -187,9 +191,9 @@
             Some(zones) => zones.change(now, rules),
             None => {
                 let mut zones = Zones::new(terms, rules, *seed);
-                let form = ListForm::Whole;
+                let kind = HostListKind::Full;
                 let entries = self.pools.entries();
-                zones.heard(now, &Event::Hosts { form, entries });
+                zones.on_event(now, &Event::HostList { kind, entries });
                 *crossings = Some(zones);
             }
         }
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use trailproxy::interface::{Ending, Event};
-use trailproxy::units::{AttemptNo, Moment, RequestId, WakeId};
+use trailproxy::units::{AttemptNo, RequestId, TimerId, Timestamp};
 
 impl Dispatch {
     pub(super) fn longest_limit(&self) -> Duration {
@@ -30,7 +30,7 @@
     }
 
     /// What is due by now: waits for connections, outer limits, wake-ups.
-    pub(super) fn pass_time(&mut self, now: Moment) {
+    pub(super) fn pass_time(&mut self, now: Timestamp) {
         self.pools.expire(self.clock.instant(now));
         while let Some((_, id)) = self.state.fading.pop_front_if(|(until, _)| *until <= now) {
             self.state.references.remove(&id);
@@ -51,11 +51,11 @@
                 self.ended(now, attempt, None, Answer::bare(Ending::TimedOut));
             }
             // The decisions give the final answer, woken by their own timer or by this.
-            self.tell(now, Event::Woken { wake: WakeId(0) });
+            self.tell(now, Event::TimerFired { timer: TimerId(0) });
         }
-        while let Some(&(at, wake)) = self.state.wakes.first().filter(|(at, _)| *at <= now) {
-            self.state.wakes.remove(&(at, wake));
-            self.tell(now, Event::Woken { wake });
+        while let Some(&(at, timer)) = self.state.wakes.first().filter(|(at, _)| *at <= now) {
+            self.state.wakes.remove(&(at, timer));
+            self.tell(now, Event::TimerFired { timer });
         }
     }
 }
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::interface::{Ending, Note};
 use trailproxy::policy::permits;
-use trailproxy::units::{HostId, Moment, Span};
+use trailproxy::units::{HostId, TimeSpan, Timestamp};
 
 /// The bytes of an object, by the protocol, and of the words beside it.
 const LONGEST_WORD: usize = 240_000;
@@ -141,7 +141,7 @@
             sleep(WORD_TRAVELS).await;
         }
         for (_, id) in std::mem::take(&mut self.withdrawn) {
-            self.end(id, Ending::Withdrawn);
+            self.end(id, Ending::Cancelled);
         }
         // What its host has not got whole, it has not begun.
         let not_whole = self.in_ring.take().filter(|_| !self.outgoing.is_empty());
@@ -149,14 +149,19 @@
             let clean = (not_whole.as_ref()).is_some_and(|kept| kept.id == sending.id);
             self.end(
                 sending.id,
-                if clean { Ending::NotSent } else { Ending::Lost },
+                if clean {
+                    Ending::NotSent
+                } else {
+                    Ending::ConnectionLost
+                },
             );
         }
         for packet in std::mem::take(&mut self.unsent) {
             self.drop_packet(packet);
         }
         if let Some(id) = self.probe.take() {
-            self.shared.probed(id, self.host, Ending::Lost, vec![]);
+            self.shared
+                .probed(id, self.host, Ending::ConnectionLost, vec![]);
         }
         while let Some(order) = next_now(&mut self.orders) {
             match order {
@@ -226,7 +231,7 @@
         self.write()?;
         let known = |at: &mut (Instant, AttemptId)| at.0 <= Instant::now();
         while let Some((_, id)) = self.withdrawn.pop_front_if(known) {
-            self.end(id, Ending::Withdrawn);
+            self.end(id, Ending::Cancelled);
         }
         let idle = self.open.is_empty()
             && self.unsent.is_empty()
@@ -409,7 +414,7 @@
             Packet::Sending(sending) => {
                 let (now, call) = (Instant::now(), &sending.call);
                 if let Err(why) = sending.may_begin(&self.shared.clock, now) {
-                    self.shared.trace.denied(call, sending.id, why.word());
+                    self.shared.trace.denied(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
                 resp::put_array(&mut out, WORDS);
@@ -498,7 +503,7 @@
                         .end(sending.id, self.host, Some(self.id), answer);
                 }
                 (Some(sending), _) => {
-                    self.end(sending.id, Ending::Lost);
+                    self.end(sending.id, Ending::ConnectionLost);
                     return self.bad("an answer makes no sense");
                 }
                 // It was given up before.
@@ -517,7 +522,7 @@
 }
 
 /// The fields of a request, as the hosts want them.
-fn fields(sending: &Sending, now: Moment) -> String {
+fn fields(sending: &Sending, now: Timestamp) -> String {
     let call = &sending.call;
     let mut fields = format!(
         "lane={},name={},piece={}",
@@ -540,14 +545,14 @@
     }
     if let Some(fill) = sending.fill {
         add("tier", &fill.rank.to_string());
-        if let Some(oldest) = fill.oldest {
+        if let Some(oldest) = fill.max_age {
             // Rounded down, to the strict side, but never to none, which would mean the usual age.
             add("fresh", &(oldest.0 / 1000).max(1).to_string());
         }
         let words = [
             (fill.join, "merge"),
-            (fill.held_only, "local"),
-            (fill.renew, "revalidate"),
+            (fill.only_if_cached, "local"),
+            (fill.revalidate, "revalidate"),
         ];
         let words: Vec<&str> = words
             .iter()
@@ -586,9 +591,9 @@
 }
 
 /// The first microsecond that a told millisecond may mean: for copies the strict side.
-fn stamp_of_ms(text: &str) -> Option<Moment> {
+fn stamp_of_ms(text: &str) -> Option<Timestamp> {
     let ms: u64 = text.parse().ok()?;
-    Some(Moment(ms.saturating_mul(1000)))
+    Some(Timestamp(ms.saturating_mul(1000)))
 }
 
 fn read_answer(words: [&[u8]; 3], sending: &OpenAttempt, held: &Held) -> Option<Answer> {
@@ -598,7 +603,7 @@
     let ending = match word {
         b"data" => Ending::Done,
         b"unchanged" if sending.may_be_same => Ending::Done,
-        b"absent" => Ending::Missed,
+        b"absent" => Ending::Miss,
         b"full" => Ending::Full,
         b"failed" => Ending::Error,
         b"moot" => Ending::NotSent,
@@ -612,10 +617,10 @@
         Some("TCP_STALE") => Note::Stale,
         Some("PEER_DENY") => Note::SourceRefused,
         Some("PEER_DEAD") => Note::SourceLost,
-        Some("PEER_MISS") => Note::SourceLacks,
-        Some("FILL_FULL") => Note::NoFillPlace,
+        Some("PEER_MISS") => Note::SourceMiss,
+        Some("FILL_FULL") => Note::NoFillSlot,
         Some("ROOT_FAIL") => Note::OriginFailed,
-        _ => Note::Untold,
+        _ => Note::NotReported,
     };
     let waited = named("lag").and_then(|ms| ms.parse().ok());
     Some(Answer {
@@ -623,7 +628,7 @@
         note,
         waited: waited
             .filter(|ms| *ms > 0.0)
-            .map(|ms: f64| Span::from_secs_f64(ms / 1000.0)),
+            .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
         report: read_report(fields),
         body: (word == b"data").then(|| Parcel::new(body, held)),
         minted: named("minted").and_then(stamp_of_ms),
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
-use trailproxy::interface::{HostEntry, HostState, ListForm};
+use trailproxy::interface::{HostEntry, HostListKind, HostState};
 use trailproxy::units::*;
 use trailproxy_terms::Bounds;
 
@@ -53,8 +53,8 @@
 }
 
 /// The last microsecond that a told millisecond may mean: for starts and purges the strict side.
-fn latest_of_ms(ms: u64) -> Moment {
-    Moment(ms.saturating_mul(1000).saturating_add(999))
+fn latest_of_ms(ms: u64) -> Timestamp {
+    Timestamp(ms.saturating_mul(1000).saturating_add(999))
 }
 
 impl Entry {
@@ -82,8 +82,8 @@
         }
         let hosts = json.get("hosts")?;
         let form = match hosts.get("complete").and_then(Value::as_bool) {
-            Some(true) => ListForm::Whole,
-            _ => ListForm::Changes,
+            Some(true) => HostListKind::Full,
+            _ => HostListKind::Delta,
         };
         let members = hosts.get("members")?.as_array()?;
         let told = members.len();
@@ -119,7 +119,7 @@
         kind: kind.copied().unwrap_or(KindId(u8::MAX)),
         started: None,
         stamp: (started > 0).then(|| latest_of_ms(started)),
-        size: if size.is_finite() && size > 0.0 {
+        capacity: if size.is_finite() && size > 0.0 {
             size
         } else {
             1.0
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 use trailproxy::interface::*;
-use trailproxy::policy::permits::{self, Denied, SendFacts};
+use trailproxy::policy::permits::{self, Denial, SendFacts};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{Address, Message};
 use trailproxy_shared_store::decide::{OpId, Reply as StoreReply};
@@ -26,7 +26,7 @@
     Server(FromServer),
     Journal(Entry),
     /// Other settings hold from now on.
-    Terms(Box<(Terms, Reports)>),
+    Terms(Box<(DispatcherSettings, Reports)>),
     /// The operator's file was read again.
     Operator(Told),
     Store(FromStore),
@@ -52,7 +52,7 @@
     pub id: CallId,
     pub come: Instant,
     pub reference: Rc<str>,
-    pub left: Span,
+    pub left: TimeSpan,
     pub track: ClassId,
     pub object: ObjectId,
     pub object_text: String,
@@ -90,7 +90,7 @@
     /// The copy that the client holds is the one that would be served.
     Same,
     Refused {
-        come_back: Option<Span>,
+        retry_after: Option<TimeSpan>,
     },
     Failed,
 }
@@ -139,16 +139,16 @@
     /// The name of another host that fills a miss.
     pub source: Option<Rc<str>>,
     /// Until then an answer is of use: told with the request in milliseconds.
-    pub deadline: Moment,
+    pub deadline: Timestamp,
     /// Rule 2: what may have run before may go out again only until then.
-    pub repeat_by: Option<Moment>,
+    pub repeat_by: Option<Timestamp>,
     /// Connections on which the same id has gone out before.
     pub avoid: Vec<LineId>,
 }
 
 impl Sending {
     /// Whether its first byte may go out now.
-    pub fn may_begin(&self, clock: &Clock, now: Instant) -> Result<(), Denied> {
+    pub fn may_begin(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
         permits::may_send(clock.moment(now), &self.facts(clock))
     }
 
@@ -175,19 +175,19 @@
 pub struct Answer {
     pub ending: Ending,
     pub note: Note,
-    pub waited: Option<Span>,
+    pub waited: Option<TimeSpan>,
     pub report: Vec<f64>,
     /// The bytes where it is done; `None`: the client's copy is the one.
     pub body: Option<Parcel>,
     /// When the origin gave this copy out, as it is stamped.
-    pub minted: Option<Moment>,
+    pub minted: Option<Timestamp>,
 }
 
 impl Answer {
     pub fn bare(ending: Ending) -> Answer {
         Answer {
             ending,
-            note: Note::Untold,
+            note: Note::NotReported,
             waited: None,
             report: vec![],
             body: None,
@@ -291,7 +291,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
     Hosts {
-        form: ListForm,
+        form: HostListKind,
         members: Vec<Member>,
         /// Members that can't be read, which are passed over.
         unread: usize,
@@ -300,7 +300,7 @@
         object: Option<ObjectId>,
         group: GroupId,
         /// When, by the clock of whoever purged.
-        stamp: Moment,
+        stamp: Timestamp,
     },
 }
 
@@ -322,7 +322,7 @@
 
 impl Entry {
     /// The stamps that it bears.
-    pub fn stamps(&self) -> Vec<Moment> {
+    pub fn stamps(&self) -> Vec<Timestamp> {
         match &self.change {
             Change::Hosts { members, .. } => {
                 let stamps = members.iter().filter_map(|member| member.entry.stamp);
@@ -358,13 +358,13 @@
         }
     }
 
-    pub fn moment(&self, at: Instant) -> Moment {
+    pub fn moment(&self, at: Instant) -> Timestamp {
         let since = at.saturating_duration_since(self.start).as_micros() as u64;
-        Moment(self.unix_us + since + since / 1_000_000 * self.fast)
+        Timestamp(self.unix_us + since + since / 1_000_000 * self.fast)
     }
 
-    pub fn instant(&self, at: Moment) -> Instant {
-        let since = at.since(Moment(self.unix_us)).0;
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        let since = at.since(Timestamp(self.unix_us)).0;
         self.start + Duration::from_micros(since - since / (1_000_000 + self.fast) * self.fast)
     }
 }
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -31,7 +31,7 @@
     open: usize,
     retired: bool,
     /// Since when it is up.
-    up: Moment,
+    up: Timestamp,
 }
 
 struct Pool {
@@ -113,8 +113,8 @@
 
     /// Takes a change of the host list. Pools go by host: another host may come to a gone one's address.
     /// What waits for a host that is not ready any more is recalled by the one who sent it.
-    pub fn list(&mut self, form: ListForm, members: &[Member]) {
-        if form == ListForm::Whole {
+    pub fn list(&mut self, form: HostListKind, members: &[Member]) {
+        if form == HostListKind::Full {
             let gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
             self.pools.values_mut().for_each(gone);
         }
@@ -281,7 +281,7 @@
             pool.waiting.retain(|(until, sending)| {
                 match sending.may_begin(&shared.clock, now) {
                     Err(why) => {
-                        shared.trace.denied(&sending.call, sending.id, why.word());
+                        shared.trace.denied(&sending.call, sending.id, why.as_str());
                         shared.dropped(sending, Ending::NotSent);
                     }
                     // The host is not to blame for what was lacking here.
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -40,7 +40,7 @@
     let against = operator::Against {
         names: names.clone(),
         longest_window: operator::longest_window(&start.terms, start.bounds.longest_limit),
-        purges_last: start.terms.purge_done,
+        purges_last: start.terms.purge_propagation,
         peers: start.peers.clone(),
     };
     let told = tokio::select! {
@@ -113,7 +113,7 @@
     }
     let effects = start
         .terms
-        .tracks
+        .classes
         .iter()
         .map(|track| track.effect)
         .collect();
@@ -125,7 +125,7 @@
         log.clone(),
     );
     let terms = start.terms.clone();
-    let decisions = Dispatcher::with(subsystems::Subsystems::default(), start.terms, start.seed);
+    let decisions = Dispatcher::new(subsystems::Subsystems::default(), start.terms, start.seed);
     let most_lines = start.descriptors.saturating_sub(most_clients + RESERVE);
     let pools = Pools::new(Rc::new(link_context::Shared {
         queue,
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -6,11 +6,43 @@
 use crate::messages::{AttemptId, Call, ClientId, LineId};
 use slog::{Logger, info};
 use std::time::Duration;
-use trailproxy::interface::Ending;
-use trailproxy::units::{HostId, Span};
+use trailproxy::interface::{Ending, Note};
+use trailproxy::units::{HostId, TimeSpan};
 
 const VARIABLE: &str = "RELAY_TRACE";
 
+/// The name of a note in log lines, which operators match.
+pub fn note_name(note: Note) -> &'static str {
+    match note {
+        Note::NotReported => "Untold",
+        Note::Hit => "Hit",
+        Note::Filled => "Filled",
+        Note::FilledByOrigin => "FilledByOrigin",
+        Note::Joined => "Joined",
+        Note::Stale => "Stale",
+        Note::SourceRefused => "SourceRefused",
+        Note::SourceLost => "SourceLost",
+        Note::SourceMiss => "SourceLacks",
+        Note::NoFillSlot => "NoFillPlace",
+        Note::OriginFailed => "OriginFailed",
+    }
+}
+
+/// The name of an ending in log lines, which operators match.
+pub fn ending_name(ending: Ending) -> &'static str {
+    match ending {
+        Ending::Done => "Done",
+        Ending::Error => "Error",
+        Ending::Full => "Full",
+        Ending::TimedOut => "TimedOut",
+        Ending::NoConnection => "NoConnection",
+        Ending::ConnectionLost => "Lost",
+        Ending::Cancelled => "Withdrawn",
+        Ending::NotSent => "NotSent",
+        Ending::Miss => "Missed",
+    }
+}
+
 /// Where steps are told, if they are.
 #[derive(Clone)]
 pub struct Trace {
@@ -27,7 +59,7 @@
     }
 
     /// A request was read whole.
-    pub fn taken(&self, call: &Call, left: Span) {
+    pub fn taken(&self, call: &Call, left: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "taken", "ref" => &*call.reference, "client" => call.id.client.0,
                 "left_ms" => left.0 / 1000);
@@ -56,10 +88,10 @@
         }
     }
 
-    pub fn ended(&self, call: &Call, id: AttemptId, ending: Ending, took: Span) {
+    pub fn ended(&self, call: &Call, id: AttemptId, ending: Ending, took: TimeSpan) {
         if let Some(log) = &self.log {
             info!(log, "request"; "step" => "ended", "ref" => &*call.reference, "no" => id.no.0,
-                "ending" => format!("{ending:?}"), "took_ms" => took.0 / 1000);
+                "ending" => ending_name(ending), "took_ms" => took.0 / 1000);
         }
     }
 
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -14,20 +14,20 @@
     Tell(Event),
     /// A host is restricted by what others know of it: it counts as in this state, and as started then; `None`: the own
     /// list holds again.
-    Restricted(HostId, Option<(HostState, Option<Moment>)>),
+    Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
 pub struct Waiting {
     held: BTreeMap<RequestId, Arrival>,
     hosts: BTreeMap<HostId, (ZoneId, CellId)>,
     /// By track.
-    dues: Vec<Span>,
+    dues: Vec<TimeSpan>,
     out: VecDeque<Due>,
 }
 
 impl Waiting {
     /// `dues`: by track.
-    pub fn new(dues: Vec<Span>) -> Waiting {
+    pub fn new(dues: Vec<TimeSpan>) -> Waiting {
         Waiting {
             held: BTreeMap::new(),
             hosts: BTreeMap::new(),
@@ -37,9 +37,9 @@
     }
 
     /// One is held back; when it is due.
-    pub fn hold(&mut self, now: Moment, arrival: Arrival) -> Moment {
+    pub fn hold(&mut self, now: Timestamp, arrival: Arrival) -> Timestamp {
         self.held.insert(arrival.id, arrival);
-        now + self.dues[usize::from(arrival.track.0)].min(arrival.left)
+        now + self.dues[usize::from(arrival.class.0)].min(arrival.time_left)
     }
 
     pub fn forget(&mut self, id: RequestId) {
@@ -69,7 +69,7 @@
     }
 
     pub fn heard(&mut self, event: &Event) {
-        let Event::Hosts { entries, .. } = event else {
+        let Event::HostList { entries, .. } = event else {
             return;
         };
         for entry in entries {
