--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -9,7 +9,7 @@
 const PARTS: usize = 20_000;
 const PURGES: usize = 4_096;
 /// A purge explains refills for so long, and a gone host.
-const EXPLAINS: Span = Span::from_secs(60);
+const EXPLAINS: TimeSpan = TimeSpan::from_secs(60);
 /// Renewals come from this part of the fresh time on.
 const RENEWS_FROM: f64 = 0.75;
 
@@ -37,19 +37,19 @@
 #[derive(Clone, Copy, Debug)]
 struct Seen {
     host: HostId,
-    filled: Moment,
+    filled: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Known {
     tier: Tier,
     state: HostState,
-    started: Option<Moment>,
-    stamp: Option<Moment>,
+    started: Option<Timestamp>,
+    stamp: Option<Timestamp>,
     /// When it left the list.
-    left: Moment,
+    left: Timestamp,
     /// Since when it fails what it is asked; `None`: it answered last.
-    failing: Option<Moment>,
+    failing: Option<Timestamp>,
 }
 
 #[derive(Debug)]
@@ -59,8 +59,8 @@
     newer: BTreeMap<(ObjectId, u32), Seen>,
     older: BTreeMap<(ObjectId, u32), Seen>,
     hosts: BTreeMap<HostId, Known>,
-    purges: BTreeMap<(GroupId, Option<ObjectId>), Moment>,
-    purge_order: VecDeque<(Moment, (GroupId, Option<ObjectId>))>,
+    purges: BTreeMap<(GroupId, Option<ObjectId>), Timestamp>,
+    purge_order: VecDeque<(Timestamp, (GroupId, Option<ObjectId>))>,
     filling: BTreeSet<Way>,
 }
 
@@ -86,13 +86,13 @@
             + self.filling.len()
     }
 
-    pub fn list(&mut self, now: Moment, form: ListForm, entries: &[HostEntry]) {
+    pub fn list(&mut self, now: Timestamp, form: HostListKind, entries: &[HostEntry]) {
         let gone = |known: &mut Known| {
             if known.state != HostState::Gone {
                 (known.state, known.left) = (HostState::Gone, now);
             }
         };
-        if form == ListForm::Whole {
+        if form == HostListKind::Full {
             self.hosts.values_mut().for_each(gone);
         }
         for entry in entries {
@@ -128,7 +128,7 @@
             .map_or(Tier::Parent, |known| known.tier)
     }
 
-    pub fn purged(&mut self, at: Moment, object: Option<ObjectId>, group: GroupId) {
+    pub fn purged(&mut self, at: Timestamp, object: Option<ObjectId>, group: GroupId) {
         let group = object.map_or(group, |_| GroupId::default());
         let key = (group, object);
         let known = self.purges.entry(key).or_default();
@@ -154,14 +154,14 @@
         self.newer.get(&part).or(self.older.get(&part)).copied()
     }
 
-    pub fn why(&self, now: Moment, crossing: &Crossing, fresh: Option<Span>) -> Why {
-        let Some(seen) = self.seen((crossing.asked.object, crossing.asked.part)) else {
+    pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<TimeSpan>) -> Why {
+        let Some(seen) = self.seen((crossing.arrival.object, crossing.arrival.part)) else {
             return Why::of(Cause::First);
         };
-        let (object, group) = (crossing.asked.object, crossing.asked.group);
+        let (object, group) = (crossing.arrival.object, crossing.arrival.group);
         let own = self.purges.get(&(GroupId::default(), Some(object)));
         let whole = self.purges.get(&(group, None));
-        let since = |purge: &&Moment| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
+        let since = |purge: &&Timestamp| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
         let of_own = own.filter(since).map(|_| object.0);
         if let Some(purge) = of_own.or(whole.filter(since).map(|_| u64::from(group.0))) {
             return Why {
@@ -183,8 +183,8 @@
                 ..Why::of(Cause::HostLost)
             };
         }
-        let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.times(RENEWS_FROM));
-        Why::of(match (crossing.hand_off.0 > 0, aged) {
+        let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.mul_f64(RENEWS_FROM));
+        Why::of(match (crossing.attempt.0 > 0, aged) {
             (true, _) => Cause::Retry,
             (_, true) => Cause::Renewal,
             _ => Cause::Unknown,
@@ -196,21 +196,24 @@
     }
 
     /// It goes out; `fills`: it is the own hand-off that others join.
-    pub fn sent(&mut self, _now: Moment, way: Way, fills: bool) {
+    pub fn sent(&mut self, _now: Timestamp, way: Way, fills: bool) {
         if fills {
             self.filling.insert(way);
         }
     }
 
-    pub fn ended(&mut self, now: Moment, way: Way, ending: Ending, filled: bool, filler: bool) {
+    pub fn ended(&mut self, now: Timestamp, way: Way, ending: Ending, filled: bool, filler: bool) {
         if filler {
             self.filling.remove(&way);
         }
         let (host, object, part) = way;
         if let Some(known) = self.hosts.get_mut(&host) {
             match ending {
-                Ending::Done | Ending::Missed | Ending::Full => known.failing = None,
-                Ending::NoConnection | Ending::Lost | Ending::TimedOut | Ending::Withdrawn => {
+                Ending::Done | Ending::Miss | Ending::Full => known.failing = None,
+                Ending::NoConnection
+                | Ending::ConnectionLost
+                | Ending::TimedOut
+                | Ending::Cancelled => {
                     known.failing.get_or_insert(now);
                 }
                 Ending::Error | Ending::NotSent => {}
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -23,7 +23,7 @@
     /// Tracks that go first beside the written, fingerprinted and binding ones.
     pub first: Vec<ClassId>,
     pub alarm: Option<Alarm>,
-    pub report_every: Span,
+    pub report_every: TimeSpan,
 }
 
 impl Default for Rules {
@@ -32,7 +32,7 @@
             limits: Vec::new(),
             first: Vec::new(),
             alarm: Some(Alarm::default()),
-            report_every: Span::from_secs(10),
+            report_every: TimeSpan::from_secs(10),
         }
     }
 }
@@ -40,7 +40,7 @@
 /// How much the newest outcome counts in the share of accesses that crossed.
 const GAIN: f64 = 0.03;
 /// What one answer takes beside its sending, where only its time tells a hit from a fill.
-const HOP: Span = Span::from_millis(40);
+const HOP: TimeSpan = TimeSpan::from_millis(40);
 /// Ways that are watched; traffic is booked for all.
 const MOST_WATCHED: usize = 64;
 /// Rises kept until they are taken.
@@ -53,7 +53,7 @@
     why: Why,
     expected: f64,
     charged: Vec<(usize, budget::From)>,
-    sent: Moment,
+    sent: Timestamp,
     joined: bool,
     left: bool,
 }
@@ -61,7 +61,7 @@
 struct OfTrack {
     class: Class,
     written: bool,
-    fresh: Option<Span>,
+    fresh: Option<TimeSpan>,
 }
 
 /// Account, budgets and watches of one dispatcher.
@@ -103,42 +103,42 @@
 
 impl Zones {
     /// `terms` as the decisions have them; the seed draws this dispatcher's points in its budgets.
-    pub fn new(terms: &Terms, rules: Rules, seed: u64) -> Zones {
-        let of_track = |track: &ClassTerms| OfTrack {
+    pub fn new(terms: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
+        let of_track = |track: &ClassSettings| OfTrack {
             class: class_of(track),
-            written: track.written,
-            fresh: track.fresh,
+            written: track.is_write,
+            fresh: track.fresh_for,
         };
         let mut zones = Zones {
             zone: terms.zone,
-            seats: terms.seats.clone(),
+            seats: terms.dispatchers_by_zone.clone(),
             dispatchers: terms.dispatchers,
-            notes: terms.notes,
-            flow_kb_per_s: terms.flow_kb_per_s,
-            tracks: terms.tracks.iter().map(of_track).collect(),
+            notes: terms.note_level,
+            flow_kb_per_s: terms.stream_kb_per_s,
+            tracks: terms.classes.iter().map(of_track).collect(),
             chance: fastrand::Rng::with_seed(seed),
             budgets: Vec::new(),
             learners: Vec::new(),
             account: Account::default(),
             memory: Memory::new(terms.parent_kind, terms.origin_kind),
             flying: BTreeMap::new(),
-            crossed: vec![Cause::ALL.map(first_guess); terms.tracks.len()],
+            crossed: vec![Cause::ALL.map(first_guess); terms.classes.len()],
             watches: BTreeMap::new(),
             told: Vec::new(),
             refused: RefCell::default(),
             last_refused: Cell::new(None),
-            turned_away: RefCell::new(vec![(0, 0.0); terms.tracks.len()]),
+            turned_away: RefCell::new(vec![(0, 0.0); terms.classes.len()]),
             rules: Rules {
                 limits: Vec::new(),
                 ..rules.clone()
             },
         };
-        zones.change(Moment(0), rules);
+        zones.change(Timestamp(0), rules);
         zones
     }
 
     /// Other rules in place of these. Counts, debts and what is under way stay; a limit is the same by its name.
-    pub fn change(&mut self, now: Moment, rules: Rules) {
+    pub fn change(&mut self, now: Timestamp, rules: Rules) {
         for (nth, track) in (0..).zip(&mut self.tracks) {
             if rules.first.contains(&ClassId(nth)) {
                 track.class = Class::First;
@@ -209,14 +209,14 @@
     }
 
     /// A limit's part is this from now on; `None`: an equal share.
-    pub fn divide(&mut self, now: Moment, name: &str, part: Option<Divided>) {
+    pub fn divide(&mut self, now: Timestamp, name: &str, part: Option<Divided>) {
         for budget in self.budgets.iter_mut().filter(|of| of.limit.name == name) {
             budget.divide(now, part);
         }
     }
 
     /// The part of a limit that was wanted lately, and of that what goes first.
-    pub fn need(&self, now: Moment, name: &str) -> (f64, f64) {
+    pub fn need(&self, now: Timestamp, name: &str) -> (f64, f64) {
         let of = self.budgets.iter().find(|of| of.limit.name == name);
         of.map_or((0.0, 0.0), |budget| budget.need(now))
     }
@@ -237,7 +237,7 @@
     }
 
     /// Lets time pass, and takes what is to be told.
-    pub fn advance(&mut self, now: Moment) -> Vec<Rise> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<Rise> {
         self.account.advance(now);
         self.budgets
             .iter_mut()
@@ -249,7 +249,7 @@
                     learner.refused();
                 }
             }
-            let class = self.class(crossing.asked.track);
+            let class = self.class(crossing.arrival.class);
             for budget in &mut self.budgets {
                 if Zones::concerns(&budget.limit, &crossing) {
                     budget.demanded(now, class, kb);
@@ -295,15 +295,15 @@
             self.watches.entry(way).or_default().add(Part {
                 kb,
                 cause: why.cause,
-                object: crossing.asked.object,
+                object: crossing.arrival.object,
                 lost: why.lost,
                 purge: why.purge,
             });
         }
     }
 
-    fn why(&self, now: Moment, crossing: &Crossing) -> Why {
-        let track = &self.tracks[usize::from(crossing.asked.track.0)];
+    fn why(&self, now: Timestamp, crossing: &Crossing) -> Why {
+        let track = &self.tracks[usize::from(crossing.arrival.class.0)];
         if track.written {
             return Why::of(Cause::Written);
         }
@@ -316,7 +316,7 @@
     /// KB that this is expected to move: what it may, by how often its like did.
     fn expected(&self, crossing: &Crossing, why: Why) -> f64 {
         let joined = self.joins(crossing);
-        let likely = self.crossed[usize::from(crossing.asked.track.0)][why.cause as usize];
+        let likely = self.crossed[usize::from(crossing.arrival.class.0)][why.cause as usize];
         // What was told falsely small is corrected when it has come; nothing is free.
         let kb = if crossing.kb.is_finite() {
             crossing.kb.max(0.0)
@@ -328,7 +328,11 @@
 
     /// Whether an own fill of the same part at the same cache is under way, which this one then joins.
     fn joins(&self, crossing: &Crossing) -> bool {
-        let way = (crossing.host, crossing.asked.object, crossing.asked.part);
+        let way = (
+            crossing.host,
+            crossing.arrival.object,
+            crossing.arrival.part,
+        );
         crossing.join && self.memory.filling(way)
     }
 
@@ -345,9 +349,9 @@
     /// What came of a hand-off that might cross: KB that crossed, as far as it is told or can be inferred.
     fn came(&self, outcome: &Outcome, flying: &Flying) -> (f64, bool) {
         let told = flying.crossing.kb.max(0.0);
-        let kb = outcome.came_kb.unwrap_or(told);
+        let kb = outcome.received_kb.unwrap_or(told);
         let sure = flying.why.cause == Cause::Straight;
-        let alone = Span::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
+        let alone = TimeSpan::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
         match (outcome.ending, outcome.note) {
             // Of what is written, the request crosses and not its answer.
             (Ending::Done, _) if flying.why.cause == Cause::Written => (told, true),
@@ -357,15 +361,17 @@
             (Ending::Done, _) if flying.joined => (0.0, false),
             // Where hits are told, what is not one was filled.
             (Ending::Done, _) if self.notes != NoteLevel::None => (kb, true),
-            (Ending::Done, _) => (if outcome.took > alone { kb } else { 0.0 }, false),
+            (Ending::Done, _) => (if outcome.elapsed > alone { kb } else { 0.0 }, false),
             // It may go on behind: what was expected of it stays booked.
-            (Ending::Lost | Ending::TimedOut | Ending::Withdrawn, _) => (flying.expected, false),
+            (Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled, _) => {
+                (flying.expected, false)
+            }
             _ => (0.0, false),
         }
     }
 
-    fn outcome(&mut self, now: Moment, outcome: &Outcome) {
-        let Some(flying) = self.flying.remove(&(outcome.id, outcome.hand_off)) else {
+    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
+        let Some(flying) = self.flying.remove(&(outcome.id, outcome.attempt)) else {
             return;
         };
         let crossing = flying.crossing;
@@ -374,7 +380,7 @@
         for &(nth, from) in &flying.charged {
             self.budgets[nth].correct(from, kb - flying.expected);
         }
-        let (track, cause) = (usize::from(crossing.asked.track.0), flying.why.cause);
+        let (track, cause) = (usize::from(crossing.arrival.class.0), flying.why.cause);
         if certain && done && !flying.joined {
             let share = &mut self.crossed[track][cause as usize];
             let now = if kb > 0.0 { 1.0 } else { 0.0 };
@@ -383,7 +389,11 @@
         let filled = done && kb > 0.0;
         // The watch saw what was expected when it went out.
         self.watch(&crossing, kb - flying.expected, flying.why);
-        let way = (crossing.host, crossing.asked.object, crossing.asked.part);
+        let way = (
+            crossing.host,
+            crossing.arrival.object,
+            crossing.arrival.part,
+        );
         // A hit where a refill was expected says that another dispatcher's came first.
         let anew = filled || matches!(cause, Cause::Purge | Cause::HostLost);
         self.memory
@@ -393,13 +403,13 @@
         }
         let wasted = !done || flying.left;
         let begun = outcome
-            .waited
+            .first_byte_latency
             .map_or(flying.sent, |waited| flying.sent + waited);
         let key = Key {
             from: crossing.from,
             to: crossing.to,
             tier: self.memory.tier(crossing.source),
-            track: crossing.asked.track,
+            track: crossing.arrival.class,
             cause: if wasted { Cause::Waste } else { cause },
         };
         let moved = Moved {
@@ -421,48 +431,48 @@
 }
 
 /// Orders and all that may not simply run again go first.
-pub fn class_of(track: &ClassTerms) -> Class {
-    match track.written || track.effect != Effect::Idempotent {
+pub fn class_of(track: &ClassSettings) -> Class {
+    match track.is_write || track.effect != Effect::Idempotent {
         true => Class::First,
         false => Class::Plain,
     }
 }
 
 /// What is known of other dispatchers' accesses is not its matter.
-impl Others for Zones {}
+impl PeerKnowledge for Zones {}
 
-impl Crossings for Zones {
-    fn heard(&mut self, now: Moment, event: &Event) {
+impl CrossingLimits for Zones {
+    fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.budgets
             .iter_mut()
             .for_each(|budget| budget.advance(now));
         match event {
-            Event::Hosts { form, entries } => self.memory.list(now, *form, entries),
+            Event::HostList { kind, entries } => self.memory.list(now, *kind, entries),
             Event::Purged {
-                object, group, ago, ..
-            } => self.memory.purged(now - *ago, *object, *group),
+                object, group, age, ..
+            } => self.memory.purged(now - *age, *object, *group),
             Event::Outcome(outcome) => self.outcome(now, outcome),
-            Event::Left { id } => {
+            Event::ClientGone { id } => {
                 let all = (*id, AttemptNo(0))..=(*id, AttemptNo(u8::MAX));
                 self.flying
                     .range_mut(all)
                     .for_each(|(_, flying)| flying.left = true);
             }
             Event::Arrived(_)
-            | Event::Begun { .. }
+            | Event::ResponseStarted { .. }
             | Event::Probed { .. }
-            | Event::Hinted { .. }
-            | Event::Woken { .. } => {}
+            | Event::PeerBreakerOpened { .. }
+            | Event::TimerFired { .. } => {}
         }
     }
 
-    fn room(&self, now: Moment, crossing: &Crossing) -> bool {
+    fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
         if self.budgets.is_empty() {
             return true;
         }
         let why = self.why(now, crossing);
         let kb = self.expected(crossing, why);
-        let class = self.class(crossing.asked.track);
+        let class = self.class(crossing.arrival.class);
         let concerned = self
             .budgets
             .iter()
@@ -474,11 +484,13 @@
                 fits = false;
             }
         }
-        if !fits && self.last_refused.replace(Some(crossing.asked.id)) != Some(crossing.asked.id) {
+        if !fits
+            && self.last_refused.replace(Some(crossing.arrival.id)) != Some(crossing.arrival.id)
+        {
             if let Some(sum) = self
                 .turned_away
                 .borrow_mut()
-                .get_mut(usize::from(crossing.asked.track.0))
+                .get_mut(usize::from(crossing.arrival.class.0))
             {
                 *sum = (sum.0 + 1, sum.1 + kb);
             }
@@ -490,11 +502,11 @@
         fits
     }
 
-    fn sent(&mut self, now: Moment, crossing: &Crossing) {
+    fn on_sent(&mut self, now: Timestamp, crossing: &Crossing) {
         let why = self.why(now, crossing);
         let joined = self.joins(crossing);
         let expected = self.expected(crossing, why);
-        let class = self.class(crossing.asked.track);
+        let class = self.class(crossing.arrival.class);
         let mut charged = Vec::new();
         for nth in 0..self.budgets.len() {
             let budget = &mut self.budgets[nth];
@@ -508,7 +520,11 @@
             }
         }
         if why.cause != Cause::Written && why.cause != Cause::Straight {
-            let way = (crossing.host, crossing.asked.object, crossing.asked.part);
+            let way = (
+                crossing.host,
+                crossing.arrival.object,
+                crossing.arrival.part,
+            );
             self.memory.sent(now, way, !joined);
         }
         let flying = Flying {
@@ -522,10 +538,10 @@
         };
         self.watch(crossing, expected, why);
         self.flying
-            .insert((crossing.asked.id, crossing.hand_off), flying);
+            .insert((crossing.arrival.id, crossing.attempt), flying);
     }
 
-    fn come_back(&self, now: Moment, track: ClassId) -> Option<Span> {
+    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let own = |budget: &&Budget| budget.limit.to == self.zone;
         let plain = self.class(track) == Class::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
--- a/crates/zones/src/decide/rise.rs
+++ b/crates/zones/src/decide/rise.rs
@@ -34,7 +34,7 @@
     }
 }
 
-pub const SLOT: Span = Span::from_millis(500);
+pub const SLOT: TimeSpan = TimeSpan::from_millis(500);
 /// Slots that make up the usual, and the newest that are left out of it, as a rise may have begun in them.
 const USUAL: usize = 120;
 const LATELY: usize = 6;
@@ -169,7 +169,7 @@
     }
 
     /// Lets time pass; at the end of a slot a rise may begin or end.
-    pub fn advance(&mut self, now: Moment, alarm: Alarm) -> Option<Turn> {
+    pub fn advance(&mut self, now: Timestamp, alarm: Alarm) -> Option<Turn> {
         let slot = now.0 / SLOT.0;
         let before = *self.slot.get_or_insert(slot);
         // A clock that went back goes on in its running slot.
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -15,8 +15,8 @@
 const PARENT: HostId = HostId(21);
 const ORIGIN: HostId = HostId(31);
 
-fn at(ms: u64) -> Moment {
-    Moment(1_000_000_000 + ms * 1_000)
+fn at(ms: u64) -> Timestamp {
+    Timestamp(1_000_000_000 + ms * 1_000)
 }
 
 fn limit(kb_per_s: f64, burst_kb: f64, reserve: f64) -> Limit {
@@ -38,53 +38,53 @@
     }
 }
 
-fn terms(seats: u32) -> Terms {
-    let video = ClassTerms {
-        due: Span::from_millis(400),
-        due_stretch: 2.0,
+fn terms(seats: u32) -> DispatcherSettings {
+    let video = ClassSettings {
+        target: TimeSpan::from_millis(400),
+        target_stretch: 2.0,
         effect: Effect::Idempotent,
-        fresh: None,
-        grace: Span::ZERO,
-        written: false,
+        fresh_for: None,
+        stale_grace: TimeSpan::ZERO,
+        is_write: false,
     };
-    let order = ClassTerms {
+    let order = ClassSettings {
         effect: Effect::NonIdempotent,
-        written: true,
+        is_write: true,
         ..video.clone()
     };
-    let cold = Cold {
-        from: 0.25,
-        warm_after: Span::from_secs(10),
-        fall_multiple: 2.0,
-        fall_after: Span::from_secs(1),
-        among: None,
+    let cold = SlowStart {
+        initial_capacity: 0.25,
+        duration: TimeSpan::from_secs(10),
+        overload_factor: 2.0,
+        overload_window: TimeSpan::from_secs(1),
+        shared_by: None,
     };
-    Terms {
+    DispatcherSettings {
         zone: DEPOT,
         dispatchers: seats,
-        seats: vec![0, seats],
+        dispatchers_by_zone: vec![0, seats],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        tracks: vec![video, order],
-        flow_kb_per_s: 1_000.0,
+        classes: vec![video, order],
+        stream_kb_per_s: 1_000.0,
         link_kb_per_s: None,
-        link_told: false,
-        sizes_tell: true,
-        probes: false,
-        joins: true,
-        straight: true,
-        notes: NoteLevel::All,
-        max_hand_offs: 6,
-        may_withdraw: true,
-        longest_away: None,
-        list_on_request: false,
-        cold_cache: cold,
-        cold_parent: cold,
-        purge_done: Span::from_secs(6),
+        link_load_reported: false,
+        capacities_reported: true,
+        probes_enabled: false,
+        joins_fills: true,
+        allows_direct: true,
+        note_level: NoteLevel::All,
+        max_attempts: 6,
+        may_cancel: true,
+        max_retry_after: None,
+        host_list_on_request: false,
+        cache_slow_start: cold,
+        parent_slow_start: cold,
+        purge_propagation: TimeSpan::from_secs(6),
     }
 }
 
-fn entry(host: HostId, state: HostState, started: Option<Moment>) -> HostEntry {
+fn entry(host: HostId, state: HostState, started: Option<Timestamp>) -> HostEntry {
     let (kind, zone) = match host.0 {
         11..=19 => (KindId(0), DEPOT),
         21..=29 => (KindId(1), HUB),
@@ -97,7 +97,7 @@
         kind,
         started,
         stamp: started,
-        size: 8.0,
+        capacity: 8.0,
         state,
     }
 }
@@ -115,26 +115,26 @@
         let entries = hosts
             .map(|host| entry(host, HostState::Ready, None))
             .to_vec();
-        let form = ListForm::Whole;
-        zones.heard(at(0), &Event::Hosts { form, entries });
+        let kind = HostListKind::Full;
+        zones.on_event(at(0), &Event::HostList { kind, entries });
         Desk { zones, next: 0 }
     }
 
-    fn way(&mut self, track: ClassId, object: u64, kb: f64) -> Crossing {
+    fn way(&mut self, class: ClassId, object: u64, kb: f64) -> Crossing {
         self.next += 1;
-        let asked = Arrival {
+        let arrival = Arrival {
             id: RequestId(self.next),
-            left: Span::from_secs(3),
-            track,
+            time_left: TimeSpan::from_secs(3),
+            class,
             object: ObjectId(object),
             group: GroupId((object % 8) as u32),
             part: 0,
             size_kb: Some(kb),
         };
-        let source = if track == ORDER { ORIGIN } else { PARENT };
+        let source = if class == ORDER { ORIGIN } else { PARENT };
         Crossing {
-            asked,
-            hand_off: AttemptNo(0),
+            arrival,
+            attempt: AttemptNo(0),
             host: CACHES[(object % 2) as usize],
             source,
             from: HUB,
@@ -151,27 +151,27 @@
         took: u64,
         ending: Ending,
         note: Note,
-        came_kb: Option<f64>,
+        received_kb: Option<f64>,
     ) {
         let outcome = Outcome {
-            id: way.asked.id,
-            hand_off: way.hand_off,
+            id: way.arrival.id,
+            attempt: way.attempt,
             ending,
-            took: Span::from_millis(took),
-            closed: ending == Ending::Done,
+            elapsed: TimeSpan::from_millis(took),
+            request_closed: ending == Ending::Done,
             note,
-            waited: None,
+            first_byte_latency: None,
             load: Load::default(),
-            proven: true,
-            came_kb,
+            client_proven: true,
+            received_kb,
         };
-        self.zones.heard(at(ms), &Event::Outcome(outcome));
+        self.zones.on_event(at(ms), &Event::Outcome(outcome));
     }
 
     /// One access that is sent at once and ends well.
     fn play(&mut self, ms: u64, object: u64, kb: f64, note: Note) -> Crossing {
         let way = self.way(VIDEO, object, kb);
-        self.zones.sent(at(ms), &way);
+        self.zones.on_sent(at(ms), &way);
         self.end(&way, ms + 50, 50, Ending::Done, note, Some(kb));
         way
     }
@@ -195,18 +195,18 @@
     let mut sent = 0;
     loop {
         let video = desk.way(VIDEO, 100 + sent, 100.0);
-        if !desk.zones.room(at(10_000), &video) {
+        if !desk.zones.has_room(at(10_000), &video) {
             break;
         }
-        desk.zones.sent(at(10_000), &video);
+        desk.zones.on_sent(at(10_000), &video);
         sent += 1;
     }
     assert!((1..=8).contains(&sent), "{sent}");
     let (order, video) = (desk.way(ORDER, 1, 4.0), desk.way(VIDEO, 2, 100.0));
-    assert!(desk.zones.room(at(10_000), &order));
-    assert!(!desk.zones.room(at(10_000), &video));
-    assert!(desk.zones.come_back(at(10_000), VIDEO).is_some());
-    assert_eq!(desk.zones.come_back(at(10_000), ORDER), None);
+    assert!(desk.zones.has_room(at(10_000), &order));
+    assert!(!desk.zones.has_room(at(10_000), &video));
+    assert!(desk.zones.retry_after(at(10_000), VIDEO).is_some());
+    assert_eq!(desk.zones.retry_after(at(10_000), ORDER), None);
 }
 
 #[test]
@@ -215,8 +215,8 @@
     let mut kb = 0.0;
     for ms in 0..10_000 {
         let order = desk.way(ORDER, ms, 4.0);
-        if desk.zones.room(at(ms), &order) {
-            desk.zones.sent(at(ms), &order);
+        if desk.zones.has_room(at(ms), &order) {
+            desk.zones.on_sent(at(ms), &order);
             kb += 4.0;
         }
     }
@@ -229,8 +229,11 @@
     for n in 0..500 {
         let video = desk.way(VIDEO, n, 100.0);
         // 5 MB a second asked for, 10 MB a second there.
-        assert!(desk.zones.room(at(2_000 + n * 20), &video), "access {n}");
-        desk.zones.sent(at(2_000 + n * 20), &video);
+        assert!(
+            desk.zones.has_room(at(2_000 + n * 20), &video),
+            "access {n}"
+        );
+        desk.zones.on_sent(at(2_000 + n * 20), &video);
         desk.end(
             &video,
             2_000 + n * 20 + 15,
@@ -328,11 +331,11 @@
 fn a_learned_rate_falls_when_fills_slow_down_and_rises_while_some_are_turned_away() {
     let mut learner = Learner::default();
     let between = (100.0, 10_000.0);
-    learner.filled(100.0, Span::from_millis(50));
+    learner.filled(100.0, TimeSpan::from_millis(50));
     learner.refused();
     let risen = learner.step(at(1_000), 1_000.0, between);
     assert_eq!(risen, Some(1_050.0));
-    learner.filled(100.0, Span::from_millis(200));
+    learner.filled(100.0, TimeSpan::from_millis(200));
     let fallen = learner.step(at(2_000), 1_050.0, between);
     assert!(fallen.is_some_and(|rate| rate < 1_000.0), "{fallen:?}");
     assert_eq!(learner.step(at(3_000), 150.0, between), Some(150.0));
@@ -348,8 +351,8 @@
     let mut desk = Desk::new(rules(vec![learned]), 1);
     for ms in (0..30_000).step_by(100) {
         let video = desk.way(VIDEO, ms, 100.0);
-        if desk.zones.room(at(ms), &video) {
-            desk.zones.sent(at(ms), &video);
+        if desk.zones.has_room(at(ms), &video) {
+            desk.zones.on_sent(at(ms), &video);
             desk.end(&video, ms + 20, 20, Ending::Done, Note::Filled, Some(100.0));
         }
         desk.zones.advance(at(ms));
@@ -363,7 +366,8 @@
     let mut desk = Desk::new(rules(vec![limit(10_000.0, 4_000.0, 0.2)]), 1);
     desk.zones.advance(at(5_000));
     let ways: Vec<Crossing> = (0..5).map(|n| desk.way(VIDEO, n, 300.0)).collect();
-    ways.iter().for_each(|way| desk.zones.sent(at(5_000), way));
+    ways.iter()
+        .for_each(|way| desk.zones.on_sent(at(5_000), way));
     desk.zones
         .change(at(5_001), rules(vec![limit(100.0, 50.0, 0.2)]));
     for way in &ways {
@@ -371,7 +375,7 @@
     }
     assert_eq!(desk.booked(Cause::First), 1_500.0);
     let next = desk.way(VIDEO, 50, 300.0);
-    assert!(!desk.zones.room(at(5_060), &next));
+    assert!(!desk.zones.has_room(at(5_060), &next));
     let owed = desk.zones.budgets()[0].saved_kb();
     assert!(owed < 0.0, "{owed}");
 }
@@ -380,12 +384,12 @@
 fn a_rule_that_goes_lets_what_is_under_way_end_free_of_it() {
     let mut desk = Desk::new(rules(vec![limit(1_000.0, 400.0, 0.2)]), 1);
     let way = desk.way(VIDEO, 1, 100.0);
-    desk.zones.sent(at(0), &way);
+    desk.zones.on_sent(at(0), &way);
     desk.zones.change(at(1), rules(Vec::new()));
     desk.end(&way, 50, 50, Ending::Done, Note::Filled, Some(100.0));
     assert_eq!(desk.booked(Cause::First), 100.0);
     let next = desk.way(VIDEO, 2, 1e9);
-    assert!(desk.zones.room(at(60), &next));
+    assert!(desk.zones.has_room(at(60), &next));
 }
 
 #[test]
@@ -399,26 +403,27 @@
     let purge = Event::Purged {
         object: None,
         group: GroupId(2),
-        ago: Span::ZERO,
+        age: TimeSpan::ZERO,
         stamp: None,
     };
-    desk.zones.heard(at(200), &purge);
+    desk.zones.on_event(at(200), &purge);
     desk.play(210, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::Purge), 10.0);
-    let form = ListForm::Changes;
+    let kind = HostListKind::Delta;
     let entries = vec![entry(CACHES[0], HostState::Ready, Some(at(300)))];
-    desk.zones.heard(at(310), &Event::Hosts { form, entries });
+    desk.zones
+        .on_event(at(310), &Event::HostList { kind, entries });
     desk.play(320, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::HostLost), 10.0);
     let order = desk.way(ORDER, 9, 4.0);
-    desk.zones.sent(at(400), &order);
-    desk.end(&order, 450, 50, Ending::Done, Note::Untold, None);
+    desk.zones.on_sent(at(400), &order);
+    desk.end(&order, 450, 50, Ending::Done, Note::NotReported, None);
     assert_eq!(desk.booked(Cause::Written), 4.0);
     let straight = Crossing {
         host: PARENT,
         ..desk.way(VIDEO, 77, 20.0)
     };
-    desk.zones.sent(at(500), &straight);
+    desk.zones.on_sent(at(500), &straight);
     desk.end(&straight, 550, 50, Ending::Done, Note::Hit, Some(20.0));
     assert_eq!(desk.booked(Cause::Straight), 20.0);
 }
@@ -429,7 +434,7 @@
     desk.play(0, 1, 10.0, Note::Hit);
     desk.play(10, 1, 10.0, Note::Joined);
     let way = desk.way(VIDEO, 1, 10.0);
-    desk.zones.sent(at(20), &way);
+    desk.zones.on_sent(at(20), &way);
     desk.end(&way, 30, 10, Ending::Error, Note::SourceLost, None);
     assert!(desk.zones.account().totals().is_empty());
 }
@@ -438,9 +443,10 @@
 fn a_fill_whose_client_left_counts_as_waste() {
     let mut desk = Desk::new(rules(Vec::new()), 1);
     let way = desk.way(VIDEO, 1, 100.0);
-    desk.zones.sent(at(0), &way);
-    desk.zones.heard(at(10), &Event::Left { id: way.asked.id });
-    desk.end(&way, 20, 20, Ending::Withdrawn, Note::Untold, None);
+    desk.zones.on_sent(at(0), &way);
+    desk.zones
+        .on_event(at(10), &Event::ClientGone { id: way.arrival.id });
+    desk.end(&way, 20, 20, Ending::Cancelled, Note::NotReported, None);
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
 }
@@ -451,16 +457,16 @@
     desk.zones.advance(at(5_000));
     let before = desk.zones.budgets()[0].saved_kb();
     let way = desk.way(VIDEO, 1, 0.001);
-    desk.zones.sent(at(5_000), &way);
+    desk.zones.on_sent(at(5_000), &way);
     desk.end(&way, 5_000, 0, Ending::Done, Note::Filled, Some(900.0));
     assert_eq!(desk.booked(Cause::First), 900.0);
     let after = desk.zones.budgets()[0].saved_kb();
     assert!((before - after - 900.0).abs() < 1.0, "{before} {after}");
     for kb in [f64::NAN, f64::INFINITY, -5.0] {
         let odd = desk.way(VIDEO, 2, kb);
-        desk.zones.room(at(5_001), &odd);
-        desk.zones.sent(at(5_001), &odd);
-        desk.end(&odd, 5_002, 1, Ending::Error, Note::Untold, None);
+        desk.zones.has_room(at(5_001), &odd);
+        desk.zones.on_sent(at(5_001), &odd);
+        desk.end(&odd, 5_002, 1, Ending::Error, Note::NotReported, None);
     }
     assert!(desk.zones.budgets()[0].saved_kb().is_finite());
 }
@@ -502,9 +508,9 @@
             until,
         },
     );
-    let second = account.within(at(4_000), Span::from_secs(1));
+    let second = account.within(at(4_000), TimeSpan::from_secs(1));
     assert!((second[&key].kb - 50.0).abs() < 1e-6, "{second:?}");
-    let four = account.within(at(4_000), Span::from_secs(10));
+    let four = account.within(at(4_000), TimeSpan::from_secs(10));
     assert!((four[&key].kb - 300.0).abs() < 1e-6, "{four:?}");
     // A clock that goes back books into its newest second, one that leaps forgets seconds and no totals.
     account.book(
@@ -519,7 +525,7 @@
     account.advance(at(4_000 + SECONDS * 2_000));
     assert!(
         account
-            .within(at(4_000 + SECONDS * 2_000), Span::from_secs(60))
+            .within(at(4_000 + SECONDS * 2_000), TimeSpan::from_secs(60))
             .is_empty()
     );
     assert_eq!(account.totals()[&key].kb, 305.0);
@@ -534,14 +540,14 @@
     };
     let mut desk = Desk::new(rules(vec![pair]), 1);
     let way = desk.way(VIDEO, 1, 500.0);
-    desk.zones.sent(at(0), &way);
+    desk.zones.on_sent(at(0), &way);
     let way = desk.way(VIDEO, 3, 500.0);
-    assert!(!desk.zones.room(at(1), &way));
+    assert!(!desk.zones.has_room(at(1), &way));
     let dearer = Crossing {
         from: ZoneId(2),
         ..way
     };
-    assert!(desk.zones.room(at(1), &dearer));
+    assert!(desk.zones.has_room(at(1), &dearer));
 }
 
 /// Ten seconds of thirty objects a second in hits and few fills, from which on a strike is played.
@@ -576,22 +582,23 @@
 fn a_lost_host_is_named_within_three_seconds() {
     let told = rise(|desk, ms, n| {
         if ms == 60_000 {
-            let form = ListForm::Changes;
+            let kind = HostListKind::Delta;
             let entries = vec![entry(CACHES[0], HostState::Gone, None)];
-            desk.zones.heard(at(ms), &Event::Hosts { form, entries });
+            desk.zones
+                .on_event(at(ms), &Event::HostList { kind, entries });
         }
         // What it had is filled at the other one.
         let mut way = desk.way(VIDEO, (n % 20) * 2, 50.0);
         way.host = CACHES[1];
-        desk.zones.sent(at(ms), &way);
+        desk.zones.on_sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(50.0));
         // Named once each: what is filled there has its new home.
-        let form = ListForm::Changes;
+        let kind = HostListKind::Delta;
         let lost = entry(CACHES[1], HostState::Ready, Some(at(ms)));
-        desk.zones.heard(
+        desk.zones.on_event(
             at(ms),
-            &Event::Hosts {
-                form,
+            &Event::HostList {
+                kind,
                 entries: vec![lost],
             },
         );
@@ -610,10 +617,10 @@
         let event = Event::Purged {
             object: None,
             group: GroupId((n % 8) as u32),
-            ago: Span::ZERO,
+            age: TimeSpan::ZERO,
             stamp: None,
         };
-        desk.zones.heard(at(ms), &event);
+        desk.zones.on_event(at(ms), &event);
         let object = n % 40;
         if object % 8 == n % 8 {
             desk.play(ms, object, 80.0, Note::Filled);
@@ -632,8 +639,8 @@
     );
     let large = rise(|desk, ms, n| {
         let mut way = desk.way(VIDEO, 900_001, 400.0);
-        way.asked.part = n as u32;
-        desk.zones.sent(at(ms), &way);
+        way.arrival.part = n as u32;
+        desk.zones.on_sent(at(ms), &way);
         desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(400.0));
     });
     assert!(
@@ -651,8 +658,8 @@
         desk.play(ms, n, 10.0, Note::Filled);
         for extra in (ms >= 60_000).then_some(0..8).into_iter().flatten() {
             let way = desk.way(VIDEO, 1_000_000 + n * 8 + extra, 100.0);
-            if desk.zones.room(at(ms), &way) {
-                desk.zones.sent(at(ms), &way);
+            if desk.zones.has_room(at(ms), &way) {
+                desk.zones.on_sent(at(ms), &way);
                 desk.end(&way, ms, 10, Ending::Done, Note::Filled, Some(100.0));
             }
         }
@@ -680,16 +687,16 @@
         let event = Event::Purged {
             object: Some(ObjectId(n)),
             group: GroupId(0),
-            ago: Span::ZERO,
+            age: TimeSpan::ZERO,
             stamp: None,
         };
-        desk.zones.heard(at(n * 10), &event);
+        desk.zones.on_event(at(n * 10), &event);
         if n % 100 == 0 {
-            let form = ListForm::Changes;
+            let kind = HostListKind::Delta;
             let host = HostId(100_000 + n);
             let entries = vec![entry(host, HostState::Gone, None)];
             desk.zones
-                .heard(at(n * 10), &Event::Hosts { form, entries });
+                .on_event(at(n * 10), &Event::HostList { kind, entries });
             desk.zones.advance(at(n * 10));
         }
     }
@@ -708,7 +715,7 @@
 }
 
 /// Takes what has room, in pieces of ten KB, and tells how much that was.
-fn drain(budget: &mut Budget, now: Moment) -> f64 {
+fn drain(budget: &mut Budget, now: Timestamp) -> f64 {
     let mut taken = 0.0;
     budget.advance(now);
     while let Some(from) = budget.room(now, Class::Plain, 10.0) {
@@ -776,8 +783,8 @@
     let mut told = Vec::new();
     for n in 0..400 {
         let way = desk.way(VIDEO, n, 100.0);
-        if desk.zones.room(at(n * 100), &way) {
-            desk.zones.sent(at(n * 100), &way);
+        if desk.zones.has_room(at(n * 100), &way) {
+            desk.zones.on_sent(at(n * 100), &way);
         }
         desk.zones.advance(at(n * 100));
         told.push(desk.zones.need(at(n * 100), "link").0);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -5,68 +5,68 @@
 
 /// What a dispatcher is told when it starts.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct DispatcherSettings {
     pub zone: ZoneId,
     /// Dispatchers in all zones together.
     pub dispatchers: u32,
     /// Dispatchers by zone; empty where it is not told.
-    pub seats: Vec<u32>,
+    pub dispatchers_by_zone: Vec<u32>,
     pub parent_kind: Option<KindId>,
     pub origin_kind: Option<KindId>,
-    pub tracks: Vec<ClassTerms>,
+    pub classes: Vec<ClassSettings>,
     /// Top pace of one answer; host sizes count answers at this pace.
-    pub flow_kb_per_s: f64,
+    pub stream_kb_per_s: f64,
     /// What the own zone's link for fills carries; `None` where it is not told.
     pub link_kb_per_s: Option<f64>,
     /// Whether caches tell how full it is.
-    pub link_told: bool,
+    pub link_load_reported: bool,
     /// Whether hosts tell their load when probed, and only then.
-    pub probes: bool,
+    pub probes_enabled: bool,
     /// Whether the sizes of hosts tell something.
-    pub sizes_tell: bool,
-    pub joins: bool,
+    pub capacities_reported: bool,
+    pub joins_fills: bool,
     /// Whether parents and the origin take accesses themselves.
-    pub straight: bool,
-    pub notes: NoteLevel,
-    pub max_hand_offs: usize,
-    pub may_withdraw: bool,
+    pub allows_direct: bool,
+    pub note_level: NoteLevel,
+    pub max_attempts: usize,
+    pub may_cancel: bool,
     /// The longest time for which a client stays away when told to; `None` where it can't be told.
-    pub longest_away: Option<Span>,
+    pub max_retry_after: Option<TimeSpan>,
     /// Whether the host list has to be asked for.
-    pub list_on_request: bool,
-    pub cold_cache: Cold,
-    pub cold_parent: Cold,
+    pub host_list_on_request: bool,
+    pub cache_slow_start: SlowStart,
+    pub parent_slow_start: SlowStart,
     /// By then every copy from before a purge is dropped.
-    pub purge_done: Span,
+    pub purge_propagation: TimeSpan,
 }
 
 /// How a host that has just started behaves.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct SlowStart {
     /// The least share of its capacity with which it starts.
-    pub from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this, rising evenly at the slowest.
-    pub warm_after: Span,
-    /// It falls over at this multiple of its present capacity, kept up for `fall_after`.
-    pub fall_multiple: f64,
-    pub fall_after: Span,
+    pub duration: TimeSpan,
+    /// It falls over at this multiple of its present capacity, kept up for `overload_window`.
+    pub overload_factor: f64,
+    pub overload_window: TimeSpan,
     /// Among how many what it may be given is divided, where that follows need: 1 over this dispatcher's part. `None`:
     /// evenly among all dispatchers that use such a host.
-    pub among: Option<f64>,
+    pub shared_by: Option<f64>,
 }
 
 #[derive(Clone, Debug)]
-pub struct ClassTerms {
-    pub due: Span,
+pub struct ClassSettings {
+    pub target: TimeSpan,
     /// The due time grows by this many times the access's own sending time.
-    pub due_stretch: f64,
+    pub target_stretch: f64,
     pub effect: Effect,
     /// How long a copy is fresh; `None`: until it is purged.
-    pub fresh: Option<Span>,
+    pub fresh_for: Option<TimeSpan>,
     /// How much older than fresh a copy may be when asked for.
-    pub grace: Span,
+    pub stale_grace: TimeSpan,
     /// Runs at the origin and leaves no copy.
-    pub written: bool,
+    pub is_write: bool,
 }
 
 /// Whether an access may run again.
@@ -76,7 +76,7 @@
     /// Repeats are dropped within a group of hosts, for a while from the first hand-off.
     Keyed {
         group: RepeatGroup,
-        window: Span,
+        window: TimeSpan,
     },
     NonIdempotent,
 }
@@ -117,23 +117,23 @@
 
 #[derive(Clone, Debug)]
 pub enum Event {
-    Hosts {
-        form: ListForm,
+    HostList {
+        kind: HostListKind,
         entries: Vec<HostEntry>,
     },
     Arrived(Arrival),
     /// The answer of a streamed hand-off has begun: it belongs to the client now.
-    Begun {
+    ResponseStarted {
         id: RequestId,
-        hand_off: AttemptNo,
+        attempt: AttemptNo,
     },
     Outcome(Outcome),
     /// The client left, or the final answer is overdue.
-    Left {
+    ClientGone {
         id: RequestId,
     },
-    Woken {
-        wake: WakeId,
+    TimerFired {
+        timer: TimerId,
     },
     /// How a probe ended, and what the host told by it.
     Probed {
@@ -142,7 +142,7 @@
         load: Load,
     },
     /// Another dispatcher's breaker opened for this host: the next outcome here is judged as a trial.
-    Hinted {
+    PeerBreakerOpened {
         host: HostId,
     },
     /// Every object of the group where no object is named.
@@ -150,16 +150,16 @@
         object: Option<ObjectId>,
         group: GroupId,
         /// How long ago at least, on the caller's clock.
-        ago: Span,
+        age: TimeSpan,
         /// When, as it was stamped by another machine's clock: copies are held against it by their own stamps.
-        stamp: Option<Moment>,
+        stamp: Option<Timestamp>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
-    Whole,
-    Changes,
+pub enum HostListKind {
+    Full,
+    Delta,
     /// Asking for the list failed; the old one holds.
     Failed,
 }
@@ -171,11 +171,11 @@
     pub zone: ZoneId,
     pub kind: KindId,
     /// When its process began, on the caller's clock. `None`: long past.
-    pub started: Option<Moment>,
+    pub started: Option<Timestamp>,
     /// The same as the list stamped it, by another machine's clock: it tells two processes of one host apart, and is
     /// compared with no time.
-    pub stamp: Option<Moment>,
-    pub size: f64,
+    pub stamp: Option<Timestamp>,
+    pub capacity: f64,
     pub state: HostState,
 }
 
@@ -190,8 +190,8 @@
 pub struct Arrival {
     pub id: RequestId,
     /// How long the client will wait.
-    pub left: Span,
-    pub track: ClassId,
+    pub time_left: TimeSpan,
+    pub class: ClassId,
     pub object: ObjectId,
     pub group: GroupId,
     pub part: u32,
@@ -201,28 +201,28 @@
 #[derive(Clone, Debug)]
 pub struct Outcome {
     pub id: RequestId,
-    pub hand_off: AttemptNo,
+    pub attempt: AttemptNo,
     pub ending: Ending,
-    pub took: Span,
+    pub elapsed: TimeSpan,
     /// The access needs no final answer any more.
-    pub closed: bool,
+    pub request_closed: bool,
     pub note: Note,
     /// Time to the first byte from the source, or to the fill's failure, where it is told.
-    pub waited: Option<Span>,
+    pub first_byte_latency: Option<TimeSpan>,
     pub load: Load,
     /// Whether anything was done for its client before, so that its accesses are known to make sense.
-    pub proven: bool,
+    pub client_proven: bool,
     /// What came of the object, in KB of 1,024 bytes, where it is told.
-    pub came_kb: Option<f64>,
+    pub received_kb: Option<f64>,
 }
 
 /// What a host tells of its load: late, with noise, and nothing where it does not tell.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     /// The share of what it can send that is in use.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// How full the link of a cache's zone is: transfers over those that fit.
-    pub link_full: Option<f64>,
+    pub link_utilization: Option<f64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -232,10 +232,10 @@
     Full,
     TimedOut,
     NoConnection,
-    Lost,
-    Withdrawn,
+    ConnectionLost,
+    Cancelled,
     NotSent,
-    Missed,
+    Miss,
 }
 
 impl Ending {
@@ -243,20 +243,20 @@
     ///
     /// ```
     /// use trailproxy::interface::Ending;
-    /// assert!(Ending::Full.never_ran() && Ending::Missed.never_ran());
-    /// assert!(!Ending::Lost.never_ran() && !Ending::Withdrawn.never_ran());
+    /// assert!(Ending::Full.never_ran() && Ending::Miss.never_ran());
+    /// assert!(!Ending::ConnectionLost.never_ran() && !Ending::Cancelled.never_ran());
     /// ```
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Ending::Full | Ending::NoConnection | Ending::NotSent | Ending::Missed
+            Ending::Full | Ending::NoConnection | Ending::NotSent | Ending::Miss
         )
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Note {
-    Untold,
+    NotReported,
     Hit,
     Filled,
     FilledByOrigin,
@@ -265,9 +265,9 @@
     Stale,
     SourceRefused,
     SourceLost,
-    SourceLacks,
+    SourceMiss,
     /// The cache had no place for a fill.
-    NoFillPlace,
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -278,23 +278,23 @@
     /// Final: trying again is harmless.
     Refuse {
         id: RequestId,
-        come_back: Option<Span>,
-        why: GiveUpReason,
+        retry_after: Option<TimeSpan>,
+        reason: GiveUpReason,
     },
     /// Final: promises nothing.
     Fail {
         id: RequestId,
-        why: GiveUpReason,
+        reason: GiveUpReason,
     },
-    Withdraw {
+    Cancel {
         id: RequestId,
-        hand_off: AttemptNo,
+        attempt: AttemptNo,
     },
-    Wake {
-        at: Moment,
-        wake: WakeId,
+    SetTimer {
+        at: Timestamp,
+        timer: TimerId,
     },
-    FollowList,
+    RequestHostList,
     /// Asks a host for its load.
     Probe {
         host: HostId,
@@ -319,19 +319,19 @@
     /// 0: not kept; 1 to 3: the rank at which it is.
     pub rank: u8,
     /// The oldest copy that will do; `None`: as old as the track allows when fresh.
-    pub oldest: Option<Span>,
+    pub max_age: Option<TimeSpan>,
     pub join: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// Serve an ageing copy and renew it behind.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
-/// One hand-off on its way between zones, as [`Crossings`] is asked about it.
+/// One hand-off on its way between zones, as [`CrossingLimits`] is asked about it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Crossing {
-    pub asked: Arrival,
-    pub hand_off: AttemptNo,
+    pub arrival: Arrival,
+    pub attempt: AttemptNo,
     pub host: HostId,
     /// What fills the host; the host itself where that is in another zone and asked straight.
     pub source: HostId,
@@ -347,71 +347,72 @@
 ///
 /// The decisions choose; this one only says no to a way, or counts it. It is asked about every hand-off whose
 /// source and reader are in different zones, by the gate that all hand-offs pass.
-pub trait Crossings {
+pub trait CrossingLimits {
     /// Every event, before the decisions take it.
-    fn heard(&mut self, _now: Moment, _event: &Event) {}
+    fn on_event(&mut self, _now: Timestamp, _event: &Event) {}
     /// Whether this may go out now. It may be asked several times about one way, with nothing sent.
-    fn room(&self, _now: Moment, _crossing: &Crossing) -> bool {
+    fn has_room(&self, _now: Timestamp, _crossing: &Crossing) -> bool {
         true
     }
     /// This goes out now.
-    fn sent(&mut self, _now: Moment, _crossing: &Crossing) {}
+    fn on_sent(&mut self, _now: Timestamp, _crossing: &Crossing) {}
     /// After how long a client of this track had better come again; `None`: nothing was in its way here.
-    fn come_back(&self, _now: Moment, _track: ClassId) -> Option<Span> {
+    fn retry_after(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
         None
     }
 }
 
 /// A hand-off of the same key that another dispatcher has made or may have made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Earlier {
+pub struct PeerAttempt {
     /// Where it went; `None`: it may have gone anywhere.
-    pub place: Option<(ZoneId, CellId)>,
-    pub first: Moment,
+    pub location: Option<(ZoneId, CellId)>,
+    pub first_sent: Timestamp,
 }
 
 /// Whoever knows what other dispatchers did for the same client's request.
-pub trait Others {
+pub trait PeerKnowledge {
     /// An earlier hand-off under the key of this access; it binds the access as one of its own would.
-    fn earlier(&self, _id: RequestId) -> Option<Earlier> {
+    fn earlier_attempt(&self, _id: RequestId) -> Option<PeerAttempt> {
         None
     }
     /// The breaker of a host opened, or let it back.
-    fn turned(&mut self, _now: Moment, _host: HostEntry, _open: bool) {}
+    fn on_breaker_change(&mut self, _now: Timestamp, _host: HostEntry, _open: bool) {}
 }
 
 /// All links are free, nobody counts, and nothing is known of others.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Free;
+pub struct Standalone;
 
-impl Crossings for Free {}
-impl Others for Free {}
+impl CrossingLimits for Standalone {}
+impl PeerKnowledge for Standalone {}
 
 /// Switched on or off while it runs.
-impl<C: Crossings> Crossings for Option<C> {
-    fn heard(&mut self, now: Moment, event: &Event) {
-        self.iter_mut().for_each(|on| on.heard(now, event));
+impl<C: CrossingLimits> CrossingLimits for Option<C> {
+    fn on_event(&mut self, now: Timestamp, event: &Event) {
+        self.iter_mut().for_each(|on| on.on_event(now, event));
     }
 
-    fn room(&self, now: Moment, crossing: &Crossing) -> bool {
-        self.as_ref().is_none_or(|on| on.room(now, crossing))
+    fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
+        self.as_ref().is_none_or(|on| on.has_room(now, crossing))
     }
 
-    fn sent(&mut self, now: Moment, crossing: &Crossing) {
-        self.iter_mut().for_each(|on| on.sent(now, crossing));
+    fn on_sent(&mut self, now: Timestamp, crossing: &Crossing) {
+        self.iter_mut().for_each(|on| on.on_sent(now, crossing));
     }
 
-    fn come_back(&self, now: Moment, track: ClassId) -> Option<Span> {
-        self.as_ref()?.come_back(now, track)
+    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+        self.as_ref()?.retry_after(now, track)
     }
 }
 
-impl<O: Others> Others for Option<O> {
-    fn earlier(&self, id: RequestId) -> Option<Earlier> {
-        self.as_ref()?.earlier(id)
+impl<O: PeerKnowledge> PeerKnowledge for Option<O> {
+    fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
+        self.as_ref()?.earlier_attempt(id)
     }
 
-    fn turned(&mut self, now: Moment, host: HostEntry, open: bool) {
-        self.iter_mut().for_each(|on| on.turned(now, host, open));
+    fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
+        self.iter_mut()
+            .for_each(|on| on.on_breaker_change(now, host, open));
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,5 +1,5 @@
-//! Every decision of a dispatcher, with its tables and tuned values. Call [`Dispatcher::with`] once,
-//! [`Dispatcher::take`] for each event of a batch, then [`Dispatcher::settle`] once: it answers with the
+//! Every decision of a dispatcher, with its tables and tuned values. Call [`Dispatcher::new`] once,
+//! [`Dispatcher::handle_event`] for each event of a batch, then [`Dispatcher::take_actions`] once: it answers with the
 //! actions that lead from what is out, held and timed to what should be.
 //!
 //! The design: a breaker per host over a sliding window, hash order over caches and parents, stale
@@ -10,7 +10,7 @@
 use crate::policy::breaker::*;
 use crate::policy::host::*;
 use crate::policy::permits::{self, EarlierAttempt, SendFacts};
-use crate::policy::refusals::{COME_BACK, GiveUpReason};
+use crate::policy::refusals::{DEFAULT_RETRY_AFTER, GiveUpReason};
 use crate::units::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,16 +20,16 @@
 const SPILL_AT: f64 = 3.0;
 /// Added to a sending time of guessed size. Lower lets large ones crowd caches, higher rejects small.
 const GUESS_MARGIN: f64 = 1.3;
-const HOP: Span = Span::from_millis(40); // what an answer takes besides its sending
-const FILL_WAIT: Span = Span::from_millis(100); // what a fill takes besides its sending
+const HOP: TimeSpan = TimeSpan::from_millis(40); // what an answer takes besides its sending
+const FILL_WAIT: TimeSpan = TimeSpan::from_millis(100); // what a fill takes besides its sending
 /// A hand-off is overdue after this many times its predicted sending and the longer of a part of the track's
 /// due time and so many usual waits for a fill. Lower blames the slow; higher holds on to the silent.
 const PATIENCE: f64 = 1.5;
 const WAIT_OF_DUE: f64 = 0.6;
 const USUAL_WAITS: f64 = 3.0;
-const ORIGIN_WAIT: Span = Span::from_millis(60); // between two hand-offs of an access to the origin
+const ORIGIN_WAIT: TimeSpan = TimeSpan::from_millis(60); // between two hand-offs of an access to the origin
 /// What was known of a host is forgotten so long after it left the list; a late list may name it once more.
-const FORGET: Span = Span::from_secs(60);
+const FORGET: TimeSpan = TimeSpan::from_secs(60);
 const SEEN: usize = 50_000; // so many objects seen are remembered, before all are forgotten
 /// How much faster than an answer a fill runs at least: a fuller link delays answers. Higher fills the link.
 const FILL_PACE: f64 = 1.75;
@@ -39,7 +39,7 @@
 const SLOWNESS_GAIN: f64 = 0.1;
 /// How often a host is probed; what a cache and a parent of untold size is taken for, and for how many busy
 /// seconds that counts. Probes cost hosts work; a larger guess risks cold hosts, a smaller one rejects.
-const PROBE_EVERY: Span = Span::from_secs(2);
+const PROBE_EVERY: TimeSpan = TimeSpan::from_secs(2);
 const FIRST_SIZES: [f64; 3] = [4.0, 16.0, 16.0];
 const FIRST_COUNTS: f64 = 3.0;
 /// Busy seconds remembered of a kind.
@@ -49,18 +49,18 @@
 #[derive(Clone, Copy, Default)]
 struct Purge {
     /// When, on the own clock, at the latest.
-    at: Moment,
+    at: Timestamp,
     /// When it was told.
-    heard: Moment,
+    heard: Timestamp,
     /// When, by the clock that stamps copies.
-    stamp: Option<Moment>,
+    stamp: Option<Timestamp>,
 }
 
 struct Request {
-    asked: Arrival,
+    arrival: Arrival,
     send: f64, // predicted sending time alone, in seconds
-    due: Moment,
-    limit: Moment,
+    due: Timestamp,
+    limit: Timestamp,
     tries: Vec<Try>,
     lacking: bool,
     ended: bool,
@@ -76,8 +76,8 @@
 struct Try {
     plan: Plan,
     held_only: bool,
-    sent: Moment,
-    overdue_at: Moment,
+    sent: Timestamp,
+    overdue_at: Timestamp,
     out: bool,
     may_have_run: bool,
     failed: bool,
@@ -95,16 +95,16 @@
 }
 
 enum Step {
-    Wait(Moment),
+    Wait(Timestamp),
     Send(Plan),
     Withdraw(usize),
     GiveUp(GiveUpReason),
 }
 
-pub struct Dispatcher<C = Free> {
+pub struct Dispatcher<C = Standalone> {
     /// What crosses between zones, and whether there is room for more.
     pub crossings: C,
-    terms: Terms,
+    terms: DispatcherSettings,
     chance: fastrand::Rng,
     hosts: BTreeMap<HostId, Host>,
     caches: Vec<HostId>,
@@ -113,8 +113,8 @@
     accesses: BTreeMap<RequestId, Request>,
     /// Accesses to look at when settling, those to look at later, and the wake-up asked for.
     touched: BTreeSet<RequestId>,
-    timed: BTreeSet<(Moment, RequestId)>,
-    armed: Option<Moment>,
+    timed: BTreeSet<(Timestamp, RequestId)>,
+    armed: Option<Timestamp>,
     purges: BTreeMap<(GroupId, Option<ObjectId>), Purge>,
     seen: BTreeSet<(ObjectId, u32)>,
     sending: Vec<(f64, f64)>, // sending times by track: their sum in seconds and their number
@@ -128,7 +128,7 @@
     zone_size: f64,
     /// By kind, where sizes are not told: what all dispatchers had sent, and the busy seconds it took.
     learnt: BTreeMap<KindId, (f64, f64)>,
-    probe_at: Moment,
+    probe_at: Timestamp,
     probed: HostId,
     actions: Vec<Action>,
 }
@@ -144,14 +144,14 @@
 }
 
 /// Dispatchers in the own zone, or in all where that is not told.
-fn seats(terms: &Terms) -> f64 {
-    let own = terms.seats.get(usize::from(terms.zone.0));
+fn seats(terms: &DispatcherSettings) -> f64 {
+    let own = terms.dispatchers_by_zone.get(usize::from(terms.zone.0));
     f64::from(own.copied().unwrap_or(terms.dispatchers).max(1))
 }
 
-impl<C: Crossings + Others> Dispatcher<C> {
-    pub fn with(crossings: C, terms: Terms, seed: u64) -> Dispatcher<C> {
-        let first_guess = |track: &ClassTerms| (track.due.as_secs_f64() * 0.5, 1.0);
+impl<C: CrossingLimits + PeerKnowledge> Dispatcher<C> {
+    pub fn new(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
+        let first_guess = |track: &ClassSettings| (track.target.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
             crossings,
             chance: fastrand::Rng::with_seed(seed),
@@ -165,7 +165,7 @@
             armed: None,
             purges: BTreeMap::new(),
             seen: BTreeSet::new(),
-            sending: terms.tracks.iter().map(first_guess).collect(),
+            sending: terms.classes.iter().map(first_guess).collect(),
             pooled: Default::default(),
             waits: Histogram::default(),
             fills: Level::default(),
@@ -174,51 +174,55 @@
             at_caches: Level::default(),
             zone_size: 1.0,
             learnt: BTreeMap::new(),
-            probe_at: Moment::default(),
+            probe_at: Timestamp::default(),
             probed: HostId::default(),
-            actions: Vec::from_iter(terms.list_on_request.then_some(Action::FollowList)),
+            actions: Vec::from_iter(
+                terms
+                    .host_list_on_request
+                    .then_some(Action::RequestHostList),
+            ),
             terms,
         }
     }
 
     /// How many hosts it keeps something of, for a check that the table stays bounded.
-    pub fn hosts_kept(&self) -> usize {
+    pub fn tracked_hosts(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Takes one event; nothing goes out before [`Dispatcher::settle`].
-    pub fn take(&mut self, now: Moment, event: Event) {
-        self.crossings.heard(now, &event);
+    /// Takes one event; nothing goes out before [`Dispatcher::take_actions`].
+    pub fn handle_event(&mut self, now: Timestamp, event: Event) {
+        self.crossings.on_event(now, &event);
         match event {
-            Event::Hosts { form, entries } => self.list(now, form, entries),
+            Event::HostList { kind, entries } => self.list(now, kind, entries),
             Event::Arrived(arrival) => self.arrive(now, arrival),
             Event::Outcome(outcome) => self.outcome(now, &outcome),
-            Event::Begun { id, hand_off } => {
-                let begun = self.try_mut(id, hand_off);
+            Event::ResponseStarted { id, attempt } => {
+                let begun = self.try_mut(id, attempt);
                 begun.into_iter().for_each(|t| t.withdrawn = true);
                 self.close(id);
             }
-            Event::Left { id } => self.close(id),
+            Event::ClientGone { id } => self.close(id),
             Event::Probed { host, ending, load } => self.probed(now, host, ending, load),
-            Event::Hinted { host } => (self.hosts.get_mut(&host).into_iter())
+            Event::PeerBreakerOpened { host } => (self.hosts.get_mut(&host).into_iter())
                 .for_each(|host| host.breaker.run = host.breaker.run.max(RUN_ACTS - 1)),
-            Event::Woken { .. } => self.armed = self.armed.filter(|&at| at > now),
+            Event::TimerFired { .. } => self.armed = self.armed.filter(|&at| at > now),
             Event::Purged {
                 object,
                 group,
-                ago,
+                age,
                 stamp,
-            } => self.purged(now, object, group, now - ago, stamp),
+            } => self.purged(now, object, group, now - age, stamp),
         }
     }
 
     fn purged(
         &mut self,
-        now: Moment,
+        now: Timestamp,
         object: Option<ObjectId>,
         group: GroupId,
-        at: Moment,
-        stamp: Option<Moment>,
+        at: Timestamp,
+        stamp: Option<Timestamp>,
     ) {
         let forget = self.forgets_purges_after();
         self.purges.retain(|_, purge| now.since(purge.at) < forget);
@@ -230,13 +234,13 @@
     }
 
     /// By then no host has a copy from before a purge.
-    fn forgets_purges_after(&self) -> Span {
-        self.terms.purge_done.times(3.0)
+    fn forgets_purges_after(&self) -> TimeSpan {
+        self.terms.purge_propagation.mul_f64(3.0)
     }
 
     /// The purges of an object and of its group that still bind.
-    fn purges_of(&self, now: Moment, access: &Request) -> impl Iterator<Item = &Purge> {
-        let (object, group) = (access.asked.object, access.asked.group);
+    fn purges_of(&self, now: Timestamp, access: &Request) -> impl Iterator<Item = &Purge> {
+        let (object, group) = (access.arrival.object, access.arrival.group);
         let keys = [(GroupId::default(), Some(object)), (group, None)];
         let forget = self.forgets_purges_after();
         let known = keys.into_iter().filter_map(|key| self.purges.get(&key));
@@ -245,7 +249,13 @@
 
     /// Rule 5, by stamps alone: whether a copy that was given out then may answer an attempt. A host whose clock is wrong,
     /// or that heeds no age, may answer from before a purge that was told before the attempt went out.
-    pub fn admits_copy(&self, now: Moment, id: RequestId, no: AttemptNo, minted: Moment) -> bool {
+    pub fn admits_copy(
+        &self,
+        now: Timestamp,
+        id: RequestId,
+        no: AttemptNo,
+        minted: Timestamp,
+    ) -> bool {
         let Some(access) = self.accesses.get(&id) else {
             return true;
         };
@@ -255,15 +265,18 @@
         binding.all(|purge| purge.stamp.is_none_or(|stamp| minted > stamp))
     }
 
-    fn list(&mut self, now: Moment, form: ListForm, entries: Vec<HostEntry>) {
-        if form == ListForm::Failed && self.terms.list_on_request {
-            self.actions.push(Action::FollowList);
+    fn list(&mut self, now: Timestamp, form: HostListKind, entries: Vec<HostEntry>) {
+        if form == HostListKind::Failed && self.terms.host_list_on_request {
+            self.actions.push(Action::RequestHostList);
         }
-        let all = self.hosts.values_mut().filter(|_| form == ListForm::Whole);
+        let all = self
+            .hosts
+            .values_mut()
+            .filter(|_| form == HostListKind::Full);
         all.for_each(|host| host.list_as(now, HostState::Gone));
         let mean = self.mean_send();
         let (all, own) = (f64::from(self.terms.dispatchers.max(1)), seats(&self.terms));
-        let (parent, cache) = (self.terms.cold_parent, self.terms.cold_cache);
+        let (parent, cache) = (self.terms.parent_slow_start, self.terms.cache_slow_start);
         for entry in entries {
             let (role, cold, dispatchers) = match Some(entry.kind) {
                 kind if kind == self.terms.parent_kind => (Role::Parent, parent, all),
@@ -277,10 +290,10 @@
                 cold,
                 dispatchers,
                 breaker: Breaker::default(),
-                heard: Moment::default(),
-                slowness: (1.0, Moment::default()),
+                heard: Timestamp::default(),
+                slowness: (1.0, Timestamp::default()),
                 out: 0,
-                size: entry.size,
+                size: entry.capacity,
                 busy: None,
                 done: 0.0,
                 left: now,
@@ -292,7 +305,7 @@
             (host.cold, host.dispatchers) = (cold, dispatchers);
             let first = (FIRST_SIZES[role as usize] * FIRST_COUNTS, FIRST_COUNTS);
             let learnt = *self.learnt.entry(entry.kind).or_insert(first);
-            let told = Some(entry.size).filter(|_| self.terms.sizes_tell);
+            let told = Some(entry.capacity).filter(|_| self.terms.capacities_reported);
             host.size = told.unwrap_or(learnt.0 / learnt.1);
             if before != Some(entry.stamp) {
                 // A fresh process: what its predecessor did is no fault of it. Each dispatcher begins
@@ -316,15 +329,15 @@
     }
 
     /// What hosts say when they are probed: how full the link is, how busy they are, or nothing.
-    fn probed(&mut self, now: Moment, id: HostId, ending: Ending, load: Load) {
+    fn probed(&mut self, now: Timestamp, id: HostId, ending: Ending, load: Load) {
         // A probe that fails blames nobody: hosts answer few at once, and a deep one waits behind accesses.
         let answered = |_: &&mut Host| ending == Ending::Done;
         let Some(host) = self.hosts.get_mut(&id).filter(answered) else {
             return;
         };
-        let told = load.link_full.filter(|_| host.role == Role::Cache);
+        let told = load.link_utilization.filter(|_| host.role == Role::Cache);
         self.link_told = told.unwrap_or(self.link_told);
-        let Some(busy) = load.busy else { return };
+        let Some(busy) = load.utilization else { return };
         let done = std::mem::take(&mut host.done) * host.dispatchers;
         let usual = host.warmth(now) >= 1.0 && !host.sick();
         let before = host.busy.replace((busy, now)).filter(|_| usual);
@@ -334,7 +347,8 @@
             let kept = if learnt.1 > REMEMBERED { 0.5 } else { 1.0 };
             *learnt = (learnt.0 * kept + done, learnt.1 * kept + spent);
             let size = learnt.0 / learnt.1;
-            let untold = |host: &&mut Host| host.entry.kind == kind && !self.terms.sizes_tell;
+            let untold =
+                |host: &&mut Host| host.entry.kind == kind && !self.terms.capacities_reported;
             (self.hosts.values_mut().filter(untold)).for_each(|host| host.size = size);
             self.zone_size = self.caches.iter().map(|id| self.hosts[id].size).sum();
         }
@@ -342,13 +356,13 @@
 
     /// Other terms hold from now on, with the same tracks, zone and effects. What is open, the list with its
     /// rules, purges and breakers stay; what was measured in another unit is learnt afresh.
-    pub fn follow(&mut self, now: Moment, terms: Terms) {
-        let paced = |terms: &Terms| (terms.flow_kb_per_s, terms.sizes_tell);
+    pub fn apply_settings(&mut self, now: Timestamp, terms: DispatcherSettings) {
+        let paced = |terms: &DispatcherSettings| (terms.stream_kb_per_s, terms.capacities_reported);
         if paced(&terms) != paced(&self.terms) {
             self.learnt.clear();
             (self.sending.iter_mut()).for_each(|(sum, n)| (*sum, *n) = (*sum / *n, 1.0));
         }
-        if terms.notes != self.terms.notes {
+        if terms.note_level != self.terms.note_level {
             self.pooled = Default::default();
             (self.hosts.values_mut()).for_each(|host| host.breaker.usual = Default::default());
         }
@@ -356,55 +370,64 @@
         (self.link_told, self.probe_at) = (0.0, now);
         self.terms = terms;
         let entries = self.hosts.values().map(|host| host.entry).collect();
-        self.list(now, ListForm::Changes, entries);
+        self.list(now, HostListKind::Delta, entries);
     }
 
     /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
-    pub fn divide(&mut self, now: Moment, caches: Option<f64>, parents: Option<f64>) {
-        (self.terms.cold_cache.among, self.terms.cold_parent.among) = (caches, parents);
+    pub fn set_slow_start_shares(
+        &mut self,
+        now: Timestamp,
+        caches: Option<f64>,
+        parents: Option<f64>,
+    ) {
+        (
+            self.terms.cache_slow_start.shared_by,
+            self.terms.parent_slow_start.shared_by,
+        ) = (caches, parents);
         let mean = self.mean_send();
         for host in self.hosts.values_mut() {
             let (before, allowance) = (host.among(), host.allowance(now, mean));
-            host.cold.among = [caches, parents][usize::from(host.role != Role::Cache)];
+            host.cold.shared_by = [caches, parents][usize::from(host.role != Role::Cache)];
             host.allowance = ((allowance * host.among() / before).min(SAVED), now);
         }
     }
 
     /// One host after another is asked for its load, each as often as the others.
-    fn probe(&mut self, now: Moment) {
+    fn probe(&mut self, now: Timestamp) {
         let all = || self.caches.iter().chain(&self.parents);
-        if !self.terms.probes || now < self.probe_at {
+        if !self.terms.probes_enabled || now < self.probe_at {
             return;
         }
         let next = all().filter(|id| **id > self.probed).min().or(all().min());
         self.probed = next.copied().unwrap_or_default();
         (self.actions).extend(next.map(|&host| Action::Probe { host }));
-        self.probe_at = now + PROBE_EVERY.times(1.0 / all().count().max(1) as f64);
+        self.probe_at = now + PROBE_EVERY.mul_f64(1.0 / all().count().max(1) as f64);
     }
 
-    fn arrive(&mut self, now: Moment, asked: Arrival) {
-        let track = &self.terms.tracks[usize::from(asked.track.0)];
-        let told = asked.size_kb.map(|kb| kb / self.terms.flow_kb_per_s);
-        let (sum, n) = &mut self.sending[usize::from(asked.track.0)];
+    fn arrive(&mut self, now: Timestamp, arrival: Arrival) {
+        let track = &self.terms.classes[usize::from(arrival.class.0)];
+        let told = arrival.size_kb.map(|kb| kb / self.terms.stream_kb_per_s);
+        let (sum, n) = &mut self.sending[usize::from(arrival.class.0)];
         (*sum, *n) = told.map_or((*sum, *n), |send| (*sum + send, *n + 1.0));
         let send = told.unwrap_or(*sum / *n);
-        let limit = now + asked.left;
+        let limit = now + arrival.time_left;
         let access = Request {
-            asked,
+            arrival,
             send,
-            due: limit.min(now + track.due + Span::from_secs_f64(send * track.due_stretch)),
+            due: limit
+                .min(now + track.target + TimeSpan::from_secs_f64(send * track.target_stretch)),
             limit,
             tries: Vec::new(),
             lacking: false,
             ended: false,
         };
-        self.touched.insert(access.asked.id);
-        self.accesses.insert(access.asked.id, access);
+        self.touched.insert(access.arrival.id);
+        self.accesses.insert(access.arrival.id, access);
     }
 
     /// What a hand-off is charged with: caches count the mean of a track, others the access itself.
     fn work(&self, access: &Request) -> f64 {
-        let (sum, n) = self.sending[usize::from(access.asked.track.0)];
+        let (sum, n) = self.sending[usize::from(access.arrival.class.0)];
         access.send.max(sum / n)
     }
 
@@ -415,14 +438,14 @@
 
     /// Rule 4: whether a host can take this work out of this dispatcher's part. The last may overdraw, or
     /// one of hundreds could never send; the debt is waited off. No work may exceed the whole limit.
-    fn has_budget(&self, now: Moment, id: HostId, work: f64) -> bool {
+    fn has_budget(&self, now: Timestamp, id: HostId, work: f64) -> bool {
         let host = &self.hosts[&id];
         let bears = || host.cost(now, work * COLD_USE) <= host.among();
         host.warmth(now) >= 1.0 || bears() && host.allowance(now, self.mean_send()) >= 0.0
     }
 
-    fn track(&self, access: &Request) -> &ClassTerms {
-        &self.terms.tracks[usize::from(access.asked.track.0)]
+    fn track(&self, access: &Request) -> &ClassSettings {
+        &self.terms.classes[usize::from(access.arrival.class.0)]
     }
 
     fn try_mut(&mut self, id: RequestId, no: AttemptNo) -> Option<&mut Try> {
@@ -438,48 +461,53 @@
     }
 
     fn withdraw(&mut self, id: RequestId, no: usize) {
-        let (hand_off, may) = (AttemptNo(no as u8), self.terms.may_withdraw);
+        let (attempt_no, may) = (AttemptNo(no as u8), self.terms.may_cancel);
         let free = |t: &&mut Try| may && t.out && !t.withdrawn;
-        if let Some(attempt) = self.try_mut(id, hand_off).filter(free) {
+        if let Some(attempt) = self.try_mut(id, attempt_no).filter(free) {
             attempt.withdrawn = true;
-            self.actions.push(Action::Withdraw { id, hand_off });
+            self.actions.push(Action::Cancel {
+                id,
+                attempt: attempt_no,
+            });
         }
     }
 
-    fn outcome(&mut self, now: Moment, outcome: &Outcome) {
+    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let (id, ending) = (outcome.id, outcome.ending);
-        let Some(attempt) = self.try_mut(id, outcome.hand_off).filter(|t| t.out) else {
+        let Some(attempt) = self.try_mut(id, outcome.attempt).filter(|t| t.out) else {
             return;
         };
         let own = attempt.plan.host == attempt.plan.source;
         attempt.out = false;
         attempt.may_have_run = !ending.never_ran();
-        attempt.failed = ending != Ending::Missed;
+        attempt.failed = ending != Ending::Miss;
         let attempt = *attempt;
         self.learn(now, outcome, &attempt);
-        let lacks = ending == Ending::Missed && (attempt.held_only || own);
+        let lacks = ending == Ending::Miss && (attempt.held_only || own);
         (self.accesses.get_mut(&id).into_iter()).for_each(|access| access.lacking |= lacks);
         self.touched.insert(id);
-        if outcome.closed {
+        if outcome.request_closed {
             self.close(id);
         }
     }
 
     /// Tells cache, parent and origin faults apart, by the note or by who else was heard since.
-    fn learn(&mut self, now: Moment, outcome: &Outcome, attempt: &Try) {
+    fn learn(&mut self, now: Timestamp, outcome: &Outcome, attempt: &Try) {
         use {Ending::*, Verdict::*};
-        let (ending, took) = (outcome.ending, outcome.took);
+        let (ending, took) = (outcome.ending, outcome.elapsed);
         let access = &self.accesses[&outcome.id];
-        let (send, size_kb) = (access.send, access.asked.size_kb);
+        let (send, size_kb) = (access.send, access.arrival.size_kb);
         let Plan { host, source, .. } = attempt.plan;
         let own = host == source;
-        let answered = matches!(ending, Done | Error | Full | Missed);
+        let answered = matches!(ending, Done | Error | Full | Miss);
         let hit = matches!(outcome.note, Note::Hit | Note::Stale);
-        let filled = size_kb.is_none() || took > Span::from_secs_f64(send) + HOP;
-        let per = |span: Span| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
+        let filled = size_kb.is_none() || took > TimeSpan::from_secs_f64(send) + HOP;
+        let per = |span: TimeSpan| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
         let per_byte = per(took);
-        let latency = outcome.waited.map_or(per_byte, |waited| waited.0 as f64);
-        let alone = Span::from_secs_f64(send * self.stretch(now, &self.hosts[&host])) + HOP;
+        let latency = outcome
+            .first_byte_latency
+            .map_or(per_byte, |waited| waited.0 as f64);
+        let alone = TimeSpan::from_secs_f64(send * self.stretch(now, &self.hosts[&host])) + HOP;
         let of_cache = self.hosts[&host].role == Role::Cache;
         self.at_caches.add(now, if of_cache { -1.0 } else { 0.0 });
         if let Some(host) = self.hosts.get_mut(&host) {
@@ -488,7 +516,7 @@
             host.done += send * f64::from(u8::from(ending == Done));
             let at_full_pace = host.busy.is_some_and(|(busy, _)| busy < AT_EASE);
             if hit && of_cache && size_kb.is_none() && at_full_pace {
-                let (sum, n) = &mut self.sending[usize::from(access.asked.track.0)];
+                let (sum, n) = &mut self.sending[usize::from(access.arrival.class.0)];
                 (*sum, *n) = (*sum + took.as_secs_f64(), *n + 1.0);
             }
             if hit && of_cache {
@@ -497,10 +525,10 @@
             }
         }
         self.fills.add(now, -attempt.missing);
-        if ending == Done && attempt.missing > 0.0 && outcome.note != Note::Untold {
+        if ending == Done && attempt.missing > 0.0 && outcome.note != Note::NotReported {
             self.missing += (f64::from(u8::from(!hit)) - self.missing) * MISSING_GAIN;
         }
-        let told = outcome.load.link_full.filter(|_| of_cache);
+        let told = outcome.load.link_utilization.filter(|_| of_cache);
         self.link_told = told.unwrap_or(self.link_told);
         if let Some(source) = self.hosts.get_mut(&source).filter(|_| of_cache && !own) {
             source.done += send * f64::from(u8::from(ending == Done && !hit));
@@ -511,11 +539,11 @@
             }
         }
         let good = |latency| Some(Good(latency));
-        let untold = self.terms.notes != NoteLevel::All;
+        let untold = self.terms.note_level != NoteLevel::All;
         let (bad, vague, crowded) = (Some(Bad), Some(Vague), Some(Crowded));
         let alive = good(None).filter(|_| answered);
         let (of_host, of_source, of_origin) = match (ending, outcome.note) {
-            (Error | Lost, _) if !outcome.proven => (None, None, None),
+            (Error | ConnectionLost, _) if !outcome.client_proven => (None, None, None),
             (Done, Note::Filled) => (alive, good(Some(latency)), None),
             (Done, Note::FilledByOrigin) if attempt.blamed => (alive, good(None), vague),
             (Done, Note::FilledByOrigin) => (alive, good(None), good(Some(latency))),
@@ -526,13 +554,13 @@
             (Done, _) if own && attempt.blamed => (vague, None, None),
             // Within its prediction no hit is slow: how many times quicker others were is chance there.
             (Done, _) if own => (good(Some(per_byte.max(per(alone)))), None, None),
-            (Done, Note::Untold) if filled => (alive, good(size_kb.map(|_| latency)), None),
-            (Error, Note::Untold) if !own && self.origin_hides(attempt) => (alive, None, None),
+            (Done, Note::NotReported) if filled => (alive, good(size_kb.map(|_| latency)), None),
+            (Error, Note::NotReported) if !own && self.origin_hides(attempt) => (alive, None, None),
             // Either may be at fault, or one drains before the list tells: who answers others ends its run.
-            (Error, Note::Untold) if !own && untold => (vague, vague, None),
-            (Full, Note::Untold) if !own => (vague, vague, None),
-            (Lost, _) => (vague, None, None),
-            (NoConnection, _) | (Error, Note::Untold) => (bad, None, None),
+            (Error, Note::NotReported) if !own && untold => (vague, vague, None),
+            (Full, Note::NotReported) if !own => (vague, vague, None),
+            (ConnectionLost, _) => (vague, None, None),
+            (NoConnection, _) | (Error, Note::NotReported) => (bad, None, None),
             _ => (alive, None, None),
         };
         let origin = self.origin.filter(|_| of_origin.is_some());
@@ -547,7 +575,7 @@
 
     /// An overdue hand-off is its host's fault if nothing was heard from it since, else its source's if it
     /// was not either, or not lately while another parent was, else an origin's that served none well since.
-    fn blame(&mut self, now: Moment, id: RequestId) {
+    fn blame(&mut self, now: Timestamp, id: RequestId) {
         let late = |t: &&mut Try| t.out && !t.blamed && now >= t.overdue_at;
         let tries = self.accesses.get_mut(&id).map(|access| &mut access.tries);
         let Some(attempt) = tries.and_then(|tries| tries.iter_mut().find(late)) else {
@@ -556,7 +584,7 @@
         attempt.blamed = true;
         let attempt = *attempt;
         let Plan { host, source, .. } = attempt.plan;
-        let lately = attempt.sent + now.since(attempt.sent).times(0.5);
+        let lately = attempt.sent + now.since(attempt.sent).mul_f64(0.5);
         let quiet = |id: &HostId| self.hosts[id].heard <= lately;
         let others = !self.parents.iter().all(quiet);
         let alone = others && quiet(&source) && self.parents.contains(&source);
@@ -578,7 +606,7 @@
         phase.is_some_and(|phase| phase != Phase::Closed) && !attempt.held_only
     }
 
-    fn judge(&mut self, now: Moment, id: HostId, verdict: Option<Verdict>, attempt: &Try) {
+    fn judge(&mut self, now: Timestamp, id: HostId, verdict: Option<Verdict>, attempt: &Try) {
         let role = self.hosts[&id].role;
         let pooled = &mut self.pooled[role as usize];
         let Some(host) = self.hosts.get_mut(&id) else {
@@ -613,7 +641,7 @@
         }
         if before != host.sick() {
             let what = if before { "back by trial" } else { "open" };
-            self.crossings.turned(now, host.entry, !before);
+            self.crossings.on_breaker_change(now, host.entry, !before);
             let text = format!("{role:?} {:x} breaker {what}", id.0);
             self.actions.push(Action::Log { text });
             self.touched.extend(self.accesses.keys());
@@ -621,7 +649,7 @@
     }
 
     /// Emits the difference between what should be out, held and timed and what is.
-    pub fn settle(&mut self, now: Moment) -> Vec<Action> {
+    pub fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
             self.timed.remove(&(at, id));
             self.touched.insert(id);
@@ -645,18 +673,18 @@
             }
         }
         self.probe(now);
-        let probe = Some(self.probe_at).filter(|_| self.terms.probes);
+        let probe = Some(self.probe_at).filter(|_| self.terms.probes_enabled);
         let timed = self.timed.first().map(|&(at, _)| at);
         let next = timed.into_iter().chain(probe).min();
         if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
-            let wake = WakeId(0);
+            let timer = TimerId(0);
             self.armed = Some(at);
-            self.actions.push(Action::Wake { at, wake });
+            self.actions.push(Action::SetTimer { at, timer });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn next_step(&mut self, now: Moment, id: RequestId) -> Step {
+    fn next_step(&mut self, now: Timestamp, id: RequestId) -> Step {
         let access = &self.accesses[&id];
         if now >= access.limit {
             return Step::GiveUp(GiveUpReason::DeadlinePassed);
@@ -668,13 +696,13 @@
             }
             let lost = [attempt.plan.host, attempt.plan.source].map(|id| self.hosts[&id].sick());
             let lost = lost.contains(&true) || self.origin_hides(&attempt);
-            let again = self.terms.may_withdraw && self.track(access).effect == Effect::Idempotent;
+            let again = self.terms.may_cancel && self.track(access).effect == Effect::Idempotent;
             if lost && again && !attempt.withdrawn && attempt.trial_of.is_none() {
                 return Step::Withdraw(no);
             }
             return Step::Wait(access.limit);
         }
-        if access.tries.len() >= self.terms.max_hand_offs {
+        if access.tries.len() >= self.terms.max_attempts {
             return Step::GiveUp(GiveUpReason::AttemptsUsed);
         }
         let last = (access.tries.last()).filter(|last| Some(last.plan.host) == self.origin);
@@ -691,12 +719,12 @@
     fn in_hash_order(&self, access: &Request, role: Role) -> Vec<HostId> {
         // Parts spread over caches, or a long object crowds one; its fills still meet at one parent.
         let (hosts, part) = match role {
-            Role::Cache => (&self.caches, access.asked.part),
+            Role::Cache => (&self.caches, access.arrival.part),
             _ => (&self.parents, 0),
         };
         let score = |id: &HostId| {
-            let size = Some(self.hosts[id].size).filter(|_| self.terms.sizes_tell);
-            let spread = point(access.asked.object, part, *id, 1);
+            let size = Some(self.hosts[id].size).filter(|_| self.terms.capacities_reported);
+            let spread = point(access.arrival.object, part, *id, 1);
             (-spread.max(1e-12).ln() / size.unwrap_or(1.0).max(0.01), *id)
         };
         let mut order: Vec<_> = hosts.iter().map(score).collect();
@@ -704,45 +732,46 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    fn open_to(&self, now: Moment, access: &Request, id: HostId) -> bool {
+    fn open_to(&self, now: Timestamp, access: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let share = match host.role {
-            Role::Origin if self.track(access).written => host.breaker.share().ceil(),
+            Role::Origin if self.track(access).is_write => host.breaker.share().ceil(),
             // There a share is one of bytes: what is large is left out first.
             Role::Origin => host.breaker.share().powf(access.send / self.mean_send()),
             _ => host.breaker.share().min(host.warmth(now)),
         };
-        let within = point(access.asked.object, access.asked.part, id, 2) < share;
+        let within = point(access.arrival.object, access.arrival.part, id, 2) < share;
         let failed = host.role != Role::Origin && access.failed_at(id);
         !failed && (within || host.breaker.wants_trial(now))
     }
 
-    fn plan(&mut self, now: Moment, id: RequestId) -> Result<Plan, GiveUpReason> {
+    fn plan(&mut self, now: Timestamp, id: RequestId) -> Result<Plan, GiveUpReason> {
         for id in self.caches.iter().chain(&self.parents).chain(&self.origin) {
             let host = self.hosts.get_mut(id);
             host.into_iter().for_each(|host| host.breaker.advance(now));
         }
         let access = &self.accesses[&id];
-        let (written, origin) = (self.track(access).written, self.origin);
+        let (written, origin) = (self.track(access).is_write, self.origin);
         let open = origin.filter(|&id| self.open_to(now, access, id));
         if access.lacking && origin.is_none_or(|id| !self.hosts[&id].sick()) {
-            return Err(GiveUpReason::NobodyHoldsIt);
+            return Err(GiveUpReason::NotCached);
         }
-        if (access.lacking || written) && self.terms.straight {
+        if (access.lacking || written) && self.terms.allows_direct {
             let plan = open.map(|host| Plan { host, source: host });
-            return plan.ok_or(GiveUpReason::OriginShut);
+            return plan.ok_or(GiveUpReason::OriginUnavailable);
         }
         let cache = self.pick_cache(now, access);
         if written {
             let plan = cache.zip(open).map(|(host, source)| Plan { host, source });
-            return plan.ok_or(GiveUpReason::OriginShut);
+            return plan.ok_or(GiveUpReason::OriginUnavailable);
         }
         let source = self.pick_source(now, access, cache);
         // With no cache to go to, an access passes them by, straight to where it would be filled.
         let no_use = |id| self.hosts[&id].sick() || !self.has_budget(now, id, self.work(access));
         let lost = |id: &HostId| access.failed_at(*id) || no_use(*id);
         let Some(host) = cache else {
-            let straight = source.filter(|_| self.terms.straight && self.caches.iter().all(lost));
+            let straight =
+                source.filter(|_| self.terms.allows_direct && self.caches.iter().all(lost));
             let host = straight.ok_or(GiveUpReason::NoHostInTime)?;
             let source = open.unwrap_or(host);
             return Ok(Plan { host, source });
@@ -752,7 +781,12 @@
     }
 
     /// The first open parent, or the origin where none is, if a fill from there would be in time.
-    fn pick_source(&self, now: Moment, access: &Request, cache: Option<HostId>) -> Option<HostId> {
+    fn pick_source(
+        &self,
+        now: Timestamp,
+        access: &Request,
+        cache: Option<HostId>,
+    ) -> Option<HostId> {
         let has_room = |id: &HostId| {
             let (host, source) = (cache.unwrap_or(*id), *id);
             let fits = || self.fits(now, access, Plan { host, source });
@@ -761,21 +795,24 @@
         let parents = self.in_hash_order(access, Role::Parent);
         let parent = parents.into_iter().find(has_room);
         let source = parent.or(self.origin.filter(has_room))?;
-        let crowd = Span::from_secs_f64(access.send * self.link_crowd().max(1.0)) + FILL_WAIT;
+        let crowd = TimeSpan::from_secs_f64(access.send * self.link_crowd().max(1.0)) + FILL_WAIT;
         (now + crowd <= access.due).then_some(source)
     }
 
     /// Fills on the zone's link over those that fit at the pace of an answer.
     fn link_crowd(&self) -> f64 {
-        let carries = self.terms.link_kb_per_s.filter(|_| !self.terms.link_told);
+        let carries = self
+            .terms
+            .link_kb_per_s
+            .filter(|_| !self.terms.link_load_reported);
         let each = self.fills.usual * (self.fills.now + 1.0) / (self.fills.usual + 1.0);
-        let under_way = (each + 1.0) * seats(&self.terms) * self.terms.flow_kb_per_s;
+        let under_way = (each + 1.0) * seats(&self.terms) * self.terms.stream_kb_per_s;
         carries.map_or(self.link_told / FILL_PACE, |carries| under_way / carries)
     }
 
     /// How much slower than alone an answer from a cache is predicted to be. What others have there is
     /// the own average, corrected by the own number now the more, the more are usual: less is chance.
-    fn stretch(&self, now: Moment, host: &Host) -> f64 {
+    fn stretch(&self, now: Timestamp, host: &Host) -> f64 {
         if host.role != Role::Cache {
             return 1.0;
         }
@@ -787,15 +824,15 @@
     }
 
     /// The first cache in order with room and, by told sizes, time, else the least crowded, if that is in time.
-    fn pick_cache(&self, now: Moment, access: &Request) -> Option<HostId> {
+    fn pick_cache(&self, now: Timestamp, access: &Request) -> Option<HostId> {
         let mut caches = self.in_hash_order(access, Role::Cache);
         caches.retain(|id| self.has_budget(now, *id, self.work(access)));
         let stretch = |id: &HostId| self.stretch(now, &self.hosts[id]);
         let slow = |id: &HostId| stretch(id) * self.hosts[id].slowness(now);
-        let margin = access.asked.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
-        let told = self.terms.sizes_tell && access.asked.size_kb.is_some();
-        let takes = |id: &HostId| Span::from_secs_f64(access.send * stretch(id) * margin) + HOP;
-        let timely = |id: &HostId| self.track(access).written || now + takes(id) <= access.due;
+        let margin = access.arrival.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
+        let told = self.terms.capacities_reported && access.arrival.size_kb.is_some();
+        let takes = |id: &HostId| TimeSpan::from_secs_f64(access.send * stretch(id) * margin) + HOP;
+        let timely = |id: &HostId| self.track(access).is_write || now + takes(id) <= access.due;
         let near = |id: &HostId| slow(id) <= SPILL_AT && (!told || timely(id));
         let first = |id: &&HostId| near(id) && self.open_to(now, access, **id);
         let usable = |id: &&HostId| !access.failed_at(**id) && !self.hosts[id].sick();
@@ -806,7 +843,7 @@
     }
 
     /// Rule 2: whether what may have run allows a hand-off to this host.
-    fn may_run_again(&self, now: Moment, access: &Request, host: HostId) -> bool {
+    fn may_run_again(&self, now: Timestamp, access: &Request, host: HostId) -> bool {
         let of = |id| (self.hosts[&id].entry.zone, self.hosts[&id].entry.cell);
         let own = access.tries.iter().filter(|t| t.out || t.may_have_run);
         let own = own.map(|t| EarlierAttempt {
@@ -814,10 +851,10 @@
             sent: t.sent,
             out: t.out,
         });
-        let others = self.crossings.earlier(access.asked.id);
+        let others = self.crossings.earlier_attempt(access.arrival.id);
         let others = others.map(|earlier| EarlierAttempt {
-            place: earlier.place,
-            sent: earlier.first,
+            place: earlier.location,
+            sent: earlier.first_sent,
             out: false,
         });
         let effect = self.track(access).effect;
@@ -825,14 +862,14 @@
     }
 
     /// Rule 5: the oldest copy that will do, given the latest purge of the object or its group.
-    fn oldest(&self, now: Moment, access: &Request, stale: bool) -> Option<Span> {
+    fn oldest(&self, now: Timestamp, access: &Request, stale: bool) -> Option<TimeSpan> {
         let track = self.track(access);
         let since = self
             .purges_of(now, access)
             .map(|purge| now.since(purge.at))
             .min();
-        let grace = track.grace.times(f64::from(u8::from(stale)));
-        let aged = track.fresh.filter(|_| stale || since.is_some());
+        let grace = track.stale_grace.mul_f64(f64::from(u8::from(stale)));
+        let aged = track.fresh_for.filter(|_| stale || since.is_some());
         let aged = aged.map(|fresh| fresh + grace);
         since.into_iter().chain(aged).min()
     }
@@ -844,28 +881,28 @@
         // What another zone's host fills for itself crosses no more than its answer does.
         let straight = at != own;
         let (source, from) = if straight { (host, at) } else { (source, fill) };
-        let (asked, hand_off) = (access.asked, AttemptNo(access.tries.len() as u8));
-        let usual = access.send * self.terms.flow_kb_per_s;
+        let (arrival, attempt) = (access.arrival, AttemptNo(access.tries.len() as u8));
+        let usual = access.send * self.terms.stream_kb_per_s;
         (from != own).then(|| Crossing {
-            asked,
-            hand_off,
+            arrival,
+            attempt,
             host,
             source,
             from,
             to: own,
-            kb: asked.size_kb.unwrap_or(usual),
-            join: self.terms.joins && !straight && !self.track(access).written,
+            kb: arrival.size_kb.unwrap_or(usual),
+            join: self.terms.joins_fills && !straight && !self.track(access).is_write,
         })
     }
 
     /// Whether the links between zones have room for it.
-    fn fits(&self, now: Moment, access: &Request, plan: Plan) -> bool {
+    fn fits(&self, now: Timestamp, access: &Request, plan: Plan) -> bool {
         let way = self.crossing(access, plan);
-        way.is_none_or(|way| self.crossings.room(now, &way))
+        way.is_none_or(|way| self.crossings.has_room(now, &way))
     }
 
     /// The one gate that every hand-off passes, with each rule at its own place.
-    fn passes(&self, now: Moment, access: &Request, plan: &Plan) -> bool {
+    fn passes(&self, now: Timestamp, access: &Request, plan: &Plan) -> bool {
         let (host, source) = (&self.hosts[&plan.host], &self.hosts[&plan.source]);
         let own = plan.host == plan.source;
         // Rule 1: nothing goes out for an access that has ended or whose client has given up.
@@ -884,16 +921,19 @@
         may && self.fits(now, access, *plan)
     }
 
-    fn send(&mut self, now: Moment, id: RequestId, plan: Plan) {
+    fn send(&mut self, now: Timestamp, id: RequestId, plan: Plan) {
         let access = &self.accesses[&id];
         if !self.passes(now, access, &plan) {
             return self.give_up(now, id, GiveUpReason::NotPermitted);
         }
-        let written = self.track(access).written;
+        let written = self.track(access).is_write;
         if self.seen.len() >= SEEN {
             self.seen.clear();
         }
-        let seen = !written && !self.seen.insert((access.asked.object, access.asked.part));
+        let seen = !written
+            && !self
+                .seen
+                .insert((access.arrival.object, access.arrival.part));
         let way = self.crossing(access, plan);
         let (track, host) = (self.track(access), &self.hosts[&plan.host]);
         let (own, of_cache) = (plan.host == plan.source, host.role == Role::Cache);
@@ -904,16 +944,19 @@
         let fill = Fill {
             source: plan.source,
             rank: u8::from(!written) + u8::from(seen),
-            oldest: self.oldest(now, access, stale),
-            join: self.terms.joins && !own,
-            held_only,
-            renew: track.fresh.is_some() && !stale,
+            max_age: self.oldest(now, access, stale),
+            join: self.terms.joins_fills && !own,
+            only_if_cached: held_only,
+            revalidate: track.fresh_for.is_some() && !stale,
         };
         let fill = Some(fill).filter(|_| host.role != Role::Origin);
-        let sending = Span::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
+        let sending = TimeSpan::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
         let usual = self.waits.above(2).map_or(0.0, |wait| wait * USUAL_WAITS);
-        let wait = track.due.times(WAIT_OF_DUE).max(Span(usual as u64));
-        let overdue_at = now + sending.times(PATIENCE) + wait;
+        let wait = track
+            .target
+            .mul_f64(WAIT_OF_DUE)
+            .max(TimeSpan(usual as u64));
+        let overdue_at = now + sending.mul_f64(PATIENCE) + wait;
         let fills = if of_cache { self.missing } else { 1.0 };
         let none = written || own && of_cache;
         let missing = if none { 0.0 } else { fills };
@@ -944,30 +987,34 @@
                 ..Try::default()
             });
         }
-        way.iter().for_each(|way| self.crossings.sent(now, way));
+        way.iter().for_each(|way| self.crossings.on_sent(now, way));
         let (actions, host) = (&mut self.actions, plan.host);
         actions.push(Action::Attempt(Attempt { id, host, fill }));
     }
 
     /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
-    pub fn come_back(&mut self, now: Moment, track: ClassId) -> Option<Span> {
-        let longest = self.terms.longest_away?;
-        let full = self.crossings.come_back(now, track);
-        let usual = full.map_or(COME_BACK, |full| full.max(COME_BACK));
-        Some(usual.times(0.75 + 0.5 * self.chance.f64()).min(longest))
+    pub fn retry_after(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+        let longest = self.terms.max_retry_after?;
+        let full = self.crossings.retry_after(now, track);
+        let usual = full.map_or(DEFAULT_RETRY_AFTER, |full| full.max(DEFAULT_RETRY_AFTER));
+        Some(usual.mul_f64(0.75 + 0.5 * self.chance.f64()).min(longest))
     }
 
     /// The final answer where nothing more can be done: a rejection where trying again is harmless.
-    fn give_up(&mut self, now: Moment, id: RequestId, why: GiveUpReason) {
+    fn give_up(&mut self, now: Timestamp, id: RequestId, reason: GiveUpReason) {
         let access = &self.accesses[&id];
         let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
-        let ran = ran || self.crossings.earlier(id).is_some();
+        let ran = ran || self.crossings.earlier_attempt(id).is_some();
         let harmless = permits::may_refuse(self.track(access).effect, ran);
-        let track = access.asked.track;
-        let come_back = self.come_back(now, track);
+        let track = access.arrival.class;
+        let retry_after = self.retry_after(now, track);
         self.actions.push(match harmless {
-            true => Action::Refuse { id, come_back, why },
-            false => Action::Fail { id, why },
+            true => Action::Refuse {
+                id,
+                retry_after,
+                reason,
+            },
+            false => Action::Fail { id, reason },
         });
         self.close(id);
     }
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,7 +1,7 @@
 //! The design's breaker, one for each cache, parent and origin: a sliding window of first-byte latencies, a time open, one
 //! trial, then a rising share.
 
-use crate::units::{Moment, Span};
+use crate::units::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
 /// The design's window, in slots of a second.
@@ -9,11 +9,11 @@
 /// A window of fewer fills says nothing.
 pub(crate) const LEAST_FILLS: u32 = 10;
 /// How long a host stays open at first. Longer starves a healed host, shorter costs trials.
-pub(crate) const OPEN_FOR: Span = Span::from_secs(10);
+pub(crate) const OPEN_FOR: TimeSpan = TimeSpan::from_secs(10);
 /// A trial's first byte must come within this; the share it leads to, and how soon that doubles.
-pub(crate) const TRIAL_WITHIN: Span = Span::from_secs(1);
+pub(crate) const TRIAL_WITHIN: TimeSpan = TimeSpan::from_secs(1);
 pub(crate) const FIRST_SHARE: f64 = 0.05;
-pub(crate) const DOUBLING: Span = Span::from_secs(2);
+pub(crate) const DOUBLING: TimeSpan = TimeSpan::from_secs(2);
 /// Failures in a row open a breaker from this weight on, or leave a crowded host this part of its share:
 /// a hard one has 4, one overdue, lost or maybe another's 2, a slow one 1. Lower acts on chance, higher late.
 pub(crate) const RUN_ACTS: u32 = 10;
@@ -52,10 +52,10 @@
 pub(crate) enum Phase {
     #[default]
     Closed,
-    Open(Moment),
+    Open(Timestamp),
     Trial,
     /// The share, when it doubles next, and whether all went well since it last did.
-    Ramp(f64, Moment, bool),
+    Ramp(f64, Timestamp, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -84,7 +84,7 @@
     pub(crate) pending: Vec<f64>,
     pub(crate) phase: Phase,
     pub(crate) run: u32,
-    pub(crate) well: Moment,
+    pub(crate) well: Timestamp,
 }
 
 impl Breaker {
@@ -93,7 +93,7 @@
         self.slots.iter().fold((0, 0), add)
     }
 
-    pub(crate) fn advance(&mut self, now: Moment) {
+    pub(crate) fn advance(&mut self, now: Timestamp) {
         let second = now.0 / 1_000_000;
         if self.slots.back().is_none_or(|last| last.second != second) {
             let (good, failed) = self.counts();
@@ -127,12 +127,12 @@
         }
     }
 
-    pub(crate) fn wants_trial(&self, now: Moment) -> bool {
+    pub(crate) fn wants_trial(&self, now: Timestamp) -> bool {
         matches!(self.phase, Phase::Open(until) if now >= until)
     }
 
     /// Counts an outcome: 0 is a good one, else how much it weighs in a run of failures.
-    pub(crate) fn judge(&mut self, now: Moment, weighs: u32, crowded: bool) {
+    pub(crate) fn judge(&mut self, now: Timestamp, weighs: u32, crowded: bool) {
         self.advance(now);
         let bad = weighs > 0;
         self.run = if bad { self.run + weighs } else { 0 };
@@ -154,7 +154,7 @@
         }
     }
 
-    pub(crate) fn turn(&mut self, now: Moment, phase: Phase) {
+    pub(crate) fn turn(&mut self, now: Timestamp, phase: Phase) {
         (self.phase, self.run, self.well) = (phase, 0, now);
         self.slots.clear();
     }
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -5,17 +5,17 @@
 //! connection or for room in a buffer, and count what they find to have been done against a rule.
 
 use crate::interface::Effect;
-use crate::units::{CellId, Moment, Span, ZoneId};
+use crate::units::{CellId, TimeSpan, Timestamp, ZoneId};
 
 /// A client that has ended its side of the connection counts as gone after this: what it sent just before may still begin,
 /// as nobody can tell a close from a half-close. The operators allow 0.1 s; the rest is for the way to the host.
-pub const CLIENT_GONE_AFTER: Span = Span::from_millis(50);
+pub const CLIENT_GONE_AFTER: TimeSpan = TimeSpan::from_millis(50);
 /// By how much a deadline that is passed on may exceed what the client has left by the time it is written.
-pub const DEADLINE_SLACK: Span = Span::from_millis(100);
+pub const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(100);
 
 /// Why something may not be done now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum Denial {
     /// The request has its final answer, or its client cancelled it.
     Answered,
     /// The client has closed its connection.
@@ -33,18 +33,18 @@
     SourceNotReady,
 }
 
-impl Denied {
+impl Denial {
     /// One word for logs and counters.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Denied::Answered => "answered",
-            Denied::ClientGone => "client_gone",
-            Denied::DeadlinePassed => "deadline_passed",
-            Denied::RepeatWindowOver => "repeat_window_over",
-            Denied::MayHaveRun => "may_have_run",
-            Denied::OtherRepeatGroup => "other_repeat_group",
-            Denied::HostNotReady => "host_not_ready",
-            Denied::SourceNotReady => "source_not_ready",
+            Denial::Answered => "answered",
+            Denial::ClientGone => "client_gone",
+            Denial::DeadlinePassed => "deadline_passed",
+            Denial::RepeatWindowOver => "repeat_window_over",
+            Denial::MayHaveRun => "may_have_run",
+            Denial::OtherRepeatGroup => "other_repeat_group",
+            Denial::HostNotReady => "host_not_ready",
+            Denial::SourceNotReady => "source_not_ready",
         }
     }
 }
@@ -60,57 +60,57 @@
     /// It has its final answer, was cancelled, or its client's connection is over.
     pub answered: bool,
     /// When its client ended its side of the connection.
-    pub client_closed: Option<Moment>,
-    pub deadline: Moment,
+    pub client_closed: Option<Timestamp>,
+    pub deadline: Timestamp,
     /// Until when a repeat of what may have run is recognised.
-    pub repeat_by: Option<Moment>,
+    pub repeat_by: Option<Timestamp>,
 }
 
 /// Whether the first byte of an attempt may go out now.
 ///
 /// ```
-/// use trailproxy::policy::permits::{Denied, SendFacts, may_send};
-/// use trailproxy::units::Moment;
+/// use trailproxy::policy::permits::{Denial, SendFacts, may_send};
+/// use trailproxy::units::Timestamp;
 /// let facts = SendFacts {
 ///     answered: false,
-///     client_closed: Some(Moment(1_000)),
-///     deadline: Moment(900_000),
+///     client_closed: Some(Timestamp(1_000)),
+///     deadline: Timestamp(900_000),
 ///     repeat_by: None,
 /// };
-/// assert_eq!(may_send(Moment(2_000), &facts), Ok(()));
-/// assert_eq!(may_send(Moment(60_000), &facts), Err(Denied::ClientGone));
+/// assert_eq!(may_send(Timestamp(2_000), &facts), Ok(()));
+/// assert_eq!(may_send(Timestamp(60_000), &facts), Err(Denial::ClientGone));
 /// ```
-pub fn may_send(now: Moment, facts: &SendFacts) -> Result<(), Denied> {
+pub fn may_send(now: Timestamp, facts: &SendFacts) -> Result<(), Denial> {
     if facts.answered {
-        return Err(Denied::Answered);
+        return Err(Denial::Answered);
     }
-    let gone = |closed: Moment| now >= closed + CLIENT_GONE_AFTER;
+    let gone = |closed: Timestamp| now >= closed + CLIENT_GONE_AFTER;
     if facts.client_closed.is_some_and(gone) {
-        return Err(Denied::ClientGone);
+        return Err(Denial::ClientGone);
     }
     if now >= facts.deadline {
-        return Err(Denied::DeadlinePassed);
+        return Err(Denial::DeadlinePassed);
     }
     if facts.repeat_by.is_some_and(|by| now >= by) {
-        return Err(Denied::RepeatWindowOver);
+        return Err(Denial::RepeatWindowOver);
     }
     Ok(())
 }
 
 /// The operators' own bound for a client that has closed, which no attempt may begin behind.
-const CLIENT_GONE_AT_MOST: Span = Span::from_millis(100);
+const CLIENT_GONE_AT_MOST: TimeSpan = TimeSpan::from_millis(100);
 
 /// Whether an attempt that began now broke a rule, by the operators' own bounds. The check behind the act.
-pub fn begun_against_a_rule(now: Moment, facts: &SendFacts) -> bool {
-    let gone = |closed: Moment| now > closed + CLIENT_GONE_AT_MOST;
+pub fn begun_against_a_rule(now: Timestamp, facts: &SendFacts) -> bool {
+    let gone = |closed: Timestamp| now > closed + CLIENT_GONE_AT_MOST;
     facts.answered || now > facts.deadline || facts.client_closed.is_some_and(gone)
 }
 
 /// Whether a host, and whatever fills a miss there, may be given anything new.
-pub fn may_use(host_ready: bool, source_ready: bool) -> Result<(), Denied> {
+pub fn may_use(host_ready: bool, source_ready: bool) -> Result<(), Denial> {
     match (host_ready, source_ready) {
-        (false, _) => Err(Denied::HostNotReady),
-        (true, false) => Err(Denied::SourceNotReady),
+        (false, _) => Err(Denial::HostNotReady),
+        (true, false) => Err(Denial::SourceNotReady),
         (true, true) => Ok(()),
     }
 }
@@ -120,28 +120,28 @@
 pub struct EarlierAttempt {
     /// Where it went; `None`: it may have gone anywhere.
     pub place: Option<(ZoneId, CellId)>,
-    pub sent: Moment,
+    pub sent: Timestamp,
     pub out: bool,
 }
 
 /// Whether a further attempt may go to a place, after these.
 pub fn may_repeat(
-    now: Moment,
+    now: Timestamp,
     effect: Effect,
     earlier: impl Iterator<Item = EarlierAttempt>,
     to: (ZoneId, CellId),
-) -> Result<(), Denied> {
+) -> Result<(), Denial> {
     for attempt in earlier {
         match effect {
             // It is withdrawn before it goes out again: never two at once.
-            Effect::Idempotent if attempt.out => return Err(Denied::MayHaveRun),
+            Effect::Idempotent if attempt.out => return Err(Denial::MayHaveRun),
             Effect::Idempotent => {}
-            Effect::NonIdempotent => return Err(Denied::MayHaveRun),
+            Effect::NonIdempotent => return Err(Denial::MayHaveRun),
             Effect::Keyed { group, .. } if !group.covers(attempt.place, to) => {
-                return Err(Denied::OtherRepeatGroup);
+                return Err(Denial::OtherRepeatGroup);
             }
             Effect::Keyed { window, .. } if now >= attempt.sent + window => {
-                return Err(Denied::RepeatWindowOver);
+                return Err(Denial::RepeatWindowOver);
             }
             Effect::Keyed { .. } => {}
         }
@@ -160,12 +160,12 @@
 }
 
 /// The deadline to pass on with an attempt that is written now: what the client has left.
-pub fn deadline_to_pass(now: Moment, deadline: Moment) -> Span {
+pub fn deadline_to_pass(now: Timestamp, deadline: Timestamp) -> TimeSpan {
     deadline.since(now)
 }
 
 /// Whether an attempt may still go out with the deadline that was written into it some time ago.
-pub fn deadline_still_holds(now: Moment, written_at: Moment) -> bool {
+pub fn deadline_still_holds(now: Timestamp, written_at: Timestamp) -> bool {
     now.since(written_at) < DEADLINE_SLACK
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -11,9 +11,9 @@
 use trailproxy::units::*;
 
 const COLD: HostId = CACHES[0];
-const START: Moment = Moment(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 /// How long a cold host is watched: as long as it takes to warm up.
-const WATCHED: Span = Span::from_secs(30);
+const WATCHED: TimeSpan = TimeSpan::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Traffic {
@@ -62,35 +62,35 @@
 /// Who counts from outside: what came to the cold host within the time of the rule.
 struct Outside {
     case: Case,
-    recent: VecDeque<(Moment, f64)>,
+    recent: VecDeque<(Timestamp, f64)>,
     sum: f64,
     /// The worst share of what it bears with chance on top.
     worst: f64,
     /// How often, in windows that do not overlap, it was over that.
     over: u32,
-    last_over: Option<Moment>,
+    last_over: Option<Timestamp>,
     given: f64,
 }
 
 impl Outside {
-    fn takes(&mut self, now: Moment, work: f64, terms: &Terms) {
-        let cold = &terms.cold_cache;
+    fn takes(&mut self, now: Timestamp, work: f64, terms: &DispatcherSettings) {
+        let cold = &terms.cache_slow_start;
         self.recent.push_back((now, work));
         self.sum += work;
         self.given += work;
         while let Some((_, old)) = self
             .recent
-            .pop_front_if(|(at, _)| now.since(*at) > cold.fall_after)
+            .pop_front_if(|(at, _)| now.since(*at) > cold.overload_window)
         {
             self.sum -= old;
         }
-        let age = now.since(START).as_secs_f64() / cold.warm_after.as_secs_f64();
-        let warmth = cold.from + (1.0 - cold.from) * age.min(1.0);
-        let n = self.case.bears * warmth / cold.from;
+        let age = now.since(START).as_secs_f64() / cold.duration.as_secs_f64();
+        let warmth = cold.initial_capacity + (1.0 - cold.initial_capacity) * age.min(1.0);
+        let n = self.case.bears * warmth / cold.initial_capacity;
         let may = n + 2.0 * n.sqrt() + 2.0;
         let share = self.sum / may;
         self.worst = self.worst.max(share);
-        let apart = |at: Moment| now.since(at) > cold.fall_after;
+        let apart = |at: Timestamp| now.since(at) > cold.overload_window;
         if share > 1.0 && self.last_over.is_none_or(apart) {
             self.over += 1;
             self.last_over = Some(now);
@@ -101,36 +101,39 @@
 /// One dispatcher and what it has out.
 struct Process {
     dispatcher: Dispatcher,
-    told_at: Moment,
-    wakes: BTreeSet<Moment>,
-    out: VecDeque<(Moment, RequestId, AttemptNo)>,
+    told_at: Timestamp,
+    wakes: BTreeSet<Timestamp>,
+    out: VecDeque<(Timestamp, RequestId, AttemptNo)>,
     /// In requests of mean work.
     works: BTreeMap<RequestId, f64>,
     rate: f64,
 }
 
-fn case_terms(case: Case) -> Terms {
+fn case_terms(case: Case) -> DispatcherSettings {
     let mut terms = terms();
     terms.dispatchers = case.processes;
-    terms.seats = vec![0, case.processes];
-    terms.cold_cache.warm_after = WATCHED;
-    terms.straight = !case.all_cold;
+    terms.dispatchers_by_zone = vec![0, case.processes];
+    terms.cache_slow_start.duration = WATCHED;
+    terms.allows_direct = !case.all_cold;
     // Of no matter here: nothing is late, and the link has room.
     // What is guessed before any is seen is twice the mean.
-    terms.tracks.truncate(1);
-    terms.tracks[0].due = Span::from_secs_f64(mean_work(case, &terms) * 4.0);
-    terms.tracks[0].due_stretch = 50.0;
+    terms.classes.truncate(1);
+    terms.classes[0].target = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
+    terms.classes[0].target_stretch = 50.0;
     terms
 }
 
 /// The mean work of a request, in seconds of sending at full pace.
-fn mean_work(case: Case, terms: &Terms) -> f64 {
-    let cold = &terms.cold_cache;
-    let told = cold.fall_multiple * cold.from * cold.fall_after.as_secs_f64() * entry(COLD).size;
+fn mean_work(case: Case, terms: &DispatcherSettings) -> f64 {
+    let cold = &terms.cache_slow_start;
+    let told = cold.overload_factor
+        * cold.initial_capacity
+        * cold.overload_window.as_secs_f64()
+        * entry(COLD).capacity;
     told / case.bears
 }
 
-fn entries(case: Case, now: Moment, told: bool) -> Vec<HostEntry> {
+fn entries(case: Case, now: Timestamp, told: bool) -> Vec<HostEntry> {
     let all = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
     let is_cold = |host| host == COLD || case.all_cold && CACHES.contains(&host);
     let of = |&host: &HostId| HostEntry {
@@ -141,29 +144,29 @@
     all.map(of).collect()
 }
 
-fn begin(case: Case, terms: &Terms, seed: u64, now: Moment, rate: f64) -> Process {
+fn begin(case: Case, terms: &DispatcherSettings, seed: u64, now: Timestamp, rate: f64) -> Process {
     let mut chance = fastrand::Rng::with_seed(seed);
-    let mut dispatcher = Dispatcher::with(Free, terms.clone(), seed);
+    let mut dispatcher = Dispatcher::new(Standalone, terms.clone(), seed);
     let late = if case.told_late {
         chance.f64() * 2.0
     } else {
         0.0
     };
-    let told_at = (START + Span::from_secs_f64(late)).max(now);
+    let told_at = (START + TimeSpan::from_secs_f64(late)).max(now);
     let list = entries(case, now, now >= told_at);
-    let form = ListForm::Whole;
+    let kind = HostListKind::Full;
     // Before it is told, the host is not on its list.
     let entries = list
         .into_iter()
         .filter(|e| e.host != COLD || now >= told_at);
-    dispatcher.take(
+    dispatcher.handle_event(
         now,
-        Event::Hosts {
-            form,
+        Event::HostList {
+            kind,
             entries: entries.collect(),
         },
     );
-    dispatcher.settle(now);
+    dispatcher.take_actions(now);
     Process {
         dispatcher,
         told_at,
@@ -178,7 +181,7 @@
     let mut chance = fastrand::Rng::with_seed(seed);
     let terms = case_terms(case);
     let mean = mean_work(case, &terms);
-    let span = terms.cold_cache.fall_after.as_secs_f64();
+    let span = terms.cache_slow_start.overload_window.as_secs_f64();
     let n = case.processes as usize;
     let weights: Vec<f64> = (0..n)
         .map(|i| {
@@ -192,7 +195,7 @@
     let all: f64 = weights.iter().sum();
     // The caches share the objects evenly.
     let rate = case.load * case.bears / span * CACHES.len() as f64;
-    let before = Moment(START.0 - 100_000);
+    let before = Timestamp(START.0 - 100_000);
     let mut processes: Vec<Process> = (0..n)
         .map(|i| {
             begin(
@@ -216,8 +219,8 @@
     let (mut now, mut next_id, mut wanted) = (before, 0, 0.0);
     // Asked, and sent on.
     let (mut large_ones, mut all_ones) = ([0.0; 2], [0.0; 2]);
-    let step = Span::from_millis(10);
-    let restart_at = START + Span::from_secs(5);
+    let step = TimeSpan::from_millis(10);
+    let restart_at = START + TimeSpan::from_secs(5);
     while now < START + WATCHED {
         let was = now;
         now = now + step;
@@ -227,29 +230,29 @@
             }
             let mut events = Vec::new();
             if was < process.told_at && now >= process.told_at {
-                let (form, entries) = (ListForm::Whole, entries(case, now, true));
-                events.push(Event::Hosts { form, entries });
+                let (kind, entries) = (HostListKind::Full, entries(case, now, true));
+                events.push(Event::HostList { kind, entries });
                 if case.planted {
                     outside.takes(now, 1.0, &terms);
                 }
             }
-            let later = process.wakes.split_off(&Moment(now.0 + 1));
+            let later = process.wakes.split_off(&Timestamp(now.0 + 1));
             let due = std::mem::replace(&mut process.wakes, later);
-            events.extend(due.iter().map(|_| Event::Woken { wake: WakeId(0) }));
-            while let Some((_, id, hand_off)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
-                let took = Span::from_millis(40);
+            events.extend(due.iter().map(|_| Event::TimerFired { timer: TimerId(0) }));
+            while let Some((_, id, attempt)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
+                let elapsed = TimeSpan::from_millis(40);
                 let (ending, note) = (Ending::Done, Note::Hit);
                 events.push(Event::Outcome(Outcome {
                     id,
-                    hand_off,
+                    attempt,
                     ending,
-                    took,
-                    closed: true,
+                    elapsed,
+                    request_closed: true,
                     note,
-                    waited: None,
+                    first_byte_latency: None,
                     load: Load::default(),
-                    proven: true,
-                    came_kb: None,
+                    client_proven: true,
+                    received_kb: None,
                 }));
             }
             let since = now.since(START).as_secs_f64();
@@ -275,12 +278,12 @@
                 large_ones[0] += f64::from(u8::from(large));
                 events.push(Event::Arrived(Arrival {
                     id: RequestId(next_id),
-                    left: Span::from_secs(60),
-                    track: READS,
+                    time_left: TimeSpan::from_secs(60),
+                    class: READS,
                     object: ObjectId(chance.u64(..)),
                     group: GroupId(0),
                     part: 0,
-                    size_kb: Some(size * mean * terms.flow_kb_per_s),
+                    size_kb: Some(size * mean * terms.stream_kb_per_s),
                 }));
             }
             if events.is_empty() {
@@ -288,20 +291,20 @@
             }
             events
                 .into_iter()
-                .for_each(|event| process.dispatcher.take(now, event));
-            for action in process.dispatcher.settle(now) {
+                .for_each(|event| process.dispatcher.handle_event(now, event));
+            for action in process.dispatcher.take_actions(now) {
                 match action {
-                    Action::Attempt(hand_off) => {
-                        let done = now + Span::from_millis(40);
-                        process.out.push_back((done, hand_off.id, AttemptNo(0)));
-                        let work = process.works[&hand_off.id];
+                    Action::Attempt(attempt) => {
+                        let done = now + TimeSpan::from_millis(40);
+                        process.out.push_back((done, attempt.id, AttemptNo(0)));
+                        let work = process.works[&attempt.id];
                         all_ones[1] += 1.0;
                         large_ones[1] += f64::from(u8::from(work > 1.0));
-                        if hand_off.host == COLD {
+                        if attempt.host == COLD {
                             outside.takes(now, work, &terms);
                         }
                     }
-                    Action::Wake { at, .. } => {
+                    Action::SetTimer { at, .. } => {
                         process.wakes.insert(at);
                     }
                     _ => {}
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -18,28 +18,28 @@
 struct Notes {
     full: bool,
     full_from: Vec<HostId>,
-    away: Option<Span>,
+    away: Option<TimeSpan>,
     sent: Vec<Crossing>,
     heard: usize,
 }
 
-impl Others for Gate {}
+impl PeerKnowledge for Gate {}
 
-impl Crossings for Gate {
-    fn heard(&mut self, _now: Moment, _event: &Event) {
+impl CrossingLimits for Gate {
+    fn on_event(&mut self, _now: Timestamp, _event: &Event) {
         self.0.borrow_mut().heard += 1;
     }
 
-    fn room(&self, _now: Moment, crossing: &Crossing) -> bool {
+    fn has_room(&self, _now: Timestamp, crossing: &Crossing) -> bool {
         let notes = self.0.borrow();
         !notes.full && !notes.full_from.contains(&crossing.source)
     }
 
-    fn sent(&mut self, _now: Moment, crossing: &Crossing) {
+    fn on_sent(&mut self, _now: Timestamp, crossing: &Crossing) {
         self.0.borrow_mut().sent.push(*crossing);
     }
 
-    fn come_back(&self, _now: Moment, _track: ClassId) -> Option<Span> {
+    fn retry_after(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
         self.0.borrow().away
     }
 }
@@ -47,20 +47,20 @@
 struct Desk {
     gate: Gate,
     dispatcher: Dispatcher<Gate>,
-    now: Moment,
+    now: Timestamp,
     next: u64,
 }
 
 impl Desk {
-    fn new(terms: Terms) -> Desk {
+    fn new(terms: DispatcherSettings) -> Desk {
         let gate = Gate::default();
-        let mut dispatcher = Dispatcher::with(gate.clone(), terms, 1);
-        let now = Moment(1_000_000_000);
+        let mut dispatcher = Dispatcher::new(gate.clone(), terms, 1);
+        let now = Timestamp(1_000_000_000);
         let hosts = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
         let entries = hosts.map(|&host| entry(host)).collect();
-        let form = ListForm::Whole;
-        dispatcher.take(now, Event::Hosts { form, entries });
-        dispatcher.settle(now);
+        let kind = HostListKind::Full;
+        dispatcher.handle_event(now, Event::HostList { kind, entries });
+        dispatcher.take_actions(now);
         Desk {
             gate,
             dispatcher,
@@ -69,44 +69,46 @@
         }
     }
 
-    fn arrive(&mut self, track: ClassId, object: u64) -> (RequestId, Vec<Action>) {
+    fn arrive(&mut self, class: ClassId, object: u64) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let id = RequestId(self.next);
         let arrival = Arrival {
             id,
-            left: Span::from_secs(3),
-            track,
+            time_left: TimeSpan::from_secs(3),
+            class,
             object: ObjectId(object),
             group: GroupId(1),
             part: 0,
             size_kb: Some(40.0),
         };
-        self.dispatcher.take(self.now, Event::Arrived(arrival));
-        (id, self.dispatcher.settle(self.now))
+        self.dispatcher
+            .handle_event(self.now, Event::Arrived(arrival));
+        (id, self.dispatcher.take_actions(self.now))
     }
 
     fn end(&mut self, id: RequestId, no: u8, ending: Ending, note: Note) -> Vec<Action> {
         self.now = self.now + ms(10);
         let outcome = Outcome {
             id,
-            hand_off: AttemptNo(no),
+            attempt: AttemptNo(no),
             ending,
-            took: ms(10),
-            closed: ending == Ending::Done,
+            elapsed: ms(10),
+            request_closed: ending == Ending::Done,
             note,
-            waited: None,
+            first_byte_latency: None,
             load: Load::default(),
-            proven: true,
-            came_kb: None,
+            client_proven: true,
+            received_kb: None,
         };
-        self.dispatcher.take(self.now, Event::Outcome(outcome));
-        self.dispatcher.settle(self.now)
+        self.dispatcher
+            .handle_event(self.now, Event::Outcome(outcome));
+        self.dispatcher.take_actions(self.now)
     }
 }
 
 fn handed(actions: &[Action]) -> Option<Attempt> {
     actions.iter().find_map(|action| match action {
-        Action::Attempt(hand_off) => Some(hand_off.clone()),
+        Action::Attempt(attempt) => Some(attempt.clone()),
         _ => None,
     })
 }
@@ -115,16 +117,16 @@
 fn a_fill_that_goes_out_is_told_once_with_its_way() {
     let mut desk = Desk::new(terms());
     let (id, actions) = desk.arrive(READS, 5);
-    let hand_off = handed(&actions).expect("a hand-off");
+    let attempt = handed(&actions).expect("a hand-off");
     let notes = desk.gate.0.borrow();
     let [way] = notes.sent[..] else {
         panic!("{:?}", notes.sent);
     };
-    assert_eq!((way.asked.id, way.hand_off), (id, AttemptNo(0)));
+    assert_eq!((way.arrival.id, way.attempt), (id, AttemptNo(0)));
     assert_eq!((way.from, way.to, way.kb), (ZoneId(0), ZoneId(1), 40.0));
     assert_eq!(
         (way.host, Some(way.source)),
-        (hand_off.host, hand_off.fill.map(|fill| fill.source))
+        (attempt.host, attempt.fill.map(|fill| fill.source))
     );
     assert!(way.join && notes.heard >= 2);
 }
@@ -151,11 +153,11 @@
     let mut desk = Desk::new(terms());
     desk.gate.0.borrow_mut().full = true;
     let (id, actions) = desk.arrive(READS, 5);
-    let hand_off = handed(&actions).expect("a hand-off");
-    let fill = hand_off.fill.expect("told how old a copy may be");
-    assert_eq!(fill.source, hand_off.host);
+    let attempt = handed(&actions).expect("a hand-off");
+    let fill = attempt.fill.expect("told how old a copy may be");
+    assert_eq!(fill.source, attempt.host);
     // Fresh for 8 s and 20 s of grace.
-    assert_eq!(fill.oldest, Some(Span::from_secs(28)));
+    assert_eq!(fill.max_age, Some(TimeSpan::from_secs(28)));
     assert!(desk.gate.0.borrow().sent.is_empty());
     let actions = desk.end(id, 0, Ending::Done, Note::Stale);
     assert!(handed(&actions).is_none());
@@ -163,19 +165,19 @@
 
 #[test]
 fn what_is_not_held_is_rejected_at_once_with_the_time_that_the_link_needs() {
-    let mut desk = Desk::new(Terms {
-        longest_away: Some(Span::from_secs(10)),
+    let mut desk = Desk::new(DispatcherSettings {
+        max_retry_after: Some(TimeSpan::from_secs(10)),
         ..terms()
     });
     {
         let mut notes = desk.gate.0.borrow_mut();
-        (notes.full, notes.away) = (true, Some(Span::from_secs(4)));
+        (notes.full, notes.away) = (true, Some(TimeSpan::from_secs(4)));
     }
     let (id, _) = desk.arrive(READS, 5);
-    let actions = desk.end(id, 0, Ending::Missed, Note::Untold);
+    let actions = desk.end(id, 0, Ending::Miss, Note::NotReported);
     let [
         Action::Refuse {
-            come_back: Some(away),
+            retry_after: Some(away),
             ..
         },
     ] = actions[..]
@@ -183,7 +185,7 @@
         panic!("{actions:?}");
     };
     assert!(
-        (Span::from_secs(3)..=Span::from_secs(5)).contains(&away),
+        (TimeSpan::from_secs(3)..=TimeSpan::from_secs(5)).contains(&away),
         "{away:?}"
     );
 }
@@ -194,12 +196,12 @@
     let (id, actions) = desk.arrive(ORDERS, 5);
     assert!(handed(&actions).is_some());
     desk.gate.0.borrow_mut().full = true;
-    desk.end(id, 0, Ending::Lost, Note::Untold);
+    desk.end(id, 0, Ending::ConnectionLost, Note::NotReported);
     // It is looked at again a little after the origin failed.
     desk.now = desk.now + ms(100);
     desk.dispatcher
-        .take(desk.now, Event::Woken { wake: WakeId(0) });
-    let actions = desk.dispatcher.settle(desk.now);
+        .handle_event(desk.now, Event::TimerFired { timer: TimerId(0) });
+    let actions = desk.dispatcher.take_actions(desk.now);
     assert!(
         actions
             .iter()
@@ -220,9 +222,9 @@
         state: HostState::Gone,
         ..entry(host)
     });
-    let (form, entries) = (ListForm::Changes, entries.to_vec());
+    let (kind, entries) = (HostListKind::Delta, entries.to_vec());
     desk.dispatcher
-        .take(desk.now, Event::Hosts { form, entries });
+        .handle_event(desk.now, Event::HostList { kind, entries });
     let (_, actions) = desk.arrive(READS, 5);
     let way = desk
         .gate
@@ -232,7 +234,7 @@
         .last()
         .copied()
         .expect("it crosses");
-    assert!(handed(&actions).is_some_and(|hand_off| hand_off.host == way.host));
+    assert!(handed(&actions).is_some_and(|attempt| attempt.host == way.host));
     assert_eq!(
         (way.source, way.from, way.to),
         (way.host, ZoneId(0), ZoneId(1))
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -12,64 +12,64 @@
 pub const PARENTS: [HostId; 2] = [HostId(21), HostId(22)];
 pub const ORIGIN: HostId = HostId(31);
 
-pub fn ms(ms: u64) -> Span {
-    Span::from_millis(ms)
+pub fn ms(ms: u64) -> TimeSpan {
+    TimeSpan::from_millis(ms)
 }
 
-pub fn terms() -> Terms {
-    let reads = ClassTerms {
-        due: ms(400),
-        due_stretch: 2.0,
+pub fn terms() -> DispatcherSettings {
+    let reads = ClassSettings {
+        target: ms(400),
+        target_stretch: 2.0,
         effect: Effect::Idempotent,
-        fresh: Some(Span::from_secs(8)),
-        grace: Span::from_secs(20),
-        written: false,
+        fresh_for: Some(TimeSpan::from_secs(8)),
+        stale_grace: TimeSpan::from_secs(20),
+        is_write: false,
     };
-    let written = ClassTerms {
-        written: true,
-        fresh: None,
-        grace: Span::ZERO,
+    let written = ClassSettings {
+        is_write: true,
+        fresh_for: None,
+        stale_grace: TimeSpan::ZERO,
         ..reads.clone()
     };
-    let (group, window) = (RepeatGroup::Zone, Span::from_secs(2));
+    let (group, window) = (RepeatGroup::Zone, TimeSpan::from_secs(2));
     let by_mark = Effect::Keyed { group, window };
-    let changes = ClassTerms {
+    let changes = ClassSettings {
         effect: by_mark,
         ..written.clone()
     };
-    let orders = ClassTerms {
+    let orders = ClassSettings {
         effect: Effect::NonIdempotent,
         ..written
     };
-    let cold = Cold {
-        from: 0.25,
-        warm_after: Span::from_secs(10),
-        fall_multiple: 2.0,
-        fall_after: Span::from_secs(1),
-        among: None,
+    let cold = SlowStart {
+        initial_capacity: 0.25,
+        duration: TimeSpan::from_secs(10),
+        overload_factor: 2.0,
+        overload_window: TimeSpan::from_secs(1),
+        shared_by: None,
     };
-    Terms {
+    DispatcherSettings {
         zone: ZoneId(1),
         dispatchers: 1,
-        seats: vec![0, 1],
+        dispatchers_by_zone: vec![0, 1],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
-        tracks: vec![reads, changes, orders],
-        flow_kb_per_s: 1000.0,
+        classes: vec![reads, changes, orders],
+        stream_kb_per_s: 1000.0,
         link_kb_per_s: None,
-        link_told: true,
-        sizes_tell: true,
-        probes: false,
-        joins: true,
-        straight: true,
-        notes: NoteLevel::All,
-        max_hand_offs: 6,
-        may_withdraw: true,
-        longest_away: Some(Span::from_secs(1)),
-        list_on_request: false,
-        cold_cache: cold,
-        cold_parent: cold,
-        purge_done: Span::from_secs(6),
+        link_load_reported: true,
+        capacities_reported: true,
+        probes_enabled: false,
+        joins_fills: true,
+        allows_direct: true,
+        note_level: NoteLevel::All,
+        max_attempts: 6,
+        may_cancel: true,
+        max_retry_after: Some(TimeSpan::from_secs(1)),
+        host_list_on_request: false,
+        cache_slow_start: cold,
+        parent_slow_start: cold,
+        purge_propagation: TimeSpan::from_secs(6),
     }
 }
 
@@ -79,7 +79,7 @@
         21..=29 => (KindId(1), ZoneId(0)),
         _ => (KindId(2), ZoneId(0)),
     };
-    let (cell, started, size, state) = (CellId(0), None, 8.0, HostState::Ready);
+    let (cell, started, capacity, state) = (CellId(0), None, 8.0, HostState::Ready);
     HostEntry {
         host,
         cell,
@@ -87,43 +87,43 @@
         kind,
         started,
         stamp: started,
-        size,
+        capacity,
         state,
     }
 }
 
 /// One of 200 dispatchers, ten in its zone.
-pub fn one_of_many() -> Terms {
-    Terms {
+pub fn one_of_many() -> DispatcherSettings {
+    DispatcherSettings {
         dispatchers: 200,
-        seats: vec![0, 10],
+        dispatchers_by_zone: vec![0, 10],
         ..terms()
     }
 }
 
 pub struct Stage {
     pub dispatcher: Dispatcher,
-    pub now: Moment,
+    pub now: Timestamp,
     pub handed: Vec<Attempt>,
     pub finals: BTreeMap<RequestId, Vec<Action>>,
     pub withdrawn: Vec<RequestId>,
     pub logged: Vec<String>,
-    pub probed: Vec<(Moment, HostId)>,
-    wakes: Vec<Moment>,
+    pub probed: Vec<(Timestamp, HostId)>,
+    wakes: Vec<Timestamp>,
     pub load: Load,
     pub proven: bool,
     next: u64,
 }
 
 impl Stage {
-    pub fn new(terms: Terms) -> Stage {
+    pub fn new(terms: DispatcherSettings) -> Stage {
         Stage::seeded(terms, 1)
     }
 
-    pub fn seeded(terms: Terms, seed: u64) -> Stage {
+    pub fn seeded(terms: DispatcherSettings, seed: u64) -> Stage {
         let mut stage = Stage {
-            dispatcher: Dispatcher::with(Free, terms, seed),
-            now: Moment(100_000_000),
+            dispatcher: Dispatcher::new(Standalone, terms, seed),
+            now: Timestamp(100_000_000),
             handed: vec![],
             finals: BTreeMap::new(),
             withdrawn: vec![],
@@ -135,48 +135,48 @@
             next: 0,
         };
         let all = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
-        stage.list(ListForm::Whole, all.map(|&host| entry(host)).collect());
+        stage.list(HostListKind::Full, all.map(|&host| entry(host)).collect());
         stage
     }
 
-    pub fn list(&mut self, form: ListForm, entries: Vec<HostEntry>) {
-        self.event(Event::Hosts { form, entries });
+    pub fn list(&mut self, kind: HostListKind, entries: Vec<HostEntry>) {
+        self.event(Event::HostList { kind, entries });
     }
 
     pub fn event(&mut self, event: Event) {
-        self.dispatcher.take(self.now, event);
+        self.dispatcher.handle_event(self.now, event);
         self.settle();
     }
 
     fn settle(&mut self) {
-        for action in self.dispatcher.settle(self.now) {
+        for action in self.dispatcher.take_actions(self.now) {
             match action {
-                Action::Attempt(hand_off) => {
+                Action::Attempt(attempt) => {
                     assert!(
-                        !self.finals.contains_key(&hand_off.id),
+                        !self.finals.contains_key(&attempt.id),
                         "sent after the final answer"
                     );
-                    self.handed.push(hand_off);
+                    self.handed.push(attempt);
                 }
                 Action::Refuse { id, .. } | Action::Fail { id, .. } => {
                     self.finals.entry(id).or_default().push(action);
                 }
-                Action::Withdraw { id, .. } => self.withdrawn.push(id),
-                Action::Wake { at, .. } => self.wakes.push(at),
+                Action::Cancel { id, .. } => self.withdrawn.push(id),
+                Action::SetTimer { at, .. } => self.wakes.push(at),
                 Action::Log { text } => self.logged.push(text),
                 Action::Probe { host } => self.probed.push((self.now, host)),
-                Action::FollowList => {}
+                Action::RequestHostList => {}
             }
         }
     }
 
     /// Time passes, and every wake-up that was asked for comes in its turn.
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: TimeSpan) {
         let end = self.now + span;
         while let Some(at) = self.wakes.iter().copied().filter(|&at| at <= end).min() {
             self.wakes.retain(|&wake| wake > at);
             self.now = self.now.max(at);
-            self.event(Event::Woken { wake: WakeId(0) });
+            self.event(Event::TimerFired { timer: TimerId(0) });
         }
         self.now = end;
     }
@@ -187,7 +187,7 @@
 
     pub fn arrive_part(
         &mut self,
-        track: ClassId,
+        class: ClassId,
         object: u64,
         part: u32,
         size_kb: Option<f64>,
@@ -198,11 +198,11 @@
             ObjectId(object),
             GroupId(object as u32 % 4),
         );
-        let left = Span::from_secs(3);
+        let time_left = TimeSpan::from_secs(3);
         self.event(Event::Arrived(Arrival {
             id,
-            left,
-            track,
+            time_left,
+            class,
             object,
             group,
             part,
@@ -211,26 +211,26 @@
         id
     }
 
-    pub fn answer(&mut self, id: RequestId, ending: Ending, note: Note, took: Span) {
-        let of_access = self.handed.iter().filter(|hand_off| hand_off.id == id);
-        let hand_off = AttemptNo(of_access.count() as u8 - 1);
-        let closed = ending == Ending::Done;
-        let waited = Some(took).filter(|_| note != Note::Hit);
+    pub fn answer(&mut self, id: RequestId, ending: Ending, note: Note, elapsed: TimeSpan) {
+        let of_access = self.handed.iter().filter(|attempt| attempt.id == id);
+        let attempt = AttemptNo(of_access.count() as u8 - 1);
+        let request_closed = ending == Ending::Done;
+        let first_byte_latency = Some(elapsed).filter(|_| note != Note::Hit);
         self.event(Event::Outcome(Outcome {
             id,
-            hand_off,
+            attempt,
             ending,
-            took,
-            closed,
+            elapsed,
+            request_closed,
             note,
-            waited,
+            first_byte_latency,
             load: self.load,
-            proven: self.proven,
-            came_kb: None,
+            client_proven: self.proven,
+            received_kb: None,
         }));
     }
 
-    pub fn play(&mut self, object: u64, ending: Ending, note: Note, took: Span) -> RequestId {
+    pub fn play(&mut self, object: u64, ending: Ending, note: Note, took: TimeSpan) -> RequestId {
         let id = self.arrive(READS, object);
         self.pass(took);
         self.answer(id, ending, note, took);
@@ -238,12 +238,12 @@
     }
 
     pub fn last(&self, id: RequestId) -> &Attempt {
-        let last = self.handed.iter().rfind(|hand_off| hand_off.id == id);
+        let last = self.handed.iter().rfind(|attempt| attempt.id == id);
         last.expect("nothing was handed off")
     }
 
     pub fn count(&self, id: RequestId) -> usize {
-        let all = self.handed.iter().filter(|hand_off| hand_off.id == id);
+        let all = self.handed.iter().filter(|attempt| attempt.id == id);
         all.count()
     }
 
--- a/tests/others.rs
+++ b/tests/others.rs
@@ -8,27 +8,34 @@
 use trailproxy::logic::Dispatcher;
 use trailproxy::units::*;
 
-const START: Moment = Moment(1_000_000_000);
+const START: Timestamp = Timestamp(1_000_000_000);
 
 /// One earlier hand-off under every key.
-struct Known(Earlier);
+struct Known(PeerAttempt);
 
-impl Crossings for Known {}
+impl CrossingLimits for Known {}
 
-impl Others for Known {
-    fn earlier(&self, _id: RequestId) -> Option<Earlier> {
+impl PeerKnowledge for Known {
+    fn earlier_attempt(&self, _id: RequestId) -> Option<PeerAttempt> {
         Some(self.0)
     }
 }
 
 /// What becomes of a change whose key another sent to this place, so long ago, on a track with this group.
-fn change_after(group: RepeatGroup, place: Option<(u16, u16)>, ago: Span) -> Vec<Action> {
+fn change_after(group: RepeatGroup, location: Option<(u16, u16)>, ago: TimeSpan) -> Vec<Action> {
     let mut terms = terms();
-    let window = Span::from_secs(2);
-    terms.tracks[1].effect = Effect::Keyed { group, window };
-    let place = place.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
-    let first = Moment(START.0 - ago.0);
-    let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
+    let window = TimeSpan::from_secs(2);
+    terms.classes[1].effect = Effect::Keyed { group, window };
+    let location = location.map(|(zone, cell)| (ZoneId(zone), CellId(cell)));
+    let first_sent = Timestamp(START.0 - ago.0);
+    let mut dispatcher = Dispatcher::new(
+        Known(PeerAttempt {
+            location,
+            first_sent,
+        }),
+        terms,
+        1,
+    );
     change(&mut dispatcher)
 }
 
@@ -39,21 +46,21 @@
         .chain(&PARENTS)
         .chain([&ORIGIN])
         .map(|&host| entry(host));
-    let (form, entries) = (ListForm::Whole, entries.collect());
-    dispatcher.take(START, Event::Hosts { form, entries });
-    dispatcher.take(
+    let (kind, entries) = (HostListKind::Full, entries.collect());
+    dispatcher.handle_event(START, Event::HostList { kind, entries });
+    dispatcher.handle_event(
         START,
         Event::Arrived(Arrival {
             id: RequestId(1),
-            left: Span::from_secs(3),
-            track: CHANGES,
+            time_left: TimeSpan::from_secs(3),
+            class: CHANGES,
             object: ObjectId(7),
             group: GroupId(0),
             part: 0,
             size_kb: Some(1.0),
         }),
     );
-    dispatcher.settle(START)
+    dispatcher.take_actions(START)
 }
 
 fn went(actions: &[Action]) -> bool {
@@ -117,7 +124,7 @@
         let host = PARENTS[0];
         let object = stage.objects_of(host, 1, 1)[0];
         if hinted {
-            stage.event(Event::Hinted { host });
+            stage.event(Event::PeerBreakerOpened { host });
         }
         assert!(!opened(&stage), "a hint opens nothing by itself");
         stage.play(object, Ending::Error, Note::SourceLost, ms(50));
@@ -130,7 +137,7 @@
     let mut stage = Stage::new(terms());
     let host = PARENTS[0];
     let objects = stage.objects_of(host, 1, 2);
-    stage.event(Event::Hinted { host });
+    stage.event(Event::PeerBreakerOpened { host });
     stage.play(objects[0], Ending::Done, Note::Filled, ms(50));
     stage.play(objects[1], Ending::Error, Note::SourceLost, ms(50));
     assert!(!opened(&stage), "{:?}", stage.logged);
@@ -138,11 +145,18 @@
 
 #[test]
 fn a_binding_access_that_another_sent_under_its_key_is_never_sent_again() {
-    let first = Moment(START.0 - 1);
-    for place in [None, Some((ZoneId(0), CellId(0)))] {
+    let first_sent = Timestamp(START.0 - 1);
+    for location in [None, Some((ZoneId(0), CellId(0)))] {
         let mut terms = terms();
-        terms.tracks[1].effect = Effect::NonIdempotent;
-        let mut dispatcher = Dispatcher::with(Known(Earlier { place, first }), terms, 1);
+        terms.classes[1].effect = Effect::NonIdempotent;
+        let mut dispatcher = Dispatcher::new(
+            Known(PeerAttempt {
+                location,
+                first_sent,
+            }),
+            terms,
+            1,
+        );
         let actions = change(&mut dispatcher);
         assert!(!went(&actions) && aborted(&actions), "{actions:?}");
     }
--- a/tests/stories.rs
+++ b/tests/stories.rs
@@ -6,7 +6,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 
-fn fills(stage: &mut Stage, objects: &[u64], took: Span) {
+fn fills(stage: &mut Stage, objects: &[u64], took: TimeSpan) {
     for &object in objects {
         stage.play(object, Ending::Done, Note::Filled, took);
     }
@@ -15,7 +15,7 @@
 fn heard(stage: &mut Stage) -> Vec<u64> {
     let objects = stage.objects_of(PARENTS[0], 1000, 70);
     fills(stage, &objects[..30], ms(30));
-    stage.pass(Span::from_secs(11));
+    stage.pass(TimeSpan::from_secs(11));
     objects[30..].to_vec()
 }
 
@@ -81,10 +81,10 @@
 fn an_open_parent_returns_by_one_trial_and_a_rising_share() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    stage.pass(Span::from_secs(7));
+    stage.pass(TimeSpan::from_secs(7));
     let early = stage.arrive(READS, rest[0]);
     assert_eq!(stage.source(early), PARENTS[1], "still open");
-    stage.pass(Span::from_secs(4));
+    stage.pass(TimeSpan::from_secs(4));
     let trial = stage.arrive(READS, rest[1]);
     assert_eq!(stage.source(trial), PARENTS[0], "the trial");
     let beside = stage.arrive(READS, rest[2]);
@@ -105,7 +105,7 @@
     stage.pass(ms(4100));
     let later = share(&mut stage);
     assert!((25..60).contains(&later), "about a fifth: {later}");
-    stage.pass(Span::from_secs(10));
+    stage.pass(TimeSpan::from_secs(10));
     assert_eq!(share(&mut stage), 200);
 }
 
@@ -113,7 +113,7 @@
 fn a_failed_trial_opens_again() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    stage.pass(Span::from_secs(11));
+    stage.pass(TimeSpan::from_secs(11));
     stage.play(rest[1], Ending::Error, Note::SourceLost, ms(40));
     let id = stage.arrive(READS, rest[2]);
     assert_eq!(stage.source(id), PARENTS[1]);
@@ -123,7 +123,7 @@
 fn a_trial_that_hits_leaves_the_next_to_try() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    stage.pass(Span::from_secs(11));
+    stage.pass(TimeSpan::from_secs(11));
     stage.play(rest[1], Ending::Done, Note::Hit, ms(5));
     let id = stage.arrive(READS, rest[2]);
     assert_eq!(stage.source(id), PARENTS[0]);
@@ -140,13 +140,13 @@
             stage.answer(id, Ending::Done, Note::Hit, ms(20));
         }
         let id = stage.arrive(ORDERS, 1);
-        stage.answer(id, Ending::NoConnection, Note::Untold, ms(20));
+        stage.answer(id, Ending::NoConnection, Note::NotReported, ms(20));
     }
     let id = stage.arrive(READS, 77);
     let fill = stage.last(id).fill.expect("a plain look");
     assert_eq!(fill.source, stage.last(id).host, "no fill");
-    assert_eq!(fill.oldest, Some(Span::from_secs(28)));
-    stage.answer(id, Ending::Missed, Note::Untold, ms(5));
+    assert_eq!(fill.max_age, Some(TimeSpan::from_secs(28)));
+    stage.answer(id, Ending::Miss, Note::NotReported, ms(5));
     assert!(stage.rejected(id));
 }
 
@@ -187,7 +187,7 @@
         stage.logged
     );
     assert!(held[..4].iter().all(|id| stage.withdrawn.contains(id)));
-    stage.answer(held[3], Ending::Withdrawn, Note::Untold, ms(400));
+    stage.answer(held[3], Ending::Cancelled, Note::NotReported, ms(400));
     assert_ne!(stage.last(held[3]).host, silent);
 }
 
@@ -228,7 +228,7 @@
     for object in 0..60 {
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
-            stage.answer(id, Ending::Full, Note::Untold, ms(2));
+            stage.answer(id, Ending::Full, Note::NotReported, ms(2));
             assert_ne!(stage.last(id).host, CACHES[0]);
             turned += 1;
         }
@@ -244,8 +244,8 @@
     for _ in 0..3 {
         let id = stage.arrive(ORDERS, 9);
         assert_eq!(stage.last(id).host, ORIGIN);
-        stage.answer(id, Ending::NoConnection, Note::Untold, ms(400));
-        stage.answer(id, Ending::NoConnection, Note::Untold, ms(400));
+        stage.answer(id, Ending::NoConnection, Note::NotReported, ms(400));
+        stage.answer(id, Ending::NoConnection, Note::NotReported, ms(400));
     }
 }
 
@@ -253,7 +253,7 @@
 fn may_reach_origin(stage: &mut Stage) -> usize {
     let reads = (2000..2100).filter(|&object| {
         let id = stage.arrive_part(READS, object, 0, Some(100.0));
-        let asks = !stage.last(id).fill.expect("a plain look").held_only;
+        let asks = !stage.last(id).fill.expect("a plain look").only_if_cached;
         stage.answer(id, Ending::Done, Note::Hit, ms(20));
         asks
     });
@@ -267,13 +267,13 @@
         let took = if i < 125 { ms(40) } else { ms(300) };
         let id = stage.arrive(ORDERS, 9);
         stage.pass(took);
-        stage.answer(id, Ending::Done, Note::Untold, took);
+        stage.answer(id, Ending::Done, Note::NotReported, took);
         stage.pass(ms(100));
     }
     assert!((20..80).contains(&may_reach_origin(&mut stage)));
     let id = stage.arrive(ORDERS, 9);
     assert_eq!(stage.last(id).host, ORIGIN, "written accesses still go");
-    stage.pass(Span::from_secs(4));
+    stage.pass(TimeSpan::from_secs(4));
     assert_eq!(may_reach_origin(&mut stage), 100);
     assert!(stage.logged.is_empty());
 }
@@ -301,8 +301,8 @@
     break_origin(&mut stage);
     let id = stage.arrive(READS, 3);
     let fill = stage.last(id).fill.expect("a plain look");
-    assert!(fill.held_only && PARENTS.contains(&fill.source));
-    stage.answer(id, Ending::Missed, Note::SourceLacks, ms(10));
+    assert!(fill.only_if_cached && PARENTS.contains(&fill.source));
+    stage.answer(id, Ending::Miss, Note::SourceMiss, ms(10));
     assert!(stage.rejected(id));
     let written = stage.arrive(ORDERS, 4);
     assert!(stage.rejected(written));
@@ -315,10 +315,11 @@
     stage.pass(ms(10_100));
     let id = stage.arrive(READS, 3);
     if stage.last(id).host != ORIGIN {
-        stage.answer(id, Ending::Missed, Note::SourceLacks, ms(10));
+        stage.answer(id, Ending::Miss, Note::SourceMiss, ms(10));
     }
-    let reached =
-        |stage: &Stage| stage.last(id).host == ORIGIN || !stage.last(id).fill.unwrap().held_only;
+    let reached = |stage: &Stage| {
+        stage.last(id).host == ORIGIN || !stage.last(id).fill.unwrap().only_if_cached
+    };
     assert!(reached(&stage));
 }
 
@@ -330,16 +331,16 @@
     let ids: Vec<_> = objects.iter().map(arrive).collect();
     break_origin(&mut stage);
     for id in ids {
-        stage.answer(id, Ending::Error, Note::Untold, ms(300));
+        stage.answer(id, Ending::Error, Note::NotReported, ms(300));
     }
     assert_eq!(stage.logged, ["Origin 1f breaker open"]);
 }
 
 #[test]
 fn a_crowded_cache_spills_to_the_next_and_a_hopeless_access_is_rejected() {
-    let straight = false;
-    let mut stage = Stage::new(Terms {
-        straight,
+    let allows_direct = false;
+    let mut stage = Stage::new(DispatcherSettings {
+        allows_direct,
         ..terms()
     });
     let mut hosts = vec![];
@@ -359,10 +360,10 @@
 }
 
 /// Where a large access goes whose first cache has so much to do that it would be late there, and small ones not.
-fn large_beside_a_crowd(sizes_tell: bool, crowd: usize) -> (HostId, Option<HostId>) {
-    let mut stage = Stage::new(Terms {
-        sizes_tell,
-        straight: false,
+fn large_beside_a_crowd(capacities_reported: bool, crowd: usize) -> (HostId, Option<HostId>) {
+    let mut stage = Stage::new(DispatcherSettings {
+        capacities_reported,
+        allows_direct: false,
         ..terms()
     });
     let crowd: Vec<_> = (0..crowd).map(|_| stage.arrive(READS, 3)).collect();
@@ -386,7 +387,7 @@
 #[test]
 fn where_every_cache_is_lost_accesses_go_straight_to_their_parent() {
     let mut stage = Stage::new(terms());
-    stage.list(ListForm::Whole, vec![entry(PARENTS[0]), entry(ORIGIN)]);
+    stage.list(HostListKind::Full, vec![entry(PARENTS[0]), entry(ORIGIN)]);
     let id = stage.arrive(READS, 3);
     assert_eq!(stage.last(id).host, PARENTS[0]);
     assert_eq!(stage.source(id), ORIGIN);
@@ -398,7 +399,7 @@
     for object in 0..40 {
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
-            stage.answer(id, Ending::Error, Note::Untold, ms(2));
+            stage.answer(id, Ending::Error, Note::NotReported, ms(2));
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
     }
@@ -411,9 +412,9 @@
     stage.proven = false;
     for object in 0..60 {
         let id = stage.arrive(READS, object);
-        let ending = [Ending::Error, Ending::Lost][object as usize % 2];
+        let ending = [Ending::Error, Ending::ConnectionLost][object as usize % 2];
         if stage.last(id).host == CACHES[0] {
-            stage.answer(id, ending, Note::Untold, ms(2));
+            stage.answer(id, ending, Note::NotReported, ms(2));
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
     }
@@ -428,7 +429,7 @@
         let id = stage.arrive(READS, object);
         if stage.last(id).host == CACHES[0] {
             assert!(stage.logged.is_empty(), "after {lost}");
-            stage.answer(id, Ending::Lost, Note::Untold, ms(2));
+            stage.answer(id, Ending::ConnectionLost, Note::NotReported, ms(2));
             lost += 1;
         }
         stage.answer(id, Ending::Done, Note::Filled, ms(20));
@@ -441,17 +442,20 @@
 
 #[test]
 fn without_notes_and_sizes_a_parent_that_answers_is_not_blamed() {
-    let notes = NoteLevel::None;
-    let mut stage = Stage::new(Terms { notes, ..terms() });
+    let note_level = NoteLevel::None;
+    let mut stage = Stage::new(DispatcherSettings {
+        note_level,
+        ..terms()
+    });
     for object in 0..60 {
         let id = stage.arrive_part(READS, object, 0, None);
         let slow = stage.arrive_part(READS, object + 100, 0, None);
         stage.pass(ms(30));
-        stage.answer(id, Ending::Done, Note::Untold, ms(30));
+        stage.answer(id, Ending::Done, Note::NotReported, ms(30));
         stage.pass(ms(900));
-        stage.answer(slow, Ending::Done, Note::Untold, ms(930));
+        stage.answer(slow, Ending::Done, Note::NotReported, ms(930));
         for other in 200..212 {
-            stage.play(other, Ending::Done, Note::Untold, ms(2));
+            stage.play(other, Ending::Done, Note::NotReported, ms(2));
         }
     }
     assert!(stage.logged.is_empty(), "{:?}", stage.logged);
@@ -461,11 +465,11 @@
 fn where_the_link_is_full_no_fill_is_asked_for() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(READS, 3);
-    stage.load.link_full = Some(24.0);
+    stage.load.link_utilization = Some(24.0);
     stage.answer(id, Ending::Done, Note::Hit, ms(10));
     let id = stage.arrive(READS, 4);
     assert_eq!(stage.source(id), stage.last(id).host);
-    stage.answer(id, Ending::Missed, Note::Untold, ms(3));
+    stage.answer(id, Ending::Miss, Note::NotReported, ms(3));
     assert!(stage.rejected(id), "the origin is no way out");
 }
 
@@ -498,9 +502,9 @@
 fn a_restarted_host_is_not_held_to_its_predecessor() {
     let mut stage = Stage::new(terms());
     let rest = open_by_slow_fills(&mut stage);
-    let started = Some(stage.now - Span::from_secs(20));
+    let started = Some(stage.now - TimeSpan::from_secs(20));
     stage.list(
-        ListForm::Changes,
+        HostListKind::Delta,
         vec![HostEntry {
             started,
             stamp: started,
@@ -519,8 +523,8 @@
     assert!(!stage.finals.contains_key(&id));
     stage.pass(ms(1));
     assert!(stage.aborted(id));
-    stage.answer(id, Ending::TimedOut, Note::Untold, ms(3000));
-    stage.pass(Span::from_secs(5));
+    stage.answer(id, Ending::TimedOut, Note::NotReported, ms(3000));
+    stage.pass(TimeSpan::from_secs(5));
     assert_eq!((stage.finals[&id].len(), stage.count(id)), (1, 1));
 }
 
@@ -528,10 +532,10 @@
 fn a_client_that_left_is_owed_nothing() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(READS, 3);
-    stage.event(Event::Left { id });
+    stage.event(Event::ClientGone { id });
     assert_eq!(stage.withdrawn, [id]);
-    stage.answer(id, Ending::Error, Note::Untold, ms(30));
-    stage.pass(Span::from_secs(5));
+    stage.answer(id, Ending::Error, Note::NotReported, ms(30));
+    stage.pass(TimeSpan::from_secs(5));
     assert!(stage.finals.is_empty());
     assert_eq!(stage.count(id), 1);
 }
@@ -540,36 +544,36 @@
 fn a_stream_that_has_begun_is_left_alone() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(READS, 3);
-    stage.event(Event::Begun {
+    stage.event(Event::ResponseStarted {
         id,
-        hand_off: AttemptNo(0),
+        attempt: AttemptNo(0),
     });
-    stage.pass(Span::from_secs(5));
+    stage.pass(TimeSpan::from_secs(5));
     assert!(stage.withdrawn.is_empty() && stage.finals.is_empty());
 }
 
 #[test]
 fn without_a_ready_cache_the_access_is_rejected_at_once() {
-    let straight = false;
-    let mut stage = Stage::new(Terms {
-        straight,
+    let allows_direct = false;
+    let mut stage = Stage::new(DispatcherSettings {
+        allows_direct,
         ..terms()
     });
-    stage.list(ListForm::Whole, vec![entry(PARENTS[0]), entry(ORIGIN)]);
+    stage.list(HostListKind::Full, vec![entry(PARENTS[0]), entry(ORIGIN)]);
     let id = stage.arrive(READS, 3);
     assert!(stage.rejected(id));
-    let soon = |span: Span| span <= Span::from_secs(1);
+    let soon = |span: TimeSpan| span <= TimeSpan::from_secs(1);
     let answer = &stage.finals[&id][0];
-    assert!(matches!(answer, Action::Refuse { come_back: Some(span), .. } if soon(*span)));
+    assert!(matches!(answer, Action::Refuse { retry_after: Some(span), .. } if soon(*span)));
 }
 
 #[test]
 fn odd_events_are_passed_over() {
     let mut stage = Stage::new(terms());
     let id = stage.play(3, Ending::Done, Note::Hit, ms(20));
-    stage.answer(id, Ending::TimedOut, Note::Untold, ms(30));
-    stage.event(Event::Left { id: RequestId(999) });
-    stage.event(Event::Woken { wake: WakeId(77) });
+    stage.answer(id, Ending::TimedOut, Note::NotReported, ms(30));
+    stage.event(Event::ClientGone { id: RequestId(999) });
+    stage.event(Event::TimerFired { timer: TimerId(77) });
     assert!(stage.finals.is_empty());
 }
 
@@ -577,14 +581,14 @@
 fn a_binding_access_that_may_have_run_is_neither_sent_again_nor_rejected() {
     for ending in [
         Ending::Error,
-        Ending::Lost,
+        Ending::ConnectionLost,
         Ending::TimedOut,
-        Ending::Withdrawn,
+        Ending::Cancelled,
     ] {
         let mut stage = Stage::new(terms());
         let id = stage.arrive(ORDERS, 3);
-        stage.answer(id, ending, Note::Untold, ms(50));
-        stage.pass(Span::from_secs(1));
+        stage.answer(id, ending, Note::NotReported, ms(50));
+        stage.pass(TimeSpan::from_secs(1));
         assert_eq!(stage.count(id), 1, "{ending:?}");
         assert!(stage.aborted(id), "{ending:?}");
     }
@@ -594,7 +598,7 @@
 fn a_binding_access_that_never_ran_goes_out_again() {
     let mut stage = Stage::new(terms());
     let id = stage.arrive(ORDERS, 3);
-    stage.answer(id, Ending::Full, Note::Untold, ms(50));
+    stage.answer(id, Ending::Full, Note::NotReported, ms(50));
     assert_eq!(stage.count(id), 1, "not at once");
     stage.pass(ms(100));
     assert_eq!(stage.count(id), 2);
@@ -613,18 +617,18 @@
 
 #[test]
 fn a_fingerprinted_access_stays_in_its_group_and_window() {
-    let via_cache = || Terms {
-        straight: false,
+    let via_cache = || DispatcherSettings {
+        allows_direct: false,
         ..terms()
     };
     let mut stage = Stage::new(via_cache());
     let id = stage.arrive(CHANGES, 3);
-    stage.answer(id, Ending::Error, Note::Untold, ms(50));
+    stage.answer(id, Ending::Error, Note::NotReported, ms(50));
     assert_eq!(stage.count(id), 2, "within the window");
     let mut late = Stage::new(via_cache());
     let id = late.arrive(CHANGES, 3);
     late.pass(ms(2100));
-    late.answer(id, Ending::Error, Note::Untold, ms(2100));
+    late.answer(id, Ending::Error, Note::NotReported, ms(2100));
     assert_eq!(late.count(id), 1, "past the window");
     assert!(late.aborted(id), "no rejection beyond the group of all");
 }
@@ -637,7 +641,7 @@
         ..entry(host)
     };
     stage.list(
-        ListForm::Changes,
+        HostListKind::Delta,
         vec![draining(CACHES[0]), draining(PARENTS[0])],
     );
     for object in 0..30 {
@@ -651,7 +655,7 @@
 fn a_host_that_vanishes_from_a_whole_list_is_gone() {
     let mut stage = Stage::new(terms());
     let left = [CACHES[1], CACHES[2], PARENTS[1], ORIGIN];
-    stage.list(ListForm::Whole, left.map(entry).to_vec());
+    stage.list(HostListKind::Full, left.map(entry).to_vec());
     for object in 0..30 {
         let id = stage.play(object, Ending::Done, Note::Hit, ms(5));
         assert!(left.contains(&stage.last(id).host) && left.contains(&stage.source(id)));
@@ -667,7 +671,7 @@
         stamp: started,
         ..entry(host)
     });
-    stage.list(ListForm::Changes, cold.to_vec());
+    stage.list(HostListKind::Delta, cold.to_vec());
     let (mut at_cache, mut at_parent) = (0.0, 0.0);
     for object in 0..400 {
         let id = stage.arrive_part(READS, object, 0, Some(100.0));
@@ -688,35 +692,35 @@
 #[test]
 fn a_purge_bounds_the_age_of_the_copy_asked_for() {
     let mut stage = Stage::new(terms());
-    let ago = ms(300);
+    let age = ms(300);
     stage.event(Event::Purged {
         object: Some(ObjectId(8)),
         group: GroupId(0),
-        ago,
+        age,
         stamp: None,
     });
     stage.event(Event::Purged {
         object: None,
         group: GroupId(1),
-        ago: ms(500),
+        age: ms(500),
         stamp: None,
     });
-    stage.pass(Span::from_secs(1));
+    stage.pass(TimeSpan::from_secs(1));
     let oldest = |stage: &mut Stage, object| {
         let id = stage.arrive(READS, object);
-        stage.last(id).fill.expect("a plain look").oldest
+        stage.last(id).fill.expect("a plain look").max_age
     };
     assert_eq!(oldest(&mut stage, 8), Some(ms(1300)), "the object");
     assert_eq!(oldest(&mut stage, 5), Some(ms(1500)), "its group");
     assert_eq!(oldest(&mut stage, 12), None, "another of the first group");
 }
 
-fn large_cold_parent(now: Moment) -> HostEntry {
-    let (started, size) = (Some(now), 60.0);
+fn large_cold_parent(now: Timestamp) -> HostEntry {
+    let (started, capacity) = (Some(now), 60.0);
     HostEntry {
         started,
         stamp: started,
-        size,
+        capacity,
         ..entry(PARENTS[0])
     }
 }
@@ -727,7 +731,7 @@
     for seed in 0..200 {
         let mut stage = Stage::seeded(one_of_many(), seed);
         let cold = large_cold_parent(stage.now);
-        stage.list(ListForm::Changes, vec![cold]);
+        stage.list(HostListKind::Delta, vec![cold]);
         let before = seconds;
         for object in seed * 100..seed * 100 + 40 {
             let id = stage.arrive_part(READS, object, 0, Some(200.0));
@@ -752,7 +756,7 @@
         kind: KindId(0),
         ..entry(HostId(host))
     });
-    stage.list(ListForm::Changes, others.collect());
+    stage.list(HostListKind::Delta, others.collect());
     let mut out = vec![];
     for object in 0..200 {
         out.push(stage.arrive(READS, object));
@@ -775,19 +779,19 @@
         stamp: started,
         ..entry(host)
     });
-    stage.list(ListForm::Changes, struck.to_vec());
+    stage.list(HostListKind::Delta, struck.to_vec());
     let ids: Vec<_> = (0..300).map(|object| stage.arrive(READS, object)).collect();
     let sent = |id: &&RequestId| stage.count(**id) > 0;
     let (taken, left): (Vec<_>, Vec<_>) = ids.iter().partition(sent);
     assert!(!taken.is_empty() && left.iter().all(|&&id| stage.rejected(id)));
-    stage.pass(Span::from_secs(3));
+    stage.pass(TimeSpan::from_secs(3));
     assert!(ids.iter().all(|id| stage.finals[id].len() == 1));
 }
 
 #[test]
 fn a_few_own_fills_at_once_are_no_full_link() {
-    let mut stage = Stage::new(Terms {
-        link_told: false,
+    let mut stage = Stage::new(DispatcherSettings {
+        link_load_reported: false,
         link_kb_per_s: Some(10_000.0),
         ..one_of_many()
     });
@@ -803,22 +807,22 @@
 #[test]
 fn the_purge_of_an_object_told_without_its_group_bounds_its_copies() {
     let mut stage = Stage::new(terms());
-    let (object, group, ago) = (Some(ObjectId(5)), GroupId::default(), ms(100));
+    let (object, group, age) = (Some(ObjectId(5)), GroupId::default(), ms(100));
     stage.event(Event::Purged {
         object,
         group,
-        ago,
+        age,
         stamp: None,
     });
     let (purged, other) = (stage.arrive(READS, 5), stage.arrive(READS, 9));
-    let oldest = |id| stage.last(id).fill.expect("a fill").oldest;
+    let oldest = |id| stage.last(id).fill.expect("a fill").max_age;
     assert_eq!((oldest(purged), oldest(other)), (Some(ms(100)), None));
 }
 
 #[test]
 fn a_host_long_gone_is_forgotten_unless_an_access_names_it() {
     let mut stage = Stage::new(terms());
-    let listed = stage.dispatcher.hosts_kept();
+    let listed = stage.dispatcher.tracked_hosts();
     let id = stage.arrive(READS, 1);
     let open = stage.last(id).host;
     for n in 0..1_000 {
@@ -830,27 +834,27 @@
             state: HostState::Gone,
             ..fresh
         };
-        stage.list(ListForm::Changes, vec![fresh]);
-        stage.list(ListForm::Changes, vec![gone]);
+        stage.list(HostListKind::Delta, vec![fresh]);
+        stage.list(HostListKind::Delta, vec![gone]);
         stage.pass(ms(500));
     }
-    assert!(stage.dispatcher.hosts_kept() <= listed + 125);
+    assert!(stage.dispatcher.tracked_hosts() <= listed + 125);
     let gone = HostEntry {
         state: HostState::Gone,
         ..entry(open)
     };
-    stage.list(ListForm::Changes, vec![gone]);
-    stage.pass(Span::from_secs(100));
-    stage.list(ListForm::Changes, Vec::new());
-    stage.answer(id, Ending::Lost, Note::Untold, ms(10));
-    stage.list(ListForm::Changes, Vec::new());
-    assert_eq!(stage.dispatcher.hosts_kept(), listed - 1);
+    stage.list(HostListKind::Delta, vec![gone]);
+    stage.pass(TimeSpan::from_secs(100));
+    stage.list(HostListKind::Delta, Vec::new());
+    stage.answer(id, Ending::ConnectionLost, Note::NotReported, ms(10));
+    stage.list(HostListKind::Delta, Vec::new());
+    assert_eq!(stage.dispatcher.tracked_hosts(), listed - 1);
 }
 
 /// At a high rate a hit comes in a millisecond, and ten that take three must not close a healthy cache.
 #[test]
 fn hits_within_their_prediction_open_no_cache() {
-    let mut stage = Stage::new(Terms {
+    let mut stage = Stage::new(DispatcherSettings {
         parent_kind: None,
         origin_kind: None,
         ..terms()
@@ -859,14 +863,14 @@
         state: HostState::Gone,
         ..entry(host)
     });
-    stage.list(ListForm::Changes, gone.collect());
-    let opened = |stage: &mut Stage, from: u64, took: Span| {
+    stage.list(HostListKind::Delta, gone.collect());
+    let opened = |stage: &mut Stage, from: u64, took: TimeSpan| {
         for object in from..from + 300 {
             if stage.logged.is_empty() {
                 stage.play(object, Ending::Done, Note::Hit, took);
             }
         }
-        stage.pass(Span::from_secs(11));
+        stage.pass(TimeSpan::from_secs(11));
         !stage.logged.is_empty()
     };
     assert!(!opened(&mut stage, 1, ms(1)));
@@ -875,18 +879,18 @@
 }
 
 /// One of ten dispatchers at a zone whose hosts tell their load when probed, and whose list tells no sizes.
-fn probing() -> Terms {
-    Terms {
-        probes: true,
-        sizes_tell: false,
+fn probing() -> DispatcherSettings {
+    DispatcherSettings {
+        probes_enabled: true,
+        capacities_reported: false,
         ..one_of_many()
     }
 }
 
-fn say_busy(stage: &mut Stage, host: HostId, busy: f64) {
-    let (ending, busy) = (Ending::Done, Some(busy));
+fn say_busy(stage: &mut Stage, host: HostId, utilization: f64) {
+    let (ending, utilization) = (Ending::Done, Some(utilization));
     let load = Load {
-        busy,
+        utilization,
         ..Load::default()
     };
     stage.event(Event::Probed { host, ending, load });
@@ -900,7 +904,7 @@
         let share = (3.0 * size * busy * 0.2 / 0.05 / 10.0).round() as u64;
         for _ in 0..share {
             object += 1;
-            stage.play(object, Ending::Done, Note::Hit, Span::ZERO);
+            stage.play(object, Ending::Done, Note::Hit, TimeSpan::ZERO);
         }
         stage.pass(ms(200));
         let hosts: Vec<HostId> = stage.probed[told..].iter().map(|probed| probed.1).collect();
@@ -922,18 +926,18 @@
         .filter(|&id| stage.count(id) > 0)
         .collect();
     for id in out {
-        stage.event(Event::Left { id });
-        stage.answer(id, Ending::Withdrawn, Note::Untold, ms(1));
+        stage.event(Event::ClientGone { id });
+        stage.answer(id, Ending::Cancelled, Note::NotReported, ms(1));
     }
     taken
 }
 
 #[test]
 fn where_sizes_are_not_told_they_are_learnt_from_how_busy_hosts_are() {
-    let taken = |sizes_tell: bool| {
+    let taken = |capacities_reported: bool| {
         [3.0, 12.0].map(|size| {
-            let mut stage = Stage::new(Terms {
-                sizes_tell,
+            let mut stage = Stage::new(DispatcherSettings {
+                capacities_reported,
                 ..probing()
             });
             learn_size(&mut stage, size, 0.5);
@@ -949,14 +953,14 @@
 #[test]
 fn every_cache_and_parent_is_probed_in_its_turn_and_no_other() {
     let mut stage = Stage::new(probing());
-    stage.pass(Span::from_secs(20));
+    stage.pass(TimeSpan::from_secs(20));
     for host in CACHES.iter().chain(&PARENTS) {
         let times = stage.probed.iter().filter(|(_, probed)| probed == host);
         assert!((9..=11).contains(&times.count()), "{:?}", stage.probed);
     }
     assert!(stage.probed.iter().all(|(_, host)| *host != ORIGIN));
     let mut silent = Stage::new(one_of_many());
-    silent.pass(Span::from_secs(20));
+    silent.pass(TimeSpan::from_secs(20));
     assert!(silent.probed.is_empty());
 }
 
@@ -967,7 +971,7 @@
         Ending::TimedOut,
         Ending::NoConnection,
         Ending::Error,
-        Ending::Lost,
+        Ending::ConnectionLost,
     ] {
         for _ in 0..20 {
             let (host, load) = (PARENTS[0], Load::default());
@@ -980,8 +984,8 @@
 /// Where fills usually take longer than a part of the due time, that alone is no failure of the origin.
 #[test]
 fn fills_that_always_take_long_thin_out_nothing() {
-    let mut stage = Stage::new(Terms {
-        notes: NoteLevel::Hits,
+    let mut stage = Stage::new(DispatcherSettings {
+        note_level: NoteLevel::Hits,
         ..terms()
     });
     for object in 0..30 {
@@ -995,14 +999,14 @@
     late.into_iter()
         .for_each(|id| stage.answer(id, Ending::Done, Note::Filled, ms(610)));
     let id = stage.arrive(READS, 300);
-    assert!(!stage.last(id).fill.expect("a plain look").held_only);
+    assert!(!stage.last(id).fill.expect("a plain look").only_if_cached);
 }
 
 #[test]
 fn a_cache_that_says_it_is_free_is_no_crowd_however_many_wait_for_fills_there() {
     let waiting = |busy: f64| {
-        let mut stage = Stage::new(Terms {
-            probes: true,
+        let mut stage = Stage::new(DispatcherSettings {
+            probes_enabled: true,
             ..one_of_many()
         });
         for host in CACHES {
@@ -1026,15 +1030,15 @@
         state: HostState::Draining,
         ..entry(CACHES[0])
     };
-    stage.list(ListForm::Changes, vec![drains]);
+    stage.list(HostListKind::Delta, vec![drains]);
     stage.event(Event::Purged {
         object: Some(ObjectId(5)),
         group: GroupId(0),
-        ago: ms(100),
+        age: ms(100),
         stamp: None,
     });
     let open = stage.arrive(READS, 7);
-    stage.dispatcher.follow(stage.now, probing());
+    stage.dispatcher.apply_settings(stage.now, probing());
     stage.answer(open, Ending::Done, Note::Hit, ms(20));
     for object in 0..40 {
         let id = stage.arrive(READS, object);
@@ -1042,12 +1046,12 @@
         stage.answer(id, Ending::Done, Note::Hit, ms(20));
     }
     let purged = stage.arrive(READS, 5);
-    let oldest = stage.last(purged).fill.and_then(|fill| fill.oldest);
+    let oldest = stage.last(purged).fill.and_then(|fill| fill.max_age);
     assert!(
         oldest.is_some_and(|oldest| oldest <= ms(5_000)),
         "{oldest:?}"
     );
-    stage.pass(Span::from_secs(3));
+    stage.pass(TimeSpan::from_secs(3));
     assert!(!stage.probed.is_empty(), "and it probes from now on");
 }
 
@@ -1070,11 +1074,11 @@
     };
     let mut stage = Stage::new(one_of_many());
     let cold = CACHES.map(|host| started(&stage, host)).to_vec();
-    stage.list(ListForm::Changes, cold);
-    stage.pass(Span::from_secs(2));
+    stage.list(HostListKind::Delta, cold);
+    stage.pass(TimeSpan::from_secs(2));
     let first = burst(&mut stage);
     assert!(first > 0, "something is let through");
-    stage.dispatcher.follow(stage.now, one_of_many());
+    stage.dispatcher.apply_settings(stage.now, one_of_many());
     assert_eq!(
         burst(&mut stage),
         0,
@@ -1086,8 +1090,10 @@
 fn sent_to_a_cold_parent(seed: u64, among: Option<f64>) -> f64 {
     let mut stage = Stage::seeded(one_of_many(), seed);
     let cold = large_cold_parent(stage.now);
-    stage.dispatcher.divide(stage.now, None, among);
-    stage.list(ListForm::Changes, vec![cold]);
+    stage
+        .dispatcher
+        .set_slow_start_shares(stage.now, None, among);
+    stage.list(HostListKind::Delta, vec![cold]);
     let mut seconds = 0.0;
     for object in seed * 100..seed * 100 + 40 {
         let id = stage.arrive_part(READS, object, 0, Some(200.0));
@@ -1121,11 +1127,13 @@
         stamp: Some(stage.now),
         ..entry(host)
     });
-    stage.list(ListForm::Changes, cold.to_vec());
-    stage.pass(Span::from_secs(2));
+    stage.list(HostListKind::Delta, cold.to_vec());
+    stage.pass(TimeSpan::from_secs(2));
     assert!(burst(&mut stage) > 0, "something is let through");
     for among in [2.0, 200.0, 1.0] {
-        stage.dispatcher.divide(stage.now, Some(among), Some(among));
+        stage
+            .dispatcher
+            .set_slow_start_shares(stage.now, Some(among), Some(among));
         assert_eq!(burst(&mut stage), 0, "what was spent stays spent");
     }
     stage.pass(ms(400));
