--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -36,7 +36,7 @@
 
 /// What waits to be written.
 enum Packet {
-    Sending(Sending),
+    Sending(AttemptRequest),
     Kill(Rc<str>),
     Probe(ProbeId),
 }
@@ -50,15 +50,15 @@
 /// One connection, as its own task knows it.
 pub struct Link {
     host: HostId,
-    id: LineId,
+    id: ConnectionId,
     stream: TcpStream,
-    orders: mpsc::Receiver<ToServer>,
+    orders: mpsc::Receiver<ToHost>,
     shared: Rc<Shared>,
     incoming: Ring,
     wants: usize,
     /// One request at a time, and none that has not begun but while it is tried.
     outgoing: Ring,
-    in_ring: Option<Sending>,
+    in_ring: Option<AttemptRequest>,
     begun: bool,
     /// When something last went out.
     written: Instant,
@@ -85,9 +85,9 @@
 impl Link {
     pub fn new(
         host: HostId,
-        id: LineId,
+        id: ConnectionId,
         stream: TcpStream,
-        orders: mpsc::Receiver<ToServer>,
+        orders: mpsc::Receiver<ToHost>,
         shared: Rc<Shared>,
     ) -> Link {
         Link {
@@ -163,31 +163,34 @@
             self.shared
                 .probed(id, self.host, Ending::ConnectionLost, vec![]);
         }
-        while let Some(order) = next_now(&mut self.orders) {
+        while let Some(order) = next_queued(&mut self.orders) {
             match order {
-                ToServer::Send(sending) => self.end(sending.id, Ending::NotSent),
-                ToServer::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
+                ToHost::Send(sending) => self.end(sending.id, Ending::NotSent),
+                ToHost::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
                 _ => {}
             }
         }
         let (host, line) = (self.host, self.id);
-        let _ = self
-            .shared
-            .queue
-            .send(Inbound::Server(FromServer::Closed { host, line }));
+        let _ = self.shared.queue.send(Inbound::Host(FromHost::Closed {
+            host,
+            connection: line,
+        }));
     }
 
     /// Nothing new is to come here; what is out may still be answered.
     fn tell_unfit(&mut self) {
         if !std::mem::replace(&mut self.unfit, true) {
             let (host, line) = (self.host, self.id);
-            let told = FromServer::Unfit { host, line };
-            let _ = self.shared.queue.send(Inbound::Server(told));
+            let told = FromHost::Unusable {
+                host,
+                connection: line,
+            };
+            let _ = self.shared.queue.send(Inbound::Host(told));
         }
     }
 
     fn end(&self, id: AttemptId, ending: Ending) {
-        let answer = Answer::bare(ending);
+        let answer = Answer::without_body(ending);
         self.shared.end(id, self.host, Some(self.id), answer);
     }
 
@@ -269,21 +272,21 @@
         Ok(())
     }
 
-    fn obey(&mut self, order: ToServer) -> Result<(), Over> {
+    fn obey(&mut self, order: ToHost) -> Result<(), Over> {
         self.active = Instant::now();
         match order {
-            ToServer::Send(sending) => self.unsent.push_back(Packet::Sending(sending)),
-            ToServer::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
-            ToServer::Kill(id) => {
+            ToHost::Send(sending) => self.unsent.push_back(Packet::Sending(sending)),
+            ToHost::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
+            ToHost::Cancel(id) => {
                 if !self.drop_unsent(id) {
                     self.kill(id);
                 }
             }
-            ToServer::Recall(id) => {
+            ToHost::CancelUnsent(id) => {
                 self.drop_unsent(id);
             }
-            ToServer::Retire => self.retired = true,
-            ToServer::Break => return Err("its process was started anew"),
+            ToHost::Retire => self.retired = true,
+            ToHost::HostGone => return Err("its process was started anew"),
         }
         Ok(())
     }
@@ -306,8 +309,10 @@
             return;
         };
         let clock = &self.shared.clock;
-        self.shared.trace.begun(&sending.call, sending.id, self.id);
-        let late = permits::begun_against_a_rule(clock.moment(now), &sending.facts(clock));
+        self.shared
+            .trace
+            .begun(&sending.request, sending.id, self.id);
+        let late = permits::begun_against_a_rule(clock.timestamp(now), &sending.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let passed_on = self.deadline_holds(now);
         must(passed_on, &self.shared.counts.broken_deadline_passed_on);
@@ -316,10 +321,13 @@
     /// Whether what is in the ring may go on with the deadline that was written into it.
     fn deadline_holds(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let reference = self.in_ring.as_ref().map(|sending| &sending.call.reference);
+        let reference = self
+            .in_ring
+            .as_ref()
+            .map(|sending| &sending.request.reference);
         let open = reference.and_then(|reference| self.open.get(reference));
         open.is_none_or(|open| {
-            permits::deadline_still_holds(clock.moment(now), clock.moment(open.sent))
+            permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(open.sent))
         })
     }
 
@@ -329,7 +337,7 @@
             return;
         }
         if let Some(sending) = self.in_ring.take() {
-            self.open.remove(&sending.call.reference);
+            self.open.remove(&sending.request.reference);
             self.outgoing.consume(self.outgoing.len());
             self.unsent.push_front(Packet::Sending(sending));
         }
@@ -392,7 +400,8 @@
     /// deadline that no longer holds. One that goes out slowly but steadily is let through.
     fn stalled(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let steady = permits::deadline_still_holds(clock.moment(now), clock.moment(self.written));
+        let steady =
+            permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(self.written));
         self.begun && !steady && !self.deadline_holds(now)
     }
 
@@ -412,21 +421,21 @@
                 self.probe = Some(id);
             }
             Packet::Sending(sending) => {
-                let (now, call) = (Instant::now(), &sending.call);
-                if let Err(why) = sending.may_begin(&self.shared.clock, now) {
+                let (now, call) = (Instant::now(), &sending.request);
+                if let Err(why) = sending.may_send(&self.shared.clock, now) {
                     self.shared.trace.denied(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
                 resp::put_array(&mut out, WORDS);
                 resp::put_word(&mut out, b"PULL");
                 resp::put_word(&mut out, call.reference.as_bytes());
-                let moment = self.shared.clock.moment(now);
+                let moment = self.shared.clock.timestamp(now);
                 resp::put_word(&mut out, fields(&sending, moment).as_bytes());
                 resp::put_word(&mut out, &call.body);
                 let open = OpenAttempt {
                     id: sending.id,
                     sent: now,
-                    may_be_same: call.held_tag.is_some(),
+                    may_be_same: call.held_etag.is_some(),
                 };
                 let before = self.open.insert(call.reference.clone(), open);
                 must(before.is_none(), &self.shared.counts.broken_two_endings);
@@ -522,11 +531,11 @@
 }
 
 /// The fields of a request, as the hosts want them.
-fn fields(sending: &Sending, now: Timestamp) -> String {
-    let call = &sending.call;
+fn fields(sending: &AttemptRequest, now: Timestamp) -> String {
+    let call = &sending.request;
     let mut fields = format!(
         "lane={},name={},piece={}",
-        sending.track, call.object_text, call.part
+        sending.class_name, call.object_name, call.part
     );
     let mut add = |name: &str, value: &str| {
         let _ = write!(fields, ",{name}={value}");
@@ -534,10 +543,10 @@
     // Rounded down: the host gives up no later than the dispatcher.
     let left = permits::deadline_to_pass(now, sending.deadline);
     add("ttl", &(left.0 / 1000).max(1).to_string());
-    if let Some(mark) = &call.mark {
+    if let Some(mark) = &call.idempotency_key {
         add("dedupe", mark);
     }
-    if let Some(tag) = &call.held_tag {
+    if let Some(tag) = &call.held_etag {
         add("known", tag);
     }
     if let Some(source) = &sending.source {
@@ -626,11 +635,11 @@
     Some(Answer {
         ending,
         note,
-        waited: waited
+        first_byte_latency: waited
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
-        report: read_report(fields),
+        load_report: read_report(fields),
         body: (word == b"data").then(|| Parcel::new(body, held)),
-        minted: named("minted").and_then(stamp_of_ms),
+        issued_at: named("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -18,23 +18,23 @@
 use trailproxy_shared_store::words::Request;
 use trailproxy_terms::Reports;
 
-pub type Queue = mpsc::Sender<Inbound>;
+pub type InboundSender = mpsc::Sender<Inbound>;
 
 /// All that can happen to the dispatcher.
 pub enum Inbound {
     Client(FromClient),
-    Server(FromServer),
-    Journal(Entry),
+    Host(FromHost),
+    Journal(JournalEntry),
     /// Other settings hold from now on.
-    Terms(Box<(DispatcherSettings, Reports)>),
+    Settings(Box<(DispatcherSettings, Reports)>),
     /// The operator's file was read again.
-    Operator(Told),
+    OperatorConfig(Told),
     Store(FromStore),
     Peers(FromPeers),
     /// Asked to end: whatever is open is finished first.
     Terminate,
     /// Nobody is accepted any more, and all that had come are known.
-    AllIn,
+    AllAccepted,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -42,29 +42,29 @@
 
 /// One request of a client, by its connection and its number there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CallId {
+pub struct ClientRequestId {
     pub client: ClientId,
     pub number: u32,
 }
 
 /// A request as a client words it.
-pub struct Call {
-    pub id: CallId,
-    pub come: Instant,
+pub struct ClientRequest {
+    pub id: ClientRequestId,
+    pub arrived_at: Instant,
     pub reference: Rc<str>,
-    pub left: TimeSpan,
-    pub track: ClassId,
+    pub time_left: TimeSpan,
+    pub class: ClassId,
     pub object: ObjectId,
-    pub object_text: String,
+    pub object_name: String,
     pub group: GroupId,
     pub part: u32,
     pub size_kb: Option<f64>,
-    pub mark: Option<String>,
-    pub held_tag: Option<String>,
+    pub idempotency_key: Option<String>,
+    pub held_etag: Option<String>,
     pub body: Vec<u8>,
     /// It has its final answer or its client has gone: nothing of it is to begin. Whoever sees that first says so here,
     /// and whoever writes looks here, so that no queue between the two makes it late.
-    pub over: Rc<Cell<bool>>,
+    pub closed: Rc<Cell<bool>>,
     /// What is known of its client's connection, looked at in the same way.
     pub client: Rc<ClientState>,
 }
@@ -78,17 +78,17 @@
 
 pub enum FromClient {
     Opened(ClientId, mpsc::Sender<ToClient>),
-    Called(Call),
-    Revoked(CallId),
+    Requested(ClientRequest),
+    Cancelled(ClientRequestId),
     /// It sends nothing more, and may have gone: what is under way may end, and nothing begins.
-    Shut(ClientId),
+    HalfClosed(ClientId),
     Closed(ClientId),
 }
 
 pub enum Reply {
     Served(Parcel),
     /// The copy that the client holds is the one that would be served.
-    Same,
+    NotModified,
     Refused {
         retry_after: Option<TimeSpan>,
     },
@@ -97,10 +97,10 @@
 
 impl Reply {
     /// One word for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Reply::Served(_) => "served",
-            Reply::Same => "same",
+            Reply::NotModified => "same",
             Reply::Refused { .. } => "refused",
             Reply::Failed => "failed",
         }
@@ -112,11 +112,11 @@
     /// Nothing more comes: flush, half-close, read to the end.
     Finish,
     /// Its place is wanted: it ends unless something has come by now.
-    GiveWay,
+    YieldSlot,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LineId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// One probe of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -126,15 +126,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     pub request: RequestId,
-    pub no: AttemptNo,
+    pub attempt: AttemptNo,
 }
 
 /// What goes to a host.
-pub struct Sending {
+pub struct AttemptRequest {
     pub id: AttemptId,
     pub host: HostId,
-    pub call: Rc<Call>,
-    pub track: Rc<str>,
+    pub request: Rc<ClientRequest>,
+    pub class_name: Rc<str>,
     pub fill: Option<Fill>,
     /// The name of another host that fills a miss.
     pub source: Option<Rc<str>>,
@@ -143,28 +143,28 @@
     /// Rule 2: what may have run before may go out again only until then.
     pub repeat_by: Option<Timestamp>,
     /// Connections on which the same id has gone out before.
-    pub avoid: Vec<LineId>,
+    pub avoid_connections: Vec<ConnectionId>,
 }
 
-impl Sending {
+impl AttemptRequest {
     /// Whether its first byte may go out now.
-    pub fn may_begin(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
-        permits::may_send(clock.moment(now), &self.facts(clock))
+    pub fn may_send(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
+        permits::may_send(clock.timestamp(now), &self.send_facts(clock))
     }
 
     /// What decides whether it may begin.
-    pub fn facts(&self, clock: &Clock) -> SendFacts {
-        let closed_at = self.call.client.closed_at.get();
+    pub fn send_facts(&self, clock: &Clock) -> SendFacts {
+        let closed_at = self.request.client.closed_at.get();
         SendFacts {
-            answered: self.call.over.get(),
-            client_closed: closed_at.map(|at| clock.moment(at)),
+            answered: self.request.closed.get(),
+            client_closed: closed_at.map(|at| clock.timestamp(at)),
             deadline: self.deadline,
             repeat_by: self.repeat_by,
         }
     }
 
     /// When it may not begin any more, as far as time alone decides.
-    pub fn begins_until(&self, clock: &Clock) -> Instant {
+    pub fn latest_send(&self, clock: &Clock) -> Instant {
         let until = self
             .repeat_by
             .map_or(self.deadline, |by| by.min(self.deadline));
@@ -175,50 +175,50 @@
 pub struct Answer {
     pub ending: Ending,
     pub note: Note,
-    pub waited: Option<TimeSpan>,
-    pub report: Vec<f64>,
+    pub first_byte_latency: Option<TimeSpan>,
+    pub load_report: Vec<f64>,
     /// The bytes where it is done; `None`: the client's copy is the one.
     pub body: Option<Parcel>,
     /// When the origin gave this copy out, as it is stamped.
-    pub minted: Option<Timestamp>,
+    pub issued_at: Option<Timestamp>,
 }
 
 impl Answer {
-    pub fn bare(ending: Ending) -> Answer {
+    pub fn without_body(ending: Ending) -> Answer {
         Answer {
             ending,
             note: Note::NotReported,
-            waited: None,
-            report: vec![],
+            first_byte_latency: None,
+            load_report: vec![],
             body: None,
-            minted: None,
+            issued_at: None,
         }
     }
 }
 
 /// What came of a dial.
-pub enum Dialled {
-    Up(TcpStream),
+pub enum DialResult {
+    Connected(TcpStream),
     /// The host refuses, or can't be reached.
     Refused,
     /// Nothing came up in time.
     TimedOut,
     /// This side lacked what a connection takes, all the time: it says nothing of the host.
-    Lacking,
+    LocalShortage,
 }
 
-pub enum FromServer {
+pub enum FromHost {
     Dialled {
         host: HostId,
-        line: LineId,
+        connection: ConnectionId,
         /// Where it was dialled.
         address: SocketAddr,
-        dialled: Dialled,
+        result: DialResult,
     },
-    Ended {
+    AttemptEnded {
         id: AttemptId,
         host: HostId,
-        line: Option<LineId>,
+        connection: Option<ConnectionId>,
         answer: Answer,
     },
     Probed {
@@ -229,49 +229,49 @@
     },
     /// Nothing new is to go there: it is about to close, or nothing came from it for longer than a
     /// dial may take, though it owed an answer.
-    Unfit {
+    Unusable {
         host: HostId,
-        line: LineId,
+        connection: ConnectionId,
     },
     Closed {
         host: HostId,
-        line: LineId,
+        connection: ConnectionId,
     },
 }
 
-pub enum ToServer {
-    Send(Sending),
+pub enum ToHost {
+    Send(AttemptRequest),
     Probe(ProbeId),
     /// Given up: a KILL goes out if the request has.
-    Kill(AttemptId),
+    Cancel(AttemptId),
     /// Dropped if not a byte of it is written, else left alone.
-    Recall(AttemptId),
+    CancelUnsent(AttemptId),
     /// Nothing new comes.
     Retire,
     /// The process behind it is gone.
-    Break,
+    HostGone,
 }
 
 pub enum ToStore {
     Connect,
     Disconnect,
-    Ask(OpId, Box<Request>),
+    Execute(OpId, Box<Request>),
 }
 
 pub enum FromStore {
     /// A connection stands, to the server process that names itself so.
     Connected {
-        run: String,
+        run_id: String,
     },
     /// It ended, or could not be made.
-    Broken,
+    Disconnected,
     Answered(OpId, StoreReply),
 }
 
 pub enum ToPeers {
     Send(Address, Message),
     /// Nothing is sent or heard any more.
-    End,
+    Stop,
 }
 
 /// A message of the fleet, with where it came from.
@@ -282,19 +282,19 @@
 
 /// A host as the list names it, with where it is reached.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct ListedHost {
     pub entry: HostEntry,
     pub name: Rc<str>,
     pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Change {
+pub enum JournalChange {
     Hosts {
-        form: HostListKind,
-        members: Vec<Member>,
+        kind: HostListKind,
+        hosts: Vec<ListedHost>,
         /// Members that can't be read, which are passed over.
-        unread: usize,
+        unreadable: usize,
     },
     Purged {
         object: Option<ObjectId>,
@@ -305,30 +305,30 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
-    pub pos: u64,
-    pub change: Change,
+pub struct JournalEntry {
+    pub position: u64,
+    pub change: JournalChange,
 }
 
-impl Change {
+impl JournalChange {
     /// One word for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
-            Change::Hosts { .. } => "hosts",
-            Change::Purged { .. } => "purge",
+            JournalChange::Hosts { .. } => "hosts",
+            JournalChange::Purged { .. } => "purge",
         }
     }
 }
 
-impl Entry {
+impl JournalEntry {
     /// The stamps that it bears.
     pub fn stamps(&self) -> Vec<Timestamp> {
         match &self.change {
-            Change::Hosts { members, .. } => {
+            JournalChange::Hosts { hosts: members, .. } => {
                 let stamps = members.iter().filter_map(|member| member.entry.stamp);
                 stamps.collect()
             }
-            Change::Purged { stamp, .. } => vec![*stamp],
+            JournalChange::Purged { stamp, .. } => vec![*stamp],
         }
     }
 }
@@ -339,7 +339,7 @@
     start: Instant,
     unix_us: u64,
     /// Millionths by which it runs fast.
-    fast: u64,
+    drift_ppm: u64,
 }
 
 impl Clock {
@@ -354,23 +354,24 @@
             unix_us: unix
                 .map_or(0, |since| since.as_micros() as u64)
                 .saturating_add_signed(ahead),
-            fast: fast.parse().unwrap_or(0),
+            drift_ppm: fast.parse().unwrap_or(0),
         }
     }
 
-    pub fn moment(&self, at: Instant) -> Timestamp {
+    pub fn timestamp(&self, at: Instant) -> Timestamp {
         let since = at.saturating_duration_since(self.start).as_micros() as u64;
-        Timestamp(self.unix_us + since + since / 1_000_000 * self.fast)
+        Timestamp(self.unix_us + since + since / 1_000_000 * self.drift_ppm)
     }
 
     pub fn instant(&self, at: Timestamp) -> Instant {
         let since = at.since(Timestamp(self.unix_us)).0;
-        self.start + Duration::from_micros(since - since / (1_000_000 + self.fast) * self.fast)
+        self.start
+            + Duration::from_micros(since - since / (1_000_000 + self.drift_ppm) * self.drift_ppm)
     }
 }
 
 /// What is in a queue already.
-pub fn next_now<T>(queue: &mut mpsc::Receiver<T>) -> Option<T> {
+pub fn next_queued<T>(queue: &mut mpsc::Receiver<T>) -> Option<T> {
     let mut next = std::pin::pin!(queue.recv());
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
     match next.as_mut().poll(&mut context) {
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -26,8 +26,8 @@
 
 /// One connection, as its pool knows it.
 struct Line {
-    id: LineId,
-    orders: mpsc::Sender<ToServer>,
+    id: ConnectionId,
+    orders: mpsc::Sender<ToHost>,
     open: usize,
     retired: bool,
     /// Since when it is up.
@@ -35,10 +35,10 @@
 }
 
 struct Pool {
-    member: Member,
+    member: ListedHost,
     lines: Vec<Line>,
     /// Waiting for a connection, and until when.
-    waiting: VecDeque<(Instant, Sending)>,
+    waiting: VecDeque<(Instant, AttemptRequest)>,
     dialing: usize,
     /// Whether the last dial failed for a reason of this side.
     lacking: bool,
@@ -90,7 +90,7 @@
     pub shared: Rc<Shared>,
     pools: BTreeMap<HostId, Pool>,
     /// Where each open attempt is.
-    places: BTreeMap<AttemptId, (HostId, Option<LineId>)>,
+    places: BTreeMap<AttemptId, (HostId, Option<ConnectionId>)>,
     lines: usize,
     next: u64,
 }
@@ -113,7 +113,7 @@
 
     /// Takes a change of the host list. Pools go by host: another host may come to a gone one's address.
     /// What waits for a host that is not ready any more is recalled by the one who sent it.
-    pub fn list(&mut self, form: HostListKind, members: &[Member]) {
+    pub fn list(&mut self, form: HostListKind, members: &[ListedHost]) {
         if form == HostListKind::Full {
             let gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
             self.pools.values_mut().for_each(gone);
@@ -137,7 +137,7 @@
                 let former = |line: &&mut Line| moved || line.up < started;
                 for line in pool.lines.iter_mut().filter(former) {
                     line.retired = true;
-                    let _ = line.orders.send(ToServer::Break);
+                    let _ = line.orders.send(ToHost::HostGone);
                 }
             }
             let same = pool.member.name == member.name;
@@ -148,7 +148,7 @@
             if pool.member.entry.state != HostState::Ready {
                 for line in &mut pool.lines {
                     line.retired = true;
-                    let _ = line.orders.send(ToServer::Retire);
+                    let _ = line.orders.send(ToHost::Retire);
                 }
             }
         }
@@ -177,7 +177,7 @@
         self.pools.get(&host).map(|pool| pool.member.name.clone())
     }
 
-    pub fn submit(&mut self, sending: Sending) {
+    pub fn submit(&mut self, sending: AttemptRequest) {
         let (id, host) = (sending.id, sending.host);
         let until = Instant::now() + self.shared.dial_within();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
@@ -225,13 +225,13 @@
         let mut left = VecDeque::new();
         while let Some((until, sending)) = pool.waiting.pop_front() {
             let fits = |line: &&mut Line| {
-                !line.retired && line.open < most && !sending.avoid.contains(&line.id)
+                !line.retired && line.open < most && !sending.avoid_connections.contains(&line.id)
             };
             let lines = pool.lines.iter_mut().filter(fits);
             match lines.min_by_key(|line| line.open) {
                 Some(line) if line.open < TOGETHER || left.len() >= dials => {
                     let id = sending.id;
-                    match line.orders.send(ToServer::Send(sending)) {
+                    match line.orders.send(ToHost::Send(sending)) {
                         Ok(()) => {
                             self.places.insert(id, (host, Some(line.id)));
                             line.open += 1;
@@ -240,7 +240,7 @@
                         // be held by nobody.
                         Err(SendError(order)) => {
                             line.retired = true;
-                            if let ToServer::Send(sending) = order {
+                            if let ToHost::Send(sending) = order {
                                 pool.waiting.push_front((until, sending));
                             }
                         }
@@ -254,7 +254,7 @@
         let waits = |probe: &&mut Probe| probe.is == ProbeIs::Waiting;
         if let Some(probe) = pool.probe.as_mut().filter(waits) {
             match pool.lines.iter().find(|line| !line.retired) {
-                Some(line) if line.orders.send(ToServer::Probe(probe.id)).is_ok() => {
+                Some(line) if line.orders.send(ToHost::Probe(probe.id)).is_ok() => {
                     probe.is = ProbeIs::Out;
                 }
                 _ => wanted += 1,
@@ -265,7 +265,7 @@
             self.lines += 1;
             self.next += 1;
             count(&self.shared.counts.dials);
-            let (queue, line) = (self.shared.queue.clone(), LineId(self.next));
+            let (queue, line) = (self.shared.queue.clone(), ConnectionId(self.next));
             tokio::task::spawn_local(dial(pool.member.address, within, host, line, queue));
         }
     }
@@ -279,9 +279,11 @@
                 probe.ended(shared, host);
             }
             pool.waiting.retain(|(until, sending)| {
-                match sending.may_begin(&shared.clock, now) {
+                match sending.may_send(&shared.clock, now) {
                     Err(why) => {
-                        shared.trace.denied(&sending.call, sending.id, why.as_str());
+                        shared
+                            .trace
+                            .denied(&sending.request, sending.id, why.as_str());
                         shared.dropped(sending, Ending::NotSent);
                     }
                     // The host is not to blame for what was lacking here.
@@ -300,7 +302,8 @@
     pub fn next_expiry(&self) -> Option<Instant> {
         let waiting = self.pools.values().flat_map(|pool| &pool.waiting);
         let clock = &self.shared.clock;
-        let over = |(until, sending): &(Instant, Sending)| sending.begins_until(clock).min(*until);
+        let over =
+            |(until, sending): &(Instant, AttemptRequest)| sending.latest_send(clock).min(*until);
         let probes = self.pools.values().filter_map(|pool| pool.probe.as_ref());
         let probes = probes.filter(|probe| probe.is != ProbeIs::Over);
         waiting
@@ -311,15 +314,15 @@
 
     /// Gives an attempt up; its ending comes by the queue.
     pub fn kill(&mut self, id: AttemptId) {
-        self.order(id, ToServer::Kill(id));
+        self.order(id, ToHost::Cancel(id));
     }
 
     /// Drops an attempt of which nothing is written yet.
     pub fn recall(&mut self, id: AttemptId) {
-        self.order(id, ToServer::Recall(id));
+        self.order(id, ToHost::CancelUnsent(id));
     }
 
-    fn order(&mut self, id: AttemptId, order: ToServer) {
+    fn order(&mut self, id: AttemptId, order: ToHost) {
         let Some(&(host, line)) = self.places.get(&id) else {
             return;
         };
@@ -352,25 +355,25 @@
     }
 
     /// What a connection or a dial tells; an answer is handed back, once for each attempt.
-    pub fn told(&mut self, told: FromServer) -> Option<(AttemptId, Option<LineId>, Answer)> {
+    pub fn told(&mut self, told: FromHost) -> Option<(AttemptId, Option<ConnectionId>, Answer)> {
         match told {
-            FromServer::Dialled {
+            FromHost::Dialled {
                 host,
-                line,
+                connection: line,
                 address,
-                dialled,
+                result: dialled,
             } => {
                 // The host has moved since: whoever is there now is another.
                 let pool = self.pools.get(&host);
                 let moved = pool.is_some_and(|pool| pool.member.address != address);
-                let dialled = if moved { Dialled::TimedOut } else { dialled };
+                let dialled = if moved { DialResult::TimedOut } else { dialled };
                 self.dialled(host, line, dialled);
                 None
             }
-            FromServer::Ended {
+            FromHost::AttemptEnded {
                 id,
                 host,
-                line,
+                connection: line,
                 answer,
             } => {
                 if let (Some(pool), Some(line)) = (self.pools.get_mut(&host), line) {
@@ -387,17 +390,23 @@
                 self.places.remove(&id).map(|_| (id, line, answer))
             }
             // It has its owner's ear by itself.
-            FromServer::Probed { .. } => None,
-            FromServer::Unfit { host, line } => {
+            FromHost::Probed { .. } => None,
+            FromHost::Unusable {
+                host,
+                connection: line,
+            } => {
                 if let Some(pool) = self.pools.get_mut(&host) {
                     for known in pool.lines.iter_mut().filter(|known| known.id == line) {
                         known.retired = true;
-                        let _ = known.orders.send(ToServer::Retire);
+                        let _ = known.orders.send(ToHost::Retire);
                     }
                 }
                 None
             }
-            FromServer::Closed { host, line } => {
+            FromHost::Closed {
+                host,
+                connection: line,
+            } => {
                 self.lines -= 1;
                 if let Some(pool) = self.pools.get_mut(&host) {
                     pool.lines.retain(|known| known.id != line);
@@ -410,9 +419,9 @@
         }
     }
 
-    fn dialled(&mut self, host: HostId, id: LineId, dialled: Dialled) {
+    fn dialled(&mut self, host: HostId, id: ConnectionId, dialled: DialResult) {
         match (self.pools.get_mut(&host), dialled) {
-            (Some(pool), Dialled::Up(stream)) => {
+            (Some(pool), DialResult::Connected(stream)) => {
                 pool.dialing -= 1;
                 pool.lacking = false;
                 self.came_up(host, id, stream);
@@ -420,8 +429,8 @@
             (Some(pool), failed) => {
                 self.lines -= 1;
                 pool.dialing -= 1;
-                pool.lacking = matches!(failed, Dialled::Lacking);
-                if matches!(failed, Dialled::Refused) {
+                pool.lacking = matches!(failed, DialResult::LocalShortage);
+                if matches!(failed, DialResult::Refused) {
                     pool.refused(&self.shared, host);
                 }
                 self.assign(host);
@@ -432,21 +441,21 @@
     }
 
     /// A connection is up.
-    fn came_up(&mut self, host: HostId, id: LineId, stream: TcpStream) {
+    fn came_up(&mut self, host: HostId, id: ConnectionId, stream: TcpStream) {
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
         let (orders_in, orders) = mpsc::channel();
         let retired = pool.member.entry.state != HostState::Ready;
         if retired {
-            let _ = orders_in.send(ToServer::Retire);
+            let _ = orders_in.send(ToHost::Retire);
         }
         pool.lines.push(Line {
             id,
             orders: orders_in,
             open: 0,
             retired,
-            up: self.shared.clock.moment(Instant::now()),
+            up: self.shared.clock.timestamp(Instant::now()),
         });
         let link = Link::new(host, id, stream, orders, self.shared.clone());
         tokio::task::spawn_local(link.serve());
@@ -454,22 +463,28 @@
     }
 }
 
-async fn dial(address: SocketAddr, within: Duration, host: HostId, line: LineId, queue: Queue) {
+async fn dial(
+    address: SocketAddr,
+    within: Duration,
+    host: HostId,
+    line: ConnectionId,
+    queue: InboundSender,
+) {
     let lacking = Cell::new(false);
     let dialled = match timeout(within, connect(address, &lacking)).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
-            Dialled::Up(stream)
+            DialResult::Connected(stream)
         }
-        Ok(Err(_)) => Dialled::Refused,
-        Err(_) if lacking.get() => Dialled::Lacking,
-        Err(_) => Dialled::TimedOut,
+        Ok(Err(_)) => DialResult::Refused,
+        Err(_) if lacking.get() => DialResult::LocalShortage,
+        Err(_) => DialResult::TimedOut,
     };
-    let _ = queue.send(Inbound::Server(FromServer::Dialled {
+    let _ = queue.send(Inbound::Host(FromHost::Dialled {
         host,
-        line,
+        connection: line,
         address,
-        dialled,
+        result: dialled,
     }));
 }
 
