--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -6,7 +6,7 @@
 use crate::peered::Peered;
 use crate::peers;
 use crate::store;
-use crate::subsystems::Shared;
+use crate::subsystems::StoreClient;
 use local_channel::mpsc;
 use slog::{info, warn};
 use tokio::time::Instant;
@@ -159,7 +159,7 @@
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
                     let targets = settings.classes.iter().map(|class| class.target).collect();
                     let mut client =
-                        Shared::new(*config, Sharing::new(now, rules, life), to, targets, log);
+                        StoreClient::new(*config, Sharing::new(now, rules, life), to, targets, log);
                     let (kind, entries) = (HostListKind::Full, self.pools.entries());
                     client.heard(now, &Event::HostList { kind, entries });
                     *shared = Some(client);
@@ -169,7 +169,7 @@
         } else {
             info!(self.log, "store is off");
         }
-        for arrival in ended.into_iter().flat_map(Shared::end) {
+        for arrival in ended.into_iter().flat_map(StoreClient::end) {
             self.submit_arrival(now, arrival);
         }
     }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct Subsystems {
     pub zones: Option<Zones>,
-    pub shared: Option<Shared>,
+    pub shared: Option<StoreClient>,
     pub peers: Option<Peered>,
     pub divided: Option<Divided>,
     /// Among how many work for cold hosts is divided from now on, until the decisions are told.
@@ -67,7 +67,7 @@
     }
 
     pub fn next(&self) -> Option<Timestamp> {
-        let shared = self.shared.as_ref().and_then(Shared::next);
+        let shared = self.shared.as_ref().and_then(StoreClient::next);
         shared
             .into_iter()
             .chain(self.peers.as_ref().map(Peered::next))
@@ -210,13 +210,13 @@
     }
 
     pub fn take(&mut self) -> Option<SubsystemEvent> {
-        let shared = self.shared.as_mut().and_then(Shared::take);
+        let shared = self.shared.as_mut().and_then(StoreClient::take);
         shared.or_else(|| self.peers.as_mut().and_then(Peered::take))
     }
 }
 
 /// Sharing as long as it is on, with the way to the store and what is held back for it.
-pub struct Shared {
+pub struct StoreClient {
     pub config: Sheet,
     folding: Folding,
     sharing: Sharing,
@@ -228,15 +228,15 @@
     log: Logger,
 }
 
-impl Shared {
+impl StoreClient {
     pub fn new(
         config: Sheet,
         sharing: Sharing,
         to: mpsc::Sender<ToStore>,
         targets: Vec<TimeSpan>,
         log: Logger,
-    ) -> Shared {
-        Shared {
+    ) -> StoreClient {
+        StoreClient {
             folding: Folding::new(&config.prefix),
             config,
             sharing,
