--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -3,7 +3,7 @@
 
 use super::Dispatch;
 use crate::operator::{OperatorConfig, ResolvedPeers, longest_window};
-use crate::peered::Peered;
+use crate::peered::PeersRuntime;
 use crate::peers;
 use crate::store;
 use crate::subsystems::StoreClient;
@@ -121,7 +121,8 @@
         tokio::task::spawn_local(peers::run(socket.clone(), seal, queue, orders, log.clone()));
         let targets = settings.classes.iter().map(|class| class.target).collect();
         let decisions = Peers::new(now, own, rules, seed);
-        let mut runtime = Peered::new(*section, decisions, (socket, to), targets, log.clone());
+        let mut runtime =
+            PeersRuntime::new(*section, decisions, (socket, to), targets, log.clone());
         let (kind, entries) = (HostListKind::Full, self.pools.entries());
         runtime.listed(now, &entries, self.state.journal_position);
         runtime.heard(&Event::HostList { kind, entries });
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -14,7 +14,7 @@
 use trailproxy_peers::decide::{Action, Peers};
 use trailproxy_shared_store::decide::records::{Came, Folding};
 
-pub struct Peered {
+pub struct PeersRuntime {
     /// The section that it runs by.
     pub told: ResolvedPeers,
     folding: Folding,
@@ -27,7 +27,7 @@
     log: Logger,
 }
 
-impl Peered {
+impl PeersRuntime {
     /// `targets`: by track.
     pub fn new(
         told: ResolvedPeers,
@@ -35,8 +35,8 @@
         (socket, to): (Rc<UdpSocket>, mpsc::Sender<ToPeers>),
         targets: Vec<TimeSpan>,
         log: Logger,
-    ) -> Peered {
-        Peered {
+    ) -> PeersRuntime {
+        PeersRuntime {
             folding: Folding::new(&told.config.fleet),
             told,
             peers,
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -3,7 +3,7 @@
 
 use crate::divided::Divided;
 use crate::messages::{FromPeers, FromStore, ToStore};
-use crate::peered::Peered;
+use crate::peered::PeersRuntime;
 use crate::waiting::{HeldRequests, SubsystemEvent};
 use local_channel::mpsc;
 use slog::{Logger, info};
@@ -23,7 +23,7 @@
 pub struct Subsystems {
     pub zones: Option<Zones>,
     pub shared: Option<StoreClient>,
-    pub peers: Option<Peered>,
+    pub peers: Option<PeersRuntime>,
     pub divided: Option<Divided>,
     /// Among how many work for cold hosts is divided from now on, until the decisions are told.
     cold: Option<(Option<f64>, Option<f64>)>,
@@ -70,7 +70,7 @@
         let shared = self.shared.as_ref().and_then(StoreClient::next);
         shared
             .into_iter()
-            .chain(self.peers.as_ref().map(Peered::next))
+            .chain(self.peers.as_ref().map(PeersRuntime::next))
             .chain(self.divided.as_ref().and_then(|on| on.following.next()))
             .min()
     }
@@ -103,7 +103,11 @@
 
     /// Words of others reach the division, and what follows goes out: by the peers' messages, or else by the store.
     fn divide(&mut self, now: Timestamp) {
-        let words = self.peers.as_mut().map(Peered::words).unwrap_or_default();
+        let words = self
+            .peers
+            .as_mut()
+            .map(PeersRuntime::words)
+            .unwrap_or_default();
         let posted = self
             .shared
             .as_mut()
@@ -211,7 +215,7 @@
 
     pub fn take(&mut self) -> Option<SubsystemEvent> {
         let shared = self.shared.as_mut().and_then(StoreClient::take);
-        shared.or_else(|| self.peers.as_mut().and_then(Peered::take))
+        shared.or_else(|| self.peers.as_mut().and_then(PeersRuntime::take))
     }
 }
 
