--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -9,12 +9,12 @@
 use trailproxy_peers::decide::messages::{Life, PeerId};
 use trailproxy_zones::Zones;
 
-pub struct Divided {
+pub struct BudgetsRuntime {
     pub following: Following,
     log: Logger,
 }
 
-impl Divided {
+impl BudgetsRuntime {
     pub fn new(
         now: Timestamp,
         config: Sheet,
@@ -22,11 +22,11 @@
         terms: &DispatcherSettings,
         seed: u64,
         log: Logger,
-    ) -> Divided {
+    ) -> BudgetsRuntime {
         info!(log, "budgets are on"; "file" => &config.file, "voters" => config.voters.len());
         let own = (HolderId(own.0.0), LifeId(own.1.0));
         let following = Following::new(now, config, own, terms, seed);
-        Divided { following, log }
+        BudgetsRuntime { following, log }
     }
 
     pub fn own(&self) -> (PeerId, Life) {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,7 +1,7 @@
 //! What stands beside the decisions, each part there only while it is switched on: traffic between zones, and what is
 //! shared with other dispatchers.
 
-use crate::divided::Divided;
+use crate::divided::BudgetsRuntime;
 use crate::messages::{FromPeers, FromStore, ToStore};
 use crate::peered::PeersRuntime;
 use crate::waiting::{HeldRequests, SubsystemEvent};
@@ -24,7 +24,7 @@
     pub zones: Option<Zones>,
     pub shared: Option<StoreClient>,
     pub peers: Option<PeersRuntime>,
-    pub divided: Option<Divided>,
+    pub divided: Option<BudgetsRuntime>,
     /// Among how many work for cold hosts is divided from now on, until the decisions are told.
     cold: Option<(Option<f64>, Option<f64>)>,
 }
@@ -155,7 +155,7 @@
         let known = self
             .divided
             .as_ref()
-            .map(Divided::own)
+            .map(BudgetsRuntime::own)
             .filter(|own| own.0 == id);
         by_store.then(|| known.unwrap_or((id, fresh)))
     }
@@ -186,7 +186,7 @@
             .as_ref()
             .is_some_and(|divided| divided.is(config, own))
         {
-            let fresh = Divided::new(now, config.clone(), own, terms, seed, log.clone());
+            let fresh = BudgetsRuntime::new(now, config.clone(), own, terms, seed, log.clone());
             self.divided = Some(fresh);
         }
         if let Some(divided) = &mut self.divided {
