--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -104,7 +104,7 @@
             .shared
             .trace
             .attempt_assigned(&attempt.request, attempt.id, host);
-        self.decisions.crossings.went(now, id, host);
+        self.decisions.crossings.on_attempt_sent(now, id, host);
         self.pools.submit(attempt);
     }
 
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -33,15 +33,15 @@
             "calls" => state.client_requests.len(), "clients" => state.clients.len(), "out" => attempts,
             "lines" => connections, "pools" => pools, "ids" => state.references.len(), "timers" => state.deadlines.len() + state.timers.len(),
             "held" => self.pools.shared.held.bytes(), "process" => process_figures());
-        if let Some(shared) = &self.decisions.crossings.shared {
-            info!(self.log, "store counts"; "what" => shared.figures());
+        if let Some(store) = &self.decisions.crossings.store {
+            info!(self.log, "store counts"; "what" => store.summary());
         }
         let now = self.clock.timestamp(Instant::now());
         if let Some(peers) = &self.decisions.crossings.peers {
-            info!(self.log, "peers counts"; "what" => peers.figures(now));
+            info!(self.log, "peers counts"; "what" => peers.summary(now));
         }
-        if let Some(divided) = &self.decisions.crossings.divided {
-            for line in divided
+        if let Some(budgets) = &self.decisions.crossings.budgets {
+            for line in budgets
                 .following
                 .show(now)
                 .lines()
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -71,7 +71,7 @@
                 };
                 self.handle_event(now, host_list);
                 if let Some(peers) = &mut self.decisions.crossings.peers {
-                    peers.listed(now, &entries, entry.position);
+                    peers.on_host_list(now, &entries, entry.position);
                 }
             }
             JournalChange::Purged {
@@ -82,7 +82,7 @@
                 purged = Some((object, group));
                 self.handle_purge(now, object, group, stamp);
                 if let Some(peers) = &mut self.decisions.crossings.peers {
-                    peers.purged(now, object, group, stamp);
+                    peers.on_purge(now, object, group, stamp);
                 }
             }
         }
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -227,7 +227,7 @@
     async fn leave_fleet(&mut self) {
         let now = self.clock.timestamp(Instant::now());
         let subsystems = &mut self.decisions.crossings;
-        if subsystems.peers.is_some() || subsystems.divided.is_some() {
+        if subsystems.peers.is_some() || subsystems.budgets.is_some() {
             subsystems.leave(now);
             tokio::time::sleep(FINAL_SEND_TIME).await;
         }
@@ -266,10 +266,10 @@
                     warn!(self.log, "operator's file refused"; "why" => why);
                 }
             }
-            Inbound::Peers(message) => self.decisions.crossings.message(now, message),
+            Inbound::Peers(message) => self.decisions.crossings.on_message(now, message),
             Inbound::Store(message) => {
-                if let Some(shared) = &mut self.decisions.crossings.shared {
-                    shared.told(now, message);
+                if let Some(store) = &mut self.decisions.crossings.store {
+                    store.on_store_message(now, message);
                 }
             }
             Inbound::Terminate => {
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -3,7 +3,7 @@
 use super::{Dispatch, PendingRequest};
 use crate::checks::{count, must};
 use crate::messages::{AttemptId, ClientRequest, ClientRequestId, Reply};
-use crate::subsystems::came;
+use crate::subsystems::completion;
 use std::rc::Rc;
 use trailproxy::interface::{Arrival, Effect, Event};
 use trailproxy::policy::permits;
@@ -78,7 +78,7 @@
                 attempts,
             },
         );
-        let held = key.is_some_and(|key| self.decisions.crossings.come(now, arrival, &key));
+        let held = key.is_some_and(|key| self.decisions.crossings.on_request(now, arrival, &key));
         if !held {
             self.handle_event(now, Event::Arrived(arrival));
         }
@@ -148,10 +148,10 @@
         let subsystems = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
             && request.client_request.idempotency_key.is_some()
-            && subsystems.knows_keys()
+            && subsystems.shares_outcomes()
         {
             let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-            subsystems.ended(now, id, &came(done, may_have_run));
+            subsystems.on_request_ended(now, id, &completion(done, may_have_run));
         }
     }
 
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -56,7 +56,7 @@
                 life(now, *seed ^ u64::from(std::process::id())),
             );
             let section = config.budgets.as_deref();
-            subsystems.budgets(now, section, member, (settings, *seed), &self.log);
+            subsystems.apply_budgets_section(now, section, member, (settings, *seed), &self.log);
         }
         Ok(())
     }
@@ -70,7 +70,7 @@
     ) -> Result<(), String> {
         let now = self.clock.timestamp(Instant::now());
         let present = &mut self.decisions.crossings.peers;
-        if present.as_ref().map(|present| &present.told) == section.as_deref() {
+        if present.as_ref().map(|present| &present.section) == section.as_deref() {
             return Ok(());
         }
         let mut socket = None;
@@ -79,8 +79,8 @@
             // The socket is kept if the address stays the same.
             let listen = section.as_ref().map(|section| section.addresses.listen);
             socket = Some(present.socket.clone())
-                .filter(|_| listen == Some(present.told.addresses.listen));
-            present.end()
+                .filter(|_| listen == Some(present.section.addresses.listen));
+            present.stop()
         });
         for arrival in ended.into_iter().flatten() {
             self.submit_arrival(now, arrival);
@@ -124,8 +124,8 @@
         let mut runtime =
             PeersRuntime::new(*section, decisions, (socket, to), targets, log.clone());
         let (kind, entries) = (HostListKind::Full, self.pools.entries());
-        runtime.listed(now, &entries, self.state.journal_position);
-        runtime.heard(&Event::HostList { kind, entries });
+        runtime.on_host_list(now, &entries, self.state.journal_position);
+        runtime.on_event(&Event::HostList { kind, entries });
         self.decisions.crossings.peers = Some(runtime);
         Ok(())
     }
@@ -137,7 +137,7 @@
         let Some((_, settings, seed)) = &self.accounts else {
             return;
         };
-        let shared = &mut self.decisions.crossings.shared;
+        let shared = &mut self.decisions.crossings.store;
         if shared.as_ref().map(|shared| &shared.config) == section.as_deref() {
             return;
         }
@@ -162,7 +162,7 @@
                     let mut client =
                         StoreClient::new(*config, Sharing::new(now, rules, life), to, targets, log);
                     let (kind, entries) = (HostListKind::Full, self.pools.entries());
-                    client.heard(now, &Event::HostList { kind, entries });
+                    client.on_event(now, &Event::HostList { kind, entries });
                     *shared = Some(client);
                 }
                 Err(reason) => warn!(self.log, "operator's file refused"; "why" => reason),
@@ -170,7 +170,7 @@
         } else {
             info!(self.log, "store is off");
         }
-        for arrival in ended.into_iter().flat_map(StoreClient::end) {
+        for arrival in ended.into_iter().flat_map(StoreClient::into_arrivals) {
             self.submit_arrival(now, arrival);
         }
     }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -22,10 +22,10 @@
     /// Lets time pass in the subsystems and applies what they report.
     pub(super) fn apply_subsystem_events(&mut self, now: Timestamp) {
         self.decisions.crossings.advance(now);
-        if let Some((caches, parents)) = self.decisions.crossings.cold() {
+        if let Some((caches, parents)) = self.decisions.crossings.take_slow_start_shares() {
             self.decisions.set_slow_start_shares(now, caches, parents);
         }
-        while let Some(due) = self.decisions.crossings.take() {
+        while let Some(due) = self.decisions.crossings.take_event() {
             match due {
                 SubsystemEvent::MayStart(arrival) => self.submit_arrival(now, arrival),
                 SubsystemEvent::AnsweredFromRecord(id, body) => {
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -18,7 +18,7 @@
         let state = &self.state;
         let deadline = state.deadlines.first().map(|&(at, _)| at);
         let timer = state.timers.first().map(|&(at, _)| at);
-        let subsystems = self.decisions.crossings.next();
+        let subsystems = self.decisions.crossings.next_deadline();
         let timed = [deadline, timer, subsystems]
             .into_iter()
             .flatten()
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -29,17 +29,17 @@
         BudgetsRuntime { following, log }
     }
 
-    pub fn own(&self) -> (PeerId, Life) {
+    pub fn identity(&self) -> (PeerId, Life) {
         let (id, life) = self.following.own();
         (PeerId(id.0), Life(life.0))
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, config: &Sheet, own: (PeerId, Life)) -> bool {
-        self.following.sheet == *config && self.own() == own
+    pub fn is_for(&self, config: &Sheet, own: (PeerId, Life)) -> bool {
+        self.following.sheet == *config && self.identity() == own
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: PeerId, bytes: &[u8]) {
+    pub fn on_message(&mut self, now: Timestamp, from: PeerId, bytes: &[u8]) {
         if let Some(note) = trailproxy_budgets::read(bytes) {
             self.following.heard(now, HolderId(from.0), note);
         }
@@ -53,7 +53,7 @@
     }
 
     /// Messages to go out.
-    pub fn messages(&mut self) -> Vec<(PeerId, Vec<u8>)> {
+    pub fn take_messages(&mut self) -> Vec<(PeerId, Vec<u8>)> {
         let words = self.following.messages().into_iter();
         words
             .map(|(to, note)| (PeerId(to.0), trailproxy_budgets::write(&note)))
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -22,146 +22,141 @@
 #[derive(Default)]
 pub struct Subsystems {
     pub zones: Option<Zones>,
-    pub shared: Option<StoreClient>,
+    pub store: Option<StoreClient>,
     pub peers: Option<PeersRuntime>,
-    pub divided: Option<BudgetsRuntime>,
+    pub budgets: Option<BudgetsRuntime>,
     /// Among how many work for cold hosts is divided from now on, until the decisions are told.
-    cold: Option<(Option<f64>, Option<f64>)>,
+    slow_start_shares: Option<(Option<f64>, Option<f64>)>,
 }
 
 impl Subsystems {
     /// A request with a key comes; `false`: nobody is asked about it. Where both know records, the store is asked: one
     /// record has one truth.
-    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) -> bool {
-        match (&mut self.shared, &mut self.peers) {
-            (Some(shared), _) if shared.config.records => shared.come(now, arrival, mark),
-            (_, Some(peers)) if peers.told.config.records => peers.come(now, arrival, mark),
+    pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) -> bool {
+        match (&mut self.store, &mut self.peers) {
+            (Some(store), _) if store.config.records => store.on_request(now, arrival, key),
+            (_, Some(peers)) if peers.section.config.records => peers.on_request(now, arrival, key),
             _ => return false,
         }
         true
     }
 
     /// Whether anybody is told what came of requests with keys.
-    pub fn knows_keys(&self) -> bool {
-        self.shared.is_some() || self.peers.is_some()
+    pub fn shares_outcomes(&self) -> bool {
+        self.store.is_some() || self.peers.is_some()
     }
 
     /// An attempt goes out.
-    pub fn went(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        self.shared
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
+        self.store
             .iter_mut()
-            .for_each(|shared| shared.sent(now, id, host));
+            .for_each(|store| store.on_attempt_sent(now, id, host));
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.sent(now, id, host));
+            .for_each(|peers| peers.on_attempt_sent(now, id, host));
     }
 
     /// A request with a key has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
-        self.shared
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
+        self.store
             .iter_mut()
-            .for_each(|shared| shared.ended(now, id, came.clone()));
+            .for_each(|store| store.on_request_ended(now, id, came.clone()));
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.ended(now, id, came.clone()));
+            .for_each(|peers| peers.on_request_ended(now, id, came.clone()));
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
-        let shared = self.shared.as_ref().and_then(StoreClient::next);
-        shared
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        let store = self.store.as_ref().and_then(StoreClient::next_deadline);
+        store
             .into_iter()
-            .chain(self.peers.as_ref().map(PeersRuntime::next))
-            .chain(self.divided.as_ref().and_then(|on| on.following.next()))
+            .chain(self.peers.as_ref().map(PeersRuntime::next_deadline))
+            .chain(self.budgets.as_ref().and_then(|on| on.following.next()))
             .min()
     }
 
     pub fn advance(&mut self, now: Timestamp) {
-        self.shared
-            .iter_mut()
-            .for_each(|shared| shared.advance(now));
+        self.store.iter_mut().for_each(|store| store.advance(now));
         self.peers.iter_mut().for_each(|peers| peers.advance(now));
-        self.divide(now);
+        self.advance_budgets(now);
     }
 
     /// A message of another dispatcher, or a question from the command line.
-    pub fn message(&mut self, now: Timestamp, told: FromPeers) {
+    pub fn on_message(&mut self, now: Timestamp, told: FromPeers) {
         let Some(peers) = &mut self.peers else {
             return;
         };
         match told.message.notes[..] {
             [Note::ShowOf(no, BESIDE)] => {
                 let shown = self
-                    .divided
+                    .budgets
                     .as_ref()
-                    .map(|divided| divided.following.show(now));
+                    .map(|budgets| budgets.following.show(now));
                 let text = shown.unwrap_or("budgets are off".into());
                 peers.answer(now, told.from, no, text);
             }
-            _ => peers.message(now, told.from, told.message),
+            _ => peers.on_message(now, told.from, told.message),
         }
     }
 
     /// Words of others reach the division, and what follows goes out: by the peers' messages, or else by the store.
-    fn divide(&mut self, now: Timestamp) {
+    fn advance_budgets(&mut self, now: Timestamp) {
         let words = self
             .peers
             .as_mut()
-            .map(PeersRuntime::words)
+            .map(PeersRuntime::take_subsystem_messages)
             .unwrap_or_default();
         let posted = self
-            .shared
+            .store
             .as_mut()
-            .map(|shared| std::mem::take(&mut shared.posted));
-        let Some(divided) = &mut self.divided else {
+            .map(|store| std::mem::take(&mut store.received));
+        let Some(budgets) = &mut self.budgets else {
             return;
         };
         for (from, _, bytes) in words.iter().filter(|word| word.1 == BESIDE) {
-            divided.heard(now, *from, bytes);
+            budgets.on_message(now, *from, bytes);
         }
         for (from, bytes) in posted.into_iter().flatten() {
             if let Some((&BESIDE, bytes)) = bytes.split_first() {
-                divided.heard(now, PeerId(from.0), bytes);
+                budgets.on_message(now, PeerId(from.0), bytes);
             }
         }
-        divided.advance(now, &mut self.zones);
-        self.cold = divided.following.cold().or(self.cold);
-        self.send_words(now);
+        budgets.advance(now, &mut self.zones);
+        self.slow_start_shares = budgets.following.cold().or(self.slow_start_shares);
+        self.send_budget_messages(now);
     }
 
-    fn send_words(&mut self, now: Timestamp) {
-        let Some(divided) = &mut self.divided else {
+    fn send_budget_messages(&mut self, now: Timestamp) {
+        let Some(budgets) = &mut self.budgets else {
             return;
         };
-        let (own, messages) = (divided.own().0, divided.messages());
+        let (own, messages) = (budgets.identity().0, budgets.take_messages());
         for (to, bytes) in messages {
-            match (&mut self.peers, &mut self.shared) {
-                (Some(peers), _) => peers.send(now, to, BESIDE, bytes),
-                (None, Some(shared)) => shared.post(now, own, to, BESIDE, &bytes),
+            match (&mut self.peers, &mut self.store) {
+                (Some(peers), _) => peers.send_subsystem_message(now, to, BESIDE, bytes),
+                (None, Some(store)) => store.post(now, own, to, BESIDE, &bytes),
                 (None, None) => {}
             }
         }
     }
 
     /// Who this is to the others, where there is a way to them; by the store it is this process for as long as it runs.
-    fn own(&self, name: &str, fresh: Life) -> Option<(PeerId, Life)> {
+    fn identity(&self, name: &str, fresh: Life) -> Option<(PeerId, Life)> {
         if let Some(peers) = &self.peers {
-            return Some(peers.own());
+            return Some(peers.identity());
         }
-        let by_store = self
-            .shared
-            .as_ref()
-            .is_some_and(|shared| shared.config.words);
+        let by_store = self.store.as_ref().is_some_and(|store| store.config.words);
         let id = PeerId::of_name(name);
         let known = self
-            .divided
+            .budgets
             .as_ref()
-            .map(BudgetsRuntime::own)
+            .map(BudgetsRuntime::identity)
             .filter(|own| own.0 == id);
         by_store.then(|| known.unwrap_or((id, fresh)))
     }
 
     /// What the operator's file says of budgets: the same section for the same member goes on.
-    pub fn budgets(
+    pub fn apply_budgets_section(
         &mut self,
         now: Timestamp,
         config: Option<&BudgetsSheet>,
@@ -169,11 +164,11 @@
         (terms, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.own(name, fresh);
+        let own = self.identity(name, fresh);
         let Some((config, own)) = config.zip(own) else {
-            if self.divided.take().is_some() {
+            if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
-                self.cold = Some((None, None));
+                self.slow_start_shares = Some((None, None));
             }
             if let Some(zones) = &mut self.zones {
                 let all: Vec<String> = zones.dividable().map(|limit| limit.name.clone()).collect();
@@ -182,40 +177,40 @@
             return;
         };
         if !self
-            .divided
+            .budgets
             .as_ref()
-            .is_some_and(|divided| divided.is(config, own))
+            .is_some_and(|budgets| budgets.is_for(config, own))
         {
             let fresh = BudgetsRuntime::new(now, config.clone(), own, terms, seed, log.clone());
-            self.divided = Some(fresh);
+            self.budgets = Some(fresh);
         }
-        if let Some(divided) = &mut self.divided {
-            divided.following.set(now, self.zones.as_ref());
-            divided.following.again();
+        if let Some(budgets) = &mut self.budgets {
+            budgets.following.set(now, self.zones.as_ref());
+            budgets.following.again();
         }
-        if let Some(shared) = self.shared.as_mut().filter(|_| self.peers.is_none()) {
-            shared.sharing.expects(BoxId(own.0.0));
+        if let Some(store) = self.store.as_mut().filter(|_| self.peers.is_none()) {
+            store.sharing.expects(BoxId(own.0.0));
         }
-        self.divide(now);
+        self.advance_budgets(now);
     }
 
     /// It ends in order: what it holds is given back.
     pub fn leave(&mut self, now: Timestamp) {
-        self.divided
+        self.budgets
             .iter_mut()
-            .for_each(|divided| divided.following.leave(now));
-        self.send_words(now);
+            .for_each(|budgets| budgets.following.leave(now));
+        self.send_budget_messages(now);
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
 
     /// Among how many work for cold hosts is divided, where that is another now.
-    pub fn cold(&mut self) -> Option<(Option<f64>, Option<f64>)> {
-        self.cold.take()
+    pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
+        self.slow_start_shares.take()
     }
 
-    pub fn take(&mut self) -> Option<SubsystemEvent> {
-        let shared = self.shared.as_mut().and_then(StoreClient::take);
-        shared.or_else(|| self.peers.as_mut().and_then(PeersRuntime::take))
+    pub fn take_event(&mut self) -> Option<SubsystemEvent> {
+        let store = self.store.as_mut().and_then(StoreClient::take_event);
+        store.or_else(|| self.peers.as_mut().and_then(PeersRuntime::take_event))
     }
 }
 
@@ -224,11 +219,11 @@
     pub config: Sheet,
     folding: Folding,
     sharing: Sharing,
-    to: mpsc::Sender<ToStore>,
-    run: String,
+    orders: mpsc::Sender<ToStore>,
+    run_id: String,
     held: HeldRequests,
     /// Words of other subsystems, from whom.
-    posted: Vec<(BoxId, Vec<u8>)>,
+    received: Vec<(BoxId, Vec<u8>)>,
     log: Logger,
 }
 
@@ -236,7 +231,7 @@
     pub fn new(
         config: Sheet,
         sharing: Sharing,
-        to: mpsc::Sender<ToStore>,
+        orders: mpsc::Sender<ToStore>,
         targets: Vec<TimeSpan>,
         log: Logger,
     ) -> StoreClient {
@@ -244,10 +239,10 @@
             folding: Folding::new(&config.prefix),
             config,
             sharing,
-            to,
-            run: String::new(),
+            orders,
+            run_id: String::new(),
             held: HeldRequests::new(targets),
-            posted: Vec::new(),
+            received: Vec::new(),
             log,
         }
     }
@@ -256,82 +251,82 @@
     fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, of: u8, bytes: &[u8]) {
         let bytes = [&[of], bytes].concat();
         self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
-        self.act();
+        self.apply_actions();
     }
 
     /// A request comes: one with a key waits for the store for as long as that may take.
-    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
+    pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let due = self.held.hold(now, arrival);
-        let key = self.folding.key(arrival.class, mark);
+        let key = self.folding.key(arrival.class, key);
         self.sharing.come(now, arrival.id, key, due);
-        self.act();
+        self.apply_actions();
     }
 
-    pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.held.location_of(host) {
             self.sharing.hand_off(now, id, place);
-            self.act();
+            self.apply_actions();
         }
     }
 
     /// It has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.held.forget(id);
         self.sharing.ended(now, id, came);
-        self.act();
+        self.apply_actions();
     }
 
     /// Nothing is shared any more: whoever waits goes on.
-    pub fn end(self) -> impl Iterator<Item = Arrival> {
+    pub fn into_arrivals(self) -> impl Iterator<Item = Arrival> {
         self.held.into_arrivals()
     }
 
-    pub fn told(&mut self, now: Timestamp, told: FromStore) {
+    pub fn on_store_message(&mut self, now: Timestamp, told: FromStore) {
         match told {
-            FromStore::Connected { run_id: run } => {
-                self.run = run;
+            FromStore::Connected { run_id } => {
+                self.run_id = run_id;
                 self.sharing.connected(now);
             }
             FromStore::Disconnected => self.sharing.broken(now),
             FromStore::Answered(id, reply) => self.sharing.answered(now, id, reply),
         }
-        self.act();
+        self.apply_actions();
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.sharing.next()
     }
 
     pub fn advance(&mut self, now: Timestamp) {
         if self.sharing.next().is_some_and(|at| at <= now) {
             self.sharing.advance(now);
-            self.act();
+            self.apply_actions();
         }
     }
 
-    pub fn take(&mut self) -> Option<SubsystemEvent> {
+    pub fn take_event(&mut self) -> Option<SubsystemEvent> {
         self.held.take_event()
     }
 
-    pub fn figures(&self) -> String {
+    pub fn summary(&self) -> String {
         let (records, under_way, news) = self.sharing.kept();
         let counts = self.sharing.counts();
         let trust = self.sharing.trust().word();
         format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
     }
 
-    fn act(&mut self) {
+    fn apply_actions(&mut self) {
         for act in self.sharing.take() {
             match act {
-                Act::Connect => drop(self.to.send(ToStore::Connect)),
-                Act::Disconnect => drop(self.to.send(ToStore::Disconnect)),
+                Act::Connect => drop(self.orders.send(ToStore::Connect)),
+                Act::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
                 Act::Ask {
                     id,
                     op,
                     epoch,
                     not_after_ms,
                 } => {
-                    let (prefix, run) = (self.config.prefix.as_str(), self.run.as_str());
+                    let (prefix, run) = (self.config.prefix.as_str(), self.run_id.as_str());
                     let under = Under {
                         prefix,
                         run,
@@ -339,7 +334,7 @@
                         not_after_ms,
                     };
                     let request = Box::new(request(&op, &under));
-                    let _ = self.to.send(ToStore::Execute(id, request));
+                    let _ = self.orders.send(ToStore::Execute(id, request));
                 }
                 Act::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Act::Purged { object, group, ago } => {
@@ -353,7 +348,7 @@
                 Act::Hinted { host } => self
                     .held
                     .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
-                Act::Posted { from, bytes } => self.posted.push((from, bytes)),
+                Act::Posted { from, bytes } => self.received.push((from, bytes)),
                 Act::Turned { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
                 }
@@ -361,20 +356,20 @@
         }
     }
 
-    pub fn heard(&mut self, now: Timestamp, event: &Event) {
+    pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.held.on_event(event);
         if let Event::Purged {
             object, group, age, ..
         } = event
         {
             self.sharing.purged(now, *object, *group, *age);
-            self.act();
+            self.apply_actions();
         }
     }
 }
 
 /// What came of a request, by what became of its attempts.
-pub fn came(done: Option<&[u8]>, ran: bool) -> Came {
+pub fn completion(done: Option<&[u8]>, ran: bool) -> Came {
     match done {
         Some(body) => Came::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
         None if ran => Came::Unknown,
@@ -385,11 +380,13 @@
 impl CrossingLimits for Subsystems {
     fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.zones.on_event(now, event);
-        self.shared
+        self.store
+            .iter_mut()
+            .for_each(|store| store.on_event(now, event));
+        self.peers
             .iter_mut()
-            .for_each(|shared| shared.heard(now, event));
-        self.peers.iter_mut().for_each(|peers| peers.heard(event));
-        self.divided
+            .for_each(|peers| peers.on_event(event));
+        self.budgets
             .iter_mut()
             .for_each(|on| on.following.event(now, event));
     }
@@ -402,27 +399,27 @@
         self.zones.on_sent(now, crossing);
     }
 
-    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
-        self.zones.retry_after(now, track)
+    fn retry_after(&self, now: Timestamp, class: ClassId) -> Option<TimeSpan> {
+        self.zones.retry_after(now, class)
     }
 }
 
 impl PeerKnowledge for Subsystems {
     fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
-        let shared = self
-            .shared
+        let store = self
+            .store
             .as_ref()
-            .and_then(|shared| shared.sharing.earlier(id));
-        shared.or_else(|| self.peers.as_ref()?.earlier(id))
+            .and_then(|store| store.sharing.earlier(id));
+        store.or_else(|| self.peers.as_ref()?.earlier_attempt(id))
     }
 
     fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
-        if let Some(shared) = self.shared.as_mut().filter(|_| open) {
-            shared.sharing.opened(now, host);
-            shared.act();
+        if let Some(store) = self.store.as_mut().filter(|_| open) {
+            store.sharing.opened(now, host);
+            store.apply_actions();
         }
         if let Some(peers) = self.peers.as_mut().filter(|_| open) {
-            peers.opened(now, host);
+            peers.on_breaker_opened(now, host);
         }
     }
 }
