--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -1,4 +1,5 @@
-//! Budgets of the whole fleet, as long as they are divided: the decisions of it, with their words as bytes.
+//! Budgets that are divided among the dispatchers of the fleet, while they are switched on: their
+//! decisions, with messages as bytes.
 
 use slog::{Logger, info, warn};
 use trailproxy::interface::*;
@@ -9,42 +10,48 @@
 use trailproxy_peers::decide::messages::{Life, PeerId};
 use trailproxy_zones::Zones;
 
+/// Budgets divided among the dispatchers.
 pub struct BudgetsRuntime {
+    /// The decisions.
     pub following: Following,
     log: Logger,
 }
 
 impl BudgetsRuntime {
+    /// Starts with a section and the identity of this dispatcher.
     pub fn new(
         now: Timestamp,
         config: Sheet,
         own: (PeerId, Life),
-        terms: &DispatcherSettings,
+        settings: &DispatcherSettings,
         seed: u64,
         log: Logger,
     ) -> BudgetsRuntime {
         info!(log, "budgets are on"; "file" => &config.file, "voters" => config.voters.len());
         let own = (HolderId(own.0.0), LifeId(own.1.0));
-        let following = Following::new(now, config, own, terms, seed);
+        let following = Following::new(now, config, own, settings, seed);
         BudgetsRuntime { following, log }
     }
 
+    /// The identity under which this dispatcher takes part.
     pub fn identity(&self) -> (PeerId, Life) {
         let (id, life) = self.following.own();
         (PeerId(id.0), Life(life.0))
     }
 
-    /// Whether it is of this section and this member.
+    /// Whether it runs with this section and this identity.
     pub fn is_for(&self, config: &Sheet, own: (PeerId, Life)) -> bool {
         self.following.sheet == *config && self.identity() == own
     }
 
+    /// Handles a message of another dispatcher. Bytes that cannot be read are ignored.
     pub fn on_message(&mut self, now: Timestamp, from: PeerId, bytes: &[u8]) {
         if let Some(note) = trailproxy_budgets::read(bytes) {
             self.following.heard(now, HolderId(from.0), note);
         }
     }
 
+    /// Lets time pass, and logs budgets that dispatchers define differently.
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
         self.following.advance(now, zones);
         for of in self.following.differs() {
@@ -52,10 +59,10 @@
         }
     }
 
-    /// Messages to go out.
+    /// Takes the messages to send: receiver and bytes.
     pub fn take_messages(&mut self) -> Vec<(PeerId, Vec<u8>)> {
-        let words = self.following.messages().into_iter();
-        words
+        let messages = self.following.messages().into_iter();
+        messages
             .map(|(to, note)| (PeerId(to.0), trailproxy_budgets::write(&note)))
             .collect()
     }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -1,4 +1,5 @@
-//! State held in common with the other dispatchers, as long as it is on: the decisions of it, and what they do here.
+//! State held together with the other dispatchers, while it is switched on: its decisions, and how
+//! their actions are carried out.
 
 use crate::messages::ToPeers;
 use crate::operator::ResolvedPeers;
@@ -14,21 +15,24 @@
 use trailproxy_peers::decide::{Action, Peers};
 use trailproxy_shared_store::decide::records::{Came, Folding};
 
+/// State held together with the other dispatchers, with the requests that are held for it.
 pub struct PeersRuntime {
-    /// The section that it runs by.
+    /// The section that is in force.
     pub section: ResolvedPeers,
     folding: Folding,
     peers: Peers,
+    /// The socket, which a new section with the same address takes over.
     pub socket: Rc<UdpSocket>,
     orders: mpsc::Sender<ToPeers>,
     held: HeldRequests,
-    /// Words of other subsystems, from whom.
+    /// Messages of other dispatchers for other subsystems: sender, number of the subsystem and
+    /// bytes.
     received: Vec<(PeerId, u8, Vec<u8>)>,
     log: Logger,
 }
 
 impl PeersRuntime {
-    /// `targets`: by track.
+    /// `targets`: how long requests wait at most, by class.
     pub fn new(
         section: ResolvedPeers,
         peers: Peers,
@@ -48,14 +52,16 @@
         }
     }
 
-    /// A request with a key comes: it waits for the others for as long as that may take.
+    /// Handles a request with a key: it is held until the other dispatchers have answered, or until
+    /// its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
-        let due = self.held.hold(now, arrival);
+        let held_until = self.held.hold(now, arrival);
         let key = self.folding.key(arrival.class, key);
-        self.peers.come(now, arrival.id, key, due);
+        self.peers.come(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
+    /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.held.location_of(host) {
             self.peers.hand_off(now, id, place);
@@ -63,12 +69,14 @@
         }
     }
 
+    /// Handles a request that has its final answer or whose client has gone.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.held.forget(id);
         self.peers.ended(now, id, came);
         self.apply_actions();
     }
 
+    /// Handles a message of another dispatcher, or a query from the command line.
     pub fn on_message(&mut self, now: Timestamp, address: Address, message: Message) {
         if !self.peers.shown(now, address, &message) {
             self.peers.heard(now, address, message);
@@ -76,28 +84,30 @@
         self.apply_actions();
     }
 
-    /// Its name and its process, as the others know it.
+    /// The identity of this dispatcher and of its process among the others.
     pub fn identity(&self) -> (PeerId, Life) {
         let own = self.peers.members().own();
         (own.id, own.life)
     }
 
-    /// Words of other subsystems that came.
+    /// Takes the received messages for other subsystems.
     pub fn take_subsystem_messages(&mut self) -> Vec<(PeerId, u8, Vec<u8>)> {
         std::mem::take(&mut self.received)
     }
 
+    /// Sends a message of another subsystem.
     pub fn send_subsystem_message(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
         self.peers.beside(now, to, of, bytes);
         self.apply_actions();
     }
 
+    /// Answers a query from the command line.
     pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
         self.peers.answer(now, address, no, text);
         self.apply_actions();
     }
 
-    /// The journal told a purge, by its own clock.
+    /// Handles a purge of the journal; `at` is its timestamp there.
     pub fn on_purge(
         &mut self,
         now: Timestamp,
@@ -109,29 +119,34 @@
         self.apply_actions();
     }
 
-    /// The journal told of hosts, at this place.
-    pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
-        self.peers.listed(now, entries, place);
+    /// Handles a change of the host list at this journal position.
+    pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], position: u64) {
+        self.peers.listed(now, entries, position);
         self.apply_actions();
     }
 
+    /// Handles a breaker that has opened here.
     pub fn on_breaker_opened(&mut self, now: Timestamp, host: HostEntry) {
         self.peers.opened(now, host);
         self.apply_actions();
     }
 
+    /// The attempt that another dispatcher made for this request, if one is known.
     pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         self.peers.earlier(id)
     }
 
+    /// Handles an event of the decisions.
     pub fn on_event(&mut self, event: &Event) {
         self.held.on_event(event);
     }
 
+    /// When it next has something to do.
     pub fn next_deadline(&self) -> Timestamp {
         self.peers.next()
     }
 
+    /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
         if self.peers.next() <= now {
             self.peers.advance(now);
@@ -139,33 +154,37 @@
         }
     }
 
+    /// Takes the next event.
     pub fn take_event(&mut self) -> Option<SubsystemEvent> {
         self.held.take_event()
     }
 
-    /// It ends in order: the others need not find out.
+    /// Leaves the fleet in order, so that the others need not detect it.
     pub fn leave(&mut self, now: Timestamp) {
         self.peers.leave(now);
         self.apply_actions();
     }
 
-    /// Nothing is held in common any more: whoever waits goes on.
+    /// Stops, and returns the requests that waited, which may continue.
     pub fn stop(self) -> impl Iterator<Item = Arrival> {
         let _ = self.orders.send(ToPeers::Stop);
         self.held.into_arrivals()
     }
 
+    /// Counts and sizes, for the log.
     pub fn summary(&self, now: Timestamp) -> String {
         self.peers.show(now)
     }
 
+    /// Carries out the actions of the decisions.
     fn apply_actions(&mut self) {
         for act in self.peers.take() {
             match act {
                 Action::Send(to, message) => drop(self.orders.send(ToPeers::Send(to, message))),
                 Action::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Action::Purged { object, group, at } => {
-                    // How long ago is for whoever knows the journal's stamps to say.
+                    // The age follows from the stamp: the task that owns the decisions knows how
+                    // far the clocks are apart.
                     self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
@@ -180,7 +199,8 @@
                 } => {
                     let state = match listed {
                         Listed::Ready => HostState::Ready,
-                        // One that is gone elsewhere is left alone here until the own list says so.
+                        // A host that is gone for others is only drained here until the own host
+                        // list removes it.
                         Listed::Draining | Listed::Gone => HostState::Draining,
                     };
                     self.held
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,5 +1,5 @@
-//! What stands beside the decisions, each part there only while it is switched on: traffic between zones, and what is
-//! shared with other dispatchers.
+//! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers
+//! through the store, the peers or the budgets. Each exists only while it is switched on.
 
 use crate::divided::BudgetsRuntime;
 use crate::messages::{FromPeers, FromStore, ToStore};
@@ -19,19 +19,26 @@
 use trailproxy_shared_store::words::{Under, request};
 use trailproxy_zones::Zones;
 
+/// All subsystems that are switched on.
 #[derive(Default)]
 pub struct Subsystems {
+    /// Traffic between zones.
     pub zones: Option<Zones>,
+    /// State shared through the store.
     pub store: Option<StoreClient>,
+    /// State held together with other dispatchers.
     pub peers: Option<PeersRuntime>,
+    /// Budgets divided among dispatchers.
     pub budgets: Option<BudgetsRuntime>,
-    /// Among how many work for cold hosts is divided from now on, until the decisions are told.
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the
+    /// decisions have taken the change.
     slow_start_shares: Option<(Option<f64>, Option<f64>)>,
 }
 
 impl Subsystems {
-    /// A request with a key comes; `false`: nobody is asked about it. Where both know records, the store is asked: one
-    /// record has one truth.
+    /// Handles a request with an idempotency key. `false`: no subsystem keeps records, so that the
+    /// request need not wait. If both the store and the peers keep records, the store is asked, so
+    /// that there is one source of truth.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) -> bool {
         match (&mut self.store, &mut self.peers) {
             (Some(store), _) if store.config.records => store.on_request(now, arrival, key),
@@ -41,12 +48,12 @@
         true
     }
 
-    /// Whether anybody is told what came of requests with keys.
+    /// Whether any subsystem is told how requests with keys end.
     pub fn shares_outcomes(&self) -> bool {
         self.store.is_some() || self.peers.is_some()
     }
 
-    /// An attempt goes out.
+    /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         self.store
             .iter_mut()
@@ -56,7 +63,8 @@
             .for_each(|peers| peers.on_attempt_sent(now, id, host));
     }
 
-    /// A request with a key has its final answer, or its client left; the decisions may never have heard of it.
+    /// Handles a request with a key that has its final answer or whose client has gone. The
+    /// decisions may not know the request.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
         self.store
             .iter_mut()
@@ -66,6 +74,7 @@
             .for_each(|peers| peers.on_request_ended(now, id, came.clone()));
     }
 
+    /// When a subsystem next has something to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let store = self.store.as_ref().and_then(StoreClient::next_deadline);
         store
@@ -75,48 +84,50 @@
             .min()
     }
 
+    /// Lets time pass in all subsystems.
     pub fn advance(&mut self, now: Timestamp) {
         self.store.iter_mut().for_each(|store| store.advance(now));
         self.peers.iter_mut().for_each(|peers| peers.advance(now));
         self.advance_budgets(now);
     }
 
-    /// A message of another dispatcher, or a question from the command line.
-    pub fn on_message(&mut self, now: Timestamp, told: FromPeers) {
+    /// Handles a message of another dispatcher, or a query from the command line.
+    pub fn on_message(&mut self, now: Timestamp, received: FromPeers) {
         let Some(peers) = &mut self.peers else {
             return;
         };
-        match told.message.notes[..] {
+        match received.message.notes[..] {
             [Note::ShowOf(no, BESIDE)] => {
                 let shown = self
                     .budgets
                     .as_ref()
                     .map(|budgets| budgets.following.show(now));
                 let text = shown.unwrap_or("budgets are off".into());
-                peers.answer(now, told.from, no, text);
+                peers.answer(now, received.from, no, text);
             }
-            _ => peers.on_message(now, told.from, told.message),
+            _ => peers.on_message(now, received.from, received.message),
         }
     }
 
-    /// Words of others reach the division, and what follows goes out: by the peers' messages, or else by the store.
+    /// Passes messages of other dispatchers to the budgets, lets time pass there, and sends the
+    /// resulting messages, through the peers or otherwise through the store.
     fn advance_budgets(&mut self, now: Timestamp) {
-        let words = self
+        let from_peers = self
             .peers
             .as_mut()
             .map(PeersRuntime::take_subsystem_messages)
             .unwrap_or_default();
-        let posted = self
+        let from_store = self
             .store
             .as_mut()
             .map(|store| std::mem::take(&mut store.received));
         let Some(budgets) = &mut self.budgets else {
             return;
         };
-        for (from, _, bytes) in words.iter().filter(|word| word.1 == BESIDE) {
+        for (from, _, bytes) in from_peers.iter().filter(|message| message.1 == BESIDE) {
             budgets.on_message(now, *from, bytes);
         }
-        for (from, bytes) in posted.into_iter().flatten() {
+        for (from, bytes) in from_store.into_iter().flatten() {
             if let Some((&BESIDE, bytes)) = bytes.split_first() {
                 budgets.on_message(now, PeerId(from.0), bytes);
             }
@@ -126,6 +137,7 @@
         self.send_budget_messages(now);
     }
 
+    /// Sends the pending messages of the budgets.
     fn send_budget_messages(&mut self, now: Timestamp) {
         let Some(budgets) = &mut self.budgets else {
             return;
@@ -140,7 +152,8 @@
         }
     }
 
-    /// Who this is to the others, where there is a way to them; by the store it is this process for as long as it runs.
+    /// The identity of this dispatcher among the others, if it can reach them. Through the store,
+    /// the identity is kept for as long as this process runs.
     fn identity(&self, name: &str, fresh: Life) -> Option<(PeerId, Life)> {
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
@@ -155,13 +168,14 @@
         by_store.then(|| known.unwrap_or((id, fresh)))
     }
 
-    /// What the operator's file says of budgets: the same section for the same member goes on.
+    /// Applies the section about budgets. If the section and the identity are unchanged, the
+    /// present state is kept.
     pub fn apply_budgets_section(
         &mut self,
         now: Timestamp,
         config: Option<&BudgetsSheet>,
         (name, fresh): (&str, Life),
-        (terms, seed): (&DispatcherSettings, u64),
+        (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
         let own = self.identity(name, fresh);
@@ -171,8 +185,9 @@
                 self.slow_start_shares = Some((None, None));
             }
             if let Some(zones) = &mut self.zones {
-                let all: Vec<String> = zones.dividable().map(|limit| limit.name.clone()).collect();
-                all.iter().for_each(|name| zones.divide(now, name, None));
+                let names: Vec<String> =
+                    zones.dividable().map(|limit| limit.name.clone()).collect();
+                names.iter().for_each(|name| zones.divide(now, name, None));
             }
             return;
         };
@@ -181,8 +196,9 @@
             .as_ref()
             .is_some_and(|budgets| budgets.is_for(config, own))
         {
-            let fresh = BudgetsRuntime::new(now, config.clone(), own, terms, seed, log.clone());
-            self.budgets = Some(fresh);
+            let runtime =
+                BudgetsRuntime::new(now, config.clone(), own, settings, seed, log.clone());
+            self.budgets = Some(runtime);
         }
         if let Some(budgets) = &mut self.budgets {
             budgets.following.set(now, self.zones.as_ref());
@@ -194,7 +210,7 @@
         self.advance_budgets(now);
     }
 
-    /// It ends in order: what it holds is given back.
+    /// Leaves the fleet in order when the process ends: leases are given back.
     pub fn leave(&mut self, now: Timestamp) {
         self.budgets
             .iter_mut()
@@ -203,31 +219,36 @@
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
 
-    /// Among how many work for cold hosts is divided, where that is another now.
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that
+    /// has changed.
     pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
         self.slow_start_shares.take()
     }
 
+    /// Takes the next event of a subsystem.
     pub fn take_event(&mut self) -> Option<SubsystemEvent> {
         let store = self.store.as_mut().and_then(StoreClient::take_event);
         store.or_else(|| self.peers.as_mut().and_then(PeersRuntime::take_event))
     }
 }
 
-/// Sharing as long as it is on, with the way to the store and what is held back for it.
+/// State shared with other dispatchers through the store, with the requests that are held for it.
 pub struct StoreClient {
+    /// The section that is in force.
     pub config: Sheet,
     folding: Folding,
     sharing: Sharing,
     orders: mpsc::Sender<ToStore>,
+    /// The server process that the connection leads to.
     run_id: String,
     held: HeldRequests,
-    /// Words of other subsystems, from whom.
+    /// Messages of other dispatchers for other subsystems, with their senders.
     received: Vec<(BoxId, Vec<u8>)>,
     log: Logger,
 }
 
 impl StoreClient {
+    /// `targets`: how long requests wait at most, by class.
     pub fn new(
         config: Sheet,
         sharing: Sharing,
@@ -247,21 +268,23 @@
         }
     }
 
-    /// Words of another subsystem for another dispatcher; its number goes before them.
-    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, of: u8, bytes: &[u8]) {
-        let bytes = [&[of], bytes].concat();
+    /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is
+    /// its first byte.
+    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
+        let bytes = [&[subsystem], bytes].concat();
         self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
         self.apply_actions();
     }
 
-    /// A request comes: one with a key waits for the store for as long as that may take.
+    /// Handles a request with a key: it is held until the store has answered, or until its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
-        let due = self.held.hold(now, arrival);
+        let held_until = self.held.hold(now, arrival);
         let key = self.folding.key(arrival.class, key);
-        self.sharing.come(now, arrival.id, key, due);
+        self.sharing.come(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
+    /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.held.location_of(host) {
             self.sharing.hand_off(now, id, place);
@@ -269,20 +292,22 @@
         }
     }
 
-    /// It has its final answer, or its client left; the decisions may never have heard of it.
+    /// Handles a request that has its final answer or whose client has gone. The decisions may not
+    /// know the request.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.held.forget(id);
         self.sharing.ended(now, id, came);
         self.apply_actions();
     }
 
-    /// Nothing is shared any more: whoever waits goes on.
+    /// Ends the sharing and returns the requests that waited, which may continue.
     pub fn into_arrivals(self) -> impl Iterator<Item = Arrival> {
         self.held.into_arrivals()
     }
 
-    pub fn on_store_message(&mut self, now: Timestamp, told: FromStore) {
-        match told {
+    /// Handles an event of the connection to the store.
+    pub fn on_store_message(&mut self, now: Timestamp, message: FromStore) {
+        match message {
             FromStore::Connected { run_id } => {
                 self.run_id = run_id;
                 self.sharing.connected(now);
@@ -293,10 +318,12 @@
         self.apply_actions();
     }
 
+    /// When it next has something to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.sharing.next()
     }
 
+    /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
         if self.sharing.next().is_some_and(|at| at <= now) {
             self.sharing.advance(now);
@@ -304,10 +331,12 @@
         }
     }
 
+    /// Takes the next event.
     pub fn take_event(&mut self) -> Option<SubsystemEvent> {
         self.held.take_event()
     }
 
+    /// Counts and sizes, for the log.
     pub fn summary(&self) -> String {
         let (records, under_way, news) = self.sharing.kept();
         let counts = self.sharing.counts();
@@ -315,6 +344,7 @@
         format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
     }
 
+    /// Carries out the actions of the decisions about shared state.
     fn apply_actions(&mut self) {
         for act in self.sharing.take() {
             match act {
@@ -356,6 +386,7 @@
         }
     }
 
+    /// Handles an event of the decisions.
     pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.held.on_event(event);
         if let Event::Purged {
@@ -368,11 +399,12 @@
     }
 }
 
-/// What came of a request, by what became of its attempts.
-pub fn completion(done: Option<&[u8]>, ran: bool) -> Came {
+/// How a request ended, as far as its attempts tell. A body that is too long for a record is left
+/// out.
+pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Came {
     match done {
         Some(body) => Came::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
-        None if ran => Came::Unknown,
+        None if may_have_run => Came::Unknown,
         None => Came::NeverRan,
     }
 }
