--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -151,7 +151,7 @@
                     let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
-                    tokio::task::spawn_local(store::carry(
+                    tokio::task::spawn_local(store::run(
                         *config.clone(),
                         queue,
                         orders,
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -1,7 +1,9 @@
-//! The way to the store that dispatchers share: a Redis server, by a library, on the same thread.
+//! The connection to the store that dispatchers share: a Redis server, through a client library, on
+//! the same thread.
 //!
-//! It only carries: what to ask and when to leave comes by a queue from the one task that has the decisions, and answers
-//! go back by its own. A connection that is left takes its answers with it.
+//! It only carries out orders: the operations and the times to connect and disconnect come through
+//! a queue from the task that owns the decisions, and results go back through the queue of that
+//! task. Results on a connection that was closed are dropped.
 
 use crate::messages::{FromStore, Inbound, InboundSender, ToStore};
 use local_channel::mpsc;
@@ -16,42 +18,43 @@
 use trailproxy_shared_store::sheet::Sheet;
 use trailproxy_shared_store::words::{Request, SCRIPTS, Value, said};
 
-/// A server that takes longer to let one in is not there.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
+/// How long connecting to the server and loading the scripts may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Where scripts are known on one connection.
-struct Line {
-    connection: MultiplexedConnection,
-    sums: Vec<(&'static str, String)>,
+/// One connection, with the hashes of the scripts that are loaded on it.
+struct Connection {
+    client: MultiplexedConnection,
+    script_hashes: Vec<(&'static str, String)>,
 }
 
-/// Carries until nobody asks any more.
-pub async fn carry(
+/// Carries out orders until the queue of orders is closed.
+pub async fn run(
     config: Sheet,
     queue: InboundSender,
-    mut asked: mpsc::Receiver<ToStore>,
+    mut orders: mpsc::Receiver<ToStore>,
     log: Logger,
 ) {
-    // A connection that was left must not tell of its end as if it were the present one's.
+    // Number of the present connection. The end of an earlier connection must not be reported as
+    // the end of the present one.
     let present = Rc::new(Cell::new(0u64));
-    let mut line: Option<Rc<Line>> = None;
-    let mut told = String::new();
-    while let Some(order) = asked.recv().await {
+    let mut connection: Option<Rc<Connection>> = None;
+    let mut logged_reason = String::new();
+    while let Some(order) = orders.recv().await {
         match order {
             ToStore::Connect => {
                 present.set(present.get() + 1);
-                line = match connect(&config).await {
-                    Ok((connected, run)) => {
-                        told.clear();
-                        let _ = queue.send(Inbound::Store(FromStore::Connected { run_id: run }));
+                connection = match connect(&config).await {
+                    Ok((connected, run_id)) => {
+                        logged_reason.clear();
+                        let _ = queue.send(Inbound::Store(FromStore::Connected { run_id }));
                         Some(Rc::new(connected))
                     }
-                    Err(why) => {
-                        // Told once for each cause: an outage of hours is one line.
-                        if why != told {
+                    Err(reason) => {
+                        // Logged once for each cause, so that an outage of hours is one line.
+                        if reason != logged_reason {
                             warn!(log, "store not reached"; "file" => &config.file, "host" => &config.host,
-                                "port" => config.port, "why" => &why);
-                            told = why;
+                                "port" => config.port, "why" => &reason);
+                            logged_reason = reason;
                         }
                         let _ = queue.send(Inbound::Store(FromStore::Disconnected));
                         None
@@ -60,22 +63,22 @@
             }
             ToStore::Disconnect => {
                 present.set(present.get() + 1);
-                line = None;
+                connection = None;
             }
             ToStore::Execute(id, request) => {
-                let Some(line) = line.clone() else {
+                let Some(connection) = connection.clone() else {
                     let _ = queue.send(Inbound::Store(FromStore::Answered(id, Reply::Lost)));
                     continue;
                 };
-                let (queue, present, of) = (queue.clone(), present.clone(), present.get());
+                let (queue, present, number) = (queue.clone(), present.clone(), present.get());
                 spawn_local(async move {
-                    let (reply, broken) = ask(&line, &request).await;
-                    if present.get() != of {
+                    let (reply, unusable) = execute(&connection, &request).await;
+                    if present.get() != number {
                         return;
                     }
                     let _ = queue.send(Inbound::Store(FromStore::Answered(id, reply)));
-                    if broken {
-                        present.set(of + 1);
+                    if unusable {
+                        present.set(number + 1);
                         let _ = queue.send(Inbound::Store(FromStore::Disconnected));
                     }
                 });
@@ -84,7 +87,9 @@
     }
 }
 
-async fn connect(config: &Sheet) -> Result<(Line, String), String> {
+/// Connects, loads the scripts and reads the run id of the server, by which its restarts are
+/// recognised.
+async fn connect(config: &Sheet) -> Result<(Connection, String), String> {
     let password = match config.password_file.as_str() {
         "" => None,
         path => {
@@ -94,61 +99,68 @@
             Some(text.trim_end().to_owned())
         }
     };
-    let info = redis::ConnectionInfo {
+    let address = redis::ConnectionInfo {
         addr: redis::ConnectionAddr::Tcp(config.host.clone(), config.port),
         redis: redis::RedisConnectionInfo {
             password,
             ..Default::default()
         },
     };
-    let client = redis::Client::open(info).map_err(|e| e.to_string())?;
-    let open = async {
+    let client = redis::Client::open(address).map_err(|e| e.to_string())?;
+    let opening = async {
         let mut connection = client.get_multiplexed_async_connection().await?;
         let server: String = redis::cmd("INFO")
             .arg("server")
             .query_async(&mut connection)
             .await?;
-        let mut sums = Vec::new();
+        let mut script_hashes = Vec::new();
         for script in SCRIPTS {
             let mut load = redis::cmd("SCRIPT");
-            let sum: String = load
+            let hash: String = load
                 .arg("LOAD")
                 .arg(script.text)
                 .query_async(&mut connection)
                 .await?;
-            sums.push((script.name, sum));
+            script_hashes.push((script.name, hash));
         }
-        Ok::<_, redis::RedisError>((connection, server, sums))
+        Ok::<_, redis::RedisError>((connection, server, script_hashes))
     };
-    let opened = timeout(CONNECT_WITHIN, open).await;
-    let opened = opened.map_err(|_| format!("no answer within {CONNECT_WITHIN:?}"))?;
-    let (connection, server, sums) = opened.map_err(|e| e.to_string())?;
-    let run = server.lines().find_map(|line| line.strip_prefix("run_id:"));
-    let run = run.ok_or("it names no run_id, by which its restarts are told")?;
-    Ok((Line { connection, sums }, run.trim().to_owned()))
+    let opened = timeout(CONNECT_TIMEOUT, opening).await;
+    let opened = opened.map_err(|_| format!("no answer within {CONNECT_TIMEOUT:?}"))?;
+    let (connection, server, script_hashes) = opened.map_err(|e| e.to_string())?;
+    let run_id = server.lines().find_map(|line| line.strip_prefix("run_id:"));
+    let run_id =
+        run_id.ok_or("the server reports no run_id, by which its restarts are recognised")?;
+    Ok((
+        Connection {
+            client: connection,
+            script_hashes,
+        },
+        run_id.trim().to_owned(),
+    ))
 }
 
-/// The answer, and whether the connection is of no more use.
-async fn ask(line: &Line, request: &Request) -> (Reply, bool) {
-    let mut connection = line.connection.clone();
-    let sum = line
-        .sums
+/// Executes one operation. Returns its result, and whether the connection is of no more use.
+async fn execute(connection: &Connection, request: &Request) -> (Reply, bool) {
+    let mut client = connection.client.clone();
+    let hash = connection
+        .script_hashes
         .iter()
         .find(|(name, _)| *name == request.script.name);
     let mut command = redis::cmd("EVALSHA");
-    command.arg(sum.map_or("", |(_, sum)| sum));
+    command.arg(hash.map_or("", |(_, hash)| hash));
     command
         .arg(request.keys.len())
         .arg(&request.keys)
         .arg(&request.args);
-    let answer: redis::RedisResult<redis::Value> = command.query_async(&mut connection).await;
-    match answer {
+    let result: redis::RedisResult<redis::Value> = command.query_async(&mut client).await;
+    match result {
         Ok(answer) => match value(answer).as_ref().and_then(said) {
             Some(said) => (Reply::Said(said), false),
-            // No script answers so: whatever it is that listens there, it is not the store.
+            // No script gives such an answer, so the process that listens there is not the store.
             None => (Reply::Lost, true),
         },
-        // Its scripts were flushed: a new connection loads them again.
+        // The server has dropped its scripts; a new connection loads them again.
         Err(e) if e.kind() == redis::ErrorKind::NoScriptError => (Reply::Refused, true),
         Err(e)
             if e.is_io_error()
@@ -161,6 +173,7 @@
     }
 }
 
+/// A value of the client library as the decisions read it; `None` for kinds that no script returns.
 fn value(value: redis::Value) -> Option<Value> {
     Some(match value {
         redis::Value::Nil => Value::Nil,
