--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -101,7 +101,7 @@
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
-                config.wrong("listen", &found, "an address of this machine that is free")
+                config.wrong("listen", &found, "a free address of this machine")
             })?;
         // Differs between any two processes.
         let seed = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -41,16 +41,16 @@
 
 Usage: trailproxyd [--help | --version]
 
-It takes no other arguments. What it is told comes from the environment:
-  RELAY_CONFIG  path of the configuration, JSON; needed
+There are no other arguments. Environment variables configure the process:
+  RELAY_CONFIG  path of the configuration, a JSON file; required
   RELAY_LISTEN  address and port for clients; else `listen` in the configuration
-  RELAY_NAME    its name in the log; else `name` in the configuration
-  RELAY_OPERATOR  path of the operator's own file; else `operator` in the configuration; needs none
-  RELAY_PEERS   where other dispatchers write to it; else `peers` in the configuration, else the operator's file
-  RELAY_READER  the program that reads it; else `trailproxy` beside this one
+  RELAY_NAME    name of this dispatcher; else `name` in the configuration
+  RELAY_OPERATOR  path of the operator's file, optional; else `operator` in the configuration
+  RELAY_PEERS   address at which other dispatchers reach it; else `peers` in the configuration, else the operator's file
+  RELAY_READER  program that reads the operator's file; else `trailproxy` in the folder of this program
 
-SIGHUP reads the configuration again; SIGTERM and SIGINT end it once all is answered.
-Exit codes: 0 after a signal; 1 where it can't start; 2 for arguments that it does not take.";
+SIGHUP reads the configuration again; SIGTERM and SIGINT end the process once every request is answered.
+Exit codes: 0 after a signal; 1 if it can't start; 2 for unknown arguments.";
 
 /// Handles the arguments, and returns the exit code if the process ends with them.
 fn handle_arguments(arguments: &[String]) -> Option<ExitCode> {
@@ -90,7 +90,7 @@
     let runtime = retry(|| without_panic("the runtime can't be started", new_runtime))?;
     // The first step: until the handlers are installed, a signal ends the process at once.
     let install = || runtime.block_on(async { Signals::install() });
-    let signals = retry(|| without_panic("signals can't be heard", install))?;
+    let signals = retry(|| without_panic("signal handlers can't be installed", install))?;
     let start = retry(startup::read)?;
     let new_log = || Ok(logging::new_log());
     let (drain, guard) = retry(|| without_panic("the log can't be started", new_log))?;
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -167,7 +167,7 @@
         if let Some(budgets) = &budgets {
             budgets.check()?;
             if peers.is_none() && !store.as_ref().is_some_and(|store| store.words) {
-                let accepted = "a section peers that is on beside it, or a section store with words, as its words go by one";
+                let accepted = "a section peers that is on beside it, or a section store with words, because budgets send their messages through one of them";
                 return Err(budgets.wrong("on", "True", accepted));
             }
         }
@@ -223,13 +223,13 @@
         let result = timeout(READER_TIMEOUT, finished).await;
         let (status, output, errors) = result.map_err(|_| {
             StepError::Invalid(format!(
-                "{reader} said nothing of {} within {READER_TIMEOUT:?}",
+                "{reader} did not finish reading {} within {READER_TIMEOUT:?}",
                 self.path.display()
             ))
         })?;
         if output.len() as u64 >= MAX_OUTPUT_BYTES {
             return Err(StepError::Invalid(format!(
-                "{reader} said more than {MAX_OUTPUT_BYTES} bytes of {}",
+                "{reader} wrote more than {MAX_OUTPUT_BYTES} bytes for {}",
                 self.path.display()
             )));
         }
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -123,10 +123,10 @@
     listen: Option<String>,
 ) -> Result<StartConfig, String> {
     if !json.is_object() {
-        return Err("it is no object with the fields seed, settings and others".into());
+        return Err("it is not an object with the fields seed, settings and others".into());
     }
     let text = |key: &str| {
-        field_at(json, key, "a text", |value| {
+        field_at(json, key, "a string", |value| {
             value.as_str().map(str::to_owned)
         })
     };
@@ -167,7 +167,7 @@
             .unwrap_or_else(|| "trailproxyd".into()),
         listen: address("the address to listen on", listen)?,
         seed: u64::from_str_radix(&seed, 16)
-            .map_err(|_| format!("seed {seed:?} is not in hex digits"))?,
+            .map_err(|_| format!("seed {seed:?} is not in hexadecimal digits"))?,
         descriptors: limit("sockets", 1024)?,
         memory_bytes: limit("memory_mb", 192)? << 20,
         journal: text("journal")?
--- a/crates/trailproxyd/tests/sockets.rs
+++ b/crates/trailproxyd/tests/sockets.rs
@@ -683,15 +683,15 @@
             json!("x"),
             "settings is \"x\"; accepted is an object",
         ),
-        ("/journal", json!(7), "journal is 7; accepted is a text"),
-        ("/name", json!(7), "name is 7; accepted is a text"),
-        ("/seed", json!(7), "seed is 7; accepted is a text"),
+        ("/journal", json!(7), "journal is 7; accepted is a string"),
+        ("/name", json!(7), "name is 7; accepted is a string"),
+        ("/seed", json!(7), "seed is 7; accepted is a string"),
     ] {
         let mut wrong = stage.config.clone();
         *wrong.pointer_mut(field).expect("a field") = value;
         fails(Some(&wrong.to_string()), &free, why);
     }
-    fails(Some("[]"), &free, "it is no object");
+    fails(Some("[]"), &free, "it is not an object");
     fails(Some(&sound), "nowhere", "is not an address");
     fails(
         Some(&sound),
--- a/crates/trailproxyd/tests/zones.rs
+++ b/crates/trailproxyd/tests/zones.rs
@@ -187,7 +187,7 @@
     );
     folder.program("reader", "head -c 9000000 /dev/zero");
     stage.program.signal("-HUP");
-    logged(&stage, "said more than");
+    logged(&stage, "wrote more than");
 }
 
 #[test]
@@ -208,7 +208,7 @@
         assert!(matches!(client.answer().1, Final::Done(..)));
     }
     assert!(begun.elapsed() < Duration::from_secs(4));
-    logged(&stage, "said nothing of");
+    logged(&stage, "did not finish reading");
 }
 
 #[test]
