--- a/crates/lab/src/bench.rs
+++ b/crates/lab/src/bench.rs
@@ -24,7 +24,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::units::ZoneId;
 use trailproxy_standins::client::writer;
-use trailproxyd::msgpack::{self, Fault, Value};
+use trailproxyd::msgpack::{self, ParseError, Value};
 use trailproxyd::resp;
 
 /// What a rate must hold to count as sustained, and how long each is tried.
@@ -265,7 +265,7 @@
                     }
                     at += used;
                 }
-                Err(Fault::Short(_)) => break,
+                Err(ParseError::Incomplete(_)) => break,
                 _ => return Ok(()),
             }
         }
--- a/crates/lab/src/bin/bare-relay.rs
+++ b/crates/lab/src/bin/bare-relay.rs
@@ -16,7 +16,7 @@
 use trailproxy_lab::chance::mix;
 use trailproxy_standins::client::writer;
 use trailproxyd::buffered::Held;
-use trailproxyd::msgpack::{self, Fault, Value};
+use trailproxyd::msgpack::{self, ParseError, Value};
 use trailproxyd::resp;
 use trailproxyd::ring::Ring;
 
@@ -81,8 +81,8 @@
                     request(&message, &out, &hosts, &waiting);
                     used
                 }
-                Err(Fault::Short(_)) => break,
-                Err(Fault::Malformed(_)) => return,
+                Err(ParseError::Incomplete(_)) => break,
+                Err(ParseError::Malformed(_)) => return,
             };
             ring.consume(used);
         }
@@ -181,8 +181,8 @@
                     }
                     used
                 }
-                Err(Fault::Short(_)) => break,
-                Err(Fault::Malformed(_)) => return,
+                Err(ParseError::Incomplete(_)) => break,
+                Err(ParseError::Malformed(_)) => return,
             };
             ring.consume(used);
         }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -14,7 +14,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::units::HostId;
-use trailproxyd::msgpack::Fault;
+use trailproxyd::msgpack::ParseError;
 use trailproxyd::resp;
 
 /// How often a held connection looks whether it may go on.
@@ -263,8 +263,8 @@
                 each(&words);
                 size
             }
-            Err(Fault::Short(_)) => return,
-            Err(Fault::Malformed(_)) => seen.len(),
+            Err(ParseError::Incomplete(_)) => return,
+            Err(ParseError::Malformed(_)) => seen.len(),
         };
         if taken == 0 {
             return;
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::client_slots::{Room, Slots, Use};
 use crate::list::object_id;
 use crate::messages::*;
-use crate::msgpack::{self, Fault, Value};
+use crate::msgpack::{self, ParseError, Value};
 use crate::pulse::Pulse;
 use crate::ring::Ring;
 use crate::system_calls::{self, LACK_PASSES, Transfer, errno};
@@ -501,11 +501,11 @@
             let bytes = self.incoming.whole();
             let (mut message, n) = match msgpack::read(bytes, LONGEST_MESSAGE) {
                 Ok((value, n)) => (read_message(self.id, &value, &self.shared.tracks), n),
-                Err(Fault::Short(wants)) => {
+                Err(ParseError::Incomplete(wants)) => {
                     self.wants = wants;
                     break;
                 }
-                Err(Fault::Malformed(why)) => (Message::Damage(why), 0),
+                Err(ParseError::Malformed(why)) => (Message::Damage(why), 0),
             };
             self.incoming.consume(n);
             self.wants = 1;
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -4,7 +4,7 @@
 use crate::checks::{count, must};
 use crate::link_context::Shared;
 use crate::messages::*;
-use crate::msgpack::Fault;
+use crate::msgpack::ParseError;
 use crate::pulse::Silence;
 use crate::resp;
 use crate::ring::Ring;
@@ -466,11 +466,11 @@
         while self.incoming.len() >= self.wants {
             let (words, n) = match resp::read(self.incoming.whole(), WORDS, LONGEST_WORD) {
                 Ok(read) => read,
-                Err(Fault::Short(wants)) => {
+                Err(ParseError::Incomplete(wants)) => {
                     self.wants = wants;
                     return Ok(());
                 }
-                Err(Fault::Malformed(why)) => return self.bad(why),
+                Err(ParseError::Malformed(why)) => return self.bad(why),
             };
             let probe = words
                 .first()
--- a/crates/trailproxyd/src/msgpack.rs
+++ b/crates/trailproxyd/src/msgpack.rs
@@ -21,9 +21,9 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Fault {
+pub enum ParseError {
     /// Not whole before so many bytes are there.
-    Short(usize),
+    Incomplete(usize),
     Malformed(&'static str),
 }
 
@@ -36,7 +36,7 @@
 }
 
 /// The first message in the bytes and its length; none is longer than `longest`.
-pub fn read(bytes: &[u8], longest: usize) -> Result<(Value<'_>, usize), Fault> {
+pub fn read(bytes: &[u8], longest: usize) -> Result<(Value<'_>, usize), ParseError> {
     let mut reader = Reader {
         bytes,
         at: 0,
@@ -48,33 +48,36 @@
 }
 
 impl<'a> Reader<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Fault> {
+    fn take(&mut self, n: usize) -> Result<&'a [u8], ParseError> {
         let end = self.at.saturating_add(n);
         if end > self.longest {
-            return Err(Fault::Malformed("a message is too long"));
+            return Err(ParseError::Malformed("a message is too long"));
         }
-        let taken = self.bytes.get(self.at..end).ok_or(Fault::Short(end))?;
+        let taken = self
+            .bytes
+            .get(self.at..end)
+            .ok_or(ParseError::Incomplete(end))?;
         self.at = end;
         Ok(taken)
     }
 
-    fn number(&mut self, n: usize) -> Result<u64, Fault> {
+    fn number(&mut self, n: usize) -> Result<u64, ParseError> {
         let bytes = self.take(n)?;
         Ok(bytes
             .iter()
             .fold(0, |sum, &byte| sum << 8 | u64::from(byte)))
     }
 
-    fn length(&mut self, n: usize) -> Result<usize, Fault> {
+    fn length(&mut self, n: usize) -> Result<usize, ParseError> {
         Ok(self.number(n)? as usize)
     }
 
-    fn value(&mut self, deep: usize) -> Result<Value<'a>, Fault> {
+    fn value(&mut self, deep: usize) -> Result<Value<'a>, ParseError> {
         let deeper = deep
             .checked_sub(1)
-            .ok_or(Fault::Malformed("a message is nested too deep"))?;
+            .ok_or(ParseError::Malformed("a message is nested too deep"))?;
         let fewer = self.values.checked_sub(1);
-        self.values = fewer.ok_or(Fault::Malformed("a message has too many values"))?;
+        self.values = fewer.ok_or(ParseError::Malformed("a message has too many values"))?;
         let code = self.number(1)? as u8;
         let n = match code {
             0x80..=0x9f => usize::from(code & 0x0f),
@@ -108,7 +111,7 @@
             0xcc..=0xcf => {
                 let number = self.number(1 << (code - 0xcc))?;
                 let fits = i64::try_from(number);
-                Value::Int(fits.map_err(|_| Fault::Malformed("a number is too large"))?)
+                Value::Int(fits.map_err(|_| ParseError::Malformed("a number is too large"))?)
             }
             0xd0 => Value::Int((self.number(1)? as i8).into()),
             0xd1 => Value::Int((self.number(2)? as i16).into()),
@@ -116,7 +119,7 @@
             0xd3 => Value::Int(self.number(8)? as i64),
             0xe0..=0xff => Value::Int((code as i8).into()),
             0xc1 | 0xc7..=0xc9 | 0xd4..=0xd8 => {
-                return Err(Fault::Malformed("a type is not spoken here"));
+                return Err(ParseError::Malformed("a type is not spoken here"));
             }
         })
     }
--- a/crates/trailproxyd/src/resp.rs
+++ b/crates/trailproxyd/src/resp.rs
@@ -1,30 +1,30 @@
 //! RESP arrays of bulk strings. Pure: bytes in, words out; an array that is not whole yet says how
 //! many bytes it wants at least.
 
-use crate::msgpack::Fault;
+use crate::msgpack::ParseError;
 
 /// Longer lines of a header are damage.
 const LONGEST_LINE: usize = 16;
 
 /// The words of the first array in the bytes and its length, each word at most `longest` bytes.
-pub fn read(bytes: &[u8], words: usize, longest: usize) -> Result<(Vec<&[u8]>, usize), Fault> {
+pub fn read(bytes: &[u8], words: usize, longest: usize) -> Result<(Vec<&[u8]>, usize), ParseError> {
     let mut at = 0;
     let n = header(bytes, &mut at, b'*')?;
     if n == 0 || n > words {
-        return Err(Fault::Malformed("an array has too many words or none"));
+        return Err(ParseError::Malformed("an array has too many words or none"));
     }
     let mut array = Vec::with_capacity(n);
     for _ in 0..n {
         let len = header(bytes, &mut at, b'$')?;
         if len > longest {
-            return Err(Fault::Malformed("a word is too long"));
+            return Err(ParseError::Malformed("a word is too long"));
         }
         let word = bytes
             .get(at..at + len + 2)
-            .ok_or(Fault::Short(at + len + 2))?;
+            .ok_or(ParseError::Incomplete(at + len + 2))?;
         let (word, end) = word.split_at(len);
         if end != b"\r\n" {
-            return Err(Fault::Malformed("a word has no end"));
+            return Err(ParseError::Malformed("a word has no end"));
         }
         array.push(word);
         at += len + 2;
@@ -32,16 +32,16 @@
     Ok((array, at))
 }
 
-fn header(bytes: &[u8], at: &mut usize, mark: u8) -> Result<usize, Fault> {
+fn header(bytes: &[u8], at: &mut usize, mark: u8) -> Result<usize, ParseError> {
     let rest = bytes.get(*at..).unwrap_or_default();
     if rest.first().is_some_and(|&first| first != mark) {
-        return Err(Fault::Malformed("not an array of bulk strings"));
+        return Err(ParseError::Malformed("not an array of bulk strings"));
     }
     let line = &rest[..rest.len().min(LONGEST_LINE)];
     let Some(end) = line.windows(2).position(|pair| pair == b"\r\n") else {
         return Err(match line.len() < LONGEST_LINE {
-            true => Fault::Short(bytes.len() + 1),
-            false => Fault::Malformed("a length has no end"),
+            true => ParseError::Incomplete(bytes.len() + 1),
+            false => ParseError::Malformed("a length has no end"),
         });
     };
     let digits = &line[1..end];
@@ -51,7 +51,7 @@
     *at += end + 2;
     number
         .and_then(|text| text.parse().ok())
-        .ok_or(Fault::Malformed("a length can't be read"))
+        .ok_or(ParseError::Malformed("a length can't be read"))
 }
 
 pub fn put_array(out: &mut Vec<u8>, words: usize) {
--- a/crates/trailproxyd/tests/parsers.rs
+++ b/crates/trailproxyd/tests/parsers.rs
@@ -65,7 +65,7 @@
         let whole = sample();
         for cut in 0..whole.len() {
             match read(&whole[..cut], 1000) {
-                Err(Fault::Short(wants)) => assert!(cut < wants && wants <= whole.len()),
+                Err(ParseError::Incomplete(wants)) => assert!(cut < wants && wants <= whole.len()),
                 other => panic!("{other:?} at {cut}"),
             }
         }
@@ -80,7 +80,7 @@
 
     #[test]
     fn what_is_too_long_or_too_deep_is_damage() {
-        let malformed = |bytes: &[u8]| matches!(read(bytes, 1000), Err(Fault::Malformed(_)));
+        let malformed = |bytes: &[u8]| matches!(read(bytes, 1000), Err(ParseError::Malformed(_)));
         assert!(malformed(&[0xc6, 0xff, 0xff, 0xff, 0xff]));
         assert!(malformed(&[0x91; 20]));
         assert!(malformed(&[0xc1]));
@@ -103,7 +103,7 @@
 }
 
 mod resp {
-    use trailproxyd::msgpack::Fault;
+    use trailproxyd::msgpack::ParseError;
     use trailproxyd::resp::*;
 
     fn sample() -> Vec<u8> {
@@ -120,7 +120,7 @@
         let whole = sample();
         for cut in 0..whole.len() {
             match read(&whole[..cut], 4, 300) {
-                Err(Fault::Short(wants)) => assert!(cut < wants && wants <= whole.len()),
+                Err(ParseError::Incomplete(wants)) => assert!(cut < wants && wants <= whole.len()),
                 other => panic!("{other:?} at {cut}"),
             }
         }
@@ -140,15 +140,15 @@
             b"*1\r\n$-1\r\n",
             b"*1\r\n$301\r\n",
         ] {
-            assert!(matches!(read(bytes, 4, 300), Err(Fault::Malformed(_))));
+            assert!(matches!(read(bytes, 4, 300), Err(ParseError::Malformed(_))));
         }
         assert!(matches!(
             read(b"*1\r\n$1\r\nabc", 4, 300),
-            Err(Fault::Malformed(_))
+            Err(ParseError::Malformed(_))
         ));
         assert!(matches!(
             read(&[b'*'; 20], 4, 300),
-            Err(Fault::Malformed(_))
+            Err(ParseError::Malformed(_))
         ));
     }
 
--- a/crates/trailproxyd/tests/rare.rs
+++ b/crates/trailproxyd/tests/rare.rs
@@ -224,11 +224,14 @@
 
 #[test]
 fn a_message_of_very_many_values_costs_its_sender_only() {
-    use trailproxyd::msgpack::{Fault, read};
+    use trailproxyd::msgpack::{ParseError, read};
     // An array of 16,000 numbers, of which all but the last are there: what wants one byte more is read again for each.
     let mut bytes = vec![0xdc, 0x3e, 0x80];
     bytes.extend(vec![1; 15_999]);
-    assert!(matches!(read(&bytes, 64_000), Err(Fault::Malformed(_))));
+    assert!(matches!(
+        read(&bytes, 64_000),
+        Err(ParseError::Malformed(_))
+    ));
 }
 
 #[test]
