--- a/crates/trailproxyd/src/buffered.rs
+++ b/crates/trailproxyd/src/buffered.rs
@@ -5,9 +5,9 @@
 
 /// Bytes held in rings and queues, all connections together.
 #[derive(Clone, Default)]
-pub struct Held(Rc<Cell<usize>>);
+pub struct BufferedBytes(Rc<Cell<usize>>);
 
-impl Held {
+impl BufferedBytes {
     pub fn change(&self, before: usize, after: usize) {
         self.0.set((self.0.get() + after).saturating_sub(before));
     }
@@ -20,15 +20,15 @@
 /// The bytes of an object on their way from a host to a client, counted as held.
 pub struct Parcel {
     bytes: Vec<u8>,
-    held: Held,
+    buffered: BufferedBytes,
 }
 
 impl Parcel {
-    pub fn new(bytes: &[u8], held: &Held) -> Parcel {
-        held.change(0, bytes.len());
+    pub fn new(bytes: &[u8], buffered: &BufferedBytes) -> Parcel {
+        buffered.change(0, bytes.len());
         Parcel {
             bytes: bytes.to_vec(),
-            held: held.clone(),
+            buffered: buffered.clone(),
         }
     }
 
@@ -39,6 +39,6 @@
 
 impl Drop for Parcel {
     fn drop(&mut self) {
-        self.held.change(self.bytes.len(), 0);
+        self.buffered.change(self.bytes.len(), 0);
     }
 }
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: MessagePack-RPC over TCP, requests pipelined and answered in any order.
 
-use crate::buffered::Held;
+use crate::buffered::BufferedBytes;
 use crate::checks::{Counts, count, must};
 use crate::client_slots::{Room, Slots, Use};
 use crate::list::object_id;
@@ -59,7 +59,7 @@
     /// No client waits longer than this for anything.
     pub longest_limit: Duration,
     pub ending: Cell<bool>,
-    pub held: Held,
+    pub buffered: BufferedBytes,
     pub pulse: Rc<Pulse>,
     pub counts: Rc<Counts>,
     pub log: Logger,
@@ -216,9 +216,9 @@
             id,
             stream,
             orders,
-            incoming: Ring::new(shared.held.clone()),
+            incoming: Ring::new(shared.buffered.clone()),
             wants: 1,
-            outgoing: Ring::new(shared.held.clone()),
+            outgoing: Ring::new(shared.buffered.clone()),
             owed: BTreeMap::new(),
             replies: VecDeque::new(),
             ends: VecDeque::new(),
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -29,7 +29,7 @@
         info!(self.log, "figures"; "counts" => self.counts.words(), "open" => state.requests.len(),
             "calls" => state.calls.len(), "clients" => state.clients.len(), "out" => out,
             "lines" => lines, "pools" => pools, "ids" => state.references.len(), "timers" => state.limits.len() + state.wakes.len(),
-            "held" => self.pools.shared.held.bytes(), "process" => process_figures());
+            "held" => self.pools.shared.buffered.bytes(), "process" => process_figures());
         if let Some(shared) = &self.decisions.crossings.shared {
             info!(self.log, "store counts"; "what" => shared.figures());
         }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -28,7 +28,7 @@
             match due {
                 Due::Arrived(arrival) => self.go(now, arrival),
                 Due::Answered(id, body) => {
-                    let body = Parcel::new(&body, &self.pools.shared.held);
+                    let body = Parcel::new(&body, &self.pools.shared.buffered);
                     self.answer(now, id, Reply::Served(body), "from_record");
                     self.forget(now, id);
                 }
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -1,6 +1,6 @@
 //! One connection to a host: RESP, requests pipelined and answered in any order.
 
-use crate::buffered::{Held, Parcel};
+use crate::buffered::{BufferedBytes, Parcel};
 use crate::checks::{count, must};
 use crate::link_context::Shared;
 use crate::messages::*;
@@ -95,9 +95,9 @@
             id,
             stream,
             orders,
-            incoming: Ring::new(shared.held.clone()),
+            incoming: Ring::new(shared.buffered.clone()),
             wants: 1,
-            outgoing: Ring::new(shared.held.clone()),
+            outgoing: Ring::new(shared.buffered.clone()),
             in_ring: None,
             begun: false,
             written: Instant::now(),
@@ -222,7 +222,7 @@
         }
         self.let_others_look().await;
         // What the host has said, its end above all, is known before anything more goes out.
-        let may_read = self.shared.held.bytes() < self.shared.held_limit;
+        let may_read = self.shared.buffered.bytes() < self.shared.max_buffered_bytes;
         if may_read {
             self.read()?;
         } else {
@@ -445,7 +445,7 @@
                     self.incoming.filled(n);
                     (self.heard, self.active) = (Instant::now(), Instant::now());
                     self.parse()?;
-                    if self.shared.held.bytes() >= self.shared.held_limit {
+                    if self.shared.buffered.bytes() >= self.shared.max_buffered_bytes {
                         return Ok(());
                     }
                 }
@@ -494,7 +494,7 @@
             let words = [*word, *fields, *body];
             let answer = sending
                 .as_ref()
-                .map(|sending| read_answer(words, sending, &self.shared.held));
+                .map(|sending| read_answer(words, sending, &self.shared.buffered));
             self.incoming.consume(n);
             self.wants = 1;
             match (sending, answer) {
@@ -596,7 +596,11 @@
     Some(Timestamp(ms.saturating_mul(1000)))
 }
 
-fn read_answer(words: [&[u8]; 3], sending: &OpenAttempt, held: &Held) -> Option<Answer> {
+fn read_answer(
+    words: [&[u8]; 3],
+    sending: &OpenAttempt,
+    buffered: &BufferedBytes,
+) -> Option<Answer> {
     let [word, fields, body] = words;
     let fields = std::str::from_utf8(fields).ok()?;
     let named = |name: &str| named(fields, name);
@@ -630,7 +634,7 @@
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
         report: read_report(fields),
-        body: (word == b"data").then(|| Parcel::new(body, held)),
+        body: (word == b"data").then(|| Parcel::new(body, buffered)),
         minted: named("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -1,6 +1,6 @@
 //! What the pools of connections to hosts and each such connection have in common.
 
-use crate::buffered::Held;
+use crate::buffered::BufferedBytes;
 use crate::checks::Counts;
 use crate::messages::*;
 use crate::pulse::Pulse;
@@ -19,10 +19,10 @@
     pub clock: Clock,
     /// Connections that all pools together may hold.
     pub most_lines: usize,
-    pub held: Held,
+    pub buffered: BufferedBytes,
     pub pulse: Rc<Pulse>,
     /// With so many bytes held, hosts are not read from.
-    pub held_limit: usize,
+    pub max_buffered_bytes: usize,
     pub counts: Rc<Counts>,
     pub log: Logger,
     pub trace: Trace,
--- a/crates/trailproxyd/src/ring.rs
+++ b/crates/trailproxyd/src/ring.rs
@@ -1,7 +1,7 @@
 //! The one buffer a direction of a connection: a ring that grows for a large message and gives its
 //! memory back when it is empty.
 
-use crate::buffered::Held;
+use crate::buffered::BufferedBytes;
 
 /// What an empty ring keeps, and the least it grows by.
 pub const RESTING: usize = 16 * 1024;
@@ -10,17 +10,17 @@
     bytes: Box<[u8]>,
     head: usize,
     len: usize,
-    held: Held,
+    buffered: BufferedBytes,
 }
 
 impl Ring {
     /// An empty ring; what it takes is counted as held.
-    pub fn new(held: Held) -> Ring {
+    pub fn new(buffered: BufferedBytes) -> Ring {
         Ring {
             bytes: Box::default(),
             head: 0,
             len: 0,
-            held,
+            buffered,
         }
     }
 
@@ -37,7 +37,7 @@
         let (first, second) = self.parts();
         bytes[..first.len()].copy_from_slice(first);
         bytes[first.len()..first.len() + second.len()].copy_from_slice(second);
-        self.held.change(self.bytes.len(), size);
+        self.buffered.change(self.bytes.len(), size);
         (self.bytes, self.head) = (bytes, 0);
     }
 
@@ -112,6 +112,6 @@
 
 impl Drop for Ring {
     fn drop(&mut self) {
-        self.held.change(self.bytes.len(), 0);
+        self.buffered.change(self.bytes.len(), 0);
     }
 }
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -1,7 +1,7 @@
 //! Everything that runs while it serves, put together.
 
 use crate::accounts::Accounts;
-use crate::buffered::Held;
+use crate::buffered::BufferedBytes;
 use crate::checks::Counts;
 use crate::dispatch::Dispatch;
 use crate::messages::{Clock, Inbound};
@@ -56,7 +56,7 @@
         _ = interrupt.recv() => return Ok(()),
     };
     let (queue, inbound) = mpsc::channel();
-    let (counts, held) = (Rc::new(Counts::default()), Held::default());
+    let (counts, buffered) = (Rc::new(Counts::default()), BufferedBytes::default());
     let pulse = Rc::new(Pulse::default());
     // Usual clients hold a third; what others hold beyond that is closed when it is wanted.
     let most_clients = start.descriptors / 2;
@@ -67,7 +67,7 @@
         places: RefCell::new(client_slots::Slots::new(most_clients)),
         longest_limit: Duration::from_micros(start.bounds.longest_limit.0),
         ending: Cell::new(false),
-        held: held.clone(),
+        buffered: buffered.clone(),
         pulse: pulse.clone(),
         counts: counts.clone(),
         log: log.clone(),
@@ -132,9 +132,9 @@
         bounds: start.bounds,
         clock: Clock::new(),
         most_lines: most_lines.max(1),
-        held,
+        buffered,
         pulse,
-        held_limit: start.memory_bytes / 2,
+        max_buffered_bytes: start.memory_bytes / 2,
         counts,
         trace: Trace::new(&log),
         log,
--- a/crates/trailproxyd/tests/parsers.rs
+++ b/crates/trailproxyd/tests/parsers.rs
@@ -169,13 +169,13 @@
 }
 
 mod ring {
-    use trailproxyd::buffered::Held;
+    use trailproxyd::buffered::BufferedBytes;
     use trailproxyd::ring::{RESTING, Ring};
 
     #[test]
     fn bytes_come_out_in_order_and_memory_is_given_back() {
-        let held = Held::default();
-        let (mut ring, mut chance) = (Ring::new(held.clone()), fastrand::Rng::with_seed(5));
+        let buffered = BufferedBytes::default();
+        let (mut ring, mut chance) = (Ring::new(buffered.clone()), fastrand::Rng::with_seed(5));
         let (mut put, mut got) = (0u64, 0u64);
         for _ in 0..2000 {
             let piece: Vec<u8> = (0..chance.usize(0..9000))
@@ -196,9 +196,9 @@
         ring.push(&[0; 300_000]);
         ring.consume(ring.len());
         ring.rest(false);
-        assert!(held.bytes() <= RESTING);
+        assert!(buffered.bytes() <= RESTING);
         ring.rest(true);
-        assert_eq!(held.bytes(), 0);
+        assert_eq!(buffered.bytes(), 0);
     }
 }
 
