--- a/crates/trailproxyd/src/buffered.rs
+++ b/crates/trailproxyd/src/buffered.rs
@@ -18,15 +18,15 @@
 }
 
 /// The bytes of an object on their way from a host to a client, counted as held.
-pub struct Parcel {
+pub struct CountedBytes {
     bytes: Vec<u8>,
     buffered: BufferedBytes,
 }
 
-impl Parcel {
-    pub fn new(bytes: &[u8], buffered: &BufferedBytes) -> Parcel {
+impl CountedBytes {
+    pub fn new(bytes: &[u8], buffered: &BufferedBytes) -> CountedBytes {
         buffered.change(0, bytes.len());
-        Parcel {
+        CountedBytes {
             bytes: bytes.to_vec(),
             buffered: buffered.clone(),
         }
@@ -37,7 +37,7 @@
     }
 }
 
-impl Drop for Parcel {
+impl Drop for CountedBytes {
     fn drop(&mut self) {
         self.buffered.change(self.bytes.len(), 0);
     }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -1,7 +1,7 @@
 //! What the subsystems hand back: requests that go on, answers that others have, hosts that others know.
 
 use super::Dispatch;
-use crate::buffered::Parcel;
+use crate::buffered::CountedBytes;
 use crate::messages::Reply;
 use crate::waiting::Due;
 use slog::info;
@@ -28,7 +28,7 @@
             match due {
                 Due::Arrived(arrival) => self.go(now, arrival),
                 Due::Answered(id, body) => {
-                    let body = Parcel::new(&body, &self.pools.shared.buffered);
+                    let body = CountedBytes::new(&body, &self.pools.shared.buffered);
                     self.answer(now, id, Reply::Served(body), "from_record");
                     self.forget(now, id);
                 }
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -1,6 +1,6 @@
 //! One connection to a host: RESP, requests pipelined and answered in any order.
 
-use crate::buffered::{BufferedBytes, Parcel};
+use crate::buffered::{BufferedBytes, CountedBytes};
 use crate::checks::{count, must};
 use crate::link_context::Shared;
 use crate::messages::*;
@@ -634,7 +634,7 @@
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
         report: read_report(fields),
-        body: (word == b"data").then(|| Parcel::new(body, buffered)),
+        body: (word == b"data").then(|| CountedBytes::new(body, buffered)),
         minted: named("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -1,7 +1,7 @@
 //! What the parts say to each other, below all of them: clients, hosts and the journal service to the one task that
 //! has the decisions, and back. No wire words here.
 
-use crate::buffered::Parcel;
+use crate::buffered::CountedBytes;
 use crate::operator::Told;
 use local_channel::mpsc;
 use std::cell::Cell;
@@ -86,7 +86,7 @@
 }
 
 pub enum Reply {
-    Served(Parcel),
+    Served(CountedBytes),
     /// The copy that the client holds is the one that would be served.
     Same,
     Refused {
@@ -178,7 +178,7 @@
     pub waited: Option<TimeSpan>,
     pub report: Vec<f64>,
     /// The bytes where it is done; `None`: the client's copy is the one.
-    pub body: Option<Parcel>,
+    pub body: Option<CountedBytes>,
     /// When the origin gave this copy out, as it is stamped.
     pub minted: Option<Timestamp>,
 }
