--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -6,8 +6,8 @@
 use crate::list::object_id;
 use crate::messages::*;
 use crate::msgpack::{self, ParseError, Value};
-use crate::pulse::Pulse;
 use crate::ring::Ring;
+use crate::stall_detector::StallDetector;
 use crate::system_calls::{self, LACK_PASSES, Transfer, errno};
 use crate::trace::Trace;
 use local_channel::mpsc;
@@ -60,7 +60,7 @@
     pub longest_limit: Duration,
     pub ending: Cell<bool>,
     pub buffered: BufferedBytes,
-    pub pulse: Rc<Pulse>,
+    pub stall_detector: Rc<StallDetector>,
     pub counts: Rc<Counts>,
     pub log: Logger,
     pub trace: Trace,
@@ -292,7 +292,7 @@
     }
 
     async fn turn(&mut self) -> Result<(), Over> {
-        self.shared.pulse.beat(Instant::now());
+        self.shared.stall_detector.record_activity(Instant::now());
         if let Some(until) = self.rests_until.take() {
             sleep_until(until).await;
         }
@@ -346,7 +346,7 @@
             }
             ready = self.stream.readable(), if self.eof.is_none() => {
                 ready.map_err(|_| Over::Broken("read failed"))?;
-                self.shared.pulse.beat(Instant::now());
+                self.shared.stall_detector.record_activity(Instant::now());
                 self.read()?;
             }
             _ = sleep_until(leaves_at), if used != Use::Busy && !self.finishing => {
@@ -429,8 +429,8 @@
             return since;
         }
         // The process may have been stopped since the task was run, amid its turn.
-        self.shared.pulse.beat(now);
-        let silence = self.shared.pulse.silence_before(now);
+        self.shared.stall_detector.record_activity(now);
+        let silence = self.shared.stall_detector.recent_stall(now);
         let found_since = silence.map_or(now, |silence| silence.began);
         self.data_came()
             .map_or(found_since, |came| came.max(found_since))
--- a/crates/trailproxyd/src/lib.rs
+++ b/crates/trailproxyd/src/lib.rs
@@ -3,7 +3,7 @@
 pub mod buffered;
 pub mod http;
 pub mod msgpack;
-pub mod pulse;
 pub mod resp;
 pub mod ring;
 pub mod sse;
+pub mod stall_detector;
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -5,9 +5,9 @@
 use crate::link_context::Shared;
 use crate::messages::*;
 use crate::msgpack::ParseError;
-use crate::pulse::Silence;
 use crate::resp;
 use crate::ring::Ring;
+use crate::stall_detector::Stall;
 use crate::system_calls::{self, LACK_PASSES, Transfer};
 use local_channel::mpsc;
 use slog::{info, warn};
@@ -77,7 +77,7 @@
     /// The system lacked something for it: nothing is read or written before this.
     rests_until: Option<Instant>,
     /// The last silence of the process behind which others were heard first.
-    heard_behind: Option<Silence>,
+    heard_behind: Option<Stall>,
 }
 
 type Over = &'static str;
@@ -208,8 +208,8 @@
     /// begin for them.
     async fn let_others_look(&mut self) {
         let now = Instant::now();
-        self.shared.pulse.beat(now);
-        let silence = self.shared.pulse.silence_before(now);
+        self.shared.stall_detector.record_activity(now);
+        let silence = self.shared.stall_detector.recent_stall(now);
         if silence.is_some() && silence != self.heard_behind {
             self.heard_behind = silence;
             yield_now().await;
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -3,7 +3,7 @@
 use crate::buffered::BufferedBytes;
 use crate::checks::Counts;
 use crate::messages::*;
-use crate::pulse::Pulse;
+use crate::stall_detector::StallDetector;
 use crate::trace::Trace;
 use slog::Logger;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
     /// Connections that all pools together may hold.
     pub most_lines: usize,
     pub buffered: BufferedBytes,
-    pub pulse: Rc<Pulse>,
+    pub stall_detector: Rc<StallDetector>,
     /// With so many bytes held, hosts are not read from.
     pub max_buffered_bytes: usize,
     pub counts: Rc<Counts>,
--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -32,7 +32,7 @@
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
-use trailproxyd::{buffered, http, msgpack, pulse, resp, ring, sse};
+use trailproxyd::{buffered, http, msgpack, resp, ring, sse, stall_detector};
 
 const HELP: &str = "\
 trailproxyd: a trailproxy dispatcher on sockets
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -5,9 +5,9 @@
 use crate::checks::Counts;
 use crate::dispatch::Dispatch;
 use crate::messages::{Clock, Inbound};
-use crate::pulse::Pulse;
 use crate::reload::{Followers, Running, follow_hangups, read_operator};
 use crate::servers::Pools;
+use crate::stall_detector::StallDetector;
 use crate::starting::{StepError, persist_awake};
 use crate::startup::Start;
 use crate::trace::Trace;
@@ -57,7 +57,7 @@
     };
     let (queue, inbound) = mpsc::channel();
     let (counts, buffered) = (Rc::new(Counts::default()), BufferedBytes::default());
-    let pulse = Rc::new(Pulse::default());
+    let stall_detector = Rc::new(StallDetector::default());
     // Usual clients hold a third; what others hold beyond that is closed when it is wanted.
     let most_clients = start.descriptors / 2;
     let tracks = start.bounds.track_names.iter().cloned();
@@ -68,7 +68,7 @@
         longest_limit: Duration::from_micros(start.bounds.longest_limit.0),
         ending: Cell::new(false),
         buffered: buffered.clone(),
-        pulse: pulse.clone(),
+        stall_detector: stall_detector.clone(),
         counts: counts.clone(),
         log: log.clone(),
         trace: Trace::new(&log),
@@ -133,7 +133,7 @@
         clock: Clock::new(),
         most_lines: most_lines.max(1),
         buffered,
-        pulse,
+        stall_detector,
         max_buffered_bytes: start.memory_bytes / 2,
         counts,
         trace: Trace::new(&log),
