--- a/crates/lab/src/bin/bare-relay.rs
+++ b/crates/lab/src/bin/bare-relay.rs
@@ -71,12 +71,12 @@
 async fn requests(mut read: OwnedReadHalf, out: Out, hosts: Rc<Vec<Out>>, waiting: Waiting) {
     let mut ring = Ring::new(BufferedBytes::default());
     loop {
-        match read.read(ring.room()).await {
-            Ok(n) if n > 0 => ring.filled(n),
+        match read.read(ring.free_space()).await {
+            Ok(n) if n > 0 => ring.commit(n),
             _ => return,
         }
         loop {
-            let used = match msgpack::read(ring.whole(), LONGEST) {
+            let used = match msgpack::read(ring.as_contiguous(), LONGEST) {
                 Ok((message, used)) => {
                     request(&message, &out, &hosts, &waiting);
                     used
@@ -159,12 +159,12 @@
 async fn answers(mut read: OwnedReadHalf, waiting: Waiting) {
     let mut ring = Ring::new(BufferedBytes::default());
     loop {
-        match read.read(ring.room()).await {
-            Ok(n) if n > 0 => ring.filled(n),
+        match read.read(ring.free_space()).await {
+            Ok(n) if n > 0 => ring.commit(n),
             _ => return,
         }
         loop {
-            let used = match resp::read(ring.whole(), 4, LONGEST) {
+            let used = match resp::read(ring.as_contiguous(), 4, LONGEST) {
                 Ok((words, used)) => {
                     if let Some((out, id)) = waiting.borrow_mut().remove(words[0]) {
                         let body = words.get(3).copied().unwrap_or_default();
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -375,7 +375,7 @@
             if self.eof.is_some() {
                 break;
             }
-            match system_calls::read(&self.stream, self.incoming.room()) {
+            match system_calls::read(&self.stream, self.incoming.free_space()) {
                 Transfer::Bytes(0) => {
                     let left_at = self.earliest(first);
                     let trace = &self.shared.trace;
@@ -387,14 +387,14 @@
                     if self.spoken && self.incoming.is_empty() {
                         self.since = Instant::now();
                     }
-                    self.incoming.filled(n);
+                    self.incoming.commit(n);
                     if self.half_closed {
                         self.incoming.consume(n);
                     }
                     self.parse(first)?;
                 }
                 Transfer::NotReady => {
-                    self.incoming.rest(true);
+                    self.incoming.release_memory(true);
                     break;
                 }
                 Transfer::Lacking => {
@@ -473,10 +473,10 @@
                 self.ends.push_back(self.encoded);
             }
             if self.outgoing.is_empty() {
-                self.outgoing.rest(self.replies.is_empty());
+                self.outgoing.release_memory(self.replies.is_empty());
                 return Ok(());
             }
-            match system_calls::write(&self.stream, self.outgoing.parts().0) {
+            match system_calls::write(&self.stream, self.outgoing.as_slices().0) {
                 Transfer::Bytes(n) => {
                     self.outgoing.consume(n);
                     self.written += n as u64;
@@ -498,7 +498,7 @@
 
     fn parse(&mut self, first: bool) -> Result<(), Over> {
         while self.incoming.len() >= self.wants && !self.half_closed {
-            let bytes = self.incoming.whole();
+            let bytes = self.incoming.as_contiguous();
             let (mut message, n) = match msgpack::read(bytes, LONGEST_MESSAGE) {
                 Ok((value, n)) => (read_message(self.id, &value, &self.shared.tracks), n),
                 Err(ParseError::Incomplete(wants)) => {
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -359,14 +359,14 @@
                 self.in_ring = None;
                 self.begun = false;
                 let Some(packet) = self.unsent.pop_front() else {
-                    self.outgoing.rest(true);
+                    self.outgoing.release_memory(true);
                     return Ok(());
                 };
                 self.encode(packet);
             } else if self.stalled(now) {
                 return Err("stalled amid a request");
             }
-            match system_calls::write(&self.stream, self.outgoing.parts().0) {
+            match system_calls::write(&self.stream, self.outgoing.as_slices().0) {
                 Transfer::Bytes(n) => {
                     if !std::mem::replace(&mut self.begun, true) {
                         self.check_begun(now);
@@ -439,10 +439,10 @@
     fn read(&mut self) -> Result<(), Over> {
         loop {
             self.incoming.reserve(self.wants);
-            match system_calls::read(&self.stream, self.incoming.room()) {
+            match system_calls::read(&self.stream, self.incoming.free_space()) {
                 Transfer::Bytes(0) => return Err("closed"),
                 Transfer::Bytes(n) => {
-                    self.incoming.filled(n);
+                    self.incoming.commit(n);
                     (self.heard, self.active) = (Instant::now(), Instant::now());
                     self.parse()?;
                     if self.shared.buffered.bytes() >= self.shared.max_buffered_bytes {
@@ -450,7 +450,7 @@
                     }
                 }
                 Transfer::NotReady => {
-                    self.incoming.rest(true);
+                    self.incoming.release_memory(true);
                     return Ok(());
                 }
                 Transfer::Lacking => {
@@ -464,7 +464,7 @@
 
     fn parse(&mut self) -> Result<(), Over> {
         while self.incoming.len() >= self.wants {
-            let (words, n) = match resp::read(self.incoming.whole(), WORDS, LONGEST_WORD) {
+            let (words, n) = match resp::read(self.incoming.as_contiguous(), WORDS, LONGEST_WORD) {
                 Ok(read) => read,
                 Err(ParseError::Incomplete(wants)) => {
                     self.wants = wants;
--- a/crates/trailproxyd/src/ring.rs
+++ b/crates/trailproxyd/src/ring.rs
@@ -4,7 +4,7 @@
 use crate::buffered::BufferedBytes;
 
 /// What an empty ring keeps, and the least it grows by.
-pub const RESTING: usize = 16 * 1024;
+pub const MIN_CAPACITY_BYTES: usize = 16 * 1024;
 
 pub struct Ring {
     bytes: Box<[u8]>,
@@ -34,7 +34,7 @@
 
     fn resize(&mut self, size: usize) {
         let mut bytes = vec![0; size].into_boxed_slice();
-        let (first, second) = self.parts();
+        let (first, second) = self.as_slices();
         bytes[..first.len()].copy_from_slice(first);
         bytes[first.len()..first.len() + second.len()].copy_from_slice(second);
         self.buffered.change(self.bytes.len(), size);
@@ -44,12 +44,12 @@
     /// Makes room for so many bytes in all.
     pub fn reserve(&mut self, total: usize) {
         if total > self.bytes.len() {
-            self.resize(total.next_multiple_of(RESTING));
+            self.resize(total.next_multiple_of(MIN_CAPACITY_BYTES));
         }
     }
 
     /// Free room in one piece, never empty.
-    pub fn room(&mut self) -> &mut [u8] {
+    pub fn free_space(&mut self) -> &mut [u8] {
         self.reserve(self.len + 1);
         let size = self.bytes.len();
         let start = (self.head + self.len) % size;
@@ -58,7 +58,7 @@
     }
 
     /// So many bytes were written into the room.
-    pub fn filled(&mut self, n: usize) {
+    pub fn commit(&mut self, n: usize) {
         self.len += n;
         debug_assert!(self.len <= self.bytes.len());
     }
@@ -66,16 +66,16 @@
     pub fn push(&mut self, mut bytes: &[u8]) {
         self.reserve(self.len + bytes.len());
         while !bytes.is_empty() {
-            let room = self.room();
+            let room = self.free_space();
             let n = room.len().min(bytes.len());
             room[..n].copy_from_slice(&bytes[..n]);
-            self.filled(n);
+            self.commit(n);
             bytes = &bytes[n..];
         }
     }
 
     /// What is in it, in order, in one or two pieces.
-    pub fn parts(&self) -> (&[u8], &[u8]) {
+    pub fn as_slices(&self) -> (&[u8], &[u8]) {
         let until = self.bytes.len() - self.head;
         match self.len <= until {
             true => (&self.bytes[self.head..self.head + self.len], &[]),
@@ -84,7 +84,7 @@
     }
 
     /// What is in it, in one piece.
-    pub fn whole(&mut self) -> &[u8] {
+    pub fn as_contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
             self.head = 0;
@@ -102,8 +102,8 @@
     }
 
     /// Gives memory back where it is empty: all of it when idle, else what a large message took.
-    pub fn rest(&mut self, idle: bool) {
-        let keep = if idle { 0 } else { RESTING };
+    pub fn release_memory(&mut self, idle: bool) {
+        let keep = if idle { 0 } else { MIN_CAPACITY_BYTES };
         if self.len == 0 && self.bytes.len() > keep {
             self.resize(keep);
         }
--- a/crates/trailproxyd/tests/parsers.rs
+++ b/crates/trailproxyd/tests/parsers.rs
@@ -170,7 +170,7 @@
 
 mod ring {
     use trailproxyd::buffered::BufferedBytes;
-    use trailproxyd::ring::{RESTING, Ring};
+    use trailproxyd::ring::{MIN_CAPACITY_BYTES, Ring};
 
     #[test]
     fn bytes_come_out_in_order_and_memory_is_given_back() {
@@ -184,9 +184,9 @@
             ring.push(&piece);
             put += piece.len() as u64;
             let n = chance.usize(0..=ring.len());
-            let (first, second) = ring.parts();
+            let (first, second) = ring.as_slices();
             let both: Vec<u8> = first.iter().chain(second).copied().collect();
-            assert_eq!(both, ring.whole(), "in one piece or two, the same");
+            assert_eq!(both, ring.as_contiguous(), "in one piece or two, the same");
             for &byte in &both[..n] {
                 assert_eq!(byte, got as u8);
                 got += 1;
@@ -195,9 +195,9 @@
         }
         ring.push(&[0; 300_000]);
         ring.consume(ring.len());
-        ring.rest(false);
-        assert!(buffered.bytes() <= RESTING);
-        ring.rest(true);
+        ring.release_memory(false);
+        assert!(buffered.bytes() <= MIN_CAPACITY_BYTES);
+        ring.release_memory(true);
         assert_eq!(buffered.bytes(), 0);
     }
 }
