--- a/crates/trailproxyd/src/http.rs
+++ b/crates/trailproxyd/src/http.rs
@@ -25,16 +25,16 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub struct Damaged(pub &'static str);
+pub struct MalformedResponse(pub &'static str);
 
 impl Response {
     /// Whether the body has come to its told end.
-    pub fn is_over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.part == Part::Over
     }
 
     /// Takes what came and adds what of it is body.
-    pub fn feed(&mut self, mut bytes: &[u8], body: &mut Vec<u8>) -> Result<(), Damaged> {
+    pub fn feed(&mut self, mut bytes: &[u8], body: &mut Vec<u8>) -> Result<(), MalformedResponse> {
         while let Some(&first) = bytes.first() {
             match &mut self.part {
                 Part::Plain => {
@@ -58,7 +58,7 @@
             self.line.push(first);
             bytes = &bytes[1..];
             if self.line.len() > LONGEST_HEAD {
-                return Err(Damaged("a head is too long"));
+                return Err(MalformedResponse("a head is too long"));
             }
             let end: &[u8] = if self.part == Part::Head {
                 b"\r\n\r\n"
@@ -78,14 +78,14 @@
     }
 }
 
-fn head(head: &[u8]) -> Result<Part, Damaged> {
-    let text = std::str::from_utf8(head).map_err(|_| Damaged("a head is not text"))?;
+fn head(head: &[u8]) -> Result<Part, MalformedResponse> {
+    let text = std::str::from_utf8(head).map_err(|_| MalformedResponse("a head is not text"))?;
     let mut lines = text.split("\r\n");
     let status = lines.next().unwrap_or("");
     let mut words = status.split(' ');
     if !words.next().is_some_and(|word| word.starts_with("HTTP/1.")) || words.next() != Some("200")
     {
-        return Err(Damaged("the call was not answered with 200"));
+        return Err(MalformedResponse("the call was not answered with 200"));
     }
     let mut part = Part::Plain;
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
@@ -96,19 +96,19 @@
         if name.eq_ignore_ascii_case("content-length") {
             let n = value
                 .parse()
-                .map_err(|_| Damaged("a length can't be read"))?;
+                .map_err(|_| MalformedResponse("a length can't be read"))?;
             part = if n == 0 { Part::Over } else { Part::Sized(n) };
         }
     }
     Ok(part)
 }
 
-fn chunk(line: &[u8]) -> Result<Part, Damaged> {
+fn chunk(line: &[u8]) -> Result<Part, MalformedResponse> {
     let text = std::str::from_utf8(line).unwrap_or("");
     let digits = text.split(';').next().unwrap_or("").trim();
     match usize::from_str_radix(digits, 16) {
         Ok(0) => Ok(Part::Over),
         Ok(n) => Ok(Part::Chunk(n)),
-        Err(_) => Err(Damaged("a chunk's length can't be read")),
+        Err(_) => Err(MalformedResponse("a chunk's length can't be read")),
     }
 }
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -252,7 +252,7 @@
             for one in told.drain(..) {
                 self.take(&one.id, &one.data)?;
             }
-            if response.is_over() {
+            if response.is_complete() {
                 return Err("closed".into());
             }
         }
--- a/crates/trailproxyd/tests/parsers.rs
+++ b/crates/trailproxyd/tests/parsers.rs
@@ -3,7 +3,7 @@
 mod http {
     use trailproxyd::http::*;
 
-    fn read(pieces: &[&[u8]]) -> Result<Vec<u8>, Damaged> {
+    fn read(pieces: &[&[u8]]) -> Result<Vec<u8>, MalformedResponse> {
         let (mut response, mut body) = (Response::default(), Vec::new());
         for piece in pieces {
             response.feed(piece, &mut body)?;
