--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -3,7 +3,7 @@
 use crate::checks::{Counts, count, must};
 use crate::http::Response;
 use crate::messages::*;
-use crate::sse::Events;
+use crate::sse::EventParser;
 use crate::system_calls::{self, LACK_PASSES, Transfer};
 use local_channel::mpsc;
 use serde_json::Value;
@@ -223,7 +223,7 @@
                 Transfer::Broken(e) => return Err(broken(e)),
             }
         }
-        let (mut response, mut events) = (Response::default(), Events::default());
+        let (mut response, mut events) = (Response::default(), EventParser::default());
         let mut piece = [0; READ_SIZE];
         let (mut body, mut told) = (Vec::new(), Vec::new());
         loop {
--- a/crates/trailproxyd/src/sse.rs
+++ b/crates/trailproxyd/src/sse.rs
@@ -1,16 +1,16 @@
 //! Server-sent events, read piece by piece. Pure and bounded.
 
 /// Longer events are damage: the whole list of many hundred hosts fits.
-pub const LONGEST_EVENT: usize = 4 * 1024 * 1024;
+pub const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Debug, PartialEq)]
-pub struct Told {
+pub struct Event {
     pub id: String,
     pub data: String,
 }
 
 #[derive(Default)]
-pub struct Events {
+pub struct EventParser {
     line: Vec<u8>,
     after_cr: bool,
     id: String,
@@ -18,11 +18,11 @@
 }
 
 #[derive(Debug, PartialEq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
-impl Events {
+impl EventParser {
     /// Takes what came and adds the events that are whole now.
-    pub fn feed(&mut self, bytes: &[u8], told: &mut Vec<Told>) -> Result<(), TooLong> {
+    pub fn feed(&mut self, bytes: &[u8], told: &mut Vec<Event>) -> Result<(), EventTooLong> {
         for &byte in bytes {
             let after_cr = std::mem::replace(&mut self.after_cr, byte == b'\r');
             match byte {
@@ -33,19 +33,19 @@
                 }
                 _ => self.line.push(byte),
             }
-            if self.line.len() + self.data.len() > LONGEST_EVENT {
-                return Err(TooLong);
+            if self.line.len() + self.data.len() > MAX_EVENT_BYTES {
+                return Err(EventTooLong);
             }
         }
         Ok(())
     }
 
-    fn end_line(&mut self, line: &str, told: &mut Vec<Told>) {
+    fn end_line(&mut self, line: &str, told: &mut Vec<Event>) {
         if line.is_empty() {
             let data = std::mem::take(&mut self.data);
             if !data.is_empty() {
                 let id = self.id.clone();
-                told.push(Told { id, data });
+                told.push(Event { id, data });
             }
             return;
         }
--- a/crates/trailproxyd/tests/parsers.rs
+++ b/crates/trailproxyd/tests/parsers.rs
@@ -206,7 +206,7 @@
     use trailproxyd::sse::*;
 
     fn read(pieces: &[&[u8]]) -> Vec<(String, String)> {
-        let (mut events, mut told) = (Events::default(), Vec::new());
+        let (mut events, mut told) = (EventParser::default(), Vec::new());
         for piece in pieces {
             events.feed(piece, &mut told).expect("bounded");
         }
@@ -227,9 +227,9 @@
 
     #[test]
     fn an_event_without_an_end_is_damage() {
-        let (mut events, mut told) = (Events::default(), Vec::new());
-        let piece = vec![b'x'; LONGEST_EVENT / 2 + 1];
+        let (mut events, mut told) = (EventParser::default(), Vec::new());
+        let piece = vec![b'x'; MAX_EVENT_BYTES / 2 + 1];
         assert_eq!(events.feed(&piece, &mut told), Ok(()));
-        assert_eq!(events.feed(&piece, &mut told), Err(TooLong));
+        assert_eq!(events.feed(&piece, &mut told), Err(EventTooLong));
     }
 }
