--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::buffered::BufferedBytes;
 use crate::checks::{Counts, count, must};
 use crate::client_slots::{Room, Slots, Use};
-use crate::list::object_id;
+use crate::journal_client::object_id;
 use crate::messages::*;
 use crate::msgpack::{self, ParseError, Value};
 use crate::ring::Ring;
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -26,7 +26,7 @@
                 }
                 Action::Fail { id, reason } => self.given_up(now, id, Reply::Failed, reason),
                 Action::Cancel { id, attempt: no } => {
-                    self.pools.kill(AttemptId { request: id, no });
+                    self.pools.cancel(AttemptId { request: id, no });
                 }
                 Action::SetTimer { at, timer } => {
                     self.state.wakes.insert((at, timer));
@@ -59,7 +59,7 @@
         let source = fill
             .map(|fill| fill.source)
             .filter(|&source| source != host);
-        let name = source.and_then(|source| self.pools.name(source));
+        let name = source.and_then(|source| self.pools.host_name(source));
         let named = name.is_some() == source.is_some();
         must(named, &self.counts.broken_unknown_host);
         // A repeat is known for a while only; a wait for a connection may outlast that.
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -57,7 +57,7 @@
                     let stamp = member.entry.stamp;
                     member.entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
                 }
-                self.pools.list(form, &members);
+                self.pools.apply_host_list(form, &members);
                 for _ in 0..unread {
                     count(&self.counts.bad_entries);
                 }
@@ -103,6 +103,8 @@
                 }
             }
         }
-        recalls.into_iter().for_each(|id| self.pools.recall(id));
+        recalls
+            .into_iter()
+            .for_each(|id| self.pools.drop_unsent(id));
     }
 }
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -12,10 +12,10 @@
 
 use crate::accounts::Accounts;
 use crate::checks::{Counts, must};
+use crate::host_pools::HostPools;
 use crate::messages::{
     Call, CallId, ClientId, Clock, Entry, FromServer, Inbound, LineId, ToClient, next_now,
 };
-use crate::servers::Pools;
 use crate::subsystems::Subsystems;
 use local_channel::mpsc;
 use slog::{Logger, info, warn};
@@ -73,7 +73,7 @@
     pub decisions: Dispatcher<Subsystems>,
     /// What tells of traffic between zones, with what a new account of it is made of.
     pub accounts: Option<(Accounts, DispatcherSettings, u64)>,
-    pub pools: Pools,
+    pub pools: HostPools,
     pub clock: Clock,
     pub reports: Reports,
     /// By track.
@@ -110,7 +110,7 @@
 impl Dispatch {
     pub fn new(
         decisions: Dispatcher<Subsystems>,
-        pools: Pools,
+        pools: HostPools,
         reports: Reports,
         effects: Vec<Effect>,
     ) -> Dispatch {
@@ -220,13 +220,13 @@
                 ending,
                 report,
             }) => {
-                if self.pools.probed(host, id) {
+                if self.pools.take_probe(host, id) {
                     let load = self.reports.load(&report);
                     self.tell(now, Event::Probed { host, ending, load });
                 }
             }
             Inbound::Server(told) => {
-                if let Some((id, line, answer)) = self.pools.told(told) {
+                if let Some((id, line, answer)) = self.pools.handle_event(told) {
                     self.ended(now, id, line, answer);
                 }
             }
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -17,7 +17,7 @@
         let open = self.state.requests.get(&request);
         let mut any = false;
         for no in open.into_iter().flat_map(Request::out) {
-            self.pools.recall(AttemptId { request, no });
+            self.pools.drop_unsent(AttemptId { request, no });
             any = true;
         }
         any
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -121,7 +121,7 @@
         let dues = terms.classes.iter().map(|track| track.target).collect();
         let core = Peers::new(now, own, rules, drawn);
         let mut begun = Peered::new(*told, core, (socket, to), dues, log.clone());
-        let (kind, entries) = (HostListKind::Full, self.pools.entries());
+        let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
         begun.listed(now, &entries, self.state.place);
         begun.heard(&Event::HostList { kind, entries });
         self.decisions.crossings.peers = Some(begun);
@@ -157,7 +157,7 @@
                     let dues = terms.classes.iter().map(|track| track.target).collect();
                     let mut begun =
                         Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
-                    let (kind, entries) = (HostListKind::Full, self.pools.entries());
+                    let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
                     begun.heard(now, &Event::HostList { kind, entries });
                     *shared = Some(begun);
                 }
@@ -192,7 +192,7 @@
             None => {
                 let mut zones = Zones::new(terms, rules, *seed);
                 let kind = HostListKind::Full;
-                let entries = self.pools.entries();
+                let entries = self.pools.host_entries();
                 zones.on_event(now, &Event::HostList { kind, entries });
                 *crossings = Some(zones);
             }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -51,7 +51,7 @@
         host: HostId,
         told: Option<(HostState, Option<Timestamp>)>,
     ) {
-        let entries = self.pools.entries();
+        let entries = self.pools.host_entries();
         let Some(mut entry) = entries.into_iter().find(|entry| entry.host == host) else {
             return;
         };
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -25,7 +25,7 @@
             true => asked + STILL_COMING + self.longest_limit(),
             false => (asked + STILL_COMING).max(Instant::now() + Duration::from_millis(10)),
         });
-        let all = timed.chain(self.pools.next_expiry()).chain(ending);
+        let all = timed.chain(self.pools.next_deadline()).chain(ending);
         all.min().unwrap_or_else(|| Instant::now() + REPORT_EVERY)
     }
 
@@ -47,7 +47,7 @@
             self.state.limits.remove(&(request.limit, id));
             for no in out {
                 let attempt = AttemptId { request: id, no };
-                self.pools.kill(attempt);
+                self.pools.cancel(attempt);
                 self.ended(now, attempt, None, Answer::bare(Ending::TimedOut));
             }
             // The decisions give the final answer, woken by their own timer or by this.
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -2,7 +2,7 @@
 
 use crate::buffered::{BufferedBytes, CountedBytes};
 use crate::checks::{count, must};
-use crate::link_context::Shared;
+use crate::host_context::HostContext;
 use crate::messages::*;
 use crate::msgpack::ParseError;
 use crate::resp;
@@ -48,12 +48,12 @@
 }
 
 /// One connection, as its own task knows it.
-pub struct Link {
+pub struct HostConnection {
     host: HostId,
     id: LineId,
     stream: TcpStream,
     orders: mpsc::Receiver<ToServer>,
-    shared: Rc<Shared>,
+    shared: Rc<HostContext>,
     incoming: Ring,
     wants: usize,
     /// One request at a time, and none that has not begun but while it is tried.
@@ -82,15 +82,15 @@
 
 type Over = &'static str;
 
-impl Link {
+impl HostConnection {
     pub fn new(
         host: HostId,
         id: LineId,
         stream: TcpStream,
         orders: mpsc::Receiver<ToServer>,
-        shared: Rc<Shared>,
-    ) -> Link {
-        Link {
+        shared: Rc<HostContext>,
+    ) -> HostConnection {
+        HostConnection {
             host,
             id,
             stream,
@@ -161,12 +161,15 @@
         }
         if let Some(id) = self.probe.take() {
             self.shared
-                .probed(id, self.host, Ending::ConnectionLost, vec![]);
+                .probe_ended(id, self.host, Ending::ConnectionLost, vec![]);
         }
         while let Some(order) = next_now(&mut self.orders) {
             match order {
                 ToServer::Send(sending) => self.end(sending.id, Ending::NotSent),
-                ToServer::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
+                ToServer::Probe(id) => {
+                    self.shared
+                        .probe_ended(id, self.host, Ending::NotSent, vec![])
+                }
                 _ => {}
             }
         }
@@ -188,13 +191,16 @@
 
     fn end(&self, id: AttemptId, ending: Ending) {
         let answer = Answer::bare(ending);
-        self.shared.end(id, self.host, Some(self.id), answer);
+        self.shared
+            .attempt_ended(id, self.host, Some(self.id), answer);
     }
 
     fn drop_packet(&self, packet: Packet) {
         match packet {
             Packet::Sending(sending) => self.end(sending.id, Ending::NotSent),
-            Packet::Probe(id) => self.shared.probed(id, self.host, Ending::NotSent, vec![]),
+            Packet::Probe(id) => self
+                .shared
+                .probe_ended(id, self.host, Ending::NotSent, vec![]),
             Packet::Kill(_) => {}
         }
     }
@@ -240,7 +246,7 @@
         let waits_for_room = !self.outgoing.is_empty() || !self.unsent.is_empty();
         let known_at = self.withdrawn.front().map(|at| at.0);
         // Half an answer and no more of it: what comes behind it would wait for its end, that of others, too.
-        let stuck_at = self.heard + self.shared.dial_within();
+        let stuck_at = self.heard + self.shared.dial_timeout();
         let half = !self.incoming.is_empty() && !self.unfit;
         if idle && self.retired {
             return Err("retired");
@@ -341,7 +347,7 @@
             return;
         };
         // A connection that owed an answer and said nothing for a dial's time is not used again.
-        let silence = self.shared.dial_within();
+        let silence = self.shared.dial_timeout();
         let (unheard, long) = (self.heard <= sending.sent, sending.sent.elapsed() > silence);
         if unheard && long {
             self.tell_unfit();
@@ -479,7 +485,7 @@
                 let last = |id: &mut ProbeId| number.parse() == Ok(id.0);
                 if let Some(id) = self.probe.take_if(last) {
                     let (ending, report) = read_probe(&words);
-                    self.shared.probed(id, self.host, ending, report);
+                    self.shared.probe_ended(id, self.host, ending, report);
                 }
                 self.incoming.consume(n);
                 self.wants = 1;
@@ -500,7 +506,7 @@
             match (sending, answer) {
                 (Some(sending), Some(Some(answer))) => {
                     self.shared
-                        .end(sending.id, self.host, Some(self.id), answer);
+                        .attempt_ended(sending.id, self.host, Some(self.id), answer);
                 }
                 (Some(sending), _) => {
                     self.end(sending.id, Ending::ConnectionLost);
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/host_context.rs
@@ -13,12 +13,12 @@
 use trailproxy_terms::Bounds;
 
 /// What all pools and connections share.
-pub struct Shared {
+pub struct HostContext {
     pub queue: Queue,
     pub bounds: Bounds,
     pub clock: Clock,
     /// Connections that all pools together may hold.
-    pub most_lines: usize,
+    pub max_connections: usize,
     pub buffered: BufferedBytes,
     pub stall_detector: Rc<StallDetector>,
     /// With so many bytes held, hosts are not read from.
@@ -28,13 +28,13 @@
     pub trace: Trace,
 }
 
-impl Shared {
+impl HostContext {
     /// A connection comes up within this, or never.
-    pub fn dial_within(&self) -> Duration {
+    pub fn dial_timeout(&self) -> Duration {
         Duration::from_micros(self.bounds.dial_within.0)
     }
 
-    pub fn end(&self, id: AttemptId, host: HostId, line: Option<LineId>, answer: Answer) {
+    pub fn attempt_ended(&self, id: AttemptId, host: HostId, line: Option<LineId>, answer: Answer) {
         let ended = FromServer::Ended {
             id,
             host,
@@ -44,7 +44,7 @@
         let _ = self.queue.send(Inbound::Server(ended));
     }
 
-    pub fn probed(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
+    pub fn probe_ended(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
         let probed = FromServer::Probed {
             id,
             host,
@@ -54,7 +54,7 @@
         let _ = self.queue.send(Inbound::Server(probed));
     }
 
-    pub fn dropped(&self, sending: &Sending, ending: Ending) {
-        self.end(sending.id, sending.host, None, Answer::bare(ending));
+    pub fn attempt_dropped(&self, sending: &Sending, ending: Ending) {
+        self.attempt_ended(sending.id, sending.host, None, Answer::bare(ending));
     }
 }
--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/host_pools.rs
@@ -1,8 +1,8 @@
 //! Cache hosts, parents and the origin: RESP over pools of connections, a pool a host.
 
 use crate::checks::{count, must};
-use crate::link::Link;
-use crate::link_context::Shared;
+use crate::host_connection::HostConnection;
+use crate::host_context::HostContext;
 use crate::messages::*;
 use crate::system_calls::errno;
 use local_channel::mpsc::{self, SendError};
@@ -47,13 +47,13 @@
 
 impl Pool {
     /// Whoever waits is told at once that the host refuses.
-    fn refused(&mut self, shared: &Shared, host: HostId) {
+    fn refused(&mut self, shared: &HostContext, host: HostId) {
         let waits = |probe: &&mut Probe| probe.is == ProbeIs::Waiting;
         if let Some(probe) = self.probe.as_mut().filter(waits) {
             probe.ended(shared, host);
         }
         for (_, sending) in self.waiting.drain(..) {
-            shared.dropped(&sending, Ending::NoConnection);
+            shared.attempt_dropped(&sending, Ending::NoConnection);
         }
     }
 }
@@ -67,13 +67,13 @@
 
 impl Probe {
     /// Tells the end of a probe that no answer ended, once.
-    fn ended(&mut self, shared: &Shared, host: HostId) {
+    fn ended(&mut self, shared: &HostContext, host: HostId) {
         let ending = match std::mem::replace(&mut self.is, ProbeIs::Over) {
             ProbeIs::Waiting => Ending::NoConnection,
             ProbeIs::Out => Ending::TimedOut,
             ProbeIs::Over => return,
         };
-        shared.probed(self.id, host, ending, vec![]);
+        shared.probe_ended(self.id, host, ending, vec![]);
     }
 }
 
@@ -86,8 +86,8 @@
     Over,
 }
 
-pub struct Pools {
-    pub shared: Rc<Shared>,
+pub struct HostPools {
+    pub shared: Rc<HostContext>,
     pools: BTreeMap<HostId, Pool>,
     /// Where each open attempt is.
     places: BTreeMap<AttemptId, (HostId, Option<LineId>)>,
@@ -95,9 +95,9 @@
     next: u64,
 }
 
-impl Pools {
-    pub fn new(shared: Rc<Shared>) -> Pools {
-        Pools {
+impl HostPools {
+    pub fn new(shared: Rc<HostContext>) -> HostPools {
+        HostPools {
             shared,
             pools: BTreeMap::new(),
             places: BTreeMap::new(),
@@ -113,7 +113,7 @@
 
     /// Takes a change of the host list. Pools go by host: another host may come to a gone one's address.
     /// What waits for a host that is not ready any more is recalled by the one who sent it.
-    pub fn list(&mut self, form: HostListKind, members: &[Member]) {
+    pub fn apply_host_list(&mut self, form: HostListKind, members: &[Member]) {
         if form == HostListKind::Full {
             let gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
             self.pools.values_mut().for_each(gone);
@@ -168,24 +168,24 @@
     }
 
     /// All hosts as the list told them last.
-    pub fn entries(&self) -> Vec<HostEntry> {
+    pub fn host_entries(&self) -> Vec<HostEntry> {
         self.pools.values().map(|pool| pool.member.entry).collect()
     }
 
     /// The name by which a host is known to others.
-    pub fn name(&self, host: HostId) -> Option<Rc<str>> {
+    pub fn host_name(&self, host: HostId) -> Option<Rc<str>> {
         self.pools.get(&host).map(|pool| pool.member.name.clone())
     }
 
     pub fn submit(&mut self, sending: Sending) {
         let (id, host) = (sending.id, sending.host);
-        let until = Instant::now() + self.shared.dial_within();
+        let until = Instant::now() + self.shared.dial_timeout();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
         let pool = self.pools.get_mut(&host).filter(ready);
         must(pool.is_some(), &self.shared.counts.broken_sent_to_drained);
         self.places.insert(id, (host, None));
         let Some(pool) = pool else {
-            return self.shared.dropped(&sending, Ending::NotSent);
+            return self.shared.attempt_dropped(&sending, Ending::NotSent);
         };
         count(&self.shared.counts.hand_offs);
         pool.waiting.push_back((until, sending));
@@ -195,7 +195,7 @@
     /// Asks a host for its load, one at a time: while one is out, another is not wanted. It takes a connection
     /// that is up, else one is dialled for it, within the descriptors that attempts leave.
     pub fn probe(&mut self, host: HostId) {
-        let until = Instant::now() + self.shared.dial_within();
+        let until = Instant::now() + self.shared.dial_timeout();
         self.next += 1;
         let id = ProbeId(self.next);
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
@@ -211,9 +211,9 @@
     /// Gives what waits to connections, and dials for the rest. An answer that can't be read ends all
     /// that is open on its connection, so each attempt has one to itself as far as descriptors go.
     fn assign(&mut self, host: HostId) {
-        let within = self.shared.dial_within();
-        let share = (self.shared.most_lines / self.pools.len().max(1)).max(1);
-        let free = self.shared.most_lines.saturating_sub(self.lines);
+        let within = self.shared.dial_timeout();
+        let share = (self.shared.max_connections / self.pools.len().max(1)).max(1);
+        let free = self.shared.max_connections.saturating_sub(self.lines);
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
@@ -282,13 +282,15 @@
                 match sending.may_begin(&shared.clock, now) {
                     Err(why) => {
                         shared.trace.denied(&sending.call, sending.id, why.as_str());
-                        shared.dropped(sending, Ending::NotSent);
+                        shared.attempt_dropped(sending, Ending::NotSent);
                     }
                     // The host is not to blame for what was lacking here.
                     Ok(()) if *until <= now && pool.lacking => {
-                        shared.dropped(sending, Ending::NotSent);
+                        shared.attempt_dropped(sending, Ending::NotSent);
+                    }
+                    Ok(()) if *until <= now => {
+                        shared.attempt_dropped(sending, Ending::NoConnection)
                     }
-                    Ok(()) if *until <= now => shared.dropped(sending, Ending::NoConnection),
                     Ok(()) => return true,
                 }
                 false
@@ -297,7 +299,7 @@
     }
 
     /// When the next wait is over.
-    pub fn next_expiry(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         let waiting = self.pools.values().flat_map(|pool| &pool.waiting);
         let clock = &self.shared.clock;
         let over = |(until, sending): &(Instant, Sending)| sending.begins_until(clock).min(*until);
@@ -310,12 +312,12 @@
     }
 
     /// Gives an attempt up; its ending comes by the queue.
-    pub fn kill(&mut self, id: AttemptId) {
+    pub fn cancel(&mut self, id: AttemptId) {
         self.order(id, ToServer::Kill(id));
     }
 
     /// Drops an attempt of which nothing is written yet.
-    pub fn recall(&mut self, id: AttemptId) {
+    pub fn drop_unsent(&mut self, id: AttemptId) {
         self.order(id, ToServer::Recall(id));
     }
 
@@ -338,22 +340,25 @@
                     .iter()
                     .position(|(_, sending)| sending.id == id);
                 if let Some((_, sending)) = at.and_then(|at| pool.waiting.remove(at)) {
-                    self.shared.dropped(&sending, Ending::NotSent);
+                    self.shared.attempt_dropped(&sending, Ending::NotSent);
                 }
             }
         }
     }
 
     /// Whether this is the probe that is out there; what comes of one later than its end is not.
-    pub fn probed(&mut self, host: HostId, id: ProbeId) -> bool {
+    pub fn take_probe(&mut self, host: HostId, id: ProbeId) -> bool {
         let pool = self.pools.get_mut(&host);
         pool.and_then(|pool| pool.probe.take_if(|probe| probe.id == id))
             .is_some()
     }
 
     /// What a connection or a dial tells; an answer is handed back, once for each attempt.
-    pub fn told(&mut self, told: FromServer) -> Option<(AttemptId, Option<LineId>, Answer)> {
-        match told {
+    pub fn handle_event(
+        &mut self,
+        event: FromServer,
+    ) -> Option<(AttemptId, Option<LineId>, Answer)> {
+        match event {
             FromServer::Dialled {
                 host,
                 line,
@@ -448,8 +453,8 @@
             retired,
             up: self.shared.clock.moment(Instant::now()),
         });
-        let link = Link::new(host, id, stream, orders, self.shared.clone());
-        tokio::task::spawn_local(link.serve());
+        let connection = HostConnection::new(host, id, stream, orders, self.shared.clone());
+        tokio::task::spawn_local(connection.serve());
         self.assign(host);
     }
 }
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -24,8 +24,8 @@
 const CALL_WITHIN: Duration = Duration::from_secs(1);
 /// A call that failed is made again after this, and half as late again with each that fails, up to the longest: a fleet
 /// that calls in step is more than a service bears that comes back, and a long wait is missed when it is there again.
-pub const CALL_AGAIN: Duration = Duration::from_millis(100);
-const CALL_AGAIN_AT_MOST: Duration = Duration::from_millis(400);
+pub const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 const READ_SIZE: usize = 16 * 1024;
 
 /// Zones and kinds by the names that the settings give them.
@@ -35,7 +35,7 @@
 }
 
 impl Names {
-    pub fn of(bounds: &Bounds) -> Names {
+    pub fn from_bounds(bounds: &Bounds) -> Names {
         let zones = bounds.zone_names.iter().cloned().zip((0..).map(ZoneId));
         let kinds = bounds.kind_names.iter().cloned().zip((0..).map(KindId));
         Names {
@@ -138,28 +138,28 @@
     })
 }
 
-pub struct Journal {
+pub struct JournalClient {
     /// `None`: what is known at the start is all there is.
     pub address: Option<SocketAddr>,
     pub names: Rc<Names>,
     /// The last place that was told.
     pub last: u64,
-    /// How long the next call waits, before chance.
-    pub again: Duration,
-    pub chance: fastrand::Rng,
+    /// How long the next call waits, before it is randomized.
+    pub retry_interval: Duration,
+    pub rng: fastrand::Rng,
     pub queue: Queue,
     pub counts: Rc<Counts>,
     pub log: Logger,
 }
 
 /// What a new configuration says of the journal service, and what that had told by then.
-pub struct Moved {
+pub struct JournalChange {
     pub address: Option<SocketAddr>,
     pub known: Vec<Entry>,
 }
 
 /// Follows the journal service for as long as the process runs, wherever it moves to.
-pub async fn follow(mut journal: Journal, mut moves: mpsc::Receiver<Moved>) {
+pub async fn follow(mut journal: JournalClient, mut moves: mpsc::Receiver<JournalChange>) {
     let mut told = (String::new(), 0);
     loop {
         let moved = tokio::select! {
@@ -176,7 +176,7 @@
         };
         // What was cut off in the middle of an event is told again: the numbers carry on.
         if let Some(moved) = moved {
-            (journal.address, journal.again) = (moved.address, CALL_AGAIN);
+            (journal.address, journal.retry_interval) = (moved.address, MIN_RETRY_INTERVAL);
             moved
                 .known
                 .into_iter()
@@ -186,7 +186,7 @@
     }
 }
 
-impl Journal {
+impl JournalClient {
     /// One call and the wait for the next, or none for ever.
     async fn calls(&mut self) -> String {
         let Some(address) = self.address else {
@@ -194,9 +194,9 @@
         };
         count(&self.counts.journal_calls);
         let Err(why) = self.call(address).await;
-        let spread = 0.75 + 0.5 * self.chance.f64();
-        sleep(self.again.mul_f64(spread)).await;
-        self.again = self.again.mul_f64(1.5).min(CALL_AGAIN_AT_MOST);
+        let spread = 0.75 + 0.5 * self.rng.f64();
+        sleep(self.retry_interval.mul_f64(spread)).await;
+        self.retry_interval = self.retry_interval.mul_f64(1.5).min(MAX_RETRY_INTERVAL);
         why
     }
 
@@ -241,7 +241,7 @@
                 }
                 Transfer::Broken(e) => return Err(broken(e)),
             };
-            self.again = CALL_AGAIN;
+            self.retry_interval = MIN_RETRY_INTERVAL;
             response
                 .feed(&piece[..n], &mut body)
                 .map_err(|damaged| damaged.0.to_owned())?;
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: the configuration is read again, and what of it can be followed is followed.
 
-use crate::list;
+use crate::journal_client;
 use crate::messages::{Inbound, Queue};
 use crate::operator::{Against, Source, Told};
 use crate::starting::persist_awake;
@@ -17,7 +17,7 @@
     /// To whom settings and the operator's file go.
     pub queue: Queue,
     /// To whom the address of the journal service goes.
-    pub moved: mpsc::Sender<list::Moved>,
+    pub moved: mpsc::Sender<journal_client::JournalChange>,
     /// What the operator's file is held against.
     pub against: Against,
     pub log: Logger,
@@ -112,7 +112,7 @@
         let mut file = start.file;
         let settings = std::mem::replace(&mut file["settings"], self.file["settings"].take());
         self.file = file;
-        let _ = followers.moved.send(list::Moved {
+        let _ = followers.moved.send(journal_client::JournalChange {
             address: start.journal,
             known: start.known,
         });
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -4,14 +4,14 @@
 use crate::buffered::BufferedBytes;
 use crate::checks::Counts;
 use crate::dispatch::Dispatch;
+use crate::host_pools::HostPools;
 use crate::messages::{Clock, Inbound};
 use crate::reload::{Followers, Running, follow_hangups, read_operator};
-use crate::servers::Pools;
 use crate::stall_detector::StallDetector;
 use crate::starting::{StepError, persist_awake};
 use crate::startup::Start;
 use crate::trace::Trace;
-use crate::{Signals, client_slots, clients, link_context, list, operator, subsystems};
+use crate::{Signals, client_slots, clients, host_context, journal_client, operator, subsystems};
 use local_channel::mpsc;
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
@@ -78,17 +78,17 @@
     let (stop, stopped) = mpsc::channel();
     tokio::task::spawn_local(clients::accept(listener, stopped, shared.clone()));
     let (moved, moves) = mpsc::channel();
-    let journal = list::Journal {
+    let journal = journal_client::JournalClient {
         address: start.journal,
         names: start.names,
         last: start.known_until,
-        again: list::CALL_AGAIN,
-        chance: fastrand::Rng::with_seed(start.seed.rotate_left(17)),
+        retry_interval: journal_client::MIN_RETRY_INTERVAL,
+        rng: fastrand::Rng::with_seed(start.seed.rotate_left(17)),
         queue: queue.clone(),
         counts: counts.clone(),
         log: log.clone(),
     };
-    tokio::task::spawn_local(list::follow(journal, moves));
+    tokio::task::spawn_local(journal_client::follow(journal, moves));
     let running = Running {
         file: start.file,
         terms: start.terms.clone(),
@@ -126,12 +126,12 @@
     );
     let terms = start.terms.clone();
     let decisions = Dispatcher::new(subsystems::Subsystems::default(), start.terms, start.seed);
-    let most_lines = start.descriptors.saturating_sub(most_clients + RESERVE);
-    let pools = Pools::new(Rc::new(link_context::Shared {
+    let max_connections = start.descriptors.saturating_sub(most_clients + RESERVE);
+    let pools = HostPools::new(Rc::new(host_context::HostContext {
         queue,
         bounds: start.bounds,
         clock: Clock::new(),
-        most_lines: most_lines.max(1),
+        max_connections: max_connections.max(1),
         buffered,
         stall_detector,
         max_buffered_bytes: start.memory_bytes / 2,
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -1,6 +1,6 @@
 //! What a dispatcher is told when it starts: the RELAY_ variables and the JSON file they name.
 
-use crate::list::Names;
+use crate::journal_client::Names;
 use crate::messages::Entry;
 use crate::operator::Source;
 use crate::starting::StepError;
@@ -123,7 +123,7 @@
     let unreadable = |Unreadable(why)| why;
     let (terms, reports) = read_terms(&lines).map_err(unreadable)?;
     let bounds = read_bounds(&lines).map_err(unreadable)?;
-    let names = Names::of(&bounds);
+    let names = Names::from_bounds(&bounds);
     let entries = at(json, "known.entries", "a list of events", Value::as_array)?;
     let entries: Vec<&Value> = entries.into_iter().flatten().collect();
     let known: Vec<Entry> = entries
