--- a/crates/trailproxyd/src/client_slots.rs
+++ b/crates/trailproxyd/src/client_slots.rs
@@ -1,4 +1,4 @@
-//! The places that clients hold: how each is used, and who gives one up to a newcomer.
+//! Limits the number of client connections and chooses which one closes to make room for a new one.
 
 use crate::messages::{ClientId, ToClient};
 use local_channel::mpsc;
@@ -6,94 +6,104 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What is newer is left alone: its first words, or its next, may be on their way.
-const SETTLED: Duration = Duration::from_millis(100);
+/// A connection whose use of its slot changed more recently than this is not asked to close: its first message, or its
+/// next one, may still be in transit.
+const MIN_UNUSED_TIME: Duration = Duration::from_millis(100);
 
-/// How a connection uses its place, and since when.
+/// How a connection uses its slot, and since when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// No whole message has come yet, or the next one has begun and is not whole.
-    Unsaid(Instant),
-    /// Nothing is asked and nothing owed.
+pub enum SlotUse {
+    /// No whole message was received yet, or the next one has begun and is incomplete.
+    Incomplete(Instant),
+    /// No request is open and no answer is owed.
     Idle(Instant),
+    /// A request is open or an answer is not fully written.
     Busy,
 }
 
-/// Whether a newcomer finds a place.
-pub enum Room {
+/// Whether a new connection can get a slot.
+pub enum Availability {
+    /// A slot is free.
     Free,
-    /// Somebody is about to leave.
-    Asked,
+    /// All slots are taken; one connection was asked to close.
+    Requested,
+    /// All slots are taken and no connection can be closed now.
     None,
 }
 
-pub struct Slots {
-    most: usize,
-    held: BTreeMap<ClientId, (Use, mpsc::Sender<ToClient>)>,
-    /// Those that may be asked to leave: the ones that have said nothing, and the idle ones.
-    yielding: [BTreeSet<(Instant, ClientId)>; 2],
+/// The slots and the connections that hold them.
+pub struct ClientSlots {
+    max_connections: usize,
+    connections: BTreeMap<ClientId, (SlotUse, mpsc::Sender<ToClient>)>,
+    /// The connections that may be asked to close, by the start of their use: first those with an incomplete message, then
+    /// the idle ones.
+    evictable: [BTreeSet<(Instant, ClientId)>; 2],
 }
 
-impl Slots {
-    pub fn new(most: usize) -> Slots {
-        Slots {
-            most,
-            held: BTreeMap::new(),
-            yielding: Default::default(),
+impl ClientSlots {
+    /// Creates slots for `max_connections` connections.
+    pub fn new(max_connections: usize) -> ClientSlots {
+        ClientSlots {
+            max_connections,
+            connections: BTreeMap::new(),
+            evictable: Default::default(),
         }
     }
 
-    /// Whether there is a free one; if not, whoever can spare one best is asked to leave.
-    pub fn free(&mut self, now: Instant) -> Room {
-        if self.held.len() < self.most {
-            return Room::Free;
+    /// Returns whether a slot is free. If none is, asks the connection that can best be spared to close.
+    pub fn request_slot(&mut self, now: Instant) -> Availability {
+        if self.connections.len() < self.max_connections {
+            return Availability::Free;
         }
-        for kind in &mut self.yielding {
-            let settled = |(since, _): &&(Instant, ClientId)| *since + SETTLED <= now;
-            if let Some(&(since, client)) = kind.first().filter(settled) {
-                // It comes back here if it turns out to be of use.
+        for kind in &mut self.evictable {
+            let unused = |(since, _): &&(Instant, ClientId)| *since + MIN_UNUSED_TIME <= now;
+            if let Some(&(since, client)) = kind.first().filter(unused) {
+                // The connection is listed here again by `set_use` if it stays open and becomes evictable again.
                 kind.remove(&(since, client));
-                if let Some((used, orders)) = self.held.get_mut(&client) {
-                    *used = Use::Busy;
+                if let Some((used, orders)) = self.connections.get_mut(&client) {
+                    *used = SlotUse::Busy;
                     let _ = orders.send(ToClient::GiveWay);
                 }
-                return Room::Asked;
+                return Availability::Requested;
             }
         }
-        Room::None
+        Availability::None
     }
 
+    /// Assigns a slot to a new connection, which is reached by `orders`.
     pub fn open(&mut self, client: ClientId, since: Instant, orders: mpsc::Sender<ToClient>) {
-        self.held.insert(client, (Use::Busy, orders));
-        self.note(client, Use::Unsaid(since));
+        self.connections.insert(client, (SlotUse::Busy, orders));
+        self.set_use(client, SlotUse::Incomplete(since));
     }
 
-    pub fn note(&mut self, client: ClientId, used: Use) {
-        let Some((before, _)) = self.held.get_mut(&client) else {
+    /// Records how a connection uses its slot from now on.
+    pub fn set_use(&mut self, client: ClientId, used: SlotUse) {
+        let Some((before, _)) = self.connections.get_mut(&client) else {
             return;
         };
         let before = std::mem::replace(before, used);
         if before != used {
-            self.strike(client, before);
+            self.remove_evictable(client, before);
             match used {
-                Use::Unsaid(since) => self.yielding[0].insert((since, client)),
-                Use::Idle(since) => self.yielding[1].insert((since, client)),
-                Use::Busy => false,
+                SlotUse::Incomplete(since) => self.evictable[0].insert((since, client)),
+                SlotUse::Idle(since) => self.evictable[1].insert((since, client)),
+                SlotUse::Busy => false,
             };
         }
     }
 
-    fn strike(&mut self, client: ClientId, used: Use) {
+    fn remove_evictable(&mut self, client: ClientId, used: SlotUse) {
         match used {
-            Use::Unsaid(since) => self.yielding[0].remove(&(since, client)),
-            Use::Idle(since) => self.yielding[1].remove(&(since, client)),
-            Use::Busy => false,
+            SlotUse::Incomplete(since) => self.evictable[0].remove(&(since, client)),
+            SlotUse::Idle(since) => self.evictable[1].remove(&(since, client)),
+            SlotUse::Busy => false,
         };
     }
 
+    /// Frees the slot of a closed connection.
     pub fn close(&mut self, client: ClientId) {
-        if let Some((used, _)) = self.held.remove(&client) {
-            self.strike(client, used);
+        if let Some((used, _)) = self.connections.remove(&client) {
+            self.remove_evictable(client, used);
         }
     }
 }
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::buffered::BufferedBytes;
 use crate::checks::{Counts, count, must};
-use crate::client_slots::{Room, Slots, Use};
+use crate::client_slots::{Availability, ClientSlots, SlotUse};
 use crate::journal_client::object_id;
 use crate::messages::*;
 use crate::msgpack::{self, ParseError, Value};
@@ -52,12 +52,12 @@
 const IDLE_WITHIN: Duration = Duration::from_millis(4500);
 
 /// What all connections share.
-pub struct Shared {
+pub struct ClientsContext {
     pub queue: Queue,
-    pub tracks: HashMap<String, ClassId>,
-    pub places: RefCell<Slots>,
+    pub classes: HashMap<String, ClassId>,
+    pub slots: RefCell<ClientSlots>,
     /// No client waits longer than this for anything.
-    pub longest_limit: Duration,
+    pub max_deadline: Duration,
     pub ending: Cell<bool>,
     pub buffered: BufferedBytes,
     pub stall_detector: Rc<StallDetector>,
@@ -69,7 +69,11 @@
 /// Accepts clients, as many as the descriptors allow. Past that a newcomer waits in the backlog for as
 /// long as it takes one that says nothing, or is idle, to leave. It ends with the word to stop, once all that wait in
 /// the backlog are in: to close over them would reset them, with what they ask.
-pub async fn accept(listener: TcpListener, mut stop: mpsc::Receiver<()>, shared: Rc<Shared>) {
+pub async fn accept(
+    listener: TcpListener,
+    mut stop: mpsc::Receiver<()>,
+    shared: Rc<ClientsContext>,
+) {
     let mut next = 0;
     // Whoever is there without a wait may have come at any time since the one before.
     let mut before = Instant::now();
@@ -110,7 +114,7 @@
     listener: &TcpListener,
     next: &mut u64,
     before: Instant,
-    shared: &Rc<Shared>,
+    shared: &Rc<ClientsContext>,
 ) {
     let until = Instant::now() + LAST_ACCEPTS_WITHIN;
     while Instant::now() < until {
@@ -140,14 +144,19 @@
 }
 
 /// Serves a newcomer once there is a place for it.
-async fn admit(next: &mut u64, stream: TcpStream, came_after: Instant, shared: &Rc<Shared>) {
+async fn admit(
+    next: &mut u64,
+    stream: TcpStream,
+    came_after: Instant,
+    shared: &Rc<ClientsContext>,
+) {
     loop {
-        let room = shared.places.borrow_mut().free(Instant::now());
+        let room = shared.slots.borrow_mut().request_slot(Instant::now());
         match room {
-            Room::Free => break,
+            Availability::Free => break,
             // It leaves in its turn: a wait for each would hold newcomers up for seconds.
-            Room::Asked => tokio::task::yield_now().await,
-            Room::None => sleep(ACCEPT_AGAIN).await,
+            Availability::Requested => tokio::task::yield_now().await,
+            Availability::None => sleep(ACCEPT_AGAIN).await,
         }
         count(&shared.counts.places_wanted);
     }
@@ -160,7 +169,7 @@
 struct Connection {
     id: ClientId,
     stream: TcpStream,
-    shared: Rc<Shared>,
+    shared: Rc<ClientsContext>,
     orders: mpsc::Receiver<ToClient>,
     incoming: Ring,
     /// The next message is not whole before so many bytes.
@@ -206,10 +215,15 @@
 }
 
 impl Connection {
-    fn new(id: ClientId, stream: TcpStream, came_after: Instant, shared: Rc<Shared>) -> Connection {
+    fn new(
+        id: ClientId,
+        stream: TcpStream,
+        came_after: Instant,
+        shared: Rc<ClientsContext>,
+    ) -> Connection {
         let (orders_in, orders) = mpsc::channel();
         let now = Instant::now();
-        shared.places.borrow_mut().open(id, now, orders_in.clone());
+        shared.slots.borrow_mut().open(id, now, orders_in.clone());
         let opened = Inbound::Client(FromClient::Opened(id, orders_in));
         let _ = shared.queue.send(opened);
         Connection {
@@ -250,7 +264,7 @@
         };
         self.note_end(&over);
         self.owed.values().for_each(|over| over.set(true));
-        self.shared.places.borrow_mut().close(self.id);
+        self.shared.slots.borrow_mut().close(self.id);
         let closed = Inbound::Client(FromClient::Closed(self.id));
         let _ = self.shared.queue.send(closed);
     }
@@ -283,11 +297,11 @@
     }
 
     /// How it uses its place, and until when it may.
-    fn used(&self) -> (Use, Instant) {
+    fn used(&self) -> (SlotUse, Instant) {
         match (self.open(), self.spoken && self.incoming.is_empty()) {
-            (1.., _) => (Use::Busy, self.since),
-            (0, false) => (Use::Unsaid(self.since), self.since + WHOLE_WITHIN),
-            (0, true) => (Use::Idle(self.since), self.since + IDLE_WITHIN),
+            (1.., _) => (SlotUse::Busy, self.since),
+            (0, false) => (SlotUse::Incomplete(self.since), self.since + WHOLE_WITHIN),
+            (0, true) => (SlotUse::Idle(self.since), self.since + IDLE_WITHIN),
         }
     }
 
@@ -299,7 +313,7 @@
         self.write()?;
         let idle = self.outgoing.is_empty();
         let (used, leaves_at) = self.used();
-        self.shared.places.borrow_mut().note(self.id, used);
+        self.shared.slots.borrow_mut().set_use(self.id, used);
         if idle && self.open() == 0 {
             if self.finishing && !self.half_closed {
                 // What has come by now is answered first; who asks again is not idle.
@@ -324,7 +338,7 @@
             let _ = (self.shared.queue).send(Inbound::Client(FromClient::Shut(self.id)));
         }
         // By then nothing that it waits for can come in time.
-        let stalled = (self.progress + self.shared.longest_limit).max(self.last_limit);
+        let stalled = (self.progress + self.shared.max_deadline).max(self.last_limit);
         tokio::select! {
             biased;
             order = self.orders.recv() => match order {
@@ -335,7 +349,7 @@
                 Some(ToClient::GiveWay) => {
                     system_calls::hear_the_system(&self.stream).await;
                     self.read()?;
-                    if self.used().0 == used && used != Use::Busy {
+                    if self.used().0 == used && used != SlotUse::Busy {
                         count(&self.shared.counts.places_given_up);
                         return Err(Over::Clean("its place is wanted"));
                     }
@@ -349,9 +363,9 @@
                 self.shared.stall_detector.record_activity(Instant::now());
                 self.read()?;
             }
-            _ = sleep_until(leaves_at), if used != Use::Busy && !self.finishing => {
+            _ = sleep_until(leaves_at), if used != SlotUse::Busy && !self.finishing => {
                 match used {
-                    Use::Idle(_) => count(&self.shared.counts.clients_idle),
+                    SlotUse::Idle(_) => count(&self.shared.counts.clients_idle),
                     _ => count(&self.shared.counts.clients_unsaid),
                 }
                 self.finishing = true;
@@ -500,7 +514,7 @@
         while self.incoming.len() >= self.wants && !self.half_closed {
             let bytes = self.incoming.as_contiguous();
             let (mut message, n) = match msgpack::read(bytes, LONGEST_MESSAGE) {
-                Ok((value, n)) => (read_message(self.id, &value, &self.shared.tracks), n),
+                Ok((value, n)) => (read_message(self.id, &value, &self.shared.classes), n),
                 Err(ParseError::Incomplete(wants)) => {
                     self.wants = wants;
                     break;
@@ -617,7 +631,7 @@
     out.push(&head);
 }
 
-/// Room for the fields behind a body.
+/// Availability for the fields behind a body.
 const TAIL: usize = 64;
 
 fn encode_heartbeat(number: u32, well: bool, out: &mut Ring) {
@@ -656,7 +670,7 @@
     }
 }
 
-fn read_message(client: ClientId, value: &Value, tracks: &HashMap<String, ClassId>) -> Message {
+fn read_message(client: ClientId, value: &Value, classes: &HashMap<String, ClassId>) -> Message {
     let Value::Array(items) = value else {
         return Message::Damage("a message is not an array");
     };
@@ -668,7 +682,7 @@
             let id = CallId { client, number };
             match text(method) {
                 Some("heartbeat") => Message::Heartbeat(number),
-                Some(method) => tracks
+                Some(method) => classes
                     .get(method)
                     .and_then(|&track| read_call(id, track, params))
                     .map_or(Message::Bad(number), |call| Message::Call(Box::new(call))),
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -61,11 +61,11 @@
     // Usual clients hold a third; what others hold beyond that is closed when it is wanted.
     let most_clients = start.descriptors / 2;
     let tracks = start.bounds.track_names.iter().cloned();
-    let shared = Rc::new(clients::Shared {
+    let shared = Rc::new(clients::ClientsContext {
         queue: queue.clone(),
-        tracks: tracks.zip((0..).map(trailproxy::units::ClassId)).collect(),
-        places: RefCell::new(client_slots::Slots::new(most_clients)),
-        longest_limit: Duration::from_micros(start.bounds.longest_limit.0),
+        classes: tracks.zip((0..).map(trailproxy::units::ClassId)).collect(),
+        slots: RefCell::new(client_slots::ClientSlots::new(most_clients)),
+        max_deadline: Duration::from_micros(start.bounds.longest_limit.0),
         ending: Cell::new(false),
         buffered: buffered.clone(),
         stall_detector: stall_detector.clone(),
