--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::msgpack::{self, ParseError, Value};
 use crate::ring::Ring;
 use crate::stall_detector::StallDetector;
-use crate::system_calls::{self, LACK_PASSES, Transfer, errno};
+use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer, errno};
 use crate::trace::Trace;
 use local_channel::mpsc;
 use slog::{Logger, debug};
@@ -317,7 +317,7 @@
         if idle && self.open() == 0 {
             if self.finishing && !self.half_closed {
                 // What has come by now is answered first; who asks again is not idle.
-                system_calls::hear_the_system(&self.stream).await;
+                system_calls::sync_readiness(&self.stream).await;
                 self.read()?;
                 if self.open() > 0 || !self.outgoing.is_empty() {
                     self.finishing = self.told_to_finish;
@@ -347,7 +347,7 @@
                     (self.finishing, self.told_to_finish) = (true, true);
                 }
                 Some(ToClient::GiveWay) => {
-                    system_calls::hear_the_system(&self.stream).await;
+                    system_calls::sync_readiness(&self.stream).await;
                     self.read()?;
                     if self.used().0 == used && used != SlotUse::Busy {
                         count(&self.shared.counts.places_given_up);
@@ -411,11 +411,11 @@
                     self.incoming.release_memory(true);
                     break;
                 }
-                Transfer::Lacking => {
+                Transfer::ResourceShortage => {
                     self.rest();
                     break;
                 }
-                Transfer::Broken(_) => return Err(Over::Broken("reset")),
+                Transfer::Failed(_) => return Err(Over::Broken("reset")),
             }
         }
         Ok(())
@@ -423,7 +423,7 @@
 
     /// When the last data came, as the system tells.
     fn data_came(&self) -> Option<Instant> {
-        let age = system_calls::since_last_data(&self.stream)?;
+        let age = system_calls::time_since_last_data(&self.stream)?;
         Instant::now().checked_sub(age)
     }
 
@@ -462,7 +462,7 @@
 
     /// The system lacks something for the moment: the connection is left alone for a while.
     fn rest(&mut self) {
-        self.rests_until = Some(Instant::now() + LACK_PASSES);
+        self.rests_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
     }
 
     fn reply(&mut self, number: u32, reply: Reply) {
@@ -501,11 +501,11 @@
                     self.since = self.progress;
                 }
                 Transfer::NotReady => return Ok(()),
-                Transfer::Lacking => {
+                Transfer::ResourceShortage => {
                     self.rest();
                     return Ok(());
                 }
-                Transfer::Broken(_) => return Err(Over::Broken("write failed")),
+                Transfer::Failed(_) => return Err(Over::Broken("write failed")),
             }
         }
     }
--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -8,7 +8,7 @@
 use crate::resp;
 use crate::ring::Ring;
 use crate::stall_detector::Stall;
-use crate::system_calls::{self, LACK_PASSES, Transfer};
+use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer};
 use local_channel::mpsc;
 use slog::{info, warn};
 use std::collections::{BTreeMap, VecDeque};
@@ -207,7 +207,7 @@
 
     /// The system lacks something for the moment: the connection is left alone for a while.
     fn rest(&mut self) {
-        self.rests_until = Some(Instant::now() + LACK_PASSES);
+        self.rests_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
     }
 
     /// Behind a silence of the whole process, clients that have closed or cancelled in it are heard first: nothing is to
@@ -384,12 +384,12 @@
                     self.blocked();
                     return Ok(());
                 }
-                Transfer::Lacking => {
+                Transfer::ResourceShortage => {
                     self.blocked();
                     self.rest();
                     return Ok(());
                 }
-                Transfer::Broken(_) => return Err("write failed"),
+                Transfer::Failed(_) => return Err("write failed"),
             }
         }
     }
@@ -459,11 +459,11 @@
                     self.incoming.release_memory(true);
                     return Ok(());
                 }
-                Transfer::Lacking => {
+                Transfer::ResourceShortage => {
                     self.rest();
                     return Ok(());
                 }
-                Transfer::Broken(_) => return Err("reset"),
+                Transfer::Failed(_) => return Err("reset"),
             }
         }
     }
--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -4,7 +4,7 @@
 use crate::http::Response;
 use crate::messages::*;
 use crate::sse::EventParser;
-use crate::system_calls::{self, LACK_PASSES, Transfer};
+use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer};
 use local_channel::mpsc;
 use serde_json::Value;
 use slog::{Logger, info, warn};
@@ -219,8 +219,8 @@
             match system_calls::write(&stream, unsent) {
                 Transfer::Bytes(n) => unsent = &unsent[n..],
                 Transfer::NotReady => {}
-                Transfer::Lacking => sleep(LACK_PASSES).await,
-                Transfer::Broken(e) => return Err(broken(e)),
+                Transfer::ResourceShortage => sleep(RESOURCE_RETRY_INTERVAL).await,
+                Transfer::Failed(e) => return Err(broken(e)),
             }
         }
         let (mut response, mut events) = (Response::default(), EventParser::default());
@@ -235,11 +235,11 @@
                 Transfer::Bytes(0) => return Err("closed".into()),
                 Transfer::Bytes(n) => n,
                 Transfer::NotReady => continue,
-                Transfer::Lacking => {
-                    sleep(LACK_PASSES).await;
+                Transfer::ResourceShortage => {
+                    sleep(RESOURCE_RETRY_INTERVAL).await;
                     continue;
                 }
-                Transfer::Broken(e) => return Err(broken(e)),
+                Transfer::Failed(e) => return Err(broken(e)),
             };
             self.retry_interval = MIN_RETRY_INTERVAL;
             response
--- a/crates/trailproxyd/src/system_calls.rs
+++ b/crates/trailproxyd/src/system_calls.rs
@@ -1,4 +1,5 @@
-//! Reads and writes of connections, with what their errors mean, in one place for clients, hosts and discovery.
+//! Non-blocking reads and writes of connections to clients, hosts and the journal service, with the meaning of their
+//! errors.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -8,29 +9,32 @@
 use tokio::time::timeout;
 use trailproxy::policy::system_errors::{self, StreamError, of_stream};
 
-/// How long a connection rests for which the system lacked something.
-pub const LACK_PASSES: Duration = Duration::from_micros(system_errors::LACK_PASSES.0);
+/// How long a connection pauses after a call failed because the system was short of a resource.
+pub const RESOURCE_RETRY_INTERVAL: Duration = Duration::from_micros(system_errors::LACK_PASSES.0);
 
-/// The system counts since the connection was made, or since it was started itself, where no data has come yet.
-const LONGEST_SINCE: Duration = Duration::from_secs(3_600);
+/// Where no data was received yet, the system counts from the creation of the connection or from its own boot. A longer
+/// time span is therefore not taken for the age of data.
+const MAX_DATA_AGE: Duration = Duration::from_secs(3_600);
 
-/// What came of a read or a write.
+/// The result of a read or a write.
 pub enum Transfer {
-    /// So many bytes have moved; none at a read: the other side has ended its own.
+    /// The number of bytes transferred. 0 from a read means that the other side has closed its sending direction.
     Bytes(usize),
-    /// The connection is not ready for it.
+    /// The call would block.
     NotReady,
-    /// The system lacks something for the moment: the connection stands, and its readiness is not told anew.
-    Lacking,
-    Broken(io::Error),
+    /// The system is short of a resource for the moment. The connection remains usable, but its readiness is not
+    /// signalled again, so the caller has to retry after [`RESOURCE_RETRY_INTERVAL`].
+    ResourceShortage,
+    /// The connection is broken.
+    Failed(io::Error),
 }
 
-/// Reads what has come, as far as there is room for it.
+/// Reads available bytes into `room`.
 pub fn read(stream: &TcpStream, room: &mut [u8]) -> Transfer {
     transfer(|| stream.try_read(room))
 }
 
-/// Writes as much as goes out now.
+/// Writes as many bytes as the socket accepts now.
 pub fn write(stream: &TcpStream, bytes: &[u8]) -> Transfer {
     transfer(|| stream.try_write(bytes))
 }
@@ -44,19 +48,19 @@
         match of_stream(errno(&error)) {
             StreamError::Again => {}
             StreamError::WhenReady => return Transfer::NotReady,
-            StreamError::Later => return Transfer::Lacking,
-            StreamError::Broken => return Transfer::Broken(error),
+            StreamError::Later => return Transfer::ResourceShortage,
+            StreamError::Broken => return Transfer::Failed(error),
         }
     }
 }
 
-/// How long ago the last data came by a connection, as the system counts it; `None`: it does not tell.
-pub fn since_last_data(stream: &TcpStream) -> Option<Duration> {
-    let mut told = MaybeUninit::<libc::tcp_info>::zeroed();
+/// Returns how long ago the system received the last data on a connection, or `None` if it does not know.
+pub fn time_since_last_data(stream: &TcpStream) -> Option<Duration> {
+    let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the structure is plain numbers, zeroed, and as long as the length says.
-    let (failed, told) = unsafe {
-        let into = told.as_mut_ptr().cast();
+    // SAFETY: the structure consists of plain numbers, is zeroed and is as long as `length` says.
+    let (failed, info) = unsafe {
+        let into = info.as_mut_ptr().cast();
         let failed = libc::getsockopt(
             stream.as_raw_fd(),
             libc::IPPROTO_TCP,
@@ -64,27 +68,27 @@
             into,
             &raw mut length,
         );
-        (failed, told.assume_init())
+        (failed, info.assume_init())
     };
-    let since = Duration::from_millis(told.tcpi_last_data_recv.into());
-    (failed == 0 && since <= LONGEST_SINCE).then_some(since)
+    let since = Duration::from_millis(info.tcpi_last_data_recv.into());
+    (failed == 0 && since <= MAX_DATA_AGE).then_some(since)
 }
 
-/// Waits until the runtime knows of what the system has for a connection already, if anything.
+/// Waits until the runtime has noticed data or a close that the system already holds for a connection.
 ///
-/// The runtime reads only what it has been told of. Behind an interrupted wait, as when the process was stopped, timers run
-/// before it has asked.
-pub async fn hear_the_system(stream: &TcpStream) {
+/// The runtime reads only after the system has signalled readiness. After an interrupted wait, for example because the
+/// process was stopped, timers run before the runtime has polled the system.
+pub async fn sync_readiness(stream: &TcpStream) {
     let mut first = [MaybeUninit::uninit()];
     let flags = libc::MSG_PEEK | libc::MSG_DONTWAIT;
     let there = socket2::SockRef::from(stream).recv_with_flags(&mut first, flags);
     if there.is_ok() {
-        // It is about to be told; the bound is for what can't be.
-        let _ = timeout(LACK_PASSES, stream.readable()).await;
+        // The runtime is about to notice it. The timeout covers readiness that is never signalled.
+        let _ = timeout(RESOURCE_RETRY_INTERVAL, stream.readable()).await;
     }
 }
 
-/// The system's number of an error. The runtime tells that a connection is not ready by an error without one.
+/// Returns the system's number of an error. The runtime reports a call that would block by an error without a number.
 pub fn errno(error: &io::Error) -> i32 {
     let not_ready = error.kind() == io::ErrorKind::WouldBlock;
     let without = if not_ready { libc::EAGAIN } else { 0 };
