--- a/crates/trailproxyd/src/lib.rs
+++ b/crates/trailproxyd/src/lib.rs
@@ -1,4 +1,5 @@
-//! The parsers and buffers of the dispatcher on sockets, pure and bounded, for what else speaks its protocols.
+//! Parsers, buffers and the stall detector of the daemon, without I/O and bounded in memory. They are a library so that
+//! tests and other programs that speak the same protocols can use them.
 
 pub mod buffered;
 pub mod http;
--- a/crates/trailproxyd/src/ring.rs
+++ b/crates/trailproxyd/src/ring.rs
@@ -1,11 +1,12 @@
-//! The one buffer a direction of a connection: a ring that grows for a large message and gives its
-//! memory back when it is empty.
+//! The buffer for one direction of a connection: a ring buffer that grows for a large message and releases its memory
+//! when it is empty.
 
 use crate::buffered::BufferedBytes;
 
-/// What an empty ring keeps, and the least it grows by.
+/// The capacity that an empty buffer of an active connection keeps, and the step by which a buffer grows.
 pub const MIN_CAPACITY_BYTES: usize = 16 * 1024;
 
+/// A ring buffer whose capacity is included in [`BufferedBytes`].
 pub struct Ring {
     bytes: Box<[u8]>,
     head: usize,
@@ -14,7 +15,7 @@
 }
 
 impl Ring {
-    /// An empty ring; what it takes is counted as held.
+    /// Creates an empty buffer that allocates nothing yet.
     pub fn new(buffered: BufferedBytes) -> Ring {
         Ring {
             bytes: Box::default(),
@@ -24,10 +25,12 @@
         }
     }
 
+    /// Returns the number of bytes in the buffer.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Returns whether the buffer holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -41,14 +44,14 @@
         (self.bytes, self.head) = (bytes, 0);
     }
 
-    /// Makes room for so many bytes in all.
+    /// Grows the capacity to at least `total` bytes.
     pub fn reserve(&mut self, total: usize) {
         if total > self.bytes.len() {
             self.resize(total.next_multiple_of(MIN_CAPACITY_BYTES));
         }
     }
 
-    /// Free room in one piece, never empty.
+    /// Returns a contiguous part of the free space. It is never empty: the buffer grows if it is full.
     pub fn free_space(&mut self) -> &mut [u8] {
         self.reserve(self.len + 1);
         let size = self.bytes.len();
@@ -57,24 +60,25 @@
         &mut self.bytes[start..end]
     }
 
-    /// So many bytes were written into the room.
+    /// Adds the first `n` bytes of [`Ring::free_space`] to the content.
     pub fn commit(&mut self, n: usize) {
         self.len += n;
         debug_assert!(self.len <= self.bytes.len());
     }
 
+    /// Appends bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         self.reserve(self.len + bytes.len());
         while !bytes.is_empty() {
-            let room = self.free_space();
-            let n = room.len().min(bytes.len());
-            room[..n].copy_from_slice(&bytes[..n]);
+            let space = self.free_space();
+            let n = space.len().min(bytes.len());
+            space[..n].copy_from_slice(&bytes[..n]);
             self.commit(n);
             bytes = &bytes[n..];
         }
     }
 
-    /// What is in it, in order, in one or two pieces.
+    /// Returns the content in order as two slices, of which the second is empty if the content is contiguous.
     pub fn as_slices(&self) -> (&[u8], &[u8]) {
         let until = self.bytes.len() - self.head;
         match self.len <= until {
@@ -83,7 +87,7 @@
         }
     }
 
-    /// What is in it, in one piece.
+    /// Moves the content if it wraps around, and returns it as one slice.
     pub fn as_contiguous(&mut self) -> &[u8] {
         if self.head + self.len > self.bytes.len() {
             self.bytes.rotate_left(self.head);
@@ -92,6 +96,7 @@
         &self.bytes[self.head..self.head + self.len]
     }
 
+    /// Removes the first `n` bytes.
     pub fn consume(&mut self, n: usize) {
         debug_assert!(n <= self.len);
         self.len -= n.min(self.len);
@@ -101,7 +106,8 @@
         };
     }
 
-    /// Gives memory back where it is empty: all of it when idle, else what a large message took.
+    /// Releases the memory of an empty buffer: all of it if the connection is idle, otherwise what exceeds
+    /// [`MIN_CAPACITY_BYTES`].
     pub fn release_memory(&mut self, idle: bool) {
         let keep = if idle { 0 } else { MIN_CAPACITY_BYTES };
         if self.len == 0 && self.bytes.len() > keep {
