--- a/crates/trailproxyd/src/http.rs
+++ b/crates/trailproxyd/src/http.rs
@@ -1,47 +1,52 @@
-//! The answer to one GET, read piece by piece: its status, then its body, whether chunked or until the
-//! end of the connection. Pure and bounded.
+//! Parses the response to one GET request incrementally: its status, then its body, which is chunked, of known length or
+//! ends with the connection. It does no I/O and buffers a bounded number of bytes.
 
-/// Longer heads and chunk lines are damage.
-const LONGEST_HEAD: usize = 16 * 1024;
+/// A longer header or chunk line is malformed.
+const MAX_HEADER_BYTES: usize = 16 * 1024;
 
+/// The part of the response that the next byte belongs to.
 #[derive(Debug, Default, PartialEq)]
 enum Part {
     #[default]
     Head,
-    /// Until the connection ends.
-    Plain,
-    /// What is left of a body of a told length.
+    /// A body that ends with the connection.
+    UntilClose,
+    /// A body of known length, with the number of bytes that are left.
     Sized(usize),
     ChunkLine,
+    /// A chunk, with the number of bytes that are left.
     Chunk(usize),
     ChunkEnd,
-    Over,
+    /// Nothing more belongs to the response.
+    Complete,
 }
 
+/// The state of the parser.
 #[derive(Default)]
 pub struct Response {
     part: Part,
     line: Vec<u8>,
 }
 
+/// Why the bytes are not a response that can be used.
 #[derive(Debug, PartialEq)]
 pub struct MalformedResponse(pub &'static str);
 
 impl Response {
-    /// Whether the body has come to its told end.
+    /// Returns whether the body has ended by its own length or by its last chunk.
     pub fn is_complete(&self) -> bool {
-        self.part == Part::Over
+        self.part == Part::Complete
     }
 
-    /// Takes what came and adds what of it is body.
+    /// Parses received bytes and appends the bytes of the body to `body`.
     pub fn feed(&mut self, mut bytes: &[u8], body: &mut Vec<u8>) -> Result<(), MalformedResponse> {
         while let Some(&first) = bytes.first() {
             match &mut self.part {
-                Part::Plain => {
+                Part::UntilClose => {
                     body.extend(bytes);
                     return Ok(());
                 }
-                Part::Over => return Ok(()),
+                Part::Complete => return Ok(()),
                 Part::Sized(left) | Part::Chunk(left) => {
                     let n = bytes.len().min(*left);
                     body.extend(&bytes[..n]);
@@ -49,7 +54,11 @@
                     *left -= n;
                     if *left == 0 {
                         let chunked = matches!(self.part, Part::Chunk(_));
-                        self.part = if chunked { Part::ChunkEnd } else { Part::Over };
+                        self.part = if chunked {
+                            Part::ChunkEnd
+                        } else {
+                            Part::Complete
+                        };
                     }
                     continue;
                 }
@@ -57,7 +66,7 @@
             }
             self.line.push(first);
             bytes = &bytes[1..];
-            if self.line.len() > LONGEST_HEAD {
+            if self.line.len() > MAX_HEADER_BYTES {
                 return Err(MalformedResponse("a head is too long"));
             }
             let end: &[u8] = if self.part == Part::Head {
@@ -78,6 +87,7 @@
     }
 }
 
+/// Parses the status line and the header fields, and returns the part that follows.
 fn head(head: &[u8]) -> Result<Part, MalformedResponse> {
     let text = std::str::from_utf8(head).map_err(|_| MalformedResponse("a head is not text"))?;
     let mut lines = text.split("\r\n");
@@ -85,9 +95,9 @@
     let mut words = status.split(' ');
     if !words.next().is_some_and(|word| word.starts_with("HTTP/1.")) || words.next() != Some("200")
     {
-        return Err(MalformedResponse("the call was not answered with 200"));
+        return Err(MalformedResponse("the response status is not 200"));
     }
-    let mut part = Part::Plain;
+    let mut part = Part::UntilClose;
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         let value = value.trim();
         if name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
@@ -97,17 +107,22 @@
             let n = value
                 .parse()
                 .map_err(|_| MalformedResponse("a length can't be read"))?;
-            part = if n == 0 { Part::Over } else { Part::Sized(n) };
+            part = if n == 0 {
+                Part::Complete
+            } else {
+                Part::Sized(n)
+            };
         }
     }
     Ok(part)
 }
 
+/// Parses the line before a chunk.
 fn chunk(line: &[u8]) -> Result<Part, MalformedResponse> {
     let text = std::str::from_utf8(line).unwrap_or("");
     let digits = text.split(';').next().unwrap_or("").trim();
     match usize::from_str_radix(digits, 16) {
-        Ok(0) => Ok(Part::Over),
+        Ok(0) => Ok(Part::Complete),
         Ok(n) => Ok(Part::Chunk(n)),
         Err(_) => Err(MalformedResponse("a chunk's length can't be read")),
     }
--- a/crates/trailproxyd/src/msgpack.rs
+++ b/crates/trailproxyd/src/msgpack.rs
@@ -1,13 +1,16 @@
-//! MessagePack, as far as MessagePack-RPC with maps of strings and binaries needs it. Pure: bytes in,
-//! values out; a message that is not whole yet says how many bytes it wants at least.
+//! Reads and writes the part of MessagePack that MessagePack-RPC with maps of strings and binaries needs.
+//!
+//! Reading does no I/O: it takes bytes and returns values. For an incomplete message it returns the smallest number of
+//! bytes that the message can have.
 
-/// Nested deeper, a message is taken for damage.
-const DEEPEST: usize = 8;
+/// A message with more levels of nesting is malformed.
+const MAX_DEPTH: usize = 8;
 
-/// With more values, a message is taken for damage: one that is not whole yet is read from its start again with every
-/// piece that comes, which has to stay cheap. A request has some thirty.
-const MOST_VALUES: usize = 512;
+/// A message with more values is malformed. An incomplete message is parsed again from its start whenever more bytes
+/// arrive, which has to stay cheap. A request has about thirty values.
+const MAX_VALUES: usize = 512;
 
+/// A MessagePack value that borrows its bytes from the message.
 #[derive(Debug, PartialEq)]
 pub enum Value<'a> {
     Nil,
@@ -20,44 +23,46 @@
     Map(Vec<(Value<'a>, Value<'a>)>),
 }
 
+/// Why no message could be read.
 #[derive(Debug, PartialEq)]
 pub enum ParseError {
-    /// Not whole before so many bytes are there.
+    /// The message is incomplete and has at least this many bytes.
     Incomplete(usize),
+    /// The bytes are no message, or exceed a limit, for this reason.
     Malformed(&'static str),
 }
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
-    longest: usize,
-    /// So many values may come still.
-    values: usize,
+    position: usize,
+    max_length: usize,
+    /// The number of values that the message may still contain.
+    values_left: usize,
 }
 
-/// The first message in the bytes and its length; none is longer than `longest`.
-pub fn read(bytes: &[u8], longest: usize) -> Result<(Value<'_>, usize), ParseError> {
+/// Returns the first message in the bytes and its length. A message of more than `max_length` bytes is malformed.
+pub fn read(bytes: &[u8], max_length: usize) -> Result<(Value<'_>, usize), ParseError> {
     let mut reader = Reader {
         bytes,
-        at: 0,
-        longest,
-        values: MOST_VALUES,
+        position: 0,
+        max_length,
+        values_left: MAX_VALUES,
     };
-    let value = reader.value(DEEPEST)?;
-    Ok((value, reader.at))
+    let value = reader.value(MAX_DEPTH)?;
+    Ok((value, reader.position))
 }
 
 impl<'a> Reader<'a> {
     fn take(&mut self, n: usize) -> Result<&'a [u8], ParseError> {
-        let end = self.at.saturating_add(n);
-        if end > self.longest {
+        let end = self.position.saturating_add(n);
+        if end > self.max_length {
             return Err(ParseError::Malformed("a message is too long"));
         }
         let taken = self
             .bytes
-            .get(self.at..end)
+            .get(self.position..end)
             .ok_or(ParseError::Incomplete(end))?;
-        self.at = end;
+        self.position = end;
         Ok(taken)
     }
 
@@ -72,12 +77,12 @@
         Ok(self.number(n)? as usize)
     }
 
-    fn value(&mut self, deep: usize) -> Result<Value<'a>, ParseError> {
-        let deeper = deep
+    fn value(&mut self, depth_left: usize) -> Result<Value<'a>, ParseError> {
+        let depth_below = depth_left
             .checked_sub(1)
             .ok_or(ParseError::Malformed("a message is nested too deep"))?;
-        let fewer = self.values.checked_sub(1);
-        self.values = fewer.ok_or(ParseError::Malformed("a message has too many values"))?;
+        let fewer = self.values_left.checked_sub(1);
+        self.values_left = fewer.ok_or(ParseError::Malformed("a message has too many values"))?;
         let code = self.number(1)? as u8;
         let n = match code {
             0x80..=0x9f => usize::from(code & 0x0f),
@@ -92,14 +97,14 @@
             0x80..=0x8f | 0xde | 0xdf => {
                 let mut entries = Vec::new();
                 for _ in 0..n {
-                    entries.push((self.value(deeper)?, self.value(deeper)?));
+                    entries.push((self.value(depth_below)?, self.value(depth_below)?));
                 }
                 Value::Map(entries)
             }
             0x90..=0x9f | 0xdc | 0xdd => {
                 let mut items = Vec::new();
                 for _ in 0..n {
-                    items.push(self.value(deeper)?);
+                    items.push(self.value(depth_below)?);
                 }
                 Value::Array(items)
             }
@@ -119,25 +124,29 @@
             0xd3 => Value::Int(self.number(8)? as i64),
             0xe0..=0xff => Value::Int((code as i8).into()),
             0xc1 | 0xc7..=0xc9 | 0xd4..=0xd8 => {
-                return Err(ParseError::Malformed("a type is not spoken here"));
+                return Err(ParseError::Malformed("a value has an unsupported type"));
             }
         })
     }
 }
 
+/// Appends the header of an array of `n` items, at most 15.
 pub fn put_array(out: &mut Vec<u8>, n: u8) {
     debug_assert!(n < 16);
     out.push(0x90 | n);
 }
 
+/// Appends nil.
 pub fn put_nil(out: &mut Vec<u8>) {
     out.push(0xc0);
 }
 
+/// Appends a boolean.
 pub fn put_bool(out: &mut Vec<u8>, value: bool) {
     out.push(0xc2 | u8::from(value));
 }
 
+/// Appends an unsigned integer in its shortest form.
 pub fn put_int(out: &mut Vec<u8>, value: u32) {
     match value {
         0..=0x7f => out.push(value as u8),
@@ -153,6 +162,7 @@
     }
 }
 
+/// Appends a string.
 pub fn put_text(out: &mut Vec<u8>, text: &str) {
     match text.len() {
         n @ 0..=31 => out.push(0xa0 | n as u8),
@@ -165,7 +175,7 @@
     out.extend(text.as_bytes());
 }
 
-/// What goes before a binary of that length.
+/// Appends the header of a binary of `n` bytes.
 pub fn put_bin_head(out: &mut Vec<u8>, n: usize) {
     match n {
         0..=0xff => out.extend([0xc4, n as u8]),
@@ -180,6 +190,7 @@
     }
 }
 
+/// Appends a map of strings with at most 15 entries.
 pub fn put_map(out: &mut Vec<u8>, entries: &[(&str, &str)]) {
     debug_assert!(entries.len() < 16);
     out.push(0x80 | entries.len() as u8);
