--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -1,4 +1,7 @@
-//! One connection to a host: RESP, requests pipelined and answered in any order.
+//! One connection to a host: RESP with pipelined requests that are answered in any order.
+//!
+//! Each connection is served by a task of its own, which receives attempts from the pool and reports their answers to the
+//! dispatcher's queue.
 
 use crate::buffered::{BufferedBytes, CountedBytes};
 use crate::checks::{count, must};
@@ -22,32 +25,36 @@
 use trailproxy::policy::permits;
 use trailproxy::units::{HostId, TimeSpan, Timestamp};
 
-/// The bytes of an object, by the protocol, and of the words beside it.
-const LONGEST_WORD: usize = 240_000;
-const WORDS: usize = 4;
-/// Tags of probes begin so; ids of requests are hex digits.
-const PROBE: &str = "probe-";
-/// How often a reader looks whether memory is free again.
-const READ_AGAIN: Duration = Duration::from_millis(5);
+/// The longest string of a message: an object's body, by the protocol, or the strings beside it.
+const MAX_WORD_BYTES: usize = 240_000;
+/// The number of strings in a request and in an answer.
+const WORDS_PER_MESSAGE: usize = 4;
+/// The prefix of a probe's tag. It differs from every request id, because those are hex digits.
+const PROBE_PREFIX: &str = "probe-";
+/// How often a connection that does not read checks whether memory is free again.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long word that a request is given up may be on its way. Until then its host may still hold it,
-/// and the same request at another host would be a second copy.
-const WORD_TRAVELS: Duration = Duration::from_millis(5);
+/// How long the message that cancels a request may be in transit. Until then the host may still process the request, and
+/// sending the same request to another host would make a second copy.
+const CANCEL_TRANSIT_TIME: Duration = Duration::from_millis(5);
 
-/// What waits to be written.
+/// A message that waits to be written.
 enum Packet {
-    Sending(Sending),
+    Attempt(Sending),
+    /// The cancellation of the request with this id.
     Kill(Rc<str>),
     Probe(ProbeId),
 }
 
+/// An attempt that was written at least in part and has no answer yet.
 struct OpenAttempt {
     id: AttemptId,
-    sent: Instant,
-    may_be_same: bool,
+    sent_at: Instant,
+    /// Whether the client holds a copy, so that the answer may be that it is unchanged.
+    may_be_unchanged: bool,
 }
 
-/// One connection, as its own task knows it.
+/// One connection and the state of its task.
 pub struct HostConnection {
     host: HostId,
     id: LineId,
@@ -55,34 +62,39 @@
     orders: mpsc::Receiver<ToServer>,
     shared: Rc<HostContext>,
     incoming: Ring,
-    wants: usize,
-    /// One request at a time, and none that has not begun but while it is tried.
+    /// The next message has at least this many bytes.
+    min_message_bytes: usize,
+    /// At most one message. A message of which no byte could be written is taken out again.
     outgoing: Ring,
-    in_ring: Option<Sending>,
-    begun: bool,
-    /// When something last went out.
-    written: Instant,
+    /// The attempt whose request is in `outgoing`.
+    attempt_in_outgoing: Option<Sending>,
+    /// Whether a byte of the message in `outgoing` was written.
+    has_begun: bool,
+    last_write_at: Instant,
     unsent: VecDeque<Packet>,
     /// By the id of the request.
     open: BTreeMap<Rc<str>, OpenAttempt>,
-    /// The last probe, until it is answered; one before it has its end already.
+    /// The last probe, until it is answered. The result of any earlier probe was reported already.
     probe: Option<ProbeId>,
-    /// Given up, and when the host knows.
-    withdrawn: VecDeque<(Instant, AttemptId)>,
-    heard: Instant,
-    active: Instant,
+    /// Cancelled attempts, each with the time by which the host knows.
+    cancelled: VecDeque<(Instant, AttemptId)>,
+    last_received_at: Instant,
+    last_active_at: Instant,
+    /// Whether the connection closes as soon as nothing is open.
     retired: bool,
-    /// It was said that nothing new is to come here.
-    unfit: bool,
-    /// The system lacked something for it: nothing is read or written before this.
-    rests_until: Option<Instant>,
-    /// The last silence of the process behind which others were heard first.
-    heard_behind: Option<Stall>,
+    /// Whether the pool was told to send nothing new here.
+    unfit_reported: bool,
+    /// Nothing is read or written before this time because the system was short of a resource.
+    paused_until: Option<Instant>,
+    /// The last stall of the process after which client connections were read first.
+    last_yield_after: Option<Stall>,
 }
 
-type Over = &'static str;
+/// Why the connection ends. The strings are counted and logged by their text.
+type CloseReason = &'static str;
 
 impl HostConnection {
+    /// Creates the state for a new connection.
     pub fn new(
         host: HostId,
         id: LineId,
@@ -96,28 +108,29 @@
             stream,
             orders,
             incoming: Ring::new(shared.buffered.clone()),
-            wants: 1,
+            min_message_bytes: 1,
             outgoing: Ring::new(shared.buffered.clone()),
-            in_ring: None,
-            begun: false,
-            written: Instant::now(),
+            attempt_in_outgoing: None,
+            has_begun: false,
+            last_write_at: Instant::now(),
             unsent: VecDeque::new(),
             open: BTreeMap::new(),
             probe: None,
-            withdrawn: VecDeque::new(),
-            heard: Instant::now(),
-            active: Instant::now(),
+            cancelled: VecDeque::new(),
+            last_received_at: Instant::now(),
+            last_active_at: Instant::now(),
             retired: false,
-            unfit: false,
-            rests_until: None,
-            heard_behind: None,
+            unfit_reported: false,
+            paused_until: None,
+            last_yield_after: None,
             shared,
         }
     }
 
+    /// Serves the connection until it closes, and reports the end of all its attempts.
     pub async fn serve(mut self) {
         let why = loop {
-            if let Err(why) = self.turn().await {
+            if let Err(why) = self.run_once().await {
                 break why;
             }
         };
@@ -132,24 +145,27 @@
             let (host, open) = (format!("{:x}", self.host.0), self.open.len());
             info!(self.shared.log, "host connection broken"; "host" => host, "open" => open, "why" => why);
         }
-        // It is the host that ended it, or else the host has yet to hear of it.
-        let ended_there = ["closed", "reset", "read failed", "write failed"].contains(&why);
+        // If the host did not close the connection, it does not know yet that it is closed.
+        let closed_by_host = ["closed", "reset", "read failed", "write failed"].contains(&why);
         let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
-        let out = self.open.len() + self.withdrawn.len();
-        if !ended_there && out > 0 {
-            self.tell_unfit();
-            sleep(WORD_TRAVELS).await;
+        let in_flight = self.open.len() + self.cancelled.len();
+        if !closed_by_host && in_flight > 0 {
+            self.report_unfit();
+            sleep(CANCEL_TRANSIT_TIME).await;
         }
-        for (_, id) in std::mem::take(&mut self.withdrawn) {
+        for (_, id) in std::mem::take(&mut self.cancelled) {
             self.end(id, Ending::Cancelled);
         }
-        // What its host has not got whole, it has not begun.
-        let not_whole = self.in_ring.take().filter(|_| !self.outgoing.is_empty());
-        for (_, sending) in std::mem::take(&mut self.open) {
-            let clean = (not_whole.as_ref()).is_some_and(|kept| kept.id == sending.id);
+        // A host does not start a request that it has not received whole.
+        let incomplete = self
+            .attempt_in_outgoing
+            .take()
+            .filter(|_| !self.outgoing.is_empty());
+        for (_, attempt) in std::mem::take(&mut self.open) {
+            let not_started = (incomplete.as_ref()).is_some_and(|kept| kept.id == attempt.id);
             self.end(
-                sending.id,
-                if clean {
+                attempt.id,
+                if not_started {
                     Ending::NotSent
                 } else {
                     Ending::ConnectionLost
@@ -180,24 +196,26 @@
             .send(Inbound::Server(FromServer::Closed { host, line }));
     }
 
-    /// Nothing new is to come here; what is out may still be answered.
-    fn tell_unfit(&mut self) {
-        if !std::mem::replace(&mut self.unfit, true) {
+    /// Tells the pool to send nothing new here. Open attempts may still be answered.
+    fn report_unfit(&mut self) {
+        if !std::mem::replace(&mut self.unfit_reported, true) {
             let (host, line) = (self.host, self.id);
-            let told = FromServer::Unfit { host, line };
-            let _ = self.shared.queue.send(Inbound::Server(told));
+            let unfit = FromServer::Unfit { host, line };
+            let _ = self.shared.queue.send(Inbound::Server(unfit));
         }
     }
 
+    /// Reports the end of an attempt without an answer.
     fn end(&self, id: AttemptId, ending: Ending) {
         let answer = Answer::bare(ending);
         self.shared
             .attempt_ended(id, self.host, Some(self.id), answer);
     }
 
+    /// Reports that a message was not sent.
     fn drop_packet(&self, packet: Packet) {
         match packet {
-            Packet::Sending(sending) => self.end(sending.id, Ending::NotSent),
+            Packet::Attempt(sending) => self.end(sending.id, Ending::NotSent),
             Packet::Probe(id) => self
                 .shared
                 .probe_ended(id, self.host, Ending::NotSent, vec![]),
@@ -205,29 +223,30 @@
         }
     }
 
-    /// The system lacks something for the moment: the connection is left alone for a while.
-    fn rest(&mut self) {
-        self.rests_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
+    /// Pauses reading and writing because the system is short of a resource.
+    fn pause(&mut self) {
+        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
     }
 
-    /// Behind a silence of the whole process, clients that have closed or cancelled in it are heard first: nothing is to
-    /// begin for them.
-    async fn let_others_look(&mut self) {
+    /// After a stall of the whole process, lets the client connections run first: clients may have closed or revoked
+    /// requests during the stall, and no attempt may start for them.
+    async fn yield_after_stall(&mut self) {
         let now = Instant::now();
         self.shared.stall_detector.record_activity(now);
-        let silence = self.shared.stall_detector.recent_stall(now);
-        if silence.is_some() && silence != self.heard_behind {
-            self.heard_behind = silence;
+        let stall = self.shared.stall_detector.recent_stall(now);
+        if stall.is_some() && stall != self.last_yield_after {
+            self.last_yield_after = stall;
             yield_now().await;
         }
     }
 
-    async fn turn(&mut self) -> Result<(), Over> {
-        if let Some(until) = self.rests_until.take() {
+    /// Reads and writes what is possible, then waits for one event and handles it.
+    async fn run_once(&mut self) -> Result<(), CloseReason> {
+        if let Some(until) = self.paused_until.take() {
             sleep_until(until).await;
         }
-        self.let_others_look().await;
-        // What the host has said, its end above all, is known before anything more goes out.
+        self.yield_after_stall().await;
+        // Read before writing, so that a close by the host is known before anything more is sent.
         let may_read = self.shared.buffered.bytes() < self.shared.max_buffered_bytes;
         if may_read {
             self.read()?;
@@ -235,54 +254,56 @@
             count(&self.shared.counts.reading_paused);
         }
         self.write()?;
-        let known = |at: &mut (Instant, AttemptId)| at.0 <= Instant::now();
-        while let Some((_, id)) = self.withdrawn.pop_front_if(known) {
+        let host_knows = |at: &mut (Instant, AttemptId)| at.0 <= Instant::now();
+        while let Some((_, id)) = self.cancelled.pop_front_if(host_knows) {
             self.end(id, Ending::Cancelled);
         }
         let idle = self.open.is_empty()
             && self.unsent.is_empty()
             && self.outgoing.is_empty()
-            && self.withdrawn.is_empty();
-        let waits_for_room = !self.outgoing.is_empty() || !self.unsent.is_empty();
-        let known_at = self.withdrawn.front().map(|at| at.0);
-        // Half an answer and no more of it: what comes behind it would wait for its end, that of others, too.
-        let stuck_at = self.heard + self.shared.dial_timeout();
-        let half = !self.incoming.is_empty() && !self.unfit;
+            && self.cancelled.is_empty();
+        let has_unwritten = !self.outgoing.is_empty() || !self.unsent.is_empty();
+        let next_known_at = self.cancelled.front().map(|at| at.0);
+        // A partial answer of which no more arrives for this long would delay the answers to later requests as well.
+        let stuck_at = self.last_received_at + self.shared.dial_timeout();
+        let has_partial_answer = !self.incoming.is_empty() && !self.unfit_reported;
         if idle && self.retired {
             return Err("retired");
         }
-        // A little before the host closes it, or a request may cross its close.
+        // The connection closes a dial timeout before the host would close it. Otherwise a request might cross the host's
+        // close.
         let bounds = &self.shared.bounds;
         let idle_close = Duration::from_micros((bounds.idle_close - bounds.dial_within).0);
-        let idle_until = self.active + idle_close;
+        let idle_until = self.last_active_at + idle_close;
         tokio::select! {
             biased;
             order = self.orders.recv() => match order {
-                Some(order) => self.obey(order)?,
-                None => return Err("not needed"),
+                Some(order) => self.handle_order(order)?,
+                None => return Err("no longer needed"),
             },
             ready = self.stream.readable(), if may_read => {
                 ready.map_err(|_| "read failed")?;
             }
-            ready = self.stream.writable(), if waits_for_room => {
+            ready = self.stream.writable(), if has_unwritten => {
                 ready.map_err(|_| "write failed")?;
             }
-            _ = sleep(READ_AGAIN), if !may_read => {}
-            _ = sleep_until(known_at.unwrap_or(self.active)), if known_at.is_some() => {}
-            _ = sleep_until(stuck_at), if half => self.tell_unfit(),
+            _ = sleep(READ_RETRY_INTERVAL), if !may_read => {}
+            _ = sleep_until(next_known_at.unwrap_or(self.last_active_at)), if next_known_at.is_some() => {}
+            _ = sleep_until(stuck_at), if has_partial_answer => self.report_unfit(),
             _ = sleep_until(idle_until), if idle => return Err("idle"),
         }
         Ok(())
     }
 
-    fn obey(&mut self, order: ToServer) -> Result<(), Over> {
-        self.active = Instant::now();
+    /// Handles an order of the pool.
+    fn handle_order(&mut self, order: ToServer) -> Result<(), CloseReason> {
+        self.last_active_at = Instant::now();
         match order {
-            ToServer::Send(sending) => self.unsent.push_back(Packet::Sending(sending)),
+            ToServer::Send(sending) => self.unsent.push_back(Packet::Attempt(sending)),
             ToServer::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
             ToServer::Kill(id) => {
                 if !self.drop_unsent(id) {
-                    self.kill(id);
+                    self.cancel(id);
                 }
             }
             ToServer::Recall(id) => {
@@ -294,99 +315,111 @@
         Ok(())
     }
 
-    /// Whether not a byte of it was written: then it is dropped.
+    /// Drops an attempt if no byte of it was written, and returns whether it did.
     fn drop_unsent(&mut self, id: AttemptId) -> bool {
-        let is_it =
-            |packet: &Packet| matches!(packet, Packet::Sending(sending) if sending.id == id);
-        let found = self.unsent.iter().position(is_it);
-        if let Some(at) = found {
-            self.unsent.remove(at);
+        let is_attempt =
+            |packet: &Packet| matches!(packet, Packet::Attempt(sending) if sending.id == id);
+        let found = self.unsent.iter().position(is_attempt);
+        if let Some(index) = found {
+            self.unsent.remove(index);
             self.end(id, Ending::NotSent);
         }
         found.is_some()
     }
 
-    /// The first byte of a request has gone out: what the rules say of that moment is checked once more.
+    /// Checks the rules for the start of a request again after its first byte was written.
     fn check_begun(&self, now: Instant) {
-        let Some(sending) = &self.in_ring else {
+        let Some(sending) = &self.attempt_in_outgoing else {
             return;
         };
         let clock = &self.shared.clock;
         self.shared.trace.begun(&sending.call, sending.id, self.id);
         let late = permits::begun_against_a_rule(clock.moment(now), &sending.facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
-        let passed_on = self.deadline_holds(now);
-        must(passed_on, &self.shared.counts.broken_deadline_passed_on);
+        let deadline_holds = self.deadline_holds(now);
+        must(
+            deadline_holds,
+            &self.shared.counts.broken_deadline_passed_on,
+        );
     }
 
-    /// Whether what is in the ring may go on with the deadline that was written into it.
+    /// Returns whether the deadline that was encoded in the current request is still accurate enough.
     fn deadline_holds(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let reference = self.in_ring.as_ref().map(|sending| &sending.call.reference);
+        let reference = self
+            .attempt_in_outgoing
+            .as_ref()
+            .map(|sending| &sending.call.reference);
         let open = reference.and_then(|reference| self.open.get(reference));
         open.is_none_or(|open| {
-            permits::deadline_still_holds(clock.moment(now), clock.moment(open.sent))
+            permits::deadline_still_holds(clock.moment(now), clock.moment(open.sent_at))
         })
     }
 
-    /// Nothing goes out now. What has not begun waits as it was, so that its deadline is written when it does.
-    fn blocked(&mut self) {
-        if self.begun {
+    /// Handles a write that is not possible now. A request that has not begun returns to the queue and is encoded again
+    /// later, so that its deadline is that of the time when it starts.
+    fn on_write_blocked(&mut self) {
+        if self.has_begun {
             return;
         }
-        if let Some(sending) = self.in_ring.take() {
+        if let Some(sending) = self.attempt_in_outgoing.take() {
             self.open.remove(&sending.call.reference);
             self.outgoing.consume(self.outgoing.len());
-            self.unsent.push_front(Packet::Sending(sending));
+            self.unsent.push_front(Packet::Attempt(sending));
         }
     }
 
-    fn kill(&mut self, id: AttemptId) {
-        let found = self.open.iter().find(|(_, sending)| sending.id == id);
-        let Some((reference, sending)) = found.map(|(r, sending)| (r.clone(), sending)) else {
+    /// Sends a cancellation for an open attempt.
+    fn cancel(&mut self, id: AttemptId) {
+        let found = self.open.iter().find(|(_, attempt)| attempt.id == id);
+        let Some((reference, attempt)) = found.map(|(r, attempt)| (r.clone(), attempt)) else {
             return;
         };
-        // A connection that owed an answer and said nothing for a dial's time is not used again.
-        let silence = self.shared.dial_timeout();
-        let (unheard, long) = (self.heard <= sending.sent, sending.sent.elapsed() > silence);
-        if unheard && long {
-            self.tell_unfit();
+        // A connection that owed an answer and sent nothing for the time of a dial is not used again.
+        let max_silence = self.shared.dial_timeout();
+        let (silent, too_long) = (
+            self.last_received_at <= attempt.sent_at,
+            attempt.sent_at.elapsed() > max_silence,
+        );
+        if silent && too_long {
+            self.report_unfit();
         }
         self.open.remove(&reference);
         self.unsent.push_back(Packet::Kill(reference));
-        self.withdrawn
-            .push_back((Instant::now() + WORD_TRAVELS, id));
+        self.cancelled
+            .push_back((Instant::now() + CANCEL_TRANSIT_TIME, id));
     }
 
-    fn write(&mut self) -> Result<(), Over> {
+    /// Encodes and writes messages until the socket accepts no more.
+    fn write(&mut self) -> Result<(), CloseReason> {
         loop {
             let now = Instant::now();
             if self.outgoing.is_empty() {
-                self.in_ring = None;
-                self.begun = false;
+                self.attempt_in_outgoing = None;
+                self.has_begun = false;
                 let Some(packet) = self.unsent.pop_front() else {
                     self.outgoing.release_memory(true);
                     return Ok(());
                 };
                 self.encode(packet);
-            } else if self.stalled(now) {
-                return Err("stalled amid a request");
+            } else if self.is_stalled(now) {
+                return Err("write stalled within a request");
             }
             match system_calls::write(&self.stream, self.outgoing.as_slices().0) {
                 Transfer::Bytes(n) => {
-                    if !std::mem::replace(&mut self.begun, true) {
+                    if !std::mem::replace(&mut self.has_begun, true) {
                         self.check_begun(now);
                     }
-                    self.written = now;
+                    self.last_write_at = now;
                     self.outgoing.consume(n);
                 }
                 Transfer::NotReady => {
-                    self.blocked();
+                    self.on_write_blocked();
                     return Ok(());
                 }
                 Transfer::ResourceShortage => {
-                    self.blocked();
-                    self.rest();
+                    self.on_write_blocked();
+                    self.pause();
                     return Ok(());
                 }
                 Transfer::Failed(_) => return Err("write failed"),
@@ -394,14 +427,16 @@
         }
     }
 
-    /// Whether the rest of a request has waited for so long that it must not go out: its host would begin it with a
-    /// deadline that no longer holds. One that goes out slowly but steadily is let through.
-    fn stalled(&self, now: Instant) -> bool {
+    /// Returns whether the rest of a partly written request has waited so long that it must not be sent: the host would
+    /// start it with an outdated deadline. A request that is written slowly but steadily may continue.
+    fn is_stalled(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let steady = permits::deadline_still_holds(clock.moment(now), clock.moment(self.written));
-        self.begun && !steady && !self.deadline_holds(now)
+        let is_steady =
+            permits::deadline_still_holds(clock.moment(now), clock.moment(self.last_write_at));
+        self.has_begun && !is_steady && !self.deadline_holds(now)
     }
 
+    /// Encodes a message into `outgoing`. An attempt that may no longer start is dropped instead.
     fn encode(&mut self, packet: Packet) {
         let mut out = Vec::with_capacity(512);
         match packet {
@@ -411,45 +446,46 @@
                 resp::put_word(&mut out, reference.as_bytes());
             }
             Packet::Probe(id) => {
-                let tag = format!("{PROBE}{}", id.0);
+                let tag = format!("{PROBE_PREFIX}{}", id.0);
                 resp::put_array(&mut out, 2);
                 resp::put_word(&mut out, b"METER");
                 resp::put_word(&mut out, tag.as_bytes());
                 self.probe = Some(id);
             }
-            Packet::Sending(sending) => {
+            Packet::Attempt(sending) => {
                 let (now, call) = (Instant::now(), &sending.call);
                 if let Err(why) = sending.may_begin(&self.shared.clock, now) {
                     self.shared.trace.denied(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
-                resp::put_array(&mut out, WORDS);
+                resp::put_array(&mut out, WORDS_PER_MESSAGE);
                 resp::put_word(&mut out, b"PULL");
                 resp::put_word(&mut out, call.reference.as_bytes());
-                let moment = self.shared.clock.moment(now);
-                resp::put_word(&mut out, fields(&sending, moment).as_bytes());
+                let timestamp = self.shared.clock.moment(now);
+                resp::put_word(&mut out, encode_fields(&sending, timestamp).as_bytes());
                 resp::put_word(&mut out, &call.body);
                 let open = OpenAttempt {
                     id: sending.id,
-                    sent: now,
-                    may_be_same: call.held_tag.is_some(),
+                    sent_at: now,
+                    may_be_unchanged: call.held_tag.is_some(),
                 };
                 let before = self.open.insert(call.reference.clone(), open);
                 must(before.is_none(), &self.shared.counts.broken_two_endings);
-                self.in_ring = Some(sending);
+                self.attempt_in_outgoing = Some(sending);
             }
         }
         self.outgoing.push(&out);
     }
 
-    fn read(&mut self) -> Result<(), Over> {
+    /// Reads and handles answers until nothing more is available or too many bytes are buffered.
+    fn read(&mut self) -> Result<(), CloseReason> {
         loop {
-            self.incoming.reserve(self.wants);
+            self.incoming.reserve(self.min_message_bytes);
             match system_calls::read(&self.stream, self.incoming.free_space()) {
                 Transfer::Bytes(0) => return Err("closed"),
                 Transfer::Bytes(n) => {
                     self.incoming.commit(n);
-                    (self.heard, self.active) = (Instant::now(), Instant::now());
+                    (self.last_received_at, self.last_active_at) = (Instant::now(), Instant::now());
                     self.parse()?;
                     if self.shared.buffered.bytes() >= self.shared.max_buffered_bytes {
                         return Ok(());
@@ -460,7 +496,7 @@
                     return Ok(());
                 }
                 Transfer::ResourceShortage => {
-                    self.rest();
+                    self.pause();
                     return Ok(());
                 }
                 Transfer::Failed(_) => return Err("reset"),
@@ -468,58 +504,64 @@
         }
     }
 
-    fn parse(&mut self) -> Result<(), Over> {
-        while self.incoming.len() >= self.wants {
-            let (words, n) = match resp::read(self.incoming.as_contiguous(), WORDS, LONGEST_WORD) {
+    /// Handles all whole answers in the input buffer.
+    fn parse(&mut self) -> Result<(), CloseReason> {
+        while self.incoming.len() >= self.min_message_bytes {
+            let (words, n) = match resp::read(
+                self.incoming.as_contiguous(),
+                WORDS_PER_MESSAGE,
+                MAX_WORD_BYTES,
+            ) {
                 Ok(read) => read,
-                Err(ParseError::Incomplete(wants)) => {
-                    self.wants = wants;
+                Err(ParseError::Incomplete(min_bytes)) => {
+                    self.min_message_bytes = min_bytes;
                     return Ok(());
                 }
-                Err(ParseError::Malformed(why)) => return self.bad(why),
+                Err(ParseError::Malformed(why)) => return self.malformed(why),
             };
-            let probe = words
+            let first_word = words
                 .first()
                 .and_then(|word| std::str::from_utf8(word).ok());
-            if let Some(number) = probe.and_then(|tag| tag.strip_prefix(PROBE)) {
-                let last = |id: &mut ProbeId| number.parse() == Ok(id.0);
-                if let Some(id) = self.probe.take_if(last) {
+            if let Some(number) = first_word.and_then(|tag| tag.strip_prefix(PROBE_PREFIX)) {
+                let is_last = |id: &mut ProbeId| number.parse() == Ok(id.0);
+                if let Some(id) = self.probe.take_if(is_last) {
                     let (ending, report) = read_probe(&words);
                     self.shared.probe_ended(id, self.host, ending, report);
                 }
                 self.incoming.consume(n);
-                self.wants = 1;
+                self.min_message_bytes = 1;
                 continue;
             }
             let [reference, word, fields, body] = words.as_slice() else {
-                return self.bad("an answer has not four words");
+                return self.malformed("an answer does not have four words");
             };
-            let sending = std::str::from_utf8(reference)
+            let attempt = std::str::from_utf8(reference)
                 .ok()
                 .and_then(|r| self.open.remove(r));
             let words = [*word, *fields, *body];
-            let answer = sending
+            let answer = attempt
                 .as_ref()
-                .map(|sending| read_answer(words, sending, &self.shared.buffered));
+                .map(|attempt| read_answer(words, attempt, &self.shared.buffered));
             self.incoming.consume(n);
-            self.wants = 1;
-            match (sending, answer) {
-                (Some(sending), Some(Some(answer))) => {
+            self.min_message_bytes = 1;
+            match (attempt, answer) {
+                (Some(attempt), Some(Some(answer))) => {
                     self.shared
-                        .attempt_ended(sending.id, self.host, Some(self.id), answer);
+                        .attempt_ended(attempt.id, self.host, Some(self.id), answer);
                 }
-                (Some(sending), _) => {
-                    self.end(sending.id, Ending::ConnectionLost);
-                    return self.bad("an answer makes no sense");
+                (Some(attempt), _) => {
+                    self.end(attempt.id, Ending::ConnectionLost);
+                    return self.malformed("an answer has an unknown or invalid form");
                 }
-                // It was given up before.
+                // The attempt was cancelled before.
                 (None, _) => count(&self.shared.counts.late_answers),
             }
         }
         Ok(())
     }
 
-    fn bad(&self, why: Over) -> Result<(), Over> {
+    /// Logs an answer that can't be read, and returns the reason as an error.
+    fn malformed(&self, why: CloseReason) -> Result<(), CloseReason> {
         count(&self.shared.counts.bad_hosts);
         let host = format!("{:x}", self.host.0);
         warn!(self.shared.log, "host said what can't be read"; "host" => host, "why" => why);
@@ -527,8 +569,8 @@
     }
 }
 
-/// The fields of a request, as the hosts want them.
-fn fields(sending: &Sending, now: Timestamp) -> String {
+/// Encodes the fields of a request for a host.
+fn encode_fields(sending: &Sending, now: Timestamp) -> String {
     let call = &sending.call;
     let mut fields = format!(
         "lane={},name={},piece={}",
@@ -537,9 +579,9 @@
     let mut add = |name: &str, value: &str| {
         let _ = write!(fields, ",{name}={value}");
     };
-    // Rounded down: the host gives up no later than the dispatcher.
-    let left = permits::deadline_to_pass(now, sending.deadline);
-    add("ttl", &(left.0 / 1000).max(1).to_string());
+    // Rounded down, so that the host gives up no later than the dispatcher.
+    let time_left = permits::deadline_to_pass(now, sending.deadline);
+    add("ttl", &(time_left.0 / 1000).max(1).to_string());
     if let Some(mark) = &call.mark {
         add("dedupe", mark);
     }
@@ -551,41 +593,43 @@
     }
     if let Some(fill) = sending.fill {
         add("tier", &fill.rank.to_string());
-        if let Some(oldest) = fill.max_age {
-            // Rounded down, to the strict side, but never to none, which would mean the usual age.
-            add("fresh", &(oldest.0 / 1000).max(1).to_string());
+        if let Some(max_age) = fill.max_age {
+            // Rounded down to the strict side, but not to 0, which would mean the usual maximum age.
+            add("fresh", &(max_age.0 / 1000).max(1).to_string());
         }
-        let words = [
+        let options = [
             (fill.join, "merge"),
             (fill.only_if_cached, "local"),
             (fill.revalidate, "revalidate"),
         ];
-        let words: Vec<&str> = words
+        let options: Vec<&str> = options
             .iter()
-            .filter(|(on, _)| *on)
-            .map(|(_, word)| *word)
+            .filter(|(enabled, _)| *enabled)
+            .map(|(_, name)| *name)
             .collect();
-        if !words.is_empty() {
-            add("opts", &words.join("+"));
+        if !options.is_empty() {
+            add("opts", &options.join("+"));
         }
     }
     fields
 }
 
-fn named<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
+/// Returns the value of a field.
+fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = fields.split(',').filter_map(|pair| pair.split_once('='));
     let found = pairs.find(|(key, _)| *key == name);
     found.map(|(_, value)| value)
 }
 
-/// The values of a load report, in the order that the settings name; a name may stand before each.
+/// Reads the values of a load report in the order of the settings. A name may precede each value.
 fn read_report(fields: &str) -> Vec<f64> {
-    let report = named(fields, "rep").unwrap_or("").split(['+', ';', ' ']);
+    let report = field(fields, "rep").unwrap_or("").split(['+', ';', ' ']);
     let report = report.map(|pair| pair.rsplit([':', '=']).next().unwrap_or(pair));
     report.filter_map(|value| value.parse().ok()).collect()
 }
 
-/// What a probe told: a host that says it is ill, or nothing that can be read, has not told its load.
+/// Reads the answer to a probe. A host that does not say that it is well, or whose answer can't be read, has not reported
+/// its load.
 fn read_probe(words: &[&[u8]]) -> (Ending, Vec<f64>) {
     let fields = words
         .get(2)
@@ -596,30 +640,31 @@
     }
 }
 
-/// The first microsecond that a told millisecond may mean: for copies the strict side.
+/// Returns the first microsecond of a millisecond timestamp. For the age of copies, this is the strict side.
 fn stamp_of_ms(text: &str) -> Option<Timestamp> {
     let ms: u64 = text.parse().ok()?;
     Some(Timestamp(ms.saturating_mul(1000)))
 }
 
+/// Reads an answer; `None` if it can't be understood.
 fn read_answer(
     words: [&[u8]; 3],
-    sending: &OpenAttempt,
+    attempt: &OpenAttempt,
     buffered: &BufferedBytes,
 ) -> Option<Answer> {
     let [word, fields, body] = words;
     let fields = std::str::from_utf8(fields).ok()?;
-    let named = |name: &str| named(fields, name);
+    let field = |name: &str| field(fields, name);
     let ending = match word {
         b"data" => Ending::Done,
-        b"unchanged" if sending.may_be_same => Ending::Done,
+        b"unchanged" if attempt.may_be_unchanged => Ending::Done,
         b"absent" => Ending::Miss,
         b"full" => Ending::Full,
         b"failed" => Ending::Error,
         b"moot" => Ending::NotSent,
         _ => return None,
     };
-    let note = match named("why") {
+    let note = match field("why") {
         Some("TCP_HIT") => Note::Hit,
         Some("TCP_MISS") => Note::Filled,
         Some("TCP_MISS_ROOT") => Note::FilledByOrigin,
@@ -632,15 +677,15 @@
         Some("ROOT_FAIL") => Note::OriginFailed,
         _ => Note::NotReported,
     };
-    let waited = named("lag").and_then(|ms| ms.parse().ok());
+    let latency_ms = field("lag").and_then(|ms| ms.parse().ok());
     Some(Answer {
         ending,
         note,
-        waited: waited
+        waited: latency_ms
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
         report: read_report(fields),
         body: (word == b"data").then(|| CountedBytes::new(body, buffered)),
-        minted: named("minted").and_then(stamp_of_ms),
+        minted: field("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/host_context.rs
+++ b/crates/trailproxyd/src/host_context.rs
@@ -1,4 +1,4 @@
-//! What the pools of connections to hosts and each such connection have in common.
+//! The state and helpers that the pools of host connections and each connection share.
 
 use crate::buffered::BufferedBytes;
 use crate::checks::Counts;
@@ -12,16 +12,17 @@
 use trailproxy::units::*;
 use trailproxy_terms::Bounds;
 
-/// What all pools and connections share.
+/// What all pools and host connections share.
 pub struct HostContext {
+    /// The dispatcher's queue, which receives the results.
     pub queue: Queue,
     pub bounds: Bounds,
     pub clock: Clock,
-    /// Connections that all pools together may hold.
+    /// The number of connections that all pools together may hold.
     pub max_connections: usize,
     pub buffered: BufferedBytes,
     pub stall_detector: Rc<StallDetector>,
-    /// With so many bytes held, hosts are not read from.
+    /// Hosts are not read from while at least this many bytes are buffered.
     pub max_buffered_bytes: usize,
     pub counts: Rc<Counts>,
     pub log: Logger,
@@ -29,11 +30,12 @@
 }
 
 impl HostContext {
-    /// A connection comes up within this, or never.
+    /// The time in which a dial must succeed.
     pub fn dial_timeout(&self) -> Duration {
         Duration::from_micros(self.bounds.dial_within.0)
     }
 
+    /// Reports the answer or the end of an attempt.
     pub fn attempt_ended(&self, id: AttemptId, host: HostId, line: Option<LineId>, answer: Answer) {
         let ended = FromServer::Ended {
             id,
@@ -44,6 +46,7 @@
         let _ = self.queue.send(Inbound::Server(ended));
     }
 
+    /// Reports the result of a probe.
     pub fn probe_ended(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
         let probed = FromServer::Probed {
             id,
@@ -54,6 +57,7 @@
         let _ = self.queue.send(Inbound::Server(probed));
     }
 
+    /// Reports the end of an attempt that was not given to a connection.
     pub fn attempt_dropped(&self, sending: &Sending, ending: Ending) {
         self.attempt_ended(sending.id, sending.host, None, Answer::bare(ending));
     }
