--- a/crates/trailproxyd/src/host_pools.rs
+++ b/crates/trailproxyd/src/host_pools.rs
@@ -1,4 +1,6 @@
-//! Cache hosts, parents and the origin: RESP over pools of connections, a pool a host.
+//! Pools of connections to cache hosts, parents and the origin, one pool per host.
+//!
+//! A pool assigns attempts and probes to its connections and dials new connections as descriptors allow.
 
 use crate::checks::{count, must};
 use crate::host_connection::HostConnection;
@@ -17,40 +19,44 @@
 use trailproxy::policy::system_errors::{self, ConnectError, of_connect};
 use trailproxy::units::*;
 
-/// So many attempts share a connection before another is dialled, as descriptors allow. More are lost
-/// with one spoilt answer; fewer leave connections idle, which hosts close, and new ones are less sure.
-const TOGETHER: usize = 2;
+/// The number of attempts that share a connection before another one is dialled, as descriptors allow. With more, one
+/// malformed answer loses more attempts. With fewer, more connections are idle, hosts close them, and attempts depend on
+/// new connections, which are less reliable.
+const TARGET_ATTEMPTS_PER_CONNECTION: usize = 2;
 
-/// How long a dial waits that failed for a reason of this side.
-const DIAL_AGAIN: Duration = Duration::from_micros(system_errors::DIAL_AGAIN.0);
+/// How long a dial pauses after it failed because of a shortage on this side.
+const DIAL_RETRY_INTERVAL: Duration = Duration::from_micros(system_errors::DIAL_AGAIN.0);
 
-/// One connection, as its pool knows it.
-struct Line {
+/// One connection as its pool knows it.
+struct PooledConnection {
     id: LineId,
     orders: mpsc::Sender<ToServer>,
+    /// The number of attempts that were assigned to it and have not ended.
     open: usize,
     retired: bool,
-    /// Since when it is up.
-    up: Timestamp,
+    /// When the connection was established.
+    connected_at: Timestamp,
 }
 
+/// The connections to one host.
 struct Pool {
     member: Member,
-    lines: Vec<Line>,
-    /// Waiting for a connection, and until when.
+    connections: Vec<PooledConnection>,
+    /// Attempts that wait for a connection, each with the time at which the wait ends.
     waiting: VecDeque<(Instant, Sending)>,
+    /// The number of dials in progress.
     dialing: usize,
-    /// Whether the last dial failed for a reason of this side.
-    lacking: bool,
+    /// Whether the last dial failed because of a shortage on this side.
+    local_shortage: bool,
     probe: Option<Probe>,
 }
 
 impl Pool {
-    /// Whoever waits is told at once that the host refuses.
-    fn refused(&mut self, shared: &HostContext, host: HostId) {
-        let waits = |probe: &&mut Probe| probe.is == ProbeIs::Waiting;
-        if let Some(probe) = self.probe.as_mut().filter(waits) {
-            probe.ended(shared, host);
+    /// Ends everything that waits, because the host refuses connections.
+    fn on_refused(&mut self, shared: &HostContext, host: HostId) {
+        let is_waiting = |probe: &&mut Probe| probe.state == ProbeState::Waiting;
+        if let Some(probe) = self.probe.as_mut().filter(is_waiting) {
+            probe.end_unanswered(shared, host);
         }
         for (_, sending) in self.waiting.drain(..) {
             shared.attempt_dropped(&sending, Ending::NoConnection);
@@ -61,129 +67,147 @@
 /// A probe of one host.
 struct Probe {
     id: ProbeId,
-    until: Instant,
-    is: ProbeIs,
+    /// When the probe fails without an answer.
+    times_out_at: Instant,
+    state: ProbeState,
 }
 
 impl Probe {
-    /// Tells the end of a probe that no answer ended, once.
-    fn ended(&mut self, shared: &HostContext, host: HostId) {
-        let ending = match std::mem::replace(&mut self.is, ProbeIs::Over) {
-            ProbeIs::Waiting => Ending::NoConnection,
-            ProbeIs::Out => Ending::TimedOut,
-            ProbeIs::Over => return,
+    /// Reports once that the probe ended without an answer.
+    fn end_unanswered(&mut self, shared: &HostContext, host: HostId) {
+        let ending = match std::mem::replace(&mut self.state, ProbeState::Ended) {
+            ProbeState::Waiting => Ending::NoConnection,
+            ProbeState::Sent => Ending::TimedOut,
+            ProbeState::Ended => return,
         };
         shared.probe_ended(self.id, host, ending, vec![]);
     }
 }
 
+/// The state of a probe.
 #[derive(PartialEq)]
-enum ProbeIs {
+enum ProbeState {
+    /// The probe waits for a connection.
     Waiting,
-    /// A connection has it.
-    Out,
-    /// Its end is told, and on its way in the queue.
-    Over,
+    /// The probe was given to a connection.
+    Sent,
+    /// The end of the probe was reported and is still in the queue.
+    Ended,
 }
 
+/// The pools of all hosts.
 pub struct HostPools {
+    /// What the pools share with their connections.
     pub shared: Rc<HostContext>,
     pools: BTreeMap<HostId, Pool>,
-    /// Where each open attempt is.
-    places: BTreeMap<AttemptId, (HostId, Option<LineId>)>,
-    lines: usize,
-    next: u64,
+    /// The host and, once assigned, the connection of each open attempt.
+    assignments: BTreeMap<AttemptId, (HostId, Option<LineId>)>,
+    /// The number of connections and dials of all pools.
+    connection_count: usize,
+    /// The last id given to a connection or a probe.
+    last_id: u64,
 }
 
 impl HostPools {
+    /// Creates an empty set of pools.
     pub fn new(shared: Rc<HostContext>) -> HostPools {
         HostPools {
             shared,
             pools: BTreeMap::new(),
-            places: BTreeMap::new(),
-            lines: 0,
-            next: 0,
+            assignments: BTreeMap::new(),
+            connection_count: 0,
+            last_id: 0,
         }
     }
 
-    /// Open attempts and connections, for the log.
+    /// Returns the numbers of open attempts, connections and pools, for the log.
     pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.places.len(), self.lines, self.pools.len())
+        (
+            self.assignments.len(),
+            self.connection_count,
+            self.pools.len(),
+        )
     }
 
-    /// Takes a change of the host list. Pools go by host: another host may come to a gone one's address.
-    /// What waits for a host that is not ready any more is recalled by the one who sent it.
-    pub fn apply_host_list(&mut self, form: HostListKind, members: &[Member]) {
-        if form == HostListKind::Full {
-            let gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
-            self.pools.values_mut().for_each(gone);
+    /// Applies a host list or a change of it. Pools are kept by host and not by address, because another host may get the
+    /// address of a host that is gone. The dispatcher itself recalls attempts that wait for a host that is no longer ready.
+    pub fn apply_host_list(&mut self, kind: HostListKind, members: &[Member]) {
+        if kind == HostListKind::Full {
+            let mark_gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
+            self.pools.values_mut().for_each(mark_gone);
         }
         for member in members {
-            let fresh = || Pool {
+            let new_pool = || Pool {
                 member: member.clone(),
-                lines: Vec::new(),
+                connections: Vec::new(),
                 waiting: VecDeque::new(),
                 dialing: 0,
-                lacking: false,
+                local_shortage: false,
                 probe: None,
             };
-            let pool = self.pools.entry(member.entry.host).or_insert_with(fresh);
-            let moved = pool.member.address != member.address;
-            // The best guess, not the safe one: a wrong clock costs a few requests here and breaks no rule.
+            let pool = self.pools.entry(member.entry.host).or_insert_with(new_pool);
+            let has_moved = pool.member.address != member.address;
+            // This timestamp is the best estimate and not a strict bound: a wrong clock only loses a few requests here and
+            // breaks no rule.
             let started = member.entry.stamp.unwrap_or_default();
-            if moved || pool.member.entry.stamp != member.entry.stamp {
-                // What its former process had is lost with it, though a silent machine never says so. The
-                // list may tell late: what came up since is to the new process.
-                let former = |line: &&mut Line| moved || line.up < started;
-                for line in pool.lines.iter_mut().filter(former) {
-                    line.retired = true;
-                    let _ = line.orders.send(ToServer::Break);
+            if has_moved || pool.member.entry.stamp != member.entry.stamp {
+                // Attempts at the host's previous process are lost, even if its machine never reports that. The list may be
+                // late, so connections made after the start belong to the new process.
+                let is_stale = |connection: &&mut PooledConnection| {
+                    has_moved || connection.connected_at < started
+                };
+                for connection in pool.connections.iter_mut().filter(is_stale) {
+                    connection.retired = true;
+                    let _ = connection.orders.send(ToServer::Break);
                 }
             }
-            let same = pool.member.name == member.name;
-            must(same, &self.shared.counts.broken_same_host_id);
+            let same_name = pool.member.name == member.name;
+            must(same_name, &self.shared.counts.broken_same_host_id);
             pool.member = member.clone();
         }
         for pool in self.pools.values_mut() {
             if pool.member.entry.state != HostState::Ready {
-                for line in &mut pool.lines {
-                    line.retired = true;
-                    let _ = line.orders.send(ToServer::Retire);
+                for connection in &mut pool.connections {
+                    connection.retired = true;
+                    let _ = connection.orders.send(ToServer::Retire);
                 }
             }
         }
-        self.forget();
+        self.remove_unused_pools();
     }
 
-    fn forget(&mut self) {
+    /// Removes the pools of gone hosts that are no longer used.
+    fn remove_unused_pools(&mut self) {
         self.pools.retain(|_, pool| {
-            let idle = pool.lines.is_empty() && pool.waiting.is_empty() && pool.dialing == 0;
+            let idle = pool.connections.is_empty() && pool.waiting.is_empty() && pool.dialing == 0;
             !idle || pool.member.entry.state != HostState::Gone
         });
     }
 
+    /// Returns whether the host list says that the host is ready.
     pub fn is_ready(&self, host: HostId) -> bool {
         let pool = self.pools.get(&host);
         pool.is_some_and(|pool| pool.member.entry.state == HostState::Ready)
     }
 
-    /// All hosts as the list told them last.
+    /// Returns all hosts as in the last host list.
     pub fn host_entries(&self) -> Vec<HostEntry> {
         self.pools.values().map(|pool| pool.member.entry).collect()
     }
 
-    /// The name by which a host is known to others.
+    /// Returns the name by which other hosts know a host.
     pub fn host_name(&self, host: HostId) -> Option<Rc<str>> {
         self.pools.get(&host).map(|pool| pool.member.name.clone())
     }
 
+    /// Starts an attempt. Its answer or its end arrives through the queue.
     pub fn submit(&mut self, sending: Sending) {
         let (id, host) = (sending.id, sending.host);
         let until = Instant::now() + self.shared.dial_timeout();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
         let pool = self.pools.get_mut(&host).filter(ready);
         must(pool.is_some(), &self.shared.counts.broken_sent_to_drained);
-        self.places.insert(id, (host, None));
+        self.assignments.insert(id, (host, None));
         let Some(pool) = pool else {
             return self.shared.attempt_dropped(&sending, Ending::NotSent);
         };
@@ -192,91 +216,114 @@
         self.assign(host);
     }
 
-    /// Asks a host for its load, one at a time: while one is out, another is not wanted. It takes a connection
-    /// that is up, else one is dialled for it, within the descriptors that attempts leave.
+    /// Asks a host for its load, unless a probe of it is in flight. The probe uses an existing connection, or one is
+    /// dialled for it if the attempts leave descriptors.
     pub fn probe(&mut self, host: HostId) {
-        let until = Instant::now() + self.shared.dial_timeout();
-        self.next += 1;
-        let id = ProbeId(self.next);
+        let times_out_at = Instant::now() + self.shared.dial_timeout();
+        self.last_id += 1;
+        let id = ProbeId(self.last_id);
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
         let pool = self.pools.get_mut(&host).filter(ready);
         if let Some(pool) = pool.filter(|pool| pool.probe.is_none()) {
             count(&self.shared.counts.probes);
-            let is = ProbeIs::Waiting;
-            pool.probe = Some(Probe { id, until, is });
+            let state = ProbeState::Waiting;
+            pool.probe = Some(Probe {
+                id,
+                times_out_at,
+                state,
+            });
             self.assign(host);
         }
     }
 
-    /// Gives what waits to connections, and dials for the rest. An answer that can't be read ends all
-    /// that is open on its connection, so each attempt has one to itself as far as descriptors go.
+    /// Assigns waiting attempts and the probe to connections, and dials more connections for the rest. An answer that
+    /// can't be read ends all attempts on its connection, so attempts are spread over as many connections as descriptors
+    /// and [`TARGET_ATTEMPTS_PER_CONNECTION`] allow.
     fn assign(&mut self, host: HostId) {
-        let within = self.shared.dial_timeout();
+        let dial_timeout = self.shared.dial_timeout();
         let share = (self.shared.max_connections / self.pools.len().max(1)).max(1);
-        let free = self.shared.max_connections.saturating_sub(self.lines);
+        let free = self
+            .shared
+            .max_connections
+            .saturating_sub(self.connection_count);
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
-        let most = self.shared.bounds.max_streams;
-        let dials = pool.dialing
+        let max_streams = self.shared.bounds.max_streams;
+        let max_dials = pool.dialing
             + share
-                .saturating_sub(pool.lines.len() + pool.dialing)
+                .saturating_sub(pool.connections.len() + pool.dialing)
                 .min(free);
-        let mut left = VecDeque::new();
+        let mut unassigned = VecDeque::new();
         while let Some((until, sending)) = pool.waiting.pop_front() {
-            let fits = |line: &&mut Line| {
-                !line.retired && line.open < most && !sending.avoid.contains(&line.id)
+            let fits = |connection: &&mut PooledConnection| {
+                !connection.retired
+                    && connection.open < max_streams
+                    && !sending.avoid.contains(&connection.id)
             };
-            let lines = pool.lines.iter_mut().filter(fits);
-            match lines.min_by_key(|line| line.open) {
-                Some(line) if line.open < TOGETHER || left.len() >= dials => {
+            let candidates = pool.connections.iter_mut().filter(fits);
+            match candidates.min_by_key(|connection| connection.open) {
+                Some(connection)
+                    if connection.open < TARGET_ATTEMPTS_PER_CONNECTION
+                        || unassigned.len() >= max_dials =>
+                {
                     let id = sending.id;
-                    match line.orders.send(ToServer::Send(sending)) {
+                    match connection.orders.send(ToServer::Send(sending)) {
                         Ok(()) => {
-                            self.places.insert(id, (host, Some(line.id)));
-                            line.open += 1;
+                            self.assignments.insert(id, (host, Some(connection.id)));
+                            connection.open += 1;
                         }
-                        // It has ended, and word of that stands behind in the queue: what it was given would
-                        // be held by nobody.
+                        // The connection has closed and the report of that is still in the queue. The attempt goes back to
+                        // the waiting ones, because nothing would end it at the closed connection.
                         Err(SendError(order)) => {
-                            line.retired = true;
+                            connection.retired = true;
                             if let ToServer::Send(sending) = order {
                                 pool.waiting.push_front((until, sending));
                             }
                         }
                     }
                 }
-                _ => left.push_back((until, sending)),
+                _ => unassigned.push_back((until, sending)),
             }
         }
-        pool.waiting = left;
-        let mut wanted = pool.waiting.len();
-        let waits = |probe: &&mut Probe| probe.is == ProbeIs::Waiting;
-        if let Some(probe) = pool.probe.as_mut().filter(waits) {
-            match pool.lines.iter().find(|line| !line.retired) {
-                Some(line) if line.orders.send(ToServer::Probe(probe.id)).is_ok() => {
-                    probe.is = ProbeIs::Out;
+        pool.waiting = unassigned;
+        let mut wanted_connections = pool.waiting.len();
+        let is_waiting = |probe: &&mut Probe| probe.state == ProbeState::Waiting;
+        if let Some(probe) = pool.probe.as_mut().filter(is_waiting) {
+            match pool
+                .connections
+                .iter()
+                .find(|connection| !connection.retired)
+            {
+                Some(connection) if connection.orders.send(ToServer::Probe(probe.id)).is_ok() => {
+                    probe.state = ProbeState::Sent;
                 }
-                _ => wanted += 1,
+                _ => wanted_connections += 1,
             }
         }
-        while pool.dialing < wanted.min(dials) {
+        while pool.dialing < wanted_connections.min(max_dials) {
             pool.dialing += 1;
-            self.lines += 1;
-            self.next += 1;
+            self.connection_count += 1;
+            self.last_id += 1;
             count(&self.shared.counts.dials);
-            let (queue, line) = (self.shared.queue.clone(), LineId(self.next));
-            tokio::task::spawn_local(dial(pool.member.address, within, host, line, queue));
+            let (queue, connection) = (self.shared.queue.clone(), LineId(self.last_id));
+            tokio::task::spawn_local(dial(
+                pool.member.address,
+                dial_timeout,
+                host,
+                connection,
+                queue,
+            ));
         }
     }
 
-    /// Ends the wait of attempts that no connection came up for in time.
+    /// Ends attempts and probes that waited too long for a connection or may no longer start.
     pub fn expire(&mut self, now: Instant) {
         let shared = &self.shared;
         for (&host, pool) in &mut self.pools {
-            let due = |probe: &&mut Probe| probe.until <= now;
-            if let Some(probe) = pool.probe.as_mut().filter(due) {
-                probe.ended(shared, host);
+            let is_due = |probe: &&mut Probe| probe.times_out_at <= now;
+            if let Some(probe) = pool.probe.as_mut().filter(is_due) {
+                probe.end_unanswered(shared, host);
             }
             pool.waiting.retain(|(until, sending)| {
                 match sending.may_begin(&shared.clock, now) {
@@ -284,8 +331,8 @@
                         shared.trace.denied(&sending.call, sending.id, why.as_str());
                         shared.attempt_dropped(sending, Ending::NotSent);
                     }
-                    // The host is not to blame for what was lacking here.
-                    Ok(()) if *until <= now && pool.lacking => {
+                    // A shortage on this side says nothing about the host.
+                    Ok(()) if *until <= now && pool.local_shortage => {
                         shared.attempt_dropped(sending, Ending::NotSent);
                     }
                     Ok(()) if *until <= now => {
@@ -298,31 +345,33 @@
         }
     }
 
-    /// When the next wait is over.
+    /// Returns when the next wait ends.
     pub fn next_deadline(&self) -> Option<Instant> {
         let waiting = self.pools.values().flat_map(|pool| &pool.waiting);
         let clock = &self.shared.clock;
-        let over = |(until, sending): &(Instant, Sending)| sending.begins_until(clock).min(*until);
+        let wait_end =
+            |(until, sending): &(Instant, Sending)| sending.begins_until(clock).min(*until);
         let probes = self.pools.values().filter_map(|pool| pool.probe.as_ref());
-        let probes = probes.filter(|probe| probe.is != ProbeIs::Over);
+        let probes = probes.filter(|probe| probe.state != ProbeState::Ended);
         waiting
-            .map(over)
-            .chain(probes.map(|probe| probe.until))
+            .map(wait_end)
+            .chain(probes.map(|probe| probe.times_out_at))
             .min()
     }
 
-    /// Gives an attempt up; its ending comes by the queue.
+    /// Cancels an attempt. Its end arrives through the queue.
     pub fn cancel(&mut self, id: AttemptId) {
         self.order(id, ToServer::Kill(id));
     }
 
-    /// Drops an attempt of which nothing is written yet.
+    /// Drops an attempt if no byte of it was written yet.
     pub fn drop_unsent(&mut self, id: AttemptId) {
         self.order(id, ToServer::Recall(id));
     }
 
+    /// Passes an order on to the connection of an attempt. An attempt that waits for a connection is dropped.
     fn order(&mut self, id: AttemptId, order: ToServer) {
-        let Some(&(host, line)) = self.places.get(&id) else {
+        let Some(&(host, line)) = self.assignments.get(&id) else {
             return;
         };
         let Some(pool) = self.pools.get_mut(&host) else {
@@ -330,30 +379,31 @@
         };
         match line {
             Some(line) => {
-                if let Some(line) = pool.lines.iter().find(|known| known.id == line) {
+                if let Some(line) = pool.connections.iter().find(|known| known.id == line) {
                     let _ = line.orders.send(order);
                 }
             }
             None => {
-                let at = pool
+                let index = pool
                     .waiting
                     .iter()
                     .position(|(_, sending)| sending.id == id);
-                if let Some((_, sending)) = at.and_then(|at| pool.waiting.remove(at)) {
+                if let Some((_, sending)) = index.and_then(|index| pool.waiting.remove(index)) {
                     self.shared.attempt_dropped(&sending, Ending::NotSent);
                 }
             }
         }
     }
 
-    /// Whether this is the probe that is out there; what comes of one later than its end is not.
+    /// Removes a host's probe if it has this id, and returns whether it did. A result that arrives after the end of its
+    /// probe does not match.
     pub fn take_probe(&mut self, host: HostId, id: ProbeId) -> bool {
         let pool = self.pools.get_mut(&host);
         pool.and_then(|pool| pool.probe.take_if(|probe| probe.id == id))
             .is_some()
     }
 
-    /// What a connection or a dial tells; an answer is handed back, once for each attempt.
+    /// Handles the report of a connection or a dial. Returns the answer or the end of an attempt, once for each attempt.
     pub fn handle_event(
         &mut self,
         event: FromServer,
@@ -365,11 +415,11 @@
                 address,
                 dialled,
             } => {
-                // The host has moved since: whoever is there now is another.
+                // If the host has moved since, the dialled address may now belong to another host.
                 let pool = self.pools.get(&host);
                 let moved = pool.is_some_and(|pool| pool.member.address != address);
                 let dialled = if moved { Dialled::TimedOut } else { dialled };
-                self.dialled(host, line, dialled);
+                self.on_dialled(host, line, dialled);
                 None
             }
             FromServer::Ended {
@@ -379,7 +429,7 @@
                 answer,
             } => {
                 if let (Some(pool), Some(line)) = (self.pools.get_mut(&host), line) {
-                    if let Some(line) = pool.lines.iter_mut().find(|known| known.id == line) {
+                    if let Some(line) = pool.connections.iter_mut().find(|known| known.id == line) {
                         line.open -= 1;
                     }
                     if !pool.waiting.is_empty() {
@@ -387,15 +437,15 @@
                     }
                 }
                 if line.is_none() {
-                    self.forget();
+                    self.remove_unused_pools();
                 }
-                self.places.remove(&id).map(|_| (id, line, answer))
+                self.assignments.remove(&id).map(|_| (id, line, answer))
             }
-            // It has its owner's ear by itself.
+            // The dispatcher handles the result of a probe itself.
             FromServer::Probed { .. } => None,
             FromServer::Unfit { host, line } => {
                 if let Some(pool) = self.pools.get_mut(&host) {
-                    for known in pool.lines.iter_mut().filter(|known| known.id == line) {
+                    for known in pool.connections.iter_mut().filter(|known| known.id == line) {
                         known.retired = true;
                         let _ = known.orders.send(ToServer::Retire);
                     }
@@ -403,11 +453,11 @@
                 None
             }
             FromServer::Closed { host, line } => {
-                self.lines -= 1;
+                self.connection_count -= 1;
                 if let Some(pool) = self.pools.get_mut(&host) {
-                    pool.lines.retain(|known| known.id != line);
+                    pool.connections.retain(|known| known.id != line);
                 }
-                self.forget();
+                self.remove_unused_pools();
                 let waiting: Vec<HostId> = self.pools.keys().copied().collect();
                 waiting.into_iter().for_each(|host| self.assign(host));
                 None
@@ -415,29 +465,30 @@
         }
     }
 
-    fn dialled(&mut self, host: HostId, id: LineId, dialled: Dialled) {
+    /// Handles the result of a dial.
+    fn on_dialled(&mut self, host: HostId, id: LineId, dialled: Dialled) {
         match (self.pools.get_mut(&host), dialled) {
             (Some(pool), Dialled::Up(stream)) => {
                 pool.dialing -= 1;
-                pool.lacking = false;
-                self.came_up(host, id, stream);
+                pool.local_shortage = false;
+                self.on_connected(host, id, stream);
             }
             (Some(pool), failed) => {
-                self.lines -= 1;
+                self.connection_count -= 1;
                 pool.dialing -= 1;
-                pool.lacking = matches!(failed, Dialled::Lacking);
+                pool.local_shortage = matches!(failed, Dialled::Lacking);
                 if matches!(failed, Dialled::Refused) {
-                    pool.refused(&self.shared, host);
+                    pool.on_refused(&self.shared, host);
                 }
                 self.assign(host);
-                self.forget();
+                self.remove_unused_pools();
             }
-            (None, _) => self.lines -= 1,
+            (None, _) => self.connection_count -= 1,
         }
     }
 
-    /// A connection is up.
-    fn came_up(&mut self, host: HostId, id: LineId, stream: TcpStream) {
+    /// Adds a new connection to its pool and starts its task.
+    fn on_connected(&mut self, host: HostId, id: LineId, stream: TcpStream) {
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
@@ -446,12 +497,12 @@
         if retired {
             let _ = orders_in.send(ToServer::Retire);
         }
-        pool.lines.push(Line {
+        pool.connections.push(PooledConnection {
             id,
             orders: orders_in,
             open: 0,
             retired,
-            up: self.shared.clock.moment(Instant::now()),
+            connected_at: self.shared.clock.moment(Instant::now()),
         });
         let connection = HostConnection::new(host, id, stream, orders, self.shared.clone());
         tokio::task::spawn_local(connection.serve());
@@ -459,15 +510,22 @@
     }
 }
 
-async fn dial(address: SocketAddr, within: Duration, host: HostId, line: LineId, queue: Queue) {
-    let lacking = Cell::new(false);
-    let dialled = match timeout(within, connect(address, &lacking)).await {
+/// Dials a host and reports the result to the queue.
+async fn dial(
+    address: SocketAddr,
+    dial_timeout: Duration,
+    host: HostId,
+    line: LineId,
+    queue: Queue,
+) {
+    let local_shortage = Cell::new(false);
+    let dialled = match timeout(dial_timeout, connect(address, &local_shortage)).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
             Dialled::Up(stream)
         }
         Ok(Err(_)) => Dialled::Refused,
-        Err(_) if lacking.get() => Dialled::Lacking,
+        Err(_) if local_shortage.get() => Dialled::Lacking,
         Err(_) => Dialled::TimedOut,
     };
     let _ = queue.send(Inbound::Server(FromServer::Dialled {
@@ -478,10 +536,11 @@
     }));
 }
 
-/// Connects, again and again while it fails for a reason of this side, which is noted in `lacking`.
-async fn connect(address: SocketAddr, lacking: &Cell<bool>) -> std::io::Result<TcpStream> {
+/// Connects, and repeats the call while it fails because of a shortage on this side, which it records in
+/// `local_shortage`.
+async fn connect(address: SocketAddr, local_shortage: &Cell<bool>) -> std::io::Result<TcpStream> {
     loop {
-        lacking.set(false);
+        local_shortage.set(false);
         let error = match TcpStream::connect(address).await {
             Ok(stream) => return Ok(stream),
             Err(error) => error,
@@ -489,7 +548,7 @@
         if of_connect(errno(&error)) == ConnectError::Theirs {
             return Err(error);
         }
-        lacking.set(true);
-        sleep(DIAL_AGAIN).await;
+        local_shortage.set(true);
+        sleep(DIAL_RETRY_INTERVAL).await;
     }
 }
