--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -1,4 +1,7 @@
-//! The journal service: the changes of the host list and the purges, each told once and in order.
+//! The client of the journal service, which delivers host lists and purges once and in order.
+//!
+//! Events are read from one long HTTP response of server-sent events. The client repeats the call when it ends and asks
+//! for the events after the last position that it received.
 
 use crate::checks::{Counts, count, must};
 use crate::http::Response;
@@ -18,23 +21,26 @@
 use trailproxy::units::*;
 use trailproxy_terms::Bounds;
 
-/// A comment comes every second: two missed, and the connection is taken for dead.
-const SILENCE: Duration = Duration::from_millis(2200);
-/// What it has to tell counts as told 4 s after it fell silent: a call comes up within this, or never.
-const CALL_WITHIN: Duration = Duration::from_secs(1);
-/// A call that failed is made again after this, and half as late again with each that fails, up to the longest: a fleet
-/// that calls in step is more than a service bears that comes back, and a long wait is missed when it is there again.
+/// The service sends a comment every second. After two missed ones the connection is considered dead.
+const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// A connection must be made within this time. Dispatchers count as informed of an event 4 s after the service fell
+/// silent.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The first wait after a failed call. Each further failure makes the wait half as long again, up to
+/// [`MAX_RETRY_INTERVAL`]: a service that comes back cannot bear a fleet that calls it at the same time, and a longer wait
+/// would delay events after its return.
 pub const MIN_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-const READ_SIZE: usize = 16 * 1024;
+const READ_BYTES: usize = 16 * 1024;
 
-/// Zones and kinds by the names that the settings give them.
+/// The ids of zones and kinds by the names that the settings give them.
 pub struct Names {
     zones: HashMap<String, ZoneId>,
     kinds: HashMap<String, KindId>,
 }
 
 impl Names {
+    /// Assigns ids in the order of the settings.
     pub fn from_bounds(bounds: &Bounds) -> Names {
         let zones = bounds.zone_names.iter().cloned().zip((0..).map(ZoneId));
         let kinds = bounds.kind_names.iter().cloned().zip((0..).map(KindId));
@@ -45,19 +51,20 @@
     }
 }
 
-/// An object by its 16 hex digits.
+/// Parses an object's id of up to 16 hex digits.
 pub fn object_id(text: &str) -> Option<ObjectId> {
     let hex = text.len() <= 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     hex.then(|| u64::from_str_radix(text, 16).ok().map(ObjectId))
         .flatten()
 }
 
-/// The last microsecond that a told millisecond may mean: for starts and purges the strict side.
-fn latest_of_ms(ms: u64) -> Timestamp {
+/// Returns the last microsecond of a millisecond timestamp. For starts and purges, this is the strict side.
+fn end_of_ms(ms: u64) -> Timestamp {
     Timestamp(ms.saturating_mul(1000).saturating_add(999))
 }
 
 impl Entry {
+    /// Reads an event; `None` if it can't be understood. Members that can't be read are left out and counted.
     pub fn read(json: &Value, names: &Names) -> Option<Entry> {
         let pos = json.get("pos")?.as_u64()?;
         if let Some(purge) = json.get("expire") {
@@ -70,7 +77,7 @@
                 return None;
             }
             let group = GroupId(u32::try_from(group.unwrap_or(0)).ok()?);
-            let stamp = latest_of_ms(purge.get("stamp")?.as_u64()?);
+            let stamp = end_of_ms(purge.get("stamp")?.as_u64()?);
             return Some(Entry {
                 pos,
                 change: Change::Purged {
@@ -86,12 +93,12 @@
             _ => HostListKind::Delta,
         };
         let members = hosts.get("members")?.as_array()?;
-        let told = members.len();
+        let listed = members.len();
         let members = members
             .iter()
             .filter_map(|member| read_member(member, names));
         let members: Vec<Member> = members.collect();
-        let unread = told - members.len();
+        let unread = listed - members.len();
         Some(Entry {
             pos,
             change: Change::Hosts {
@@ -103,7 +110,7 @@
     }
 }
 
-/// Zones and kinds that the settings don't name are given places that no setting has.
+/// Reads a member of a host list. Zones and kinds that the settings don't name get an id that no setting has.
 fn read_member(json: &Value, names: &Names) -> Option<Member> {
     let text = |key: &str| json.get(key).and_then(Value::as_str);
     let name = text("id")?;
@@ -111,16 +118,16 @@
     let zone = names.zones.get(text("locality").unwrap_or(""));
     let kind = names.kinds.get(text("flavor").unwrap_or(""));
     let cell = json.get("cell").and_then(Value::as_u64).unwrap_or(0);
-    let size = json.get("size").and_then(Value::as_f64).unwrap_or(1.0);
+    let capacity = json.get("size").and_then(Value::as_f64).unwrap_or(1.0);
     let entry = HostEntry {
         host: HostId::of_name(name),
         cell: CellId(u16::try_from(cell).unwrap_or(u16::MAX)),
         zone: zone.copied().unwrap_or(ZoneId(u16::MAX)),
         kind: kind.copied().unwrap_or(KindId(u8::MAX)),
         started: None,
-        stamp: (started > 0).then(|| latest_of_ms(started)),
-        capacity: if size.is_finite() && size > 0.0 {
-            size
+        stamp: (started > 0).then(|| end_of_ms(started)),
+        capacity: if capacity.is_finite() && capacity > 0.0 {
+            capacity
         } else {
             1.0
         },
@@ -138,13 +145,14 @@
     })
 }
 
+/// The client and its position in the journal.
 pub struct JournalClient {
-    /// `None`: what is known at the start is all there is.
+    /// `None` if there is no service: nothing is added to what is known at the start.
     pub address: Option<SocketAddr>,
     pub names: Rc<Names>,
-    /// The last place that was told.
-    pub last: u64,
-    /// How long the next call waits, before it is randomized.
+    /// The position of the last event received.
+    pub last_position: u64,
+    /// The wait before the next call, without its random part.
     pub retry_interval: Duration,
     pub rng: fastrand::Rng,
     pub queue: Queue,
@@ -152,43 +160,45 @@
     pub log: Logger,
 }
 
-/// What a new configuration says of the journal service, and what that had told by then.
+/// What a new configuration says about the journal service.
 pub struct JournalChange {
     pub address: Option<SocketAddr>,
+    /// The events that the configuration itself contains.
     pub known: Vec<Entry>,
 }
 
-/// Follows the journal service for as long as the process runs, wherever it moves to.
-pub async fn follow(mut journal: JournalClient, mut moves: mpsc::Receiver<JournalChange>) {
-    let mut told = (String::new(), 0);
+/// Receives events for as long as the process runs, and applies changes of the service's address.
+pub async fn follow(mut journal: JournalClient, mut changes: mpsc::Receiver<JournalChange>) {
+    let mut last_logged = (String::new(), 0);
     loop {
-        let moved = tokio::select! {
+        let change = tokio::select! {
             biased;
-            moved = moves.recv() => moved,
-            why = journal.calls() => {
-                // As long as nothing changes, it is told once.
-                if told != (why.clone(), journal.last) {
-                    info!(journal.log, "journal call ended"; "why" => &why, "last" => journal.last);
-                    told = (why, journal.last);
+            change = changes.recv() => change,
+            why = journal.call_and_wait() => {
+                // Repeated failures are logged once.
+                if last_logged != (why.clone(), journal.last_position) {
+                    info!(journal.log, "journal call ended"; "why" => &why, "last" => journal.last_position);
+                    last_logged = (why, journal.last_position);
                 }
                 None
             }
         };
-        // What was cut off in the middle of an event is told again: the numbers carry on.
-        if let Some(moved) = moved {
-            (journal.address, journal.retry_interval) = (moved.address, MIN_RETRY_INTERVAL);
-            moved
+        // A change may interrupt a call within an event. The next call continues after the last whole event.
+        if let Some(change) = change {
+            (journal.address, journal.retry_interval) = (change.address, MIN_RETRY_INTERVAL);
+            change
                 .known
                 .into_iter()
-                .for_each(|entry| journal.learn(entry));
-            told.0.clear();
+                .for_each(|entry| journal.add_known(entry));
+            last_logged.0.clear();
         }
     }
 }
 
 impl JournalClient {
-    /// One call and the wait for the next, or none for ever.
-    async fn calls(&mut self) -> String {
+    /// Makes one call and waits for the time of the next, and returns why the call ended. Without an address it never
+    /// returns.
+    async fn call_and_wait(&mut self) -> String {
         let Some(address) = self.address else {
             return std::future::pending().await;
         };
@@ -200,37 +210,38 @@
         why
     }
 
+    /// Calls the service and handles events until the call ends.
     async fn call(&mut self, address: SocketAddr) -> Result<std::convert::Infallible, String> {
-        let silent = |_| "silent".to_owned();
-        let broken = |e: std::io::Error| e.to_string();
-        let dial = timeout(CALL_WITHIN, TcpStream::connect(address));
-        let stream = dial.await.map_err(silent)?.map_err(broken)?;
-        let last = self.last;
+        let timed_out = |_| "silent".to_owned();
+        let failed = |e: std::io::Error| e.to_string();
+        let dial = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
+        let stream = dial.await.map_err(timed_out)?.map_err(failed)?;
+        let last_position = self.last_position;
         let request = format!(
             "GET /journal HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\n\
-             Last-Event-ID: {last}\r\n\r\n"
+             Last-Event-ID: {last_position}\r\n\r\n"
         );
         let mut unsent = request.as_bytes();
         while !unsent.is_empty() {
-            timeout(SILENCE, stream.writable())
+            timeout(RECEIVE_TIMEOUT, stream.writable())
                 .await
-                .map_err(silent)?
-                .map_err(broken)?;
+                .map_err(timed_out)?
+                .map_err(failed)?;
             match system_calls::write(&stream, unsent) {
                 Transfer::Bytes(n) => unsent = &unsent[n..],
                 Transfer::NotReady => {}
                 Transfer::ResourceShortage => sleep(RESOURCE_RETRY_INTERVAL).await,
-                Transfer::Failed(e) => return Err(broken(e)),
+                Transfer::Failed(e) => return Err(failed(e)),
             }
         }
         let (mut response, mut events) = (Response::default(), EventParser::default());
-        let mut piece = [0; READ_SIZE];
-        let (mut body, mut told) = (Vec::new(), Vec::new());
+        let mut piece = [0; READ_BYTES];
+        let (mut body, mut received) = (Vec::new(), Vec::new());
         loop {
-            timeout(SILENCE, stream.readable())
+            timeout(RECEIVE_TIMEOUT, stream.readable())
                 .await
-                .map_err(silent)?
-                .map_err(broken)?;
+                .map_err(timed_out)?
+                .map_err(failed)?;
             let n = match system_calls::read(&stream, &mut piece) {
                 Transfer::Bytes(0) => return Err("closed".into()),
                 Transfer::Bytes(n) => n,
@@ -239,18 +250,18 @@
                     sleep(RESOURCE_RETRY_INTERVAL).await;
                     continue;
                 }
-                Transfer::Failed(e) => return Err(broken(e)),
+                Transfer::Failed(e) => return Err(failed(e)),
             };
             self.retry_interval = MIN_RETRY_INTERVAL;
             response
                 .feed(&piece[..n], &mut body)
-                .map_err(|damaged| damaged.0.to_owned())?;
+                .map_err(|error| error.0.to_owned())?;
             events
-                .feed(&body, &mut told)
+                .feed(&body, &mut received)
                 .map_err(|_| "an event is too long")?;
             body.clear();
-            for one in told.drain(..) {
-                self.take(&one.id, &one.data)?;
+            for event in received.drain(..) {
+                self.handle_event(&event.id, &event.data)?;
             }
             if response.is_complete() {
                 return Err("closed".into());
@@ -258,30 +269,30 @@
         }
     }
 
-    /// What a new configuration knows and was not heard yet, as far as it follows on.
-    fn learn(&mut self, entry: Entry) {
-        if entry.pos == self.last + 1 {
-            self.last = entry.pos;
+    /// Takes an event from a new configuration if it is the next one.
+    fn add_known(&mut self, entry: Entry) {
+        if entry.pos == self.last_position + 1 {
+            self.last_position = entry.pos;
             count(&self.counts.journal_events);
             let _ = self.queue.send(Inbound::Journal(entry));
         }
     }
 
-    /// Each event once and in order: what was told is passed over, past a gap the call is made again.
-    fn take(&mut self, id: &str, data: &str) -> Result<(), String> {
+    /// Handles an event. Events that were received before are ignored; after a gap, the call ends and is made again.
+    fn handle_event(&mut self, id: &str, data: &str) -> Result<(), String> {
         let json: Value = serde_json::from_str(data).unwrap_or_default();
         let pos = id.parse().ok().or_else(|| json.get("pos")?.as_u64());
-        let pos = pos.ok_or("an event has no place")?;
-        if pos <= self.last {
+        let pos = pos.ok_or("an event has no position")?;
+        if pos <= self.last_position {
             count(&self.counts.journal_repeats);
             return Ok(());
         }
-        if pos > self.last + 1 && self.last > 0 {
+        if pos > self.last_position + 1 && self.last_position > 0 {
             return Err(format!("events before {pos} are missing"));
         }
         let entry = Entry::read(&json, &self.names);
-        must(pos > self.last, &self.counts.broken_journal_order);
-        self.last = pos;
+        must(pos > self.last_position, &self.counts.broken_journal_order);
+        self.last_position = pos;
         match entry {
             Some(entry) => {
                 count(&self.counts.journal_events);
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -81,7 +81,7 @@
     let journal = journal_client::JournalClient {
         address: start.journal,
         names: start.names,
-        last: start.known_until,
+        last_position: start.known_until,
         retry_interval: journal_client::MIN_RETRY_INTERVAL,
         rng: fastrand::Rng::with_seed(start.seed.rotate_left(17)),
         queue: queue.clone(),
