--- a/crates/trailproxyd/tests/stage/mod.rs
+++ b/crates/trailproxyd/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! A stage for the built program: stand-ins of cache hosts and of the journal service, and a client.
+//! A test harness for the built daemon: it runs the program between simulated hosts, a simulated journal service and test
+//! clients.
 
 use rmpv::Value;
 use serde_json::{Value as Json, json};
@@ -13,20 +14,24 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use trailproxy_fault_control::Control;
 
-/// No condition takes longer, also on a busy machine.
-pub const SOON: Duration = Duration::from_secs(10);
+/// No condition takes longer than this to become true, even on a busy machine.
+pub const MAX_WAIT: Duration = Duration::from_secs(10);
 
-/// What a stand-in of a host hears.
-pub struct Heard {
+/// A message that a simulated host received, and the connection on which it can be answered.
+pub struct HostMessage {
+    /// The name of the host.
     pub host: &'static str,
-    pub word: String,
+    /// `PULL`, `KILL` or `METER`.
+    pub command: String,
+    /// The id of the request, or the tag of a probe.
     pub id: String,
     pub fields: BTreeMap<String, String>,
     pub body: Vec<u8>,
     pub stream: TcpStream,
 }
 
-impl Heard {
+impl HostMessage {
+    /// Sends an answer.
     pub fn answer(&self, word: &str, fields: &str, body: &[u8]) {
         let mut out = b"*4\r\n".to_vec();
         for part in [self.id.as_bytes(), word.as_bytes(), fields.as_bytes(), body] {
@@ -37,26 +42,30 @@
         let _ = (&self.stream).write_all(&out);
     }
 
-    /// Served from a copy that the origin gave out just now, so that no purge of before forbids it.
-    pub fn hit(&self, body: &[u8]) {
+    /// Answers from a copy that the origin has just issued, so that no earlier purge applies to it.
+    pub fn answer_hit(&self, body: &[u8]) {
         let minted = unix_ms() + 1;
         self.answer("data", &format!("why=TCP_HIT,tag=aa,minted={minted}"), body);
     }
 
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    pub fn line(&self) -> SocketAddr {
+    /// The daemon's address, which identifies the connection.
+    pub fn peer(&self) -> SocketAddr {
         self.stream.peer_addr().expect("a peer")
     }
 
-    pub fn hang_up(&self) {
+    /// Closes the connection.
+    pub fn close(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 }
 
-fn word(reader: &mut impl BufRead) -> Option<Vec<u8>> {
+/// Reads a RESP bulk string.
+fn read_bulk_string(reader: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut line = String::new();
     reader.read_line(&mut line).ok().filter(|&n| n > 0)?;
     let mut word = vec![0; line[1..].trim().parse::<usize>().ok()? + 2];
@@ -65,13 +74,16 @@
     Some(word)
 }
 
-fn listen_to(host: &'static str, stream: TcpStream, heard: Sender<Heard>) {
+/// Reads messages of the daemon from a connection until it ends.
+fn read_messages(host: &'static str, stream: TcpStream, messages: Sender<HostMessage>) {
     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
     let mut line = String::new();
     while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
         let n: usize = line[1..].trim().parse().expect("an array");
         line.clear();
-        let words: Vec<_> = (0..n).map_while(|_| word(&mut reader)).collect();
+        let words: Vec<_> = (0..n)
+            .map_while(|_| read_bulk_string(&mut reader))
+            .collect();
         let text = |i: usize| {
             words
                 .get(i)
@@ -79,9 +91,9 @@
         };
         let fields = text(2);
         let pairs = fields.split(',').filter_map(|pair| pair.split_once('='));
-        let one = Heard {
+        let message = HostMessage {
             host,
-            word: text(0),
+            command: text(0),
             id: text(1),
             fields: pairs
                 .map(|(name, value)| (name.into(), value.into()))
@@ -89,63 +101,64 @@
             body: words.get(3).cloned().unwrap_or_default(),
             stream: stream.try_clone().expect("a clone"),
         };
-        if heard.send(one).is_err() {
+        if messages.send(message).is_err() {
             return;
         }
     }
 }
 
-fn stand_in(host: &'static str, heard: Sender<Heard>) -> SocketAddr {
+/// Starts a simulated host and returns its address.
+fn start_host(host: &'static str, messages: Sender<HostMessage>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let heard = heard.clone();
-            std::thread::spawn(move || listen_to(host, stream, heard));
+            let messages = messages.clone();
+            std::thread::spawn(move || read_messages(host, stream, messages));
         }
     });
     address
 }
 
-/// A host to which no connection comes up until it is told so.
-pub struct Gate {
+/// A host whose connections are not established until the test allows it.
+pub struct BlockedHost {
     socket: socket2::Socket,
     fillers: Vec<TcpStream>,
     pub address: SocketAddr,
 }
 
-impl Gate {
-    /// A listener whose backlog is full.
-    pub fn shut() -> Gate {
+impl BlockedHost {
+    /// Creates a listener whose backlog is full.
+    pub fn new() -> BlockedHost {
         let tcp = socket2::Type::STREAM;
         let socket = socket2::Socket::new(socket2::Domain::IPV4, tcp, None).expect("a socket");
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&any.into()).expect("a port");
         socket.listen(0).expect("a listener");
         let address = socket.local_addr().ok().and_then(|a| a.as_socket());
-        let mut gate = Gate {
+        let mut blocked_host = BlockedHost {
             socket,
             fillers: Vec::new(),
             address: address.expect("an address"),
         };
-        gate.fill();
-        gate
+        blocked_host.block();
+        blocked_host
     }
 
-    /// Nothing comes up from here on.
-    pub fn fill(&mut self) {
+    /// Fills the backlog, so that no further connection is established.
+    pub fn block(&mut self) {
         let within = Duration::from_millis(200);
-        let fill = || TcpStream::connect_timeout(&self.address, within).ok();
-        self.fillers.extend(std::iter::from_fn(fill).take(8));
+        let connect = || TcpStream::connect_timeout(&self.address, within).ok();
+        self.fillers.extend(std::iter::from_fn(connect).take(8));
     }
 
-    /// One connection comes up from here on.
-    pub fn room(&mut self) {
+    /// Makes space for one connection in the backlog.
+    pub fn admit_one(&mut self) {
         let (filler, _) = self.socket.accept().expect("a filler");
         drop((filler, std::mem::take(&mut self.fillers)));
     }
 
-    /// The next connection that has come up, of the program's.
+    /// Accepts the next connection that the daemon made.
     pub fn accept(&self) -> TcpStream {
         let own: Vec<_> = (self.fillers.iter())
             .map(|filler| filler.local_addr().expect("an address"))
@@ -158,32 +171,34 @@
         }
     }
 
-    /// From here on connections come up, late ones as well, and what comes by them is heard.
-    pub fn open(self, host: &'static str, heard: Sender<Heard>) {
+    /// Accepts all connections from now on, including those that are waiting, and passes on their messages.
+    pub fn unblock(self, host: &'static str, messages: Sender<HostMessage>) {
         self.socket.listen(128).expect("a listener");
         std::thread::spawn(move || {
             loop {
-                let (stream, heard) = (self.accept(), heard.clone());
-                std::thread::spawn(move || listen_to(host, stream, heard));
+                let (stream, messages) = (self.accept(), messages.clone());
+                std::thread::spawn(move || read_messages(host, stream, messages));
             }
         });
     }
 
-    /// What comes by one connection of it.
-    pub fn listen(host: &'static str, stream: &TcpStream, heard: &Sender<Heard>) {
-        let (stream, heard) = (stream.try_clone().expect("a clone"), heard.clone());
-        std::thread::spawn(move || listen_to(host, stream, heard));
+    /// Passes on the messages of one connection.
+    pub fn read_from(host: &'static str, stream: &TcpStream, messages: &Sender<HostMessage>) {
+        let (stream, messages) = (stream.try_clone().expect("a clone"), messages.clone());
+        std::thread::spawn(move || read_messages(host, stream, messages));
     }
 }
 
-/// A call of the program to the journal service.
-pub struct JournalLine {
-    pub last: u64,
+/// A call of the daemon to the simulated journal service.
+pub struct JournalCall {
+    /// The position after which the daemon asks for events.
+    pub last_event_id: u64,
     stream: TcpStream,
 }
 
-impl JournalLine {
-    pub fn tell(&mut self, event: &Json) {
+impl JournalCall {
+    /// Sends an event.
+    pub fn send(&mut self, event: &Json) {
         let pos = &event["pos"];
         let text = format!(": well\n\nid: {pos}\ndata: {event}\n\n");
         self.stream
@@ -191,18 +206,19 @@
             .expect("a journal line");
     }
 
-    pub fn hang_up(self) {
+    /// Ends the call.
+    pub fn close(self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 }
 
-/// Calls that come to another address of the journal service.
-pub fn journal(lines: Sender<JournalLine>) -> SocketAddr {
-    journal_at(SocketAddr::from(([127, 0, 0, 1], 0)), lines)
+/// Starts a journal service at any free address, passes on its calls, and returns the address.
+pub fn start_journal(calls: Sender<JournalCall>) -> SocketAddr {
+    start_journal_at(SocketAddr::from(([127, 0, 0, 1], 0)), calls)
 }
 
-/// The same at an address of one's own.
-pub fn journal_at(address: SocketAddr, lines: Sender<JournalLine>) -> SocketAddr {
+/// Starts a journal service at a given address.
+pub fn start_journal_at(address: SocketAddr, calls: Sender<JournalCall>) -> SocketAddr {
     let listener = TcpListener::bind(address).expect("a port");
     let address = listener.local_addr().expect("an address");
     std::thread::spawn(move || {
@@ -214,14 +230,20 @@
                 .map_while(Result::ok)
                 .take_while(|line| !line.is_empty())
                 .collect();
-            let told = head
+            let requested = head
                 .iter()
                 .find_map(|line| line.strip_prefix("Last-Event-ID: "));
-            let last = told.and_then(|n| n.parse().ok()).expect("a place");
+            let last_event_id = requested.and_then(|n| n.parse().ok()).expect("a position");
             stream
                 .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")
                 .expect("a head");
-            if lines.send(JournalLine { last, stream }).is_err() {
+            if calls
+                .send(JournalCall {
+                    last_event_id,
+                    stream,
+                })
+                .is_err()
+            {
                 return;
             }
         }
@@ -229,6 +251,7 @@
     address
 }
 
+/// Builds a member of a host list. The first letter of its id says whether it is a cache, a parent or the origin.
 pub fn member(id: &str, address: SocketAddr, phase: &str, up_since_ms: u64) -> Json {
     let (zone, kind) = match &id[..1] {
         "c" => ("edge", "small"),
@@ -239,10 +262,12 @@
         "cell": 0, "phase": phase, "size": 8, "up_since_ms": up_since_ms})
 }
 
+/// Builds an event with a full host list or a change of it.
 pub fn hosts(pos: u64, complete: bool, members: &[Json]) -> Json {
     json!({"pos": pos, "hosts": {"revision": pos, "complete": complete, "members": members}})
 }
 
+/// The wall clock in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -250,15 +275,16 @@
         .as_millis() as u64
 }
 
+/// The settings of the daemon.
 fn settings() -> Json {
-    let track = |name: &str, semantics: &str| {
+    let class = |name: &str, semantics: &str| {
         json!({"name": name, "on_time_us": 800000, "hard_limit_us": 3000000, "importance": 1.0,
             "semantics": semantics, "group": "all", "repeat_window_us": 2000000, "aim_stretch": 2.0})
     };
     json!({
         "az": 1, "balancers": 1, "failure_domains": ["hub", "edge"],
         "machine_types": ["small", "parent", "origin"], "membership_mode": "pushed",
-        "classes": [track("image", "repeatable"), track("change", "by_key"), track("order", "once")],
+        "classes": [class("image", "repeatable"), class("change", "by_key"), class("order", "once")],
         "ceilings": {"max_attempts": 6, "max_open": 1000, "max_streams": 32, "cancel": true,
             "retry_after": true, "max_retry_after_us": 2000000, "dial_timeout_us": 400000,
             "idle_close_us": 30000000},
@@ -273,24 +299,25 @@
     })
 }
 
-/// Further variables of a program's environment.
+/// Additional environment variables of a program.
 #[derive(Default)]
 pub struct Environment(Vec<(&'static str, PathBuf)>);
 
-/// Faults in the system calls and the wall clock of one program, by the preloaded shim.
+/// Injects faults into the system calls and the wall clock of one program through the preloaded shim.
 pub struct Faults {
     pub control: Control,
     path: PathBuf,
 }
 
 impl Faults {
+    /// Creates a control page without faults.
     pub fn new() -> Faults {
         let path = Control::fresh_path();
         let control = Control::create(&path).expect("a control page");
         Faults { control, path }
     }
 
-    /// What a program needs in its environment to suffer them.
+    /// The environment variables with which a program is subject to these faults.
     pub fn environment(&self) -> Environment {
         let shim = trailproxy_fault_control::shim_library().expect("the shim");
         Environment(vec![
@@ -306,12 +333,12 @@
     }
 }
 
-/// A started program, ended with the stage.
+/// A running daemon, which is killed when this is dropped.
 pub struct Program {
     pub child: Child,
     pub address: SocketAddr,
     log: PathBuf,
-    /// Where its configuration stands.
+    /// The configuration file.
     path: PathBuf,
 }
 
@@ -320,7 +347,10 @@
         let _ = self.child.kill();
         let status = self.child.wait();
         if std::thread::panicking() {
-            println!("The program, {status:?}, said:\n{}", self.log());
+            println!(
+                "log of the program, which ended with {status:?}:\n{}",
+                self.log()
+            );
         }
         let _ = std::fs::remove_file(&self.log);
         let _ = std::fs::remove_file(&self.path);
@@ -328,41 +358,42 @@
 }
 
 impl Program {
+    /// Starts a daemon and waits until it listens.
     pub fn start(config: &Json, address: SocketAddr) -> Program {
         Program::start_in(config, address, &Environment::default())
     }
 
-    /// The same with further variables in its environment.
+    /// Starts a daemon with additional environment variables and waits until it listens.
     pub fn start_in(config: &Json, address: SocketAddr, environment: &Environment) -> Program {
-        let program = Program::begin_in(config, address, environment);
+        let program = Program::spawn_in(config, address, environment);
         wait_for("it listens", || TcpStream::connect(address).is_ok());
         program
     }
 
-    /// The same, without a wait for it to listen.
-    pub fn begin_in(config: &Json, address: SocketAddr, environment: &Environment) -> Program {
-        Program::begin_with(&config.to_string(), config, address, environment)
+    /// Starts a daemon without waiting until it listens.
+    pub fn spawn_in(config: &Json, address: SocketAddr, environment: &Environment) -> Program {
+        Program::spawn_with_text(&config.to_string(), config, address, environment)
     }
 
-    /// The same with this text as its configuration.
-    pub fn begin_with(
+    /// Starts a daemon with this text as its configuration, without waiting until it listens.
+    pub fn spawn_with_text(
         text: &str,
         config: &Json,
         address: SocketAddr,
         environment: &Environment,
     ) -> Program {
-        let path = Program::stem().with_extension("json");
+        let path = Program::unique_path().with_extension("json");
         std::fs::write(&path, text).expect("a configuration");
-        Program::begin(config, address, path, environment)
+        Program::spawn(config, address, path, environment)
     }
 
-    /// The same with its log going to this pipe.
-    pub fn begin_logging_to(
+    /// Starts a daemon that logs to a pipe, without waiting until it listens.
+    pub fn spawn_logging_to(
         config: &Json,
         address: SocketAddr,
         log: std::io::PipeWriter,
     ) -> Program {
-        let path = Program::stem().with_extension("json");
+        let path = Program::unique_path().with_extension("json");
         std::fs::write(&path, config.to_string()).expect("a configuration");
         let child = Command::new(env!("CARGO_BIN_EXE_trailproxyd"))
             .env("RELAY_LISTEN", address.to_string())
@@ -379,24 +410,24 @@
         }
     }
 
-    /// A path that no other program has.
-    fn stem() -> PathBuf {
+    /// Returns a path that no other program uses.
+    fn unique_path() -> PathBuf {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         std::env::temp_dir().join(format!("trailproxyd-{}-{n}", std::process::id()))
     }
 
-    /// One that waits for its configuration: it comes by a pipe, which is handed back once it is read from.
-    pub fn hold(config: &Json, address: SocketAddr) -> (Program, File) {
-        let path = Program::stem().with_extension("pipe");
-        let made = Command::new("mkfifo").arg(&path).status();
-        assert!(made.expect("a pipe").success());
-        let program = Program::begin(config, address, path.clone(), &Environment::default());
+    /// Starts a daemon that reads its configuration from a pipe. Returns the pipe once the daemon has opened it.
+    pub fn spawn_with_pipe(config: &Json, address: SocketAddr) -> (Program, File) {
+        let path = Program::unique_path().with_extension("pipe");
+        let created = Command::new("mkfifo").arg(&path).status();
+        assert!(created.expect("a pipe").success());
+        let program = Program::spawn(config, address, path.clone(), &Environment::default());
         let pipe = File::options().write(true).open(path).expect("a reader");
         (program, pipe)
     }
 
-    fn begin(
+    fn spawn(
         config: &Json,
         address: SocketAddr,
         path: PathBuf,
@@ -421,33 +452,36 @@
         }
     }
 
-    /// The same, where its configuration comes by a pipe.
-    pub fn feed(&self, text: &str) {
+    /// Writes the configuration without a signal.
+    pub fn write_config(&self, text: &str) {
         std::fs::write(&self.path, text).expect("a configuration");
     }
 
-    /// Replaces its configuration and tells it so.
-    pub fn configure(&self, text: &str) {
+    /// Replaces the configuration and sends SIGHUP.
+    pub fn reload_config(&self, text: &str) {
         std::fs::write(&self.path, text).expect("a configuration");
         self.signal("-HUP");
     }
 
-    pub fn logged(&self, words: &str) -> bool {
+    /// Returns whether the log contains this text.
+    pub fn log_contains(&self, words: &str) -> bool {
         self.log().contains(words)
     }
 
-    /// All that it has logged.
+    /// Returns the whole log.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
+    /// Sends a signal, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let order = format!("kill {name} {}", self.child.id());
         let sent = Command::new("sh").args(["-c", &order]).status();
         assert!(sent.expect("a shell").success());
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
+    /// Waits until the daemon exits.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
         wait_for("it ends", || {
             status = self.child.try_wait().expect("a child");
@@ -456,8 +490,8 @@
         status.expect("ended")
     }
 
-    /// The last figures that it logged; they come at its end, too.
-    pub fn figures(&self) -> String {
+    /// Returns the last line of figures in the log. The daemon logs one when it exits, too.
+    pub fn last_figures(&self) -> String {
         self.log()
             .lines()
             .rfind(|line| line.contains("figures"))
@@ -466,17 +500,18 @@
     }
 }
 
+/// Waits until a condition holds, and fails after [`MAX_WAIT`].
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + SOON;
+    let until = Instant::now() + MAX_WAIT;
     while !holds() {
-        assert!(Instant::now() < until, "in vain: {what}");
+        assert!(Instant::now() < until, "waited in vain: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// An address that no other socket has, now or later: one of this process alone, as `127/8` has room for all of them, and
-/// of a port that is handed out once. A port that the system gave and took back could be anyone's before its use, another
-/// test's program among them, which would then be asked in the place of the own one.
+/// Returns an address that no other socket uses, now or later: `127/8` is large enough to give each process an address of
+/// its own, and each port is returned once. A port that the system assigned and got back might be taken by another
+/// program, for example that of another test, which would then receive the requests of this test.
 pub fn free_address() -> SocketAddr {
     const FIRST_PORT: u16 = 10_000;
     static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
@@ -491,8 +526,9 @@
     }
 }
 
-/// Whether nobody has it. Nothing listens for the answer: a child that another test starts in that moment has a copy of each
-/// descriptor until it runs its program, and who connects then would be taken by a listener that nobody serves.
+/// Returns whether an address is free. The socket only binds and does not listen: a child process that another test starts
+/// at this moment has a copy of each descriptor until it executes its program, and a connection made then would be
+/// accepted by a listener that nobody serves.
 fn is_free(address: SocketAddr) -> bool {
     let tcp = socket2::Type::STREAM;
     let socket = socket2::Socket::new(socket2::Domain::IPV4, tcp, None).expect("a socket");
@@ -500,23 +536,24 @@
     socket.bind(&address.into()).is_ok()
 }
 
-/// Two caches, a parent, the origin, the journal service and a program that knows them.
-pub struct Stage {
+/// A daemon with two caches `c1` and `c2`, a parent `p1`, the origin `o1` and a journal service.
+pub struct Cluster {
     pub program: Program,
     pub config: Json,
     pub addresses: BTreeMap<&'static str, SocketAddr>,
-    heard: Receiver<Heard>,
-    pub heard_in: Sender<Heard>,
-    journal: Receiver<JournalLine>,
+    messages: Receiver<HostMessage>,
+    pub messages_in: Sender<HostMessage>,
+    journal_calls: Receiver<JournalCall>,
 }
 
-impl Stage {
-    pub fn new() -> Stage {
-        Stage::with(|_, _| {})
+impl Cluster {
+    /// Starts a cluster with the usual settings.
+    pub fn new() -> Cluster {
+        Cluster::with_config(|_, _| {})
     }
 
-    /// What the program says where it does not start with this operator's file: one plain line, and exit code 1.
-    pub fn refused(&self, operator: &std::path::Path) -> String {
+    /// Returns the error of a daemon that does not start with this operator's file. Requires exit code 1 and one line.
+    pub fn startup_error(&self, operator: &std::path::Path) -> String {
         let config = operator.with_extension("config");
         std::fs::write(&config, self.config.to_string()).expect("a configuration");
         let ended = Command::new(env!("CARGO_BIN_EXE_trailproxyd"))
@@ -533,34 +570,36 @@
         words
     }
 
-    /// Changes the configuration before the start; the addresses of the hosts are told.
-    pub fn with(change: impl FnOnce(&mut Json, &BTreeMap<&'static str, SocketAddr>)) -> Stage {
-        Stage::in_environment(&Environment::default(), change)
+    /// Starts a cluster after a change of the configuration, which is given the addresses of the hosts.
+    pub fn with_config(
+        change: impl FnOnce(&mut Json, &BTreeMap<&'static str, SocketAddr>),
+    ) -> Cluster {
+        Cluster::start(&Environment::default(), change)
     }
 
-    /// A stage whose program suffers these faults.
-    pub fn under(faults: &Faults) -> Stage {
-        Stage::in_environment(&faults.environment(), |_, _| {})
+    /// Starts a cluster whose daemon is subject to these faults.
+    pub fn with_faults(faults: &Faults) -> Cluster {
+        Cluster::start(&faults.environment(), |_, _| {})
     }
 
-    /// The same with a change of the configuration.
-    pub fn changed_under(
+    /// Starts a cluster with faults and a change of the configuration.
+    pub fn with_faults_and_config(
         faults: &Faults,
         change: impl FnOnce(&mut Json, &BTreeMap<&'static str, SocketAddr>),
-    ) -> Stage {
-        Stage::in_environment(&faults.environment(), change)
+    ) -> Cluster {
+        Cluster::start(&faults.environment(), change)
     }
 
-    fn in_environment(
+    fn start(
         environment: &Environment,
         change: impl FnOnce(&mut Json, &BTreeMap<&'static str, SocketAddr>),
-    ) -> Stage {
-        let (heard_in, heard) = channel();
-        let (lines_in, lines) = channel();
+    ) -> Cluster {
+        let (messages_in, messages) = channel();
+        let (calls_in, journal_calls) = channel();
         let names = ["c1", "c2", "p1", "o1"];
         let addresses: BTreeMap<_, _> = names
             .iter()
-            .map(|&name| (name, stand_in(name, heard_in.clone())))
+            .map(|&name| (name, start_host(name, messages_in.clone())))
             .collect();
         let members: Vec<_> = addresses
             .iter()
@@ -569,86 +608,95 @@
         let mut config = json!({
             "name": "n1", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "journal": journal(lines_in).to_string(),
+            "journal": start_journal(calls_in).to_string(),
             "known": {"pos": 1, "entries": [hosts(1, true, &members)]},
             "settings": settings()
         });
         change(&mut config, &addresses);
         let program = Program::start_in(&config, free_address(), environment);
-        Stage {
+        Cluster {
             program,
             config,
             addresses,
-            heard,
-            heard_in,
-            journal: lines,
+            messages,
+            messages_in,
+            journal_calls,
         }
     }
 
-    pub fn hear(&self) -> Heard {
-        self.heard
-            .recv_timeout(SOON)
-            .expect("a host hears something")
+    /// Waits for the next message at any host.
+    pub fn next_message(&self) -> HostMessage {
+        self.messages
+            .recv_timeout(MAX_WAIT)
+            .expect("a host receives a message")
     }
 
-    /// The next request at a host; what is given up in between is passed over.
-    pub fn pull(&self) -> Heard {
+    /// Waits for the next request at any host, and skips other messages.
+    pub fn next_request(&self) -> HostMessage {
         loop {
-            let heard = self.hear();
-            if heard.word == "PULL" {
-                return heard;
+            let message = self.next_message();
+            if message.command == "PULL" {
+                return message;
             }
         }
     }
 
-    pub fn pull_within(&self, time: Duration) -> Option<Heard> {
+    /// Waits for the next request at any host for this time.
+    pub fn next_request_within(&self, time: Duration) -> Option<HostMessage> {
         let until = Instant::now() + time;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            let heard = self.heard.recv_timeout(left).ok()?;
-            if heard.word == "PULL" {
-                return Some(heard);
+            let message = self.messages.recv_timeout(left).ok()?;
+            if message.command == "PULL" {
+                return Some(message);
             }
         }
     }
 
-    pub fn journal(&self) -> JournalLine {
-        self.journal
-            .recv_timeout(SOON)
+    /// Waits for the next call to the journal service.
+    pub fn next_journal_call(&self) -> JournalCall {
+        self.journal_calls
+            .recv_timeout(MAX_WAIT)
             .expect("a call to the journal service")
     }
 
+    /// Connects a client to the daemon.
     pub fn client(&self) -> Client {
         Client::new(self.program.address)
     }
 }
 
+/// The answer to a client, with its fields.
 #[derive(Debug, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     Done(Vec<u8>, BTreeMap<String, String>),
     Error(String, BTreeMap<String, String>),
 }
 
-impl Final {
+impl FinalAnswer {
+    /// Returns whether the request was done.
     pub fn is_done(&self) -> bool {
-        matches!(self, Final::Done(..))
+        matches!(self, FinalAnswer::Done(..))
     }
 
-    pub fn done(body: &[u8]) -> Final {
-        Final::Done(body.to_vec(), BTreeMap::new())
+    /// The answer with this body and no fields.
+    pub fn done(body: &[u8]) -> FinalAnswer {
+        FinalAnswer::Done(body.to_vec(), BTreeMap::new())
     }
 
+    /// Returns whether the answer is this error.
     pub fn is_error(&self, word: &str) -> bool {
-        matches!(self, Final::Error(said, _) if said == word)
+        matches!(self, FinalAnswer::Error(said, _) if said == word)
     }
 }
 
+/// A test client on one connection.
 pub struct Client {
     pub stream: TcpStream,
     next: u64,
 }
 
-/// A request's fields, with a reference and an object of that number.
+/// Returns the fields of a request for the object with this number, with an id derived from it.
 pub fn fields(object: u64, allow_ms: u64) -> Vec<(String, String)> {
     let reference = format!("{:016x}", object + 0xabc0_0000);
     let object = format!("{object:016x}");
@@ -664,13 +712,15 @@
 }
 
 impl Client {
+    /// Connects to a daemon.
     pub fn new(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(SOON)).expect("a time-out");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         Client { stream, next: 0 }
     }
 
+    /// Encodes a request.
     pub fn encode(&mut self, method: &str, fields: Vec<(String, String)>, body: &[u8]) -> Vec<u8> {
         self.next += 1;
         let fields = fields
@@ -692,29 +742,31 @@
         out
     }
 
-    /// Asks for an object and gives the request's number.
-    pub fn ask(&mut self, track: &str, object: u64, allow_ms: u64) -> u64 {
+    /// Sends a request for an object and returns the request's number.
+    pub fn request(&mut self, class: &str, object: u64, allow_ms: u64) -> u64 {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let mut fields = fields(object, allow_ms);
-        // An id of its own, as every request has.
+        // Every request has an id of its own.
         let n = NEXT.fetch_add(1, Ordering::Relaxed);
         fields[0].1.replace_range(..8, &format!("{n:08x}"));
-        self.ask_with(track, fields, &[])
+        self.request_with(class, fields, &[])
     }
 
-    pub fn ask_with(&mut self, track: &str, fields: Vec<(String, String)>, body: &[u8]) -> u64 {
-        let bytes = self.encode(track, fields, body);
+    /// Sends a request with these fields and returns its number.
+    pub fn request_with(&mut self, class: &str, fields: Vec<(String, String)>, body: &[u8]) -> u64 {
+        let bytes = self.encode(class, fields, body);
         self.stream.write_all(&bytes).expect("a request is written");
         self.next
     }
 
+    /// Revokes a request.
     pub fn revoke(&mut self, number: u64) {
         let message = vec![2.into(), "revoke".into(), Value::Array(vec![number.into()])];
         rmpv::encode::write_value(&mut self.stream, &Value::Array(message)).expect("written");
     }
 
-    /// The next answer, with its number.
-    pub fn answer(&mut self) -> (u64, Final) {
+    /// Waits for the next answer and returns it with the number of its request.
+    pub fn next_answer(&mut self) -> (u64, FinalAnswer) {
         let message = rmpv::decode::read_value(&mut self.stream).expect("an answer");
         let items = message.as_array().expect("an array");
         assert_eq!((items.len(), items[0].as_u64()), (4, Some(1)));
@@ -726,51 +778,54 @@
                 .collect()
         };
         let last = match items[2].as_array() {
-            Some(error) => Final::Error(error[0].as_str().expect("a word").into(), map(&error[1])),
+            Some(error) => {
+                FinalAnswer::Error(error[0].as_str().expect("a word").into(), map(&error[1]))
+            }
             None => {
                 let result = items[3].as_array().expect("a result");
                 let body = match &result[0] {
                     Value::Boolean(well) => vec![u8::from(*well)],
                     body => body.as_slice().expect("bytes").to_vec(),
                 };
-                Final::Done(body, map(&result[1]))
+                FinalAnswer::Done(body, map(&result[1]))
             }
         };
         (items[1].as_u64().expect("a number"), last)
     }
 
-    /// Whether the program has ended the connection.
+    /// Waits for the daemon to close the connection, and returns whether it did so without sending more data.
     pub fn is_closed(&mut self) -> bool {
         !matches!(self.stream.read(&mut [0; 1]), Ok(n) if n > 0)
     }
 }
 
-/// A request under this key, with an id of its own.
-pub fn keyed(key: &str) -> Vec<(String, String)> {
+/// Returns the fields of a request with this idempotency key and an id of its own.
+pub fn keyed_fields(key: &str) -> Vec<(String, String)> {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     let mut fields = fields(NEXT.fetch_add(1, Ordering::Relaxed), 3_000);
     fields.push(("replay".into(), key.into()));
     fields
 }
 
-/// It was done with this body.
-pub fn done(answer: Final, body: &[u8]) {
+/// Fails unless the answer is done with this body.
+pub fn assert_done(answer: FinalAnswer, body: &[u8]) {
     match answer {
-        Final::Done(answered, _) => assert_eq!(answered, body),
-        Final::Error(word, fields) => panic!("{word} {fields:?}"),
-    }
-}
-
-/// Objects whose first cache is this: the hash of the names decides, so that it is the same on every stage.
-pub fn homes(cache: &str) -> Vec<u64> {
-    let stage = Stage::new();
-    let mut client = stage.client();
-    let mut is_home = |object: &u64| {
-        client.ask("image", *object, 3000);
-        let pull = stage.pull();
-        pull.hit(b"x");
-        assert!(client.answer().1.is_done());
-        pull.host == cache
+        FinalAnswer::Done(answered, _) => assert_eq!(answered, body),
+        FinalAnswer::Error(word, fields) => panic!("{word} {fields:?}"),
+    }
+}
+
+/// Returns the objects that are requested first at this cache. The hash of the names decides, so that it is the same in
+/// every cluster.
+pub fn objects_first_at(cache: &str) -> Vec<u64> {
+    let cluster = Cluster::new();
+    let mut client = cluster.client();
+    let mut is_first = |object: &u64| {
+        client.request("image", *object, 3000);
+        let request = cluster.next_request();
+        request.answer_hit(b"x");
+        assert!(client.next_answer().1.is_done());
+        request.host == cache
     };
-    (0..64).filter(|object| is_home(object)).collect()
+    (0..64).filter(|object| is_first(object)).collect()
 }
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -1,10 +1,10 @@
 //! Dispatchers that hold state in common by themselves, over sockets: three of the built program on loopback.
 
-#[allow(dead_code, reason = "the other tests of sockets use the rest of it")]
-mod stage;
+#[allow(dead_code, reason = "other test files use the rest")]
+mod harness;
 
+use harness::*;
 use serde_json::{Value as Json, json};
-use stage::*;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 
 /// Some dispatchers before the same hosts.
 struct Fleet {
-    stage: Stage,
+    cluster: Cluster,
     configs: Vec<Json>,
     addresses: Vec<SocketAddr>,
     others: Vec<Option<Program>>,
@@ -52,17 +52,17 @@
             config["operator"] = json!(files[nth]);
             config["name"] = json!(format!("d{nth}"));
         };
-        let stage = Stage::with(|config, _| named(config, 0));
-        let mut configs = vec![stage.config.clone()];
+        let cluster = Cluster::with_config(|config, _| named(config, 0));
+        let mut configs = vec![cluster.config.clone()];
         let mut others = Vec::new();
         for nth in 1..n {
-            let mut config = stage.config.clone();
+            let mut config = cluster.config.clone();
             named(&mut config, nth);
             others.push(Some(Program::start(&config, free_address())));
             configs.push(config);
         }
         Fleet {
-            stage,
+            cluster,
             configs,
             addresses,
             others,
@@ -72,7 +72,7 @@
 
     fn program(&self, nth: usize) -> &Program {
         match nth.checked_sub(1) {
-            None => &self.stage.program,
+            None => &self.cluster.program,
             Some(nth) => self.others[nth].as_ref().expect("it is up"),
         }
     }
@@ -104,26 +104,26 @@
     let mut fleet = Fleet::new("again", 3);
     fleet.together();
     let (mut first, mut second) = (fleet.client(0), fleet.client(1));
-    first.ask_with("change", keyed("k1"), b"new address");
-    let change = fleet.stage.pull();
+    first.request_with("change", keyed_fields("k1"), b"new address");
+    let change = fleet.cluster.next_request();
     // While it is under way, the second waits for it and gets its answer.
-    second.ask_with("change", keyed("k1"), b"new address");
-    let none = fleet.stage.pull_within(Duration::from_millis(80));
+    second.request_with("change", keyed_fields("k1"), b"new address");
+    let none = fleet.cluster.next_request_within(Duration::from_millis(80));
     assert!(none.is_none(), "it joins");
     change.answer("data", "", b"accepted");
-    done(first.answer().1, b"accepted");
-    done(second.answer().1, b"accepted");
+    assert_done(first.next_answer().1, b"accepted");
+    assert_done(second.next_answer().1, b"accepted");
     // The third is told of the end by a message of its own, which a kill just now could still take with it; it asks the
     // others as well, and keeps what they answer.
     let mut third = fleet.client(2);
-    third.ask_with("change", keyed("k1"), b"new address");
-    done(third.answer().1, b"accepted");
+    third.request_with("change", keyed_fields("k1"), b"new address");
+    assert_done(third.next_answer().1, b"accepted");
     // Who did it is gone, and the second as well; the third knows by itself.
     fleet.others[0].take();
-    fleet.stage.program.signal("-KILL");
-    third.ask_with("change", keyed("k1"), b"new address");
-    done(third.answer().1, b"accepted");
-    let none = fleet.stage.pull_within(Duration::from_millis(50));
+    fleet.cluster.program.signal("-KILL");
+    third.request_with("change", keyed_fields("k1"), b"new address");
+    assert_done(third.next_answer().1, b"accepted");
+    let none = fleet.cluster.next_request_within(Duration::from_millis(50));
     assert!(none.is_none(), "no host heard of it twice");
 }
 
@@ -135,24 +135,27 @@
     fleet.program(2).signal("-STOP");
     let mut client = fleet.client(0);
     for nth in 0..6 {
-        client.ask_with("change", keyed(&format!("p{nth}")), b"x");
-        fleet.stage.pull().answer("data", "", b"ok");
-        done(client.answer().1, b"ok");
+        client.request_with("change", keyed_fields(&format!("p{nth}")), b"x");
+        fleet.cluster.next_request().answer("data", "", b"ok");
+        assert_done(client.next_answer().1, b"ok");
     }
     fleet.program(1).signal("-CONT");
     fleet.program(2).signal("-CONT");
     // Awake again, they know what was done meanwhile.
     let mut other = fleet.client(1);
     wait_for("the record", || {
-        other.ask_with("change", keyed("p0"), b"x");
-        match fleet.stage.pull_within(Duration::from_millis(200)) {
+        other.request_with("change", keyed_fields("p0"), b"x");
+        match fleet
+            .cluster
+            .next_request_within(Duration::from_millis(200))
+        {
             Some(change) => {
                 change.answer("data", "", b"again");
-                done(other.answer().1, b"again");
+                assert_done(other.next_answer().1, b"again");
                 false
             }
             None => {
-                done(other.answer().1, b"ok");
+                assert_done(other.next_answer().1, b"ok");
                 true
             }
         }
@@ -164,8 +167,8 @@
     let mut fleet = Fleet::new("purge", 3);
     fleet.together();
     let purge = json!({"pos": 2, "expire": {"name": format!("{:016x}", 7), "stamp": unix_ms()}});
-    let mut line = fleet.stage.journal();
-    line.tell(&purge);
+    let mut line = fleet.cluster.next_journal_call();
+    line.send(&purge);
     // The others' journal stays silent. One of them is started anew, and knows it soon after.
     fleet.others[1].take();
     let again = Program::start(&fleet.configs[2], free_address());
@@ -173,11 +176,11 @@
     for nth in [1, 2] {
         let mut client = fleet.client(nth);
         wait_for("the purge is heeded", || {
-            client.ask("image", 7, 2000);
-            let pull = fleet.stage.pull();
-            pull.hit(b"x");
-            client.answer();
-            pull.field("fresh").is_some_and(|ms| ms != "0")
+            client.request("image", 7, 2000);
+            let request = fleet.cluster.next_request();
+            request.answer_hit(b"x");
+            client.next_answer();
+            request.field("fresh").is_some_and(|ms| ms != "0")
         });
     }
 }
@@ -193,12 +196,12 @@
         socket.send_to(&bytes, fleet.addresses[0]).expect("sent");
     }
     wait_for("the log", || {
-        fleet.program(0).logged("peers not understood")
+        fleet.program(0).log_contains("peers not understood")
     });
     let mut client = fleet.client(0);
-    client.ask_with("change", keyed("g"), b"x");
-    fleet.stage.pull().answer("data", "", b"ok");
-    done(client.answer().1, b"ok");
+    client.request_with("change", keyed_fields("g"), b"x");
+    fleet.cluster.next_request().answer("data", "", b"ok");
+    assert_done(client.next_answer().1, b"ok");
 }
 
 #[test]
@@ -211,7 +214,7 @@
         (json!({"seeds": ["a:1"]}), "field seeds"),
         (json!({"secret_file": "/nowhere"}), "field secret_file"),
     ];
-    let stage = Stage::new();
+    let cluster = Cluster::new();
     for (change, field) in cases {
         let at = free_datagrams();
         let mut all = section(at, &[at], "f");
@@ -219,7 +222,7 @@
             all["peers"][name] = value.clone();
         }
         std::fs::write(&path, all.to_string()).expect("a file");
-        let told = stage.refused(&path);
+        let told = cluster.startup_error(&path);
         assert!(
             told.contains(field) && told.contains("operator.star:1:1"),
             "{field}: {told}"
@@ -253,15 +256,15 @@
         config["name"] = json!(format!("d{nth}"));
         config["settings"]["balancers"] = json!(3);
     };
-    let stage = Stage::with(|config, _| named(config, 0));
+    let cluster = Cluster::with_config(|config, _| named(config, 0));
     let others: Vec<Program> = (1..3)
         .map(|nth| {
-            let mut config = stage.config.clone();
+            let mut config = cluster.config.clone();
             named(&mut config, nth);
             Program::start(&config, free_address())
         })
         .collect();
-    wait_for("budgets", || stage.program.logged("budgets are on"));
+    wait_for("budgets", || cluster.program.log_contains("budgets are on"));
     let seal = trailproxy_peers::wire::Seal::new("stories", b"");
     let ask = |at: SocketAddr| {
         use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId};
@@ -308,7 +311,7 @@
     even["budgets"]["voters"] = json!(["d0", "d1"]);
     for (all, field) in [(alone, "field on"), (even, "field voters")] {
         std::fs::write(path(9), all.to_string()).expect("a file");
-        let told = stage.refused(&path(9));
+        let told = cluster.startup_error(&path(9));
         assert!(
             told.contains(field) && told.contains("operator.star:2:1"),
             "{field}: {told}"
--- a/crates/trailproxyd/tests/store.rs
+++ b/crates/trailproxyd/tests/store.rs
@@ -1,10 +1,10 @@
 //! Dispatchers that share a store, over sockets: the stand-in of Redis fails, and clients are answered once.
 
-#[allow(dead_code, reason = "the other tests of sockets use the rest of it")]
-mod stage;
+#[allow(dead_code, reason = "other test files use the rest")]
+mod harness;
 
+use harness::*;
 use serde_json::{Value as Json, json};
-use stage::*;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 use trailproxy::units::TimeSpan;
@@ -20,44 +20,48 @@
 }
 
 /// Two dispatchers before the same hosts, both with this section.
-fn pair(name: &str, section: &Json) -> (Stage, Program, PathBuf) {
+fn pair(name: &str, section: &Json) -> (Cluster, Program, PathBuf) {
     let path = std::env::temp_dir().join(format!("tps-{name}-{}.json", std::process::id()));
     std::fs::write(&path, section.to_string()).expect("a file");
-    let stage = Stage::with(|config, _| config["operator"] = json!(path));
-    let other = Program::start(&stage.config, free_address());
-    (stage, other, path)
+    let cluster = Cluster::with_config(|config, _| config["operator"] = json!(path));
+    let other = Program::start(&cluster.config, free_address());
+    (cluster, other, path)
 }
 
 #[test]
 fn a_change_sent_again_elsewhere_is_done_once() {
     let store = RedisServer::start(Redis::new(1), 1).expect("a server");
-    let (stage, other, path) = pair("faults", &section(store.address.port(), ""));
-    for program in [&stage.program, &other] {
-        wait_for("trust", || program.logged("trust: together"));
+    let (cluster, other, path) = pair("faults", &section(store.address.port(), ""));
+    for program in [&cluster.program, &other] {
+        wait_for("trust", || program.log_contains("trust: together"));
     }
-    let (mut first, mut second) = (stage.client(), Client::new(other.address));
-    first.ask_with("change", keyed("k1"), b"new address");
-    let change = stage.pull();
+    let (mut first, mut second) = (cluster.client(), Client::new(other.address));
+    first.request_with("change", keyed_fields("k1"), b"new address");
+    let change = cluster.next_request();
     change.answer("data", "", b"accepted");
-    assert!(matches!(first.answer().1, Final::Done(..)));
-    second.ask_with("change", keyed("k1"), b"new address");
-    done(second.answer().1, b"accepted");
+    assert!(matches!(first.next_answer().1, FinalAnswer::Done(..)));
+    second.request_with("change", keyed_fields("k1"), b"new address");
+    assert_done(second.next_answer().1, b"accepted");
     assert!(
-        stage.pull_within(Duration::from_millis(100)).is_none(),
+        cluster
+            .next_request_within(Duration::from_millis(100))
+            .is_none(),
         "no host heard of it twice"
     );
 
     // Two at once: the second waits for the first and gets its answer.
-    first.ask_with("change", keyed("k2"), b"no video");
-    let change = stage.pull();
-    second.ask_with("change", keyed("k2"), b"no video");
+    first.request_with("change", keyed_fields("k2"), b"no video");
+    let change = cluster.next_request();
+    second.request_with("change", keyed_fields("k2"), b"no video");
     assert!(
-        stage.pull_within(Duration::from_millis(80)).is_none(),
+        cluster
+            .next_request_within(Duration::from_millis(80))
+            .is_none(),
         "it joins"
     );
     change.answer("data", "", b"noted");
-    assert!(matches!(first.answer().1, Final::Done(..)));
-    done(second.answer().1, b"noted");
+    assert!(matches!(first.next_answer().1, FinalAnswer::Done(..)));
+    assert_done(second.next_answer().1, b"noted");
 
     let _ = std::fs::remove_file(path);
 }
@@ -90,24 +94,26 @@
 /// Whatever becomes of a store that is trusted, the next changes are sent on soon and each is answered once.
 fn struck((name, strike): Strike) {
     let store = RedisServer::start(Redis::new(1), 1).expect("a server");
-    let (stage, other, path) = pair(name, &section(store.address.port(), ""));
-    for program in [&stage.program, &other] {
-        wait_for("trust", || program.logged("trust: together"));
+    let (cluster, other, path) = pair(name, &section(store.address.port(), ""));
+    for program in [&cluster.program, &other] {
+        wait_for("trust", || program.log_contains("trust: together"));
     }
     store.snapshot();
     strike(&store);
-    let mut client = stage.client();
+    let mut client = cluster.client();
     for nth in 0..4 {
         let asked = Instant::now();
-        client.ask_with("change", keyed(&format!("f{nth}")), b"x");
-        let change = stage.pull();
+        client.request_with("change", keyed_fields(&format!("f{nth}")), b"x");
+        let change = cluster.next_request();
         let held = asked.elapsed();
         assert!(held < Duration::from_secs(1), "{name}: held for {held:?}");
         change.answer("data", "", b"ok");
-        done(client.answer().1, b"ok");
+        assert_done(client.next_answer().1, b"ok");
     }
     assert!(
-        stage.pull_within(Duration::from_millis(50)).is_none(),
+        cluster
+            .next_request_within(Duration::from_millis(50))
+            .is_none(),
         "{name}: sent twice"
     );
     let _ = std::fs::remove_file(path);
@@ -131,48 +137,52 @@
     let store = RedisServer::start(Redis::new(1).with_password("right"), 1).expect("a server");
     let secret = std::env::temp_dir().join(format!("tps-secret-{}", std::process::id()));
     std::fs::write(&secret, "wrong\n").expect("a file");
-    let (stage, _other, path) = pair(
+    let (cluster, _other, path) = pair(
         "password",
         &section(store.address.port(), &secret.to_string_lossy()),
     );
-    wait_for("the cause", || stage.program.logged("store not reached"));
-    let mut client = stage.client();
-    client.ask_with("change", keyed("k1"), b"x");
-    stage.pull().answer("data", "", b"ok");
-    done(client.answer().1, b"ok");
-    assert!(!stage.program.logged("trust: returning"));
+    wait_for("the cause", || {
+        cluster.program.log_contains("store not reached")
+    });
+    let mut client = cluster.client();
+    client.request_with("change", keyed_fields("k1"), b"x");
+    cluster.next_request().answer("data", "", b"ok");
+    assert_done(client.next_answer().1, b"ok");
+    assert!(!cluster.program.log_contains("trust: returning"));
     // With the right one it comes by itself.
     std::fs::write(&secret, "right\n").expect("a file");
-    wait_for("a connection", || stage.program.logged("trust: returning"));
+    wait_for("a connection", || {
+        cluster.program.log_contains("trust: returning")
+    });
     let _ = (std::fs::remove_file(path), std::fs::remove_file(secret));
 }
 
 #[test]
 fn a_purge_that_only_the_store_knows_reaches_a_new_dispatcher() {
     let store = RedisServer::start(Redis::new(1), 1).expect("a server");
-    let (stage, other, path) = pair("purge", &section(store.address.port(), ""));
+    let (cluster, other, path) = pair("purge", &section(store.address.port(), ""));
     // A store that has yet to prove itself is told all the same.
-    for program in [&stage.program, &other] {
-        wait_for("a connection", || program.logged("trust: returning"));
+    for program in [&cluster.program, &other] {
+        wait_for("a connection", || program.log_contains("trust: returning"));
     }
     wait_for("an epoch", || store.keys() > 0);
     // The journal service tells the two, and never a third.
     let purge = json!({"pos": 2, "expire": {"name": format!("{:016x}", 7), "stamp": unix_ms()}});
-    let lines = [stage.journal(), stage.journal()].map(|mut line| {
-        line.tell(&purge);
+    let lines = [cluster.next_journal_call(), cluster.next_journal_call()].map(|mut line| {
+        line.send(&purge);
         line
     });
     let before = store.keys();
     wait_for("the store is told", || store.keys() > before);
     drop((lines, other));
-    let newcomer = Program::start(&stage.config, free_address());
+    let newcomer = Program::start(&cluster.config, free_address());
     let mut client = Client::new(newcomer.address);
     wait_for("the purge is heeded", || {
-        client.ask("image", 7, 2000);
-        let pull = stage.pull();
-        pull.hit(b"x");
-        client.answer();
-        pull.field("fresh").is_some_and(|ms| ms != "0")
+        client.request("image", 7, 2000);
+        let request = cluster.next_request();
+        request.answer_hit(b"x");
+        client.next_answer();
+        request.field("fresh").is_some_and(|ms| ms != "0")
     });
     let _ = std::fs::remove_file(path);
 }
--- a/crates/trailproxyd/tests/zones.rs
+++ b/crates/trailproxyd/tests/zones.rs
@@ -1,10 +1,10 @@
 //! Traffic between zones on sockets: reports, budgets, and the operator's file read well, badly and slowly.
 
-#[allow(dead_code, reason = "the other tests of sockets use the rest of it")]
-mod stage;
+#[allow(dead_code, reason = "other test files use the rest")]
+mod harness;
 
+use harness::*;
 use serde_json::{Value as Json, json};
-use stage::*;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -52,12 +52,12 @@
     })
 }
 
-fn with_operator(path: &Path) -> Stage {
-    Stage::with(|config, _| config["operator"] = json!(path))
+fn with_operator(path: &Path) -> Cluster {
+    Cluster::with_config(|config, _| config["operator"] = json!(path))
 }
 
-fn logged(stage: &Stage, words: &str) {
-    wait_for(words, || stage.program.logged(words));
+fn logged(cluster: &Cluster, words: &str) {
+    wait_for(words, || cluster.program.log_contains(words));
 }
 
 #[test]
@@ -65,44 +65,44 @@
     let folder = Folder::new("report");
     let metrics = folder.0.join("zones.prom");
     let path = folder.write("operator.json", &sheet(100_000.0, &metrics).to_string());
-    let mut stage = with_operator(&path);
-    let mut client = stage.client();
-    client.ask("image", 5, 3000);
-    let pull = stage.pull();
-    assert!(pull.field("via").is_some());
-    pull.answer("data", "why=TCP_MISS", &[7; 2048]);
-    assert!(matches!(client.answer().1, Final::Done(..)));
-    logged(&stage, "\"cause\":\"first\",\"moves\":1,\"kb\":2.0");
+    let mut cluster = with_operator(&path);
+    let mut client = cluster.client();
+    client.request("image", 5, 3000);
+    let request = cluster.next_request();
+    assert!(request.field("via").is_some());
+    request.answer("data", "why=TCP_MISS", &[7; 2048]);
+    assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
+    logged(&cluster, "\"cause\":\"first\",\"moves\":1,\"kb\":2.0");
     let line = "trailproxy_crossed_bytes_total{out_of=\"hub\",into=\"edge\",tier=\"parent\",track=\"image\",cause=\"first\"} 2048.0";
     wait_for("metrics", || {
         std::fs::read_to_string(&metrics)
             .is_ok_and(|text| text.contains(line) && text.ends_with("# EOF\n"))
     });
-    stage.program.signal("-TERM");
-    assert!(stage.program.ended().success());
+    cluster.program.signal("-TERM");
+    assert!(cluster.program.wait_for_exit().success());
 }
 
 #[test]
 fn over_a_spent_link_the_cache_is_asked_for_what_it_holds_and_an_order_passes() {
     let folder = Folder::new("spent");
     let path = folder.write("operator.json", &sheet(0.01, Path::new("")).to_string());
-    let stage = with_operator(&path);
-    let mut client = stage.client();
-    client.ask("image", 5, 3000);
-    let pull = stage.pull();
-    assert_eq!(pull.field("via"), None, "a fill over a spent link");
-    pull.answer("data", "why=TCP_STALE", b"old");
-    assert!(matches!(client.answer().1, Final::Done(..)));
-    client.ask("image", 6, 3000);
-    stage.pull().answer("absent", "", b"");
-    let Final::Error(_, fields) = client.answer().1 else {
+    let cluster = with_operator(&path);
+    let mut client = cluster.client();
+    client.request("image", 5, 3000);
+    let request = cluster.next_request();
+    assert_eq!(request.field("via"), None, "a fill over a spent link");
+    request.answer("data", "why=TCP_STALE", b"old");
+    assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
+    client.request("image", 6, 3000);
+    cluster.next_request().answer("absent", "", b"");
+    let FinalAnswer::Error(_, fields) = client.next_answer().1 else {
         panic!("nothing to answer with");
     };
     assert!(!fields.is_empty(), "no time to come back");
-    client.ask("order", 7, 3000);
-    let order = stage.pull();
+    client.request("order", 7, 3000);
+    let order = cluster.next_request();
     order.answer("data", "", b"taken");
-    assert!(matches!(client.answer().1, Final::Done(..)));
+    assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
 }
 
 #[test]
@@ -112,52 +112,58 @@
         "operator.json",
         &sheet(100_000.0, Path::new("")).to_string(),
     );
-    let stage = with_operator(&path);
-    let mut client = stage.client();
-    client.ask("image", 5, 3000);
-    stage.pull().answer("data", "why=TCP_MISS", &[7; 1024]);
-    client.answer();
+    let cluster = with_operator(&path);
+    let mut client = cluster.client();
+    client.request("image", 5, 3000);
+    cluster
+        .next_request()
+        .answer("data", "why=TCP_MISS", &[7; 1024]);
+    client.next_answer();
     folder.write("operator.json", &sheet(0.01, Path::new("")).to_string());
-    stage.program.signal("-HUP");
-    logged(&stage, "\"kb_per_s\":0.01");
-    client.ask("image", 6, 3000);
-    assert_eq!(stage.pull().field("via"), None);
-    logged(&stage, "\"moves\":1,\"kb\":1.0");
+    cluster.program.signal("-HUP");
+    logged(&cluster, "\"kb_per_s\":0.01");
+    client.request("image", 6, 3000);
+    assert_eq!(cluster.next_request().field("via"), None);
+    logged(&cluster, "\"moves\":1,\"kb\":1.0");
     // No file is named any more.
-    let mut config = stage.config.clone();
+    let mut config = cluster.config.clone();
     config
         .as_object_mut()
         .expect("an object")
         .remove("operator");
-    stage.program.configure(&config.to_string());
-    logged(&stage, "zones are off");
-    client.ask("image", 7, 3000);
-    assert!(stage.pull().field("via").is_some());
+    cluster.program.reload_config(&config.to_string());
+    logged(&cluster, "zones are off");
+    client.request("image", 7, 3000);
+    assert!(cluster.next_request().field("via").is_some());
 }
 
 #[test]
 fn a_file_that_does_not_fit_is_refused_with_its_line_and_the_former_rules_hold() {
     let folder = Folder::new("refused");
     let path = folder.write("operator.json", &sheet(0.01, Path::new("")).to_string());
-    let stage = with_operator(&path);
+    let cluster = with_operator(&path);
     let mut bad = sheet(100_000.0, Path::new(""));
     bad["crossings"][0]["into"] = json!("attic");
     folder.write("operator.json", &bad.to_string());
-    stage.program.signal("-HUP");
-    logged(&stage, "operator's file refused");
+    cluster.program.signal("-HUP");
+    logged(&cluster, "operator's file refused");
     logged(
-        &stage,
+        &cluster,
         "operator.star:2:30: section crossing, field into: found \"attic\", accepted: one of hub, edge",
     );
     folder.write("operator.json", "{");
-    stage.program.signal("-HUP");
-    logged(&stage, "found no sections");
+    cluster.program.signal("-HUP");
+    logged(&cluster, "found no sections");
     std::fs::remove_file(&path).expect("a file");
-    stage.program.signal("-HUP");
-    logged(&stage, "can't be read");
-    let mut client = stage.client();
-    client.ask("image", 5, 3000);
-    assert_eq!(stage.pull().field("via"), None, "the former budget holds");
+    cluster.program.signal("-HUP");
+    logged(&cluster, "can't be read");
+    let mut client = cluster.client();
+    client.request("image", 5, 3000);
+    assert_eq!(
+        cluster.next_request().field("via"),
+        None,
+        "the former budget holds"
+    );
 }
 
 #[test]
@@ -169,25 +175,25 @@
         "reader",
         &format!("test \"$1 $2\" = 'zones sheet' && echo '{said}'"),
     );
-    let stage = Stage::with(|config, _| {
+    let cluster = Cluster::with_config(|config, _| {
         config["operator"] = json!(script);
         config["reader"] = json!(reader);
     });
-    let mut client = stage.client();
-    client.ask("image", 5, 3000);
-    assert_eq!(stage.pull().field("via"), None);
+    let mut client = cluster.client();
+    client.request("image", 5, 3000);
+    assert_eq!(cluster.next_request().field("via"), None);
     folder.program(
         "reader",
         "echo 'trailproxy: operator.star:3:1: section crossing: found two' >&2; exit 1",
     );
-    stage.program.signal("-HUP");
+    cluster.program.signal("-HUP");
     logged(
-        &stage,
+        &cluster,
         "why: operator.star:3:1: section crossing: found two",
     );
     folder.program("reader", "head -c 9000000 /dev/zero");
-    stage.program.signal("-HUP");
-    logged(&stage, "said more than");
+    cluster.program.signal("-HUP");
+    logged(&cluster, "said more than");
 }
 
 #[test]
@@ -195,20 +201,20 @@
     let folder = Folder::new("hangs");
     let script = folder.write("operator.star", "zones()\n");
     let reader = folder.program("reader", "echo null");
-    let stage = Stage::with(|config, _| {
+    let cluster = Cluster::with_config(|config, _| {
         config["operator"] = json!(script);
         config["reader"] = json!(reader);
     });
     folder.program("reader", "exec sleep 60");
-    stage.program.signal("-HUP");
-    let (mut client, begun) = (stage.client(), Instant::now());
+    cluster.program.signal("-HUP");
+    let (mut client, begun) = (cluster.client(), Instant::now());
     for object in 0..50 {
-        client.ask("image", object, 3000);
-        stage.pull().hit(b"seen");
-        assert!(matches!(client.answer().1, Final::Done(..)));
+        client.request("image", object, 3000);
+        cluster.next_request().answer_hit(b"seen");
+        assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
     }
     assert!(begun.elapsed() < Duration::from_secs(4));
-    logged(&stage, "said nothing of");
+    logged(&cluster, "said nothing of");
 }
 
 #[test]
@@ -217,7 +223,7 @@
     let mut bad = sheet(10.0, Path::new(""));
     bad["crossings"][0]["reserve_kb_per_s"] = json!(11.0);
     let path = folder.write("operator.json", &bad.to_string());
-    let words = Stage::new().refused(&path);
+    let words = Cluster::new().startup_error(&path);
     let wanted = "trailproxyd: operator.star:2:1: section crossing, field reserve_kb_per_s: found 11, accepted: 10 or less";
     assert!(words.starts_with(wanted), "{words}");
 }
