--- a/crates/trailproxyd/tests/parsers.rs
+++ b/crates/trailproxyd/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers and the buffer of the dispatcher on sockets: every split, every bound, and arbitrary bytes.
+//! Tests of the parsers and of the ring buffer: every split of the input, every limit, and arbitrary bytes.
 
 mod http {
     use trailproxyd::http::*;
@@ -16,25 +16,27 @@
     const PLAIN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nabcd\r\ne";
     const SIZED: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\nabcd\r\neXYZ";
 
+    /// Guards against a parser that depends on how the response is split into packets.
     #[test]
     fn every_split_gives_the_same_body() {
         for whole in [CHUNKED, PLAIN, SIZED] {
-            for cut in 0..=whole.len() {
-                let (a, b) = whole.split_at(cut);
+            for split_at in 0..=whole.len() {
+                let (a, b) = whole.split_at(split_at);
                 assert_eq!(read(&[a, b]).expect("sound"), b"abcd\r\ne");
             }
         }
     }
 
+    /// Guards against a panic on a corrupted response: bytes of a valid one are replaced at random.
     #[test]
-    fn another_status_or_arbitrary_bytes_are_damage_without_a_panic() {
+    fn another_status_is_malformed_and_arbitrary_bytes_never_panic() {
         assert!(read(&[b"HTTP/1.1 503 No\r\n\r\n"]).is_err());
-        let mut chance = fastrand::Rng::with_seed(13);
+        let mut rng = fastrand::Rng::with_seed(13);
         for _ in 0..20_000 {
             let mut bytes = CHUNKED.to_vec();
-            for _ in 0..chance.usize(1..6) {
-                let at = chance.usize(0..bytes.len());
-                bytes[at] = chance.u8(..);
+            for _ in 0..rng.usize(1..6) {
+                let at = rng.usize(0..bytes.len());
+                bytes[at] = rng.u8(..);
             }
             let _ = read(&[&bytes]);
         }
@@ -60,13 +62,17 @@
         out
     }
 
+    /// A message cut off anywhere must ask for more bytes than there are, but not for more than the message has: the
+    /// connection would wait for ever.
     #[test]
-    fn every_split_asks_for_more_and_never_past_the_end() {
+    fn an_incomplete_message_reports_a_sound_minimum_length() {
         let whole = sample();
-        for cut in 0..whole.len() {
-            match read(&whole[..cut], 1000) {
-                Err(ParseError::Incomplete(wants)) => assert!(cut < wants && wants <= whole.len()),
-                other => panic!("{other:?} at {cut}"),
+        for split_at in 0..whole.len() {
+            match read(&whole[..split_at], 1000) {
+                Err(ParseError::Incomplete(min_bytes)) => {
+                    assert!(split_at < min_bytes && min_bytes <= whole.len())
+                }
+                other => panic!("{other:?} at {split_at}"),
             }
         }
         let (value, n) = read(&whole, 1000).expect("whole");
@@ -78,22 +84,25 @@
         assert!(matches!(&items[3], Value::Array(inner) if inner[1] == Value::Bytes(&[7; 300])));
     }
 
+    /// Guards against unbounded memory or recursion by a length, a nesting or a type that is not allowed.
     #[test]
-    fn what_is_too_long_or_too_deep_is_damage() {
-        let malformed = |bytes: &[u8]| matches!(read(bytes, 1000), Err(ParseError::Malformed(_)));
-        assert!(malformed(&[0xc6, 0xff, 0xff, 0xff, 0xff]));
-        assert!(malformed(&[0x91; 20]));
-        assert!(malformed(&[0xc1]));
+    fn messages_over_a_limit_are_malformed() {
+        let is_malformed =
+            |bytes: &[u8]| matches!(read(bytes, 1000), Err(ParseError::Malformed(_)));
+        assert!(is_malformed(&[0xc6, 0xff, 0xff, 0xff, 0xff]));
+        assert!(is_malformed(&[0x91; 20]));
+        assert!(is_malformed(&[0xc1]));
     }
 
+    /// Guards against a panic on corrupted messages: bytes of a valid message are replaced at random.
     #[test]
     fn arbitrary_bytes_never_panic() {
-        let mut chance = fastrand::Rng::with_seed(11);
+        let mut rng = fastrand::Rng::with_seed(11);
         for _ in 0..20_000 {
             let mut bytes = sample();
-            for _ in 0..chance.usize(1..6) {
-                let at = chance.usize(0..bytes.len());
-                bytes[at] = chance.u8(..);
+            for _ in 0..rng.usize(1..6) {
+                let at = rng.usize(0..bytes.len());
+                bytes[at] = rng.u8(..);
             }
             if let Ok((_, n)) = read(&bytes, 1000) {
                 assert!(n <= bytes.len());
@@ -115,13 +124,16 @@
         out
     }
 
+    /// An array cut off anywhere must ask for more bytes than there are, but not for more than the array has.
     #[test]
-    fn every_split_asks_for_more_and_never_past_the_end() {
+    fn an_incomplete_array_reports_a_sound_minimum_length() {
         let whole = sample();
-        for cut in 0..whole.len() {
-            match read(&whole[..cut], 4, 300) {
-                Err(ParseError::Incomplete(wants)) => assert!(cut < wants && wants <= whole.len()),
-                other => panic!("{other:?} at {cut}"),
+        for split_at in 0..whole.len() {
+            match read(&whole[..split_at], 4, 300) {
+                Err(ParseError::Incomplete(min_bytes)) => {
+                    assert!(split_at < min_bytes && min_bytes <= whole.len())
+                }
+                other => panic!("{other:?} at {split_at}"),
             }
         }
         let (words, n) = read(&whole, 4, 300).expect("whole");
@@ -131,8 +143,9 @@
         );
     }
 
+    /// Guards against accepting other RESP types, and lengths that are negative, too large or without an end.
     #[test]
-    fn what_is_not_an_array_of_words_is_damage() {
+    fn other_input_than_an_array_of_strings_is_malformed() {
         for bytes in [
             &b"+OK\r\n"[..],
             b"*0\r\n",
@@ -152,14 +165,15 @@
         ));
     }
 
+    /// Guards against a panic on corrupted arrays: bytes of a valid array are replaced at random.
     #[test]
     fn arbitrary_bytes_never_panic() {
-        let mut chance = fastrand::Rng::with_seed(12);
+        let mut rng = fastrand::Rng::with_seed(12);
         for _ in 0..20_000 {
             let mut bytes = sample();
-            for _ in 0..chance.usize(1..6) {
-                let at = chance.usize(0..60);
-                bytes[at] = chance.u8(..);
+            for _ in 0..rng.usize(1..6) {
+                let at = rng.usize(0..60);
+                bytes[at] = rng.u8(..);
             }
             if let Ok((_, n)) = read(&bytes, 4, 300) {
                 assert!(n <= bytes.len());
@@ -172,21 +186,27 @@
     use trailproxyd::buffered::BufferedBytes;
     use trailproxyd::ring::{MIN_CAPACITY_BYTES, Ring};
 
+    /// Guards against reordered bytes when the content wraps around, and against memory that stays allocated after a
+    /// large message.
     #[test]
-    fn bytes_come_out_in_order_and_memory_is_given_back() {
+    fn bytes_keep_their_order_and_memory_is_released() {
         let buffered = BufferedBytes::default();
-        let (mut ring, mut chance) = (Ring::new(buffered.clone()), fastrand::Rng::with_seed(5));
+        let (mut ring, mut rng) = (Ring::new(buffered.clone()), fastrand::Rng::with_seed(5));
         let (mut put, mut got) = (0u64, 0u64);
         for _ in 0..2000 {
-            let piece: Vec<u8> = (0..chance.usize(0..9000))
+            let piece: Vec<u8> = (0..rng.usize(0..9000))
                 .map(|i| (put + i as u64) as u8)
                 .collect();
             ring.push(&piece);
             put += piece.len() as u64;
-            let n = chance.usize(0..=ring.len());
+            let n = rng.usize(0..=ring.len());
             let (first, second) = ring.as_slices();
             let both: Vec<u8> = first.iter().chain(second).copied().collect();
-            assert_eq!(both, ring.as_contiguous(), "in one piece or two, the same");
+            assert_eq!(
+                both,
+                ring.as_contiguous(),
+                "the same content in one slice or two"
+            );
             for &byte in &both[..n] {
                 assert_eq!(byte, got as u8);
                 got += 1;
@@ -206,30 +226,35 @@
     use trailproxyd::sse::*;
 
     fn read(pieces: &[&[u8]]) -> Vec<(String, String)> {
-        let (mut events, mut told) = (EventParser::default(), Vec::new());
+        let (mut parser, mut events) = (EventParser::default(), Vec::new());
         for piece in pieces {
-            events.feed(piece, &mut told).expect("bounded");
+            parser.feed(piece, &mut events).expect("bounded");
         }
-        told.into_iter().map(|one| (one.id, one.data)).collect()
+        events
+            .into_iter()
+            .map(|event| (event.id, event.data))
+            .collect()
     }
 
+    /// Guards against a parser that depends on how the stream is split into packets.
     #[test]
     fn every_split_gives_the_same_events() {
         let whole = b": hello\r\n\r\nid: 41\r\ndata: {\"a\":1,\r\ndata: 2}\r\n\r\n:\n\nid:42\ndata:x\n\nid: 43\ndata: cut";
         let wanted = read(&[whole]);
         let pair = |id: &str, data: &str| (id.to_owned(), data.to_owned());
         assert_eq!(wanted, [pair("41", "{\"a\":1,\n2}"), pair("42", "x")]);
-        for cut in 0..whole.len() {
-            let (a, b) = whole.split_at(cut);
+        for split_at in 0..whole.len() {
+            let (a, b) = whole.split_at(split_at);
             assert_eq!(read(&[a, b]), wanted);
         }
     }
 
+    /// Guards against unbounded memory when a service sends an event that never ends.
     #[test]
-    fn an_event_without_an_end_is_damage() {
-        let (mut events, mut told) = (EventParser::default(), Vec::new());
+    fn an_event_without_an_end_is_an_error() {
+        let (mut parser, mut events) = (EventParser::default(), Vec::new());
         let piece = vec![b'x'; MAX_EVENT_BYTES / 2 + 1];
-        assert_eq!(events.feed(&piece, &mut told), Ok(()));
-        assert_eq!(events.feed(&piece, &mut told), Err(EventTooLong));
+        assert_eq!(parser.feed(&piece, &mut events), Ok(()));
+        assert_eq!(parser.feed(&piece, &mut events), Err(EventTooLong));
     }
 }
