--- a/crates/trailproxyd/tests/loopback.rs
+++ b/crates/trailproxyd/tests/loopback.rs
@@ -1,4 +1,5 @@
-//! Short days on loopback: the built program among stand-ins that fail on cue, held against the five rules.
+//! Short simulated days on loopback: the built program between simulated hosts with scripted faults, checked against the
+//! five rules.
 
 use std::path::PathBuf;
 use trailproxy_lab::loopback::{Place, run};
@@ -37,21 +38,27 @@
     day
 }
 
+/// Guards against requests that are lost or refused without any fault, and against simulated hosts that count no bytes.
 #[test]
-fn a_calm_day_serves_all_and_moves_what_the_stand_ins_count() {
+fn a_day_without_faults_serves_every_request() {
     let day = day("calm", "");
-    let sum = &day.summary;
-    assert!(sum.accesses > 300 && sum.done == sum.accesses, "{sum:?}");
-    assert!(sum.bytes_origin > 0.0 && sum.bytes_hit > 0.0);
+    let summary = &day.summary;
+    assert!(
+        summary.accesses > 300 && summary.done == summary.accesses,
+        "{summary:?}"
+    );
+    assert!(summary.bytes_origin > 0.0 && summary.bytes_hit > 0.0);
 }
 
+/// A parent crashes, a cache restarts, an object is purged and another cache resets connections; no rule may be broken
+/// and most requests must be done.
 #[test]
-fn a_parent_that_dies_and_a_cache_that_rolls_break_no_rule() {
-    let struck = "trouble(kind = \"crash\", target = \"hub/parent/0\", at_s = 1, for_s = 2)
+fn a_crash_a_restart_a_purge_and_resets_break_no_rule() {
+    let faults = "trouble(kind = \"crash\", target = \"hub/parent/0\", at_s = 1, for_s = 2)
 trouble(kind = \"roll\", target = \"depot/cache/0\", at_s = 1, for_s = 0.2)
 trouble(kind = \"purge\", target = \"3\", at_s = 2)
 trouble(kind = \"resets\", target = \"depot/cache/1\", at_s = 2, for_s = 2, by = 0.2)";
-    let day = day("struck", struck);
+    let day = day("struck", faults);
     assert!(
         day.summary.done * 10 > day.summary.accesses * 7,
         "{:?}",
@@ -59,10 +66,11 @@
     );
 }
 
+/// Guards against a dispatcher that does not serve after a kill, for example because its address is still in use.
 #[test]
-fn a_dispatcher_that_is_killed_comes_back_and_serves() {
-    let struck = "trouble(kind = \"dispatchers\", at_s = 2, for_s = 0.5, by = 1)";
-    let day = day("killed", struck);
+fn a_killed_dispatcher_serves_again_after_its_restart() {
+    let faults = "trouble(kind = \"dispatchers\", at_s = 2, for_s = 0.5, by = 1)";
+    let day = day("killed", faults);
     let last = &day.tally.seconds[4..6];
     let done: u64 = last.iter().map(|second| second.done).sum();
     assert!(done > 50, "{done} done at the end");
