--- a/crates/trailproxyd/tests/rare.rs
+++ b/crates/trailproxyd/tests/rare.rs
@@ -1,4 +1,5 @@
-//! Faults that take two or three rare conditions at once: each story makes their bad order happen every time.
+//! Tests of faults that need two or three rare conditions at once. Each test forces the order of events in which the
+//! fault occurs.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod harness;
@@ -10,9 +11,10 @@
 use std::time::{Duration, Instant};
 use trailproxy_fault_control::Kind;
 
-/// The operators' slack of a deadline that is passed on.
+/// The tolerance that operators allow for a deadline that is passed on.
 const SLACK_MS: u64 = 150;
 
+/// The time that a host was given for a request, in milliseconds.
 fn ttl(request: &HostMessage) -> u64 {
     request
         .field("ttl")
@@ -21,8 +23,8 @@
         .expect("ms")
 }
 
-/// A cluster with few places for clients, all of which but none wait for a host.
-fn full_house() -> (Cluster, Vec<Client>, Vec<HostMessage>) {
+/// Starts a cluster with few connection slots, all of them taken by clients whose requests are at a host.
+fn cluster_without_free_slots() -> (Cluster, Vec<Client>, Vec<HostMessage>) {
     let cluster = Cluster::with_config(|config, _| config["limits"]["sockets"] = json!(48));
     let mut clients = Vec::new();
     let mut requests = Vec::new();
@@ -35,9 +37,11 @@
     (cluster, clients, requests)
 }
 
+/// A client waits for a connection slot while its request is already in the socket. Guards against counting the
+/// request's time from the moment at which it is read: the host would then work for a client that has given up.
 #[test]
-fn what_waited_for_a_place_passes_on_what_its_client_has_left() {
-    let (cluster, mut clients, requests) = full_house();
+fn a_request_that_waited_for_a_slot_passes_on_the_remaining_time() {
+    let (cluster, mut clients, requests) = cluster_without_free_slots();
     let mut late = cluster.client();
     let asked = Instant::now();
     late.request("order", 7, 3000);
@@ -46,7 +50,7 @@
             .next_request_within(Duration::from_millis(1000))
             .is_none()
     );
-    // One that was answered and rests gives its place up.
+    // A client that was answered and is idle gives its slot up.
     requests[0].answer_hit(b"x");
     clients[0].next_answer();
     let request = cluster.next_request();
@@ -59,8 +63,10 @@
     );
 }
 
+/// A request arrives while the process is stopped. Guards against counting its time from the moment at which it is
+/// read.
 #[test]
-fn a_process_that_was_stopped_passes_on_what_its_clients_have_left() {
+fn a_stopped_process_passes_on_the_remaining_time() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     client.request_with("heartbeat", vec![], &[]);
@@ -79,8 +85,10 @@
     );
 }
 
+/// Accepting fails until the process was asked to end. Guards against closing the listener over clients that wait in
+/// the backlog, which would reset their connections.
 #[test]
-fn who_waits_behind_a_failed_accept_is_let_in_at_the_end() {
+fn clients_behind_a_failed_accept_are_accepted_at_the_end() {
     let faults = Faults::new();
     let mut cluster = Cluster::with_faults(&faults);
     faults
@@ -91,13 +99,13 @@
         client.request("order", n, 3000);
     }
     cluster.program.signal("-TERM");
-    // Accepting has come to its end by then, and has failed once more.
+    // By the end of the sleep, the regular accept has stopped and the accepts of the exit have failed as well.
     wait_for("it is asked to end", || {
         cluster.program.log_contains("asked to end")
     });
     std::thread::sleep(Duration::from_millis(1000));
     faults.control.heal();
-    // They come in any order.
+    // The requests arrive in any order.
     for _ in 0..clients.len() {
         cluster
             .next_request()
@@ -110,20 +118,22 @@
     assert_eq!(cluster.program.wait_for_exit().code(), Some(0));
 }
 
+/// A request is written in part, then writes fail for more than a second. Guards against sending the rest: the host
+/// would start the request with the deadline that was encoded a second before.
 #[test]
-fn the_rest_of_a_request_does_not_go_out_with_a_deadline_of_long_ago() {
+fn a_stalled_request_is_not_completed_with_an_outdated_deadline() {
     let faults = Faults::new();
     let cluster = Cluster::with_faults(&faults);
     let mut client = cluster.client();
-    // A hundred bytes of it go out, and then nothing for more than a second.
+    // A hundred bytes of the request are written, and then nothing for more than a second.
     faults.control.fail_next(Kind::ShortWrite, 100, &[]);
     faults.control.fail_next(Kind::Write, 250, &[libc::ENOBUFS]);
     let asked = Instant::now();
     client.request_with("order", fields(7, 3000), &[7; 48_000]);
-    // What comes in part is none: a host begins what it has whole.
-    let whole = |request: &HostMessage| request.body.len() == 48_000;
-    let request = std::iter::from_fn(|| Some(cluster.next_request())).find(whole);
-    let request = request.expect("it comes whole");
+    // A partial request is no request: a host starts only what it received whole.
+    let is_whole = |request: &HostMessage| request.body.len() == 48_000;
+    let request = std::iter::from_fn(|| Some(cluster.next_request())).find(is_whole);
+    let request = request.expect("a whole request");
     let waited = asked.elapsed().as_millis() as u64;
     assert!(waited > 1000, "it waited for {waited} ms only");
     assert!(
@@ -135,8 +145,10 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"kept"));
 }
 
+/// Sockets or ports are short while a host is dialled. Guards against taking that for a refusal by the host, which
+/// would open its breaker.
 #[test]
-fn a_lack_of_our_own_is_no_refusal_by_a_host() {
+fn a_shortage_on_this_side_is_not_blamed_on_the_host() {
     let faults = Faults::new();
     let cluster = Cluster::with_faults(&faults);
     let mut client = cluster.client();
@@ -162,8 +174,10 @@
     assert!(!cluster.program.log_contains("breaker open"));
 }
 
+/// A client sends a request and closes while the process is stopped. Guards against starting the request because it is
+/// read before the close.
 #[test]
-fn a_process_that_was_stopped_begins_nothing_for_a_client_that_closed_meanwhile() {
+fn a_stopped_process_starts_nothing_for_a_client_that_closed_meanwhile() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     client.request_with("heartbeat", vec![], &[]);
@@ -173,12 +187,13 @@
     drop(client);
     std::thread::sleep(Duration::from_millis(500));
     cluster.program.signal("-CONT");
-    let begun = cluster.next_request_within(Duration::from_millis(500));
-    assert!(begun.is_none(), "half a second after the client closed");
+    let started = cluster.next_request_within(Duration::from_millis(500));
+    assert!(started.is_none(), "half a second after the client closed");
 }
 
+/// Guards against a log that stops, or a panic, after its file could not be written for a while.
 #[test]
-fn the_log_goes_on_after_a_write_that_failed() {
+fn the_log_continues_after_a_failed_write() {
     let faults = Faults::new();
     let cluster = Cluster::with_faults(&faults);
     faults
@@ -195,21 +210,22 @@
     assert!(!cluster.program.log_contains("panicked"));
 }
 
+/// The log goes to a pipe that is full and that nobody reads. Guards against a process that never exits.
 #[test]
-fn an_end_does_not_wait_for_whoever_should_read_the_log() {
+fn an_exit_does_not_wait_for_the_reader_of_the_log() {
     let cluster = Cluster::new();
-    let (mut reads, writes) = std::io::pipe().expect("a pipe");
+    let (mut reader, writer) = std::io::pipe().expect("a pipe");
     // SAFETY: a descriptor of this process; the smallest pipe is a page.
-    unsafe { libc::fcntl(writes.as_raw_fd(), libc::F_SETPIPE_SZ, 4096) };
+    unsafe { libc::fcntl(writer.as_raw_fd(), libc::F_SETPIPE_SZ, 4096) };
     let address = free_address();
-    let mut program = Program::spawn_logging_to(&cluster.config, address, writes);
+    let mut program = Program::spawn_logging_to(&cluster.config, address, writer);
     let mut client = None;
     wait_for("it listens", || {
         client = std::net::TcpStream::connect(address).ok();
         client.is_some()
     });
     drop(client);
-    // Its log fills the pipe, and nobody reads.
+    // The log fills the pipe, and nobody reads it.
     for _ in 0..60 {
         program.signal("-HUP");
         std::thread::sleep(Duration::from_millis(5));
@@ -217,11 +233,13 @@
     program.signal("-TERM");
     assert_eq!(program.wait_for_exit().code(), Some(0));
     let mut text = [0; 16];
-    assert!(reads.read(&mut text).is_ok_and(|n| n > 0));
+    assert!(reader.read(&mut text).is_ok_and(|n| n > 0));
 }
 
+/// Guards against a refusal without `cooldown` when too many requests are open, after which the client would retry at
+/// once.
 #[test]
-fn who_is_turned_away_as_too_many_are_open_is_told_when_to_come_back() {
+fn a_request_refused_by_the_open_limit_gets_a_retry_time() {
     let cluster =
         Cluster::with_config(|config, _| config["settings"]["ceilings"]["max_open"] = json!(1));
     let mut client = cluster.client();
@@ -237,10 +255,12 @@
     request.answer_hit(b"x");
 }
 
+/// An incomplete message is parsed again with every piece that arrives. Guards against the cost of that for a message
+/// with very many values, which would delay all other clients.
 #[test]
-fn a_message_of_very_many_values_costs_its_sender_only() {
+fn a_message_with_too_many_values_is_malformed() {
     use trailproxyd::msgpack::{ParseError, read};
-    // An array of 16,000 numbers, of which all but the last are there: what wants one byte more is read again for each.
+    // An array of 16,000 numbers of which the last is missing: it would be parsed again for each further byte.
     let mut bytes = vec![0xdc, 0x3e, 0x80];
     bytes.extend(vec![1; 15_999]);
     assert!(matches!(
@@ -249,9 +269,11 @@
     ));
 }
 
+/// Requests arrive on nearly idle connections while the process is stopped beyond their idle timeout. Guards against
+/// closing the connections because timers run before the sockets are read.
 #[test]
-fn what_came_while_the_process_was_stopped_is_answered_though_its_client_was_idle_for_too_long() {
-    // A client's connection is ended 4.5 s after its last answer.
+fn a_request_that_arrived_during_a_stop_is_answered_past_the_idle_timeout() {
+    // A client's connection is closed 4.5 s after its last answer.
     const NEARLY_IDLE: Duration = Duration::from_millis(4200);
     const BEYOND_IDLE: Duration = Duration::from_millis(600);
     let cluster = Cluster::new();
