--- a/crates/trailproxyd/tests/sockets.rs
+++ b/crates/trailproxyd/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Short stories played to the built program over sockets, one for each thing that goes wrong there.
+//! Tests of the built program over sockets: requests, connections to hosts, the journal, reloads and their faults.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod harness;
@@ -11,17 +11,18 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
+/// Guards against fields that do not reach the host as decided, and against a changed body on the way back.
 #[test]
-fn an_access_is_done_through_a_cache_as_it_was_decided() {
+fn a_request_is_served_through_a_cache_with_the_decided_fields() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let number = client.request("image", 7, 2000);
     let request = cluster.next_request();
     assert!(request.host.starts_with('c'));
     assert!(request.id.len() == 16 && request.id.ends_with("abc00007"));
-    let told =
+    let received =
         ["lane", "name", "piece", "via", "tier"].map(|name| request.field(name).unwrap_or(""));
-    assert_eq!(told, ["image", "0000000000000007", "0", "p1", "1"]);
+    assert_eq!(received, ["image", "0000000000000007", "0", "p1", "1"]);
     let ttl: u64 = request
         .field("ttl")
         .and_then(|ms| ms.parse().ok())
@@ -36,8 +37,9 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(&[1]));
 }
 
+/// Guards against corrupted large bodies, and against buffers, requests or clients that remain after all is answered.
 #[test]
-fn an_object_of_full_size_comes_through_unchanged_and_memory_is_given_back() {
+fn objects_of_full_size_are_unchanged_and_memory_is_released() {
     let mut cluster = Cluster::new();
     let mut client = cluster.client();
     let bytes: Vec<u8> = (0..240_000u32).map(|i| ((i * 7) >> 3) as u8).collect();
@@ -56,7 +58,7 @@
     cluster.program.signal("-TERM");
     assert!(cluster.program.wait_for_exit().success());
     let figures = cluster.program.last_figures();
-    // Nothing is left behind.
+    // All buffers, requests and clients are released.
     for none in ["held", "open", "calls", "clients", "out"] {
         assert!(
             figures.contains(&format!(" {none}: 0,")),
@@ -66,8 +68,10 @@
     assert!(figures.contains(" done=40"), "{figures}");
 }
 
+/// A client sends the etag of its copy. Guards against sending the body again, or an empty body without the mark that
+/// the copy is the same.
 #[test]
-fn the_copy_that_a_client_holds_is_said_to_be_the_one() {
+fn an_unchanged_copy_is_answered_without_a_body() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let held = [fields(7, 2000), vec![("have".into(), "4be0c192".into())]].concat();
@@ -79,8 +83,9 @@
     assert_eq!(client.next_answer().1, FinalAnswer::Done(vec![], same));
 }
 
+/// Guards against a refusal without a retry time, after which the client would retry at once.
 #[test]
-fn without_hosts_an_access_is_rejected_with_a_time_to_come_back() {
+fn without_hosts_a_request_is_refused_with_a_retry_time() {
     let cluster =
         Cluster::with_config(|config, _| config["known"] = json!({"pos": 0, "entries": []}));
     let mut client = cluster.client();
@@ -93,15 +98,17 @@
     assert!((1..=2000).contains(&ms));
 }
 
+/// A host does not answer. Guards against a client that waits past its deadline, and against a host that is not told
+/// that the request is given up.
 #[test]
-fn a_binding_access_that_hangs_is_given_up_and_aborted_at_its_limit() {
+fn a_hanging_non_idempotent_request_fails_and_is_cancelled_at_its_deadline() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let allowed = Duration::from_millis(300);
     let (mut object, mut answer, mut asked) = (0, FinalAnswer::done(b""), Instant::now());
-    // One that could not be sent within its time is turned away, and another is asked; had the host heard of it all the
-    // same, its name would come first below.
-    wait_for("one is sent and hangs", || {
+    // A request that could not be sent in time is refused, and another one is made. If the host had received the refused
+    // request after all, the assertion on the object's name below would fail.
+    wait_for("a request is sent and hangs", || {
         (object, asked) = (object + 1, Instant::now());
         client.request_with("order", fields(object, 300), b"change");
         answer = client.next_answer().1;
@@ -127,8 +134,9 @@
     assert_eq!((kill.command.as_str(), kill.id), ("KILL", request.id));
 }
 
+/// The connection closes before the answer, so the request may have run. Guards against running it twice.
 #[test]
-fn a_binding_access_whose_connection_breaks_is_never_sent_twice() {
+fn a_non_idempotent_request_is_not_repeated_after_a_lost_connection() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     client.request("order", 7, 1000);
@@ -142,8 +150,9 @@
     );
 }
 
+/// Guards against a failure where another cache could answer.
 #[test]
-fn a_retriable_access_whose_connection_breaks_goes_to_the_next_cache() {
+fn an_idempotent_request_is_repeated_at_another_cache_after_a_lost_connection() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     client.request("image", 7, 2000);
@@ -155,11 +164,13 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"x"));
 }
 
+/// A host refuses a request and it is sent there again under the same id. Guards against taking a late answer to the
+/// first attempt for the answer to the second.
 #[test]
-fn a_late_answer_matches_nothing_and_the_same_id_goes_by_another_connection() {
+fn a_repeat_uses_another_connection_so_that_a_late_answer_does_not_match() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
-    // The origin turns a change away, and it is asked again.
+    // The origin refuses a change, and the change is sent there again.
     client.request("change", 7, 2000);
     let first = cluster.next_request();
     first.answer("full", "-", b"");
@@ -171,8 +182,9 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"right"));
 }
 
+/// Guards against an answer to a request that the client has revoked, and against a host that is not told.
 #[test]
-fn what_was_revoked_is_given_up_and_owed_nothing() {
+fn a_revoked_request_is_cancelled_and_not_answered() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let first = client.request("image", 7, 2000);
@@ -186,8 +198,10 @@
     assert_eq!(client.next_answer(), (second, FinalAnswer::done(b"x")));
 }
 
+/// Guards against work for a client that has gone, and against dropping the answer of a client that only closed its
+/// sending direction.
 #[test]
-fn a_reset_gives_up_and_a_half_close_is_still_answered() {
+fn a_reset_cancels_and_a_half_close_is_still_answered() {
     let cluster = Cluster::new();
     let (mut leaving, mut closing) = (cluster.client(), cluster.client());
     leaving.request("image", 7, 2000);
@@ -209,11 +223,13 @@
     assert!(closing.is_closed());
 }
 
+/// A client sends all its requests in pieces of random length, and hosts answer in another order. Guards against lost,
+/// doubled or exchanged answers.
 #[test]
-fn all_requests_at_once_in_odd_splits_are_answered_once_each() {
+fn pipelined_requests_in_random_pieces_are_answered_once_each() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
-    let mut chance = fastrand::Rng::with_seed(3);
+    let mut rng = fastrand::Rng::with_seed(3);
     let bytes: Vec<u8> = (0..32)
         .flat_map(|n| client.encode("image", fields(n, 3000), &[]))
         .collect();
@@ -221,7 +237,7 @@
     let writing = std::thread::spawn(move || {
         let mut rest = bytes.as_slice();
         while !rest.is_empty() {
-            let (piece, later) = rest.split_at(chance.usize(1..200).min(rest.len()));
+            let (piece, later) = rest.split_at(rng.usize(1..200).min(rest.len()));
             writer.write_all(piece).expect("written");
             rest = later;
         }
@@ -231,7 +247,7 @@
     for n in 0..32 {
         held.push(cluster.next_request());
         if held.len() == 10 || n == 31 {
-            // In any order.
+            // Answer in another order.
             for request in held.drain(..).rev() {
                 request.answer_hit(request.id.as_bytes());
             }
@@ -246,19 +262,19 @@
     writing.join().expect("written");
 }
 
-/// So long an image counts in full where c1 can't be reached. An attempt there is overdue, and goes elsewhere by itself,
-/// after six tenths of it: later than anything that a story waits for, on a busy machine as well.
-const PATIENT_MS: u64 = 20_000;
+/// The target of images where c1 can't be reached. An attempt at c1 is overdue, and goes to another cache by itself, after
+/// six tenths of it: later than anything that a test waits for, even on a busy machine.
+const LONG_TARGET_MS: u64 = 20_000;
 
-/// A cluster on which connections to the cache c1 never come up within the dial time, and images have long to
-/// go elsewhere.
-fn without_c1(dial_ms: u64) -> (Cluster, impl Sized) {
+/// Starts a cluster in which no connection to the cache c1 is established within the dial timeout, and images have a long
+/// target.
+fn cluster_without_c1(dial_ms: u64) -> (Cluster, impl Sized) {
     let blocked_host = BlockedHost::new();
     let address = blocked_host.address;
     let cluster = Cluster::with_config(|config, _| {
         config["settings"]["ceilings"]["dial_timeout_us"] = json!(dial_ms * 1000);
-        config["settings"]["classes"][0]["on_time_us"] = json!(PATIENT_MS * 1000);
-        config["settings"]["classes"][0]["hard_limit_us"] = json!(2 * PATIENT_MS * 1000);
+        config["settings"]["classes"][0]["on_time_us"] = json!(LONG_TARGET_MS * 1000);
+        config["settings"]["classes"][0]["hard_limit_us"] = json!(2 * LONG_TARGET_MS * 1000);
         let members = config["known"]["entries"][0]["hosts"]["members"].as_array_mut();
         let members = members.expect("members").iter_mut();
         let c1 = members.filter(|member| member["id"] == "c1");
@@ -267,14 +283,16 @@
     (cluster, blocked_host)
 }
 
+/// Requests whose first cache is unreachable go to the other cache after the dial timeout. Guards against requests that
+/// wait for ever, and against delaying those of the other cache as well.
 #[test]
-fn a_vanished_cache_costs_the_dial_time_and_no_more() {
-    let (cluster, _silent) = without_c1(400);
+fn an_unreachable_cache_delays_its_own_requests_only() {
+    let (cluster, _blocked_host) = cluster_without_c1(400);
     let mut client = cluster.client();
     let mut slow = 0;
     for object in 0..12 {
         let asked = Instant::now();
-        client.request("image", object, 2 * PATIENT_MS);
+        client.request("image", object, 2 * LONG_TARGET_MS);
         let request = cluster.next_request();
         assert_eq!(request.host, "c2");
         slow += u32::from(asked.elapsed() >= Duration::from_millis(390));
@@ -283,12 +301,14 @@
     }
     assert!(
         (1..12).contains(&slow),
-        "those of c1 wait for the dial: {slow}"
+        "only requests for c1 wait for the dial: {slow}"
     );
 }
 
+/// An attempt may have run, and its repeat waits for a connection that is never established. Guards against starting
+/// the repeat when the hosts no longer recognise the idempotency key.
 #[test]
-fn a_fingerprinted_access_does_not_begin_anew_past_its_window() {
+fn a_keyed_request_does_not_start_again_after_its_repeat_window() {
     let blocked_host = BlockedHost::new();
     let address = blocked_host.address;
     let cluster = Cluster::with_config(|config, _| {
@@ -299,34 +319,36 @@
     client.request("change", 7, 3000);
     let (request, sent) = (cluster.next_request(), Instant::now());
     assert_eq!(request.host, "o1");
-    // It may have run; the repeat waits for a connection that never comes up.
+    // The change may have run. Its repeat waits for a connection that is never established.
     journal.send(&hosts(2, false, &[member("o1", address, "ready", 0)]));
     assert!(client.next_answer().1.is_error("Throttled"));
     assert!(
         sent.elapsed() < Duration::from_secs(2),
-        "at the end of the window, not of its time"
+        "refused at the end of the window, not at the deadline"
     );
 }
 
-/// Asks for some objects, of which those of c1 wait for a dial, tells an event, and gives the requests
-/// that c2 hears; all of them come long before the dial time is over.
-fn told_while_waiting(event: impl FnOnce(&Cluster) -> serde_json::Value) -> Vec<HostMessage> {
+/// Sends requests for some objects, of which those for c1 wait for a dial, then sends a journal event and returns the
+/// requests that c2 receives. All of them arrive long before the dial times out.
+fn requests_after_event_during_dial(
+    event: impl FnOnce(&Cluster) -> serde_json::Value,
+) -> Vec<HostMessage> {
     const OBJECTS: u64 = 12;
     let at_c2 = objects_first_at("c2")
         .into_iter()
         .filter(|&object| object < OBJECTS);
     let at_c2 = at_c2.count() as u64;
     assert!((1..OBJECTS).contains(&at_c2), "{at_c2}");
-    let (mut cluster, _silent) = without_c1(60_000);
+    let (mut cluster, _blocked_host) = cluster_without_c1(60_000);
     let mut client = cluster.client();
     let mut journal = cluster.next_journal_call();
     for object in 0..OBJECTS {
-        client.request("image", object, 2 * PATIENT_MS);
+        client.request("image", object, 2 * LONG_TARGET_MS);
     }
-    // The event finds those of c1 alone without a connection: all others have gone out.
+    // When the event arrives, only the requests for c1 wait for a connection: all others were sent.
     let mut requests: Vec<HostMessage> = (0..at_c2).map(|_| cluster.next_request()).collect();
     let event = event(&cluster);
-    // The events of a client come in order: once this is heard, all were taken.
+    // The messages of a client are handled in order: once the heartbeat is answered, all requests were read.
     client.request_with("heartbeat", vec![], &[]);
     assert_eq!(client.next_answer().1, FinalAnswer::done(&[1]));
     journal.send(&event);
@@ -339,12 +361,16 @@
     drop(client);
     assert!(cluster.program.wait_for_exit().success());
     let figures = cluster.program.last_figures();
-    assert!(figures.contains(" not_sent="), "some waited: {figures}");
+    assert!(
+        figures.contains(" not_sent="),
+        "some requests waited: {figures}"
+    );
     requests
 }
 
+/// A cache starts to drain while requests wait for a connection to it. Guards against sending them there.
 #[test]
-fn a_drain_drops_what_waits_for_a_dial() {
+fn a_drain_moves_requests_that_wait_for_a_dial() {
     let event = |cluster: &Cluster| {
         hosts(
             2,
@@ -352,12 +378,14 @@
             &[member("c1", cluster.addresses["c1"], "draining", 0)],
         )
     };
-    let requests = told_while_waiting(event);
+    let requests = requests_after_event_during_dial(event);
     assert!(requests.iter().all(|request| request.host == "c2"));
 }
 
+/// A parent drains while requests that name it as their source wait for a connection. Guards against sending them with
+/// that source.
 #[test]
-fn a_drained_source_drops_what_waits_for_a_dial() {
+fn a_drained_parent_is_replaced_in_requests_that_wait_for_a_dial() {
     let event = |cluster: &Cluster| {
         hosts(
             2,
@@ -365,7 +393,7 @@
             &[member("p1", cluster.addresses["p1"], "draining", 0)],
         )
     };
-    let requests = told_while_waiting(event);
+    let requests = requests_after_event_during_dial(event);
     let from_parent = requests
         .iter()
         .filter(|request| request.field("via") == Some("p1"))
@@ -373,10 +401,13 @@
     assert!((1..12).contains(&from_parent), "{from_parent}");
 }
 
+/// A group is purged while requests wait for a connection. Guards against sending them with a maximum age that allows
+/// copies from before the purge.
 #[test]
-fn a_purge_drops_what_waits_for_a_dial_and_bounds_the_age() {
-    let requests =
-        told_while_waiting(|_| json!({"pos": 2, "expire": {"set": 17, "stamp": unix_ms()}}));
+fn a_purge_limits_the_age_in_requests_that_wait_for_a_dial() {
+    let requests = requests_after_event_during_dial(
+        |_| json!({"pos": 2, "expire": {"set": 17, "stamp": unix_ms()}}),
+    );
     let fresh =
         |request: &HostMessage| request.field("fresh").and_then(|ms| ms.parse::<u64>().ok());
     let bound: Vec<u64> = requests.iter().filter_map(fresh).collect();
@@ -386,13 +417,14 @@
     );
 }
 
+/// Guards against a purge without a group that is ignored, or that applies to the whole group.
 #[test]
-fn the_purge_of_one_object_needs_no_group() {
+fn a_purge_of_one_object_affects_that_object_only() {
     let cluster = Cluster::new();
     let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
     journal.send(&json!({"pos": 2, "expire": {"name": format!("{:016x}", 7), "stamp": unix_ms()}}));
-    // Until it has come, the access is asked again.
-    wait_for("the purge is heeded", || {
+    // Requests are repeated until the purge has arrived.
+    wait_for("the purge is applied", || {
         client.request("image", 7, 2000);
         let request = cluster.next_request();
         request.answer_hit(b"x");
@@ -407,8 +439,10 @@
     );
 }
 
+/// The journal call breaks, and the service repeats an old event. Guards against handling an event twice, out of order,
+/// or after a gap.
 #[test]
-fn a_torn_journal_is_called_again_and_tells_each_event_once() {
+fn an_interrupted_journal_continues_and_each_event_is_handled_once() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let gone = |pos, id| hosts(pos, false, &[member(id, cluster.addresses[id], "gone", 0)]);
@@ -421,10 +455,10 @@
     journal.close();
     let mut journal = cluster.next_journal_call();
     assert_eq!(journal.last_event_id, 4);
-    // A repeat of the second would take c1 away, too.
+    // If the repeated event were handled, c1 would be gone, too.
     journal.send(&gone(2, "c1"));
     journal.send(&gone(5, "p1"));
-    wait_for("the last event is heeded", || {
+    wait_for("the last event is applied", || {
         client.request("image", 7, 2000);
         let request = cluster.next_request();
         assert_eq!(request.host, "c1");
@@ -432,13 +466,15 @@
         client.next_answer();
         request.field("via") == Some("o1")
     });
-    // A gap is not passed over: the events before it are asked for.
+    // After a gap, the daemon asks for the missing events.
     journal.send(&back(9, "c2"));
     assert_eq!(cluster.next_journal_call().last_event_id, 5);
 }
 
+/// Guards against dropping a whole host list for one bad member, and against sending requests to a host in an unknown
+/// zone.
 #[test]
-fn an_unreadable_member_is_passed_over_and_an_unknown_zone_serves_nobody() {
+fn an_unreadable_member_is_skipped_and_an_unknown_zone_is_not_used() {
     let cluster = Cluster::new();
     let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
     let at = |id| cluster.addresses[id];
@@ -448,7 +484,7 @@
     let gone = member("c1", at("c1"), "gone", 0);
     journal.send(&hosts(2, false, &[nowhere, broken, gone]));
     journal.send(&json!({"pos": 3, "expire": {"set": 17, "stamp": unix_ms()}}));
-    wait_for("both are heeded", || {
+    wait_for("both are applied", || {
         client.request("image", 7, 2000);
         let request = cluster.next_request();
         request.answer_hit(b"x");
@@ -464,6 +500,7 @@
     }
 }
 
+/// Guards against waiting for ever on a journal connection that is dead without a close.
 #[test]
 fn a_silent_journal_is_called_again() {
     let cluster = Cluster::new();
@@ -474,11 +511,12 @@
     drop(silent);
 }
 
+/// Guards against sending further requests on a connection whose host has stopped answering.
 #[test]
-fn a_connection_that_owed_an_answer_and_said_nothing_is_not_used_again() {
+fn a_connection_without_an_answer_is_not_used_again() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
-    // Another hand-off keeps it up.
+    // Another open request keeps the connection open.
     client.request("order", 6, 3000);
     assert_eq!(cluster.next_request().host, "o1");
     client.request("order", 7, 600);
@@ -490,29 +528,33 @@
     assert_ne!(next.peer(), silent.peer());
 }
 
+/// A host restarts without closing its connections. Guards against requests that wait until their deadline for a
+/// process that is gone.
 #[test]
-fn what_a_silent_process_held_ends_when_its_new_start_is_told() {
+fn requests_at_a_restarted_host_fail_when_the_list_reports_the_restart() {
     let cluster = Cluster::new();
     let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
     client.request("order", 7, 3000);
     let request = cluster.next_request();
-    let anew = member(
+    let restarted = member(
         request.host,
         cluster.addresses[request.host],
         "ready",
         unix_ms() + 1,
     );
-    let told = Instant::now();
-    journal.send(&hosts(2, false, &[anew]));
+    let sent_at = Instant::now();
+    journal.send(&hosts(2, false, &[restarted]));
     assert!(client.next_answer().1.is_error("Broken"));
     assert!(
-        told.elapsed() < Duration::from_secs(2),
-        "long before its limit"
+        sent_at.elapsed() < Duration::from_secs(2),
+        "long before the deadline"
     );
 }
 
+/// The host list reports a restart that happened before the connection was made. Guards against breaking a connection
+/// that already leads to the new process.
 #[test]
-fn a_connection_to_the_new_process_outlives_the_late_word_of_its_start() {
+fn a_late_report_of_a_restart_keeps_connections_to_the_new_process() {
     let cluster = Cluster::new();
     let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
     client.request("order", 7, 3000);
@@ -526,15 +568,15 @@
     let purge = json!({"pos": 3, "expire": {"name": format!("{:016x}", 8), "stamp": unix_ms()}});
     journal.send(&hosts(2, false, &[before]));
     journal.send(&purge);
-    // Once the purge is heeded, the list was, too.
-    wait_for("both are heeded", || {
+    // Events are handled in order: once the purge is applied, the host list was applied, too.
+    wait_for("both are applied", || {
         client.request("image", 8, 2000);
         let read = cluster.next_request();
         read.answer_hit(b"x");
         assert_eq!(
             client.next_answer().1,
             FinalAnswer::done(b"x"),
-            "the order is still open"
+            "the other request is still open"
         );
         read.field("fresh").is_some()
     });
@@ -542,6 +584,7 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"done"));
 }
 
+/// Guards against not reading from a client that has reached its limit of open requests.
 #[test]
 fn a_client_with_all_its_requests_open_can_still_revoke() {
     let cluster = Cluster::new();
@@ -555,11 +598,12 @@
     assert_eq!((kill.command.as_str(), &kill.id), ("KILL", &ninth.id));
 }
 
+/// Guards against a hash order that differs among dispatchers, because it uses addresses or state that a restart loses.
 #[test]
-fn hash_order_agrees_among_dispatchers_with_other_addresses_and_after_a_restart() {
+fn hash_order_depends_on_names_only() {
     let (a, b) = (Cluster::new(), Cluster::new());
     assert_ne!(a.addresses, b.addresses);
-    let homes = |cluster: &Cluster| -> Vec<&'static str> {
+    let first_caches = |cluster: &Cluster| -> Vec<&'static str> {
         let mut client = cluster.client();
         let home = |object| {
             client.request("image", object, 2000);
@@ -570,10 +614,10 @@
         };
         (0..30).map(home).collect()
     };
-    let wanted = homes(&a);
+    let wanted = first_caches(&a);
     assert!(wanted.contains(&"c1") && wanted.contains(&"c2"));
-    assert_eq!(homes(&b), wanted);
-    // Killed outright while clients are connected, and started again at once on the same address.
+    assert_eq!(first_caches(&b), wanted);
+    // One daemon is killed while clients are connected, and started again at once on the same address.
     let Cluster {
         mut program,
         config,
@@ -586,11 +630,13 @@
     program.wait_for_exit();
     let again = Program::start(&config, program.address);
     drop((connected, again, addresses, messages_in));
-    assert_eq!(homes(&a), wanted);
+    assert_eq!(first_caches(&a), wanted);
 }
 
+/// Requests are open and new ones arrive after SIGTERM. Guards against lost answers, resets, and an exit that waits for
+/// clients that keep their connections.
 #[test]
-fn asked_to_end_under_traffic_it_answers_all_and_exits_with_zero() {
+fn a_stop_under_load_answers_all_requests_and_exits_with_zero() {
     let mut cluster = Cluster::new();
     let mut clients: Vec<Client> = (0..8).map(|_| cluster.client()).collect();
     let ask = |clients: &mut [Client], from: u64| {
@@ -610,7 +656,7 @@
     let asked = Instant::now();
     std::thread::sleep(Duration::from_millis(250));
     answer(&mut clients, &open);
-    // Nothing is open now; requests still come, on open connections and on new ones.
+    // No request is open now. Further requests arrive on open connections and on a new one.
     std::thread::sleep(Duration::from_millis(100));
     clients.push(cluster.client());
     std::thread::sleep(Duration::from_millis(100));
@@ -621,14 +667,15 @@
     let took = asked.elapsed();
     assert!(
         took < Duration::from_millis(2500),
-        "half-closed by it: {took:?}"
+        "closed by the daemon: {took:?}"
     );
     drop(clients);
     assert!(cluster.program.wait_for_exit().success());
 }
 
+/// Guards against a panic, or a message that does not name the bad setting, and against exit code 0.
 #[test]
-fn a_bad_start_is_a_plain_message_and_another_exit_code() {
+fn a_bad_configuration_ends_the_start_with_a_plain_message() {
     let cluster = Cluster::new();
     let path = std::env::temp_dir().join(format!("trailproxyd-bad-{}.json", std::process::id()));
     let fails = |config: Option<&str>, listen: &str, why: &str| {
@@ -650,12 +697,12 @@
             "{said}"
         );
     };
-    let (free, sound) = (free_address().to_string(), cluster.config.to_string());
+    let (free, valid) = (free_address().to_string(), cluster.config.to_string());
     fails(None, &free, "RELAY_CONFIG is not set");
     fails(Some("{"), &free, "is not JSON");
     fails(Some("{\"seed\":\"1\"}"), &free, "settings are missing");
     fails(
-        Some(&sound.replace("\"az\":1", "\"az\":\"x\"")),
+        Some(&valid.replace("\"az\":1", "\"az\":\"x\"")),
         &free,
         "setting az can't be read",
     );
@@ -707,19 +754,20 @@
         fails(Some(&wrong.to_string()), &free, why);
     }
     fails(Some("[]"), &free, "it is no object");
-    fails(Some(&sound), "nowhere", "is not an address");
+    fails(Some(&valid), "nowhere", "is not an address");
     fails(
-        Some(&sound),
+        Some(&valid),
         &cluster.program.address.to_string(),
         "can't listen on",
     );
     let _ = std::fs::remove_file(path);
 }
 
+/// Guards against a panic, and against harm to the requests of other clients.
 #[test]
-fn a_clients_garbage_ends_its_connection_alone() {
+fn malformed_input_of_a_client_closes_its_connection_only() {
     let cluster = Cluster::new();
-    let (mut sound, mut chance) = (cluster.client(), fastrand::Rng::with_seed(9));
+    let (mut other, mut rng) = (cluster.client(), fastrand::Rng::with_seed(9));
     for n in 0..30u64 {
         let mut bad = cluster.client();
         let mut bytes = bad.encode("image", fields(100, 1000), &[]);
@@ -727,23 +775,25 @@
             0 => bytes = vec![0xc1],
             1 => bytes = vec![0xc6, 0xff, 0xff, 0xff, 0xff],
             2 => bytes = vec![0x91; 100],
-            _ => (0..4).for_each(|_| bytes[chance.usize(0..20)] = chance.u8(..)),
+            _ => (0..4).for_each(|_| bytes[rng.usize(0..20)] = rng.u8(..)),
         }
         let _ = bad.stream.write_all(&bytes);
         if n < 3 {
             assert!(bad.is_closed());
         }
-        let number = sound.request("image", n, 2000);
+        let number = other.request("image", n, 2000);
         let wanted = format!("{n:016x}");
         let mut requests = std::iter::repeat_with(|| cluster.next_request());
         let request = requests.find(|request| request.field("name") == Some(&wanted));
-        request.expect("the sound one").answer_hit(b"x");
-        assert_eq!(sound.next_answer(), (number, FinalAnswer::done(b"x")));
+        request.expect("the valid request").answer_hit(b"x");
+        assert_eq!(other.next_answer(), (number, FinalAnswer::done(b"x")));
     }
 }
 
+/// Guards against closing a connection for a single request with bad fields, and against passing such fields on to a
+/// host.
 #[test]
-fn what_cant_be_acted_on_is_an_error_and_the_connection_goes_on() {
+fn an_invalid_request_fails_and_the_connection_continues() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let without = |name: &str| {
@@ -786,8 +836,10 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b""));
 }
 
+/// Guards against two requests under one id: a host's answer would match both, and the second would be a copy of the
+/// first.
 #[test]
-fn an_id_that_is_open_already_is_an_error_and_harms_no_other() {
+fn a_duplicate_request_id_fails_and_does_not_affect_the_first() {
     let cluster = Cluster::new();
     let (mut first, mut second) = (cluster.client(), cluster.client());
     first.request_with("image", fields(7, 2000), &[]);
@@ -796,13 +848,14 @@
     assert!(second.next_answer().1.is_error("Broken"));
     request.answer_hit(b"x");
     assert_eq!(first.next_answer().1, FinalAnswer::done(b"x"));
-    // Nor is it of use when it is answered: to a host it would be a second copy.
+    // The id stays unusable for a while after its answer: to a host, the request would be a second copy.
     second.request_with("image", fields(7, 2000), &[]);
     assert!(second.next_answer().1.is_error("Broken"));
 }
 
+/// A malformed answer ends all requests on its connection. Guards against too many requests on one connection.
 #[test]
-fn a_spoilt_answer_costs_few_other_requests() {
+fn a_malformed_answer_loses_few_other_requests() {
     let cluster = Cluster::with_config(|config, at| {
         let members = [("c1", "ready"), ("p1", "ready"), ("o1", "ready")];
         let members = members.map(|(id, phase)| member(id, at[id], phase, 0));
@@ -811,12 +864,12 @@
     let mut client = cluster.client();
     let numbers: Vec<u64> = (0..6).map(|n| client.request("image", n, 3000)).collect();
     let requests: Vec<HostMessage> = (0..6).map(|_| cluster.next_request()).collect();
-    // It ends its own connection, and one more request shares that at most.
-    let hit = |request: &&HostMessage| request.peer() == requests[0].peer();
-    let hit = requests.iter().filter(hit).count();
-    assert!(hit <= 2, "{hit} on one connection");
+    // The malformed answer closes its connection, which at most one other request shares.
+    let is_same = |request: &&HostMessage| request.peer() == requests[0].peer();
+    let lost = requests.iter().filter(is_same).count();
+    assert!(lost <= 2, "{lost} on one connection");
     let _ = (&requests[0].stream).write_all(b"nonsense");
-    (0..hit).for_each(|_| assert_ne!(cluster.next_request().host, "c1"));
+    (0..lost).for_each(|_| assert_ne!(cluster.next_request().host, "c1"));
     let mut left: BTreeSet<u64> = numbers.into_iter().collect();
     for request in requests
         .iter()
@@ -828,11 +881,13 @@
         assert_eq!(last, FinalAnswer::done(b"kept"));
         assert!(left.remove(&number));
     }
-    assert_eq!(left.len(), hit);
+    assert_eq!(left.len(), lost);
 }
 
+/// Requests fail at every host that they are sent to. Guards against blaming the hosts for what is wrong with the
+/// request.
 #[test]
-fn what_no_host_can_use_blames_none() {
+fn a_request_that_fails_everywhere_opens_no_breaker() {
     let cluster = Cluster::new();
     for object in 0..20 {
         let mut client = cluster.client();
@@ -851,28 +906,30 @@
     assert!(!cluster.program.log_contains("breaker open"));
 }
 
+/// Guards against unbounded memory for one client, and against harm to others.
 #[test]
-fn a_client_that_asks_for_more_at_once_than_it_may_is_closed() {
+fn a_client_that_exceeds_its_open_requests_is_closed() {
     let cluster = Cluster::new();
-    let (mut rude, mut usual) = (cluster.client(), cluster.client());
+    let (mut excessive, mut other) = (cluster.client(), cluster.client());
     for object in 0..40 {
-        let bytes = rude.encode("order", fields(object, 3000), b"");
-        let _ = rude.stream.write_all(&bytes);
+        let bytes = excessive.encode("order", fields(object, 3000), b"");
+        let _ = excessive.stream.write_all(&bytes);
     }
-    assert!(rude.is_closed());
-    usual.request("image", 99, 3000);
+    assert!(excessive.is_closed());
+    other.request("image", 99, 3000);
     loop {
-        let heard = cluster.next_message();
-        if heard.field("name") == Some("0000000000000063") {
-            heard.answer_hit(b"x");
+        let message = cluster.next_message();
+        if message.field("name") == Some("0000000000000063") {
+            message.answer_hit(b"x");
             break;
         }
     }
-    assert_eq!(usual.next_answer().1, FinalAnswer::done(b"x"));
+    assert_eq!(other.next_answer().1, FinalAnswer::done(b"x"));
 }
 
+/// A client does not read its answers. Guards against keeping them after every one of them is too late.
 #[test]
-fn a_client_that_takes_nothing_is_let_go_when_all_is_too_late() {
+fn a_client_that_does_not_read_is_closed_after_all_deadlines() {
     let cluster = Cluster::with_config(|config, _| {
         let classes = config["settings"]["classes"].as_array_mut();
         let classes = classes.expect("classes").iter_mut();
@@ -896,8 +953,9 @@
     );
 }
 
+/// Guards against a panic, and against a failure where another cache could answer.
 #[test]
-fn a_hosts_garbage_ends_its_connection_and_the_access_goes_on() {
+fn malformed_input_of_a_host_closes_its_connection_and_the_request_goes_on() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     for (object, garbage) in [&b"*9\r\n"[..], b"nonsense", b"*4\r\n$-1\r\n"]
@@ -912,15 +970,17 @@
         second.answer_hit(b"x");
         assert_eq!(client.next_answer().1, FinalAnswer::done(b"x"));
     }
-    // A copy that was never offered can't be the one.
+    // The client has offered no copy, so that none can be unchanged.
     client.request("image", 9, 2000);
     cluster.next_request().answer("unchanged", "-", b"");
     cluster.next_request().answer_hit(b"x");
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"x"));
 }
 
+/// A host is gone and another one has its address. Guards against sending the new host's requests on connections of the
+/// former.
 #[test]
-fn another_host_at_a_gone_ones_address_has_connections_of_its_own() {
+fn a_new_host_at_a_gone_hosts_address_gets_new_connections() {
     let cluster = Cluster::new();
     let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
     client.request("image", 7, 3000);
@@ -940,20 +1000,21 @@
         false,
         &[member(other, cluster.addresses[other], "gone", 0)],
     ));
-    let mut lines = BTreeSet::new();
+    let mut connections = BTreeSet::new();
     wait_for("the new one is used", || {
         client.request("image", 8, 3000);
         let request = cluster.next_request();
         request.answer_hit(b"x");
         client.next_answer();
-        lines.insert(request.peer());
+        connections.insert(request.peer());
         request.host == first.host && request.peer() != first.peer()
     });
-    // What the gone one had is still its to answer.
+    // The gone host may still answer its open request.
     first.answer_hit(b"last");
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"last"));
 }
 
+/// Returns a memory figure of the daemon's process.
 fn resident_kb(cluster: &Cluster, name: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", cluster.program.child.id()));
     let status = status.expect("a process");
@@ -962,24 +1023,26 @@
     kb.parse().expect("a number")
 }
 
+/// Several clients ask for large objects and do not read them. Guards against buffering all answers: the daemon must
+/// stop reading from hosts instead.
 #[test]
-fn answers_to_a_client_that_takes_nothing_stay_within_memory() {
+fn answers_to_clients_that_do_not_read_stay_within_memory() {
     const ALLOWED_MS: u64 = 4000;
     let mut cluster = Cluster::with_config(|config, _| {
         config["limits"]["memory_mb"] = json!(16);
         config["settings"]["classes"][0]["on_time_us"] = json!(ALLOWED_MS * 1000);
         config["settings"]["classes"][0]["hard_limit_us"] = json!(ALLOWED_MS * 1000);
     });
-    // The program's own pages are as many as its build has them: they are there once it has answered, not yet when its
-    // socket listens.
+    // The memory of the idle program depends on its build. Its pages are loaded once it has answered, not yet when it
+    // listens.
     let _journal = cluster.next_journal_call();
-    let mut usual = cluster.client();
-    usual.request("image", 1000, 3000);
+    let mut other = cluster.client();
+    other.request("image", 1000, 3000);
     cluster.next_request().answer_hit(b"x");
-    assert_eq!(usual.next_answer().1, FinalAnswer::done(b"x"));
+    assert_eq!(other.next_answer().1, FinalAnswer::done(b"x"));
     let idle_kb = resident_kb(&cluster, "VmRSS:");
-    // As many as a client may ask for at once: the system holds some 4 MB of the 7.7 MB for each, the program is left
-    // with far more than it may hold.
+    // As many requests as a client may have open: the system buffers some 4 MB of the 7.7 MB for each client, and the rest
+    // is far more than the program may buffer.
     let mut slow: Vec<Client> = (0..4).map(|_| cluster.client()).collect();
     for client in &slow {
         let socket = socket2::SockRef::from(&client.stream);
@@ -997,7 +1060,7 @@
             .iter()
             .for_each(|request| request.answer_hit(&bytes))
     });
-    // Asked to end, it waits for its clients for as long as they may wait; its last figures tell the peak of it all.
+    // On exit, the program waits for its clients until their deadlines. Its last figures contain the peak memory.
     cluster.program.signal("-TERM");
     assert!(cluster.program.wait_for_exit().success());
     writing.join().expect("written");
@@ -1015,8 +1078,10 @@
     );
 }
 
+/// More clients connect than there are slots, and each stays idle. Guards against a new client that waits until an idle
+/// one leaves by itself.
 #[test]
-fn clients_that_ask_once_and_stay_give_way_to_a_newcomer() {
+fn idle_clients_are_closed_for_new_clients() {
     let cluster = Cluster::with_config(|config, _| config["limits"]["sockets"] = json!(64));
     let stay: Vec<Client> = (0..80)
         .map(|_| {
@@ -1026,28 +1091,31 @@
             client
         })
         .collect();
-    // One of them asks again, too late or in time: it is answered, or may ask anew.
+    // The first of them was closed. Its next request would fail at once, and it could connect again.
     let mut first = stay.into_iter().next().expect("a client");
     assert!(first.is_closed());
 }
 
+/// Guards against connections that hold a slot without ever sending a whole request.
 #[test]
-fn a_client_that_says_nothing_or_half_a_message_is_closed_within_three_seconds() {
+fn a_client_without_a_whole_message_is_closed_within_three_seconds() {
     let cluster = Cluster::new();
     let began = Instant::now();
     let (mut silent, mut half) = (cluster.client(), cluster.client());
     half.stream.write_all(&[0x94, 0x00]).expect("half");
-    let mut usual = cluster.client();
-    usual.request("image", 7, 3000);
+    let mut other = cluster.client();
+    other.request("image", 7, 3000);
     let request = cluster.next_request();
     assert!(silent.is_closed() && half.is_closed());
     assert!(began.elapsed() >= Duration::from_secs(2));
     request.answer_hit(b"kept");
-    assert_eq!(usual.next_answer().1, FinalAnswer::done(b"kept"));
+    assert_eq!(other.next_answer().1, FinalAnswer::done(b"kept"));
 }
 
+/// Guards against following a bad configuration, against losing open requests on a reload, and against starting the
+/// journal from its beginning at the new address.
 #[test]
-fn a_hangup_moves_the_journal_and_leaves_what_is_open_alone() {
+fn sighup_changes_the_journal_address_and_keeps_open_requests() {
     let cluster = Cluster::new();
     let _former = cluster.next_journal_call();
     let mut client = cluster.client();
@@ -1065,34 +1133,34 @@
         .enumerate()
     {
         cluster.program.reload_config(bad);
-        // One that is still to be read would be found replaced by the sound one, and that followed twice.
-        wait_for("it says so", || refused(&cluster) > before);
+        // Wait until each bad file was read: otherwise the good file would replace it unread and be applied twice.
+        wait_for("the file is refused", || refused(&cluster) > before);
     }
-    let (lines_in, lines) = std::sync::mpsc::channel();
+    let (calls_in, calls) = std::sync::mpsc::channel();
     let mut config = cluster.config.clone();
-    config["journal"] = json!(harness::start_journal(lines_in).to_string());
+    config["journal"] = json!(harness::start_journal(calls_in).to_string());
     cluster.program.reload_config(&config.to_string());
-    let mut line = lines
+    let mut journal = calls
         .recv_timeout(MAX_WAIT)
         .expect("a call to the new address");
-    assert_eq!(line.last_event_id, 1, "the numbers carry on");
+    assert_eq!(journal.last_event_id, 1, "the positions continue");
     let drain = |name| member(name, cluster.addresses[name], "draining", 0);
-    line.send(&hosts(2, false, &[drain("c1"), drain("c2")]));
+    journal.send(&hosts(2, false, &[drain("c1"), drain("c2")]));
     request.answer_hit(b"kept");
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"kept"));
-    wait_for("it is told", || {
-        let heard = {
+    wait_for("the host list is applied", || {
+        let message = {
             client.request("image", 8, 1000);
             cluster.next_request()
         };
-        heard.answer_hit(b"x");
+        message.answer_hit(b"x");
         client.next_answer();
-        heard.host == "p1"
+        message.host == "p1"
     });
 }
 
-/// The settings of a deployment whose hosts tell their load when probed, and whose list tells no sizes.
-fn moved(config: &Value) -> Value {
+/// Returns the settings of a deployment whose hosts report their load to probes, and whose host list has no capacities.
+fn with_probes(config: &Value) -> Value {
     let mut config = config.clone();
     config["settings"]["weights"] = json!("silent");
     config["settings"]["report"] = json!({"via": "pull", "fields": ["util", "x1"]});
@@ -1100,40 +1168,44 @@
     config
 }
 
+/// Guards against a probe without an answer that blocks all later probes of the host, and against an unreadable report
+/// that breaks its connection.
 #[test]
-fn hosts_are_probed_where_the_settings_say_so_and_one_that_stays_silent_is_asked_again() {
-    let cluster = Cluster::with_config(|config, _| *config = moved(config));
-    let (mut heard, until) = (Vec::new(), Instant::now() + MAX_WAIT);
-    // Each of two caches and a parent, though none answers at first, and all of them again after that.
-    while heard.len() < 9 && Instant::now() < until {
+fn hosts_are_probed_and_a_silent_one_is_probed_again() {
+    let cluster = Cluster::with_config(|config, _| *config = with_probes(config));
+    let (mut probed, until) = (Vec::new(), Instant::now() + MAX_WAIT);
+    // The caches and the parent are probed again although none of them answers the first probe.
+    while probed.len() < 9 && Instant::now() < until {
         let probe = cluster.next_message();
         assert_eq!((probe.command.as_str(), probe.fields.len()), ("METER", 0));
-        if heard.len() >= 3 {
+        if probed.len() >= 3 {
             probe.answer("well", "rep=util:0.5;x1:0.2", b"");
         }
-        heard.push(probe.host);
+        probed.push(probe.host);
     }
     for host in ["c1", "c2", "p1"] {
         assert!(
-            heard.iter().filter(|&&known| known == host).count() >= 2,
-            "{heard:?}"
+            probed.iter().filter(|&&known| known == host).count() >= 2,
+            "{probed:?}"
         );
     }
-    assert!(!heard.contains(&"o1"), "the origin tells nothing of use");
-    // A report that can't be read spoils nothing else on its connection.
+    assert!(!probed.contains(&"o1"), "the origin is not probed");
+    // An unreadable report does not affect other answers on its connection.
     let mut client = cluster.client();
     client.request("image", 7, 3000);
-    let request = pull_past_probes(&cluster, "rep=\u{fffd};;nonsense");
+    let request = next_request_answering_probes(&cluster, "rep=\u{fffd};;nonsense");
     request.answer_hit(b"kept");
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"kept"));
 }
 
+/// The settings change while a request is open, a cache drains and a parent's breaker is open. Guards against losing
+/// that state with the new settings.
 #[test]
-fn in_the_first_seconds_after_the_switch_what_is_open_ends_and_what_drains_or_was_open_stays_so() {
+fn changed_settings_keep_open_requests_draining_hosts_and_open_breakers() {
     let cluster = Cluster::new();
-    let mut line = cluster.next_journal_call();
+    let mut journal = cluster.next_journal_call();
     let mut client = cluster.client();
-    // A parent fails, as the dispatcher learns before the switch.
+    // A parent fails, and its breaker opens before the settings change.
     let mut opened = 0;
     while !cluster.program.log_contains("Parent") && opened < 60 {
         opened += 1;
@@ -1153,46 +1225,46 @@
         cluster.program.log_contains("breaker open"),
         "after {opened}"
     );
-    line.send(&hosts(
+    journal.send(&hosts(
         2,
         false,
         &[member("c1", cluster.addresses["c1"], "draining", 0)],
     ));
     let asked = wait_for_draining(&cluster, &mut client);
-    // An access is out at the switch.
+    // A request is open when the settings change.
     client.request("image", 5, 3000);
     let request = cluster.next_request();
-    let config = moved(&cluster.config);
+    let config = with_probes(&cluster.config);
     cluster.program.reload_config(&config.to_string());
-    wait_for("it follows", || {
+    wait_for("the settings are applied", || {
         cluster.program.log_contains("settings followed")
     });
     request.answer_hit(b"kept");
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"kept"));
-    // From the first access on: nothing to the cache that drains, nothing by the parent that was open.
+    // From the first request on, none goes to the draining cache, and none uses the parent whose breaker is open.
     for object in 0..20 {
         client.request("image", 2000 + object, 1500);
-        let request = pull_past_probes(&cluster, "rep=0.3;0.1");
+        let request = next_request_answering_probes(&cluster, "rep=0.3;0.1");
         assert_ne!(
             request.host, "c1",
-            "it drained {asked} accesses before the switch"
+            "it was draining after {asked} requests, before the settings changed"
         );
         assert_ne!(request.field("via"), Some("p1"), "its breaker was open");
         request.answer_hit(b"x");
         client.next_answer();
     }
-    // The same file with another zone is not followed; it says so, and the present settings go on.
+    // The same file with another zone is not applied. The daemon logs that and keeps its settings.
     let mut other = config.clone();
     other["settings"]["az"] = json!(0);
     cluster.program.reload_config(&other.to_string());
-    wait_for("it says so", || {
+    wait_for("the settings are not applied", || {
         cluster
             .program
             .log_contains("settings wait for a new start")
     });
-    // And back: the probes end.
+    // With the first settings, the probes end.
     cluster.program.reload_config(&cluster.config.to_string());
-    wait_for("it follows", || {
+    wait_for("the settings are applied", || {
         cluster.program.log_contains("probes: false")
     });
     std::thread::sleep(Duration::from_millis(200));
@@ -1205,38 +1277,39 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"back"));
 }
 
+/// A new configuration has good settings and a bad operator's file. Guards against applying one half of it.
 #[test]
-fn settings_whose_operators_file_is_refused_do_not_hold_either() {
+fn settings_are_not_applied_if_the_operators_file_is_refused() {
     let cluster = Cluster::new();
-    let mut config = moved(&cluster.config);
+    let mut config = with_probes(&cluster.config);
     config["operator"] = json!("nowhere.json");
     cluster.program.reload_config(&config.to_string());
-    wait_for("it says so", || {
+    wait_for("the file is refused", || {
         cluster.program.log_contains("operator's file refused")
     });
     assert!(!cluster.program.log_contains("settings followed"));
-    // Read again without it, they are still other settings than those that hold.
+    // Without the operator's file the same settings are applied: the refused file did not mark them as current.
     cluster
         .program
-        .reload_config(&moved(&cluster.config).to_string());
-    wait_for("it follows", || {
+        .reload_config(&with_probes(&cluster.config).to_string());
+    wait_for("the settings are applied", || {
         cluster.program.log_contains("settings followed")
     });
 }
 
-/// The next request at a host; probes that come before it are answered with this report.
-fn pull_past_probes(cluster: &Cluster, report: &str) -> HostMessage {
+/// Waits for the next request at a host, and answers earlier probes with this report.
+fn next_request_answering_probes(cluster: &Cluster, report: &str) -> HostMessage {
     loop {
-        let heard = cluster.next_message();
-        match heard.command.as_str() {
-            "PULL" => return heard,
-            "METER" => heard.answer("well", report, b""),
+        let message = cluster.next_message();
+        match message.command.as_str() {
+            "PULL" => return message,
+            "METER" => message.answer("well", report, b""),
             _ => {}
         }
     }
 }
 
-/// How many accesses went by until the first cache got no more.
+/// Sends requests until the first cache receives no more, and returns their number.
 fn wait_for_draining(cluster: &Cluster, client: &mut harness::Client) -> u64 {
     let (mut asked, mut clean) = (0, 0);
     while clean < 12 {
@@ -1246,7 +1319,7 @@
         clean = if request.host == "c1" { 0 } else { clean + 1 };
         request.answer_hit(b"x");
         client.next_answer();
-        assert!(asked < 500, "the list is not heard");
+        assert!(asked < 500, "the host list is not applied");
     }
     asked
 }
