--- a/crates/trailproxyd/tests/endings.rs
+++ b/crates/trailproxyd/tests/endings.rs
@@ -1,5 +1,5 @@
-//! Whatever ends while something is still owed: a client, a connection to a host, the process, the way to discovery.
-//! Each story makes the bad order happen; `docs/endings.md` lists the paths.
+//! Tests of what ends while requests are open: a client, a connection to a host, the process, or the call to the journal
+//! service. Each test forces the order of events that is critical; `docs/endings.md` lists the paths.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod harness;
@@ -12,11 +12,11 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// A client that has left has gone after this: nothing may begin for it any more.
-const GONE: Duration = Duration::from_millis(100);
+/// A client that has closed counts as gone after this time. Nothing may start for it from then on.
+const CLIENT_GONE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A cluster whose c1 is behind a blocked_host: what goes there waits until its connections come up.
-fn gated(change: impl FnOnce(&mut Value)) -> (Cluster, BlockedHost) {
+/// Starts a cluster whose cache c1 is blocked: requests to it wait until its connections are established.
+fn cluster_with_blocked_c1(change: impl FnOnce(&mut Value)) -> (Cluster, BlockedHost) {
     let blocked_host = BlockedHost::new();
     let address = blocked_host.address;
     let cluster = Cluster::with_config(|config, _| {
@@ -31,117 +31,127 @@
     (cluster, blocked_host)
 }
 
+/// The host list in the configuration.
 fn members(config: &mut Value) -> &mut Vec<Value> {
     let members = config["known"]["entries"][0]["hosts"]["members"].as_array_mut();
     members.expect("members")
 }
 
-/// Whatever the program was sent before is taken by now, of all clients.
-fn settled(client: &mut Client) {
+/// Waits until the daemon has read what all clients sent before.
+fn wait_until_read(client: &mut Client) {
     for _ in 0..3 {
         client.request_with("heartbeat", vec![], &[]);
         assert_eq!(client.next_answer().1, FinalAnswer::done(&[1]));
     }
 }
 
-/// By now whoever has left has gone, and that is known.
-fn gone(client: &mut Client) {
-    std::thread::sleep(GONE);
-    settled(client);
+/// Waits until clients that have closed count as gone and the daemon has noticed that.
+fn wait_until_gone(client: &mut Client) {
+    std::thread::sleep(CLIENT_GONE_TIMEOUT);
+    wait_until_read(client);
 }
 
+/// Closes a client's connection with a reset.
 fn reset(client: Client) {
     let socket = socket2::SockRef::from(&client.stream);
     let lingers = socket.set_linger(Some(Duration::ZERO));
     lingers.expect("a reset at the close");
 }
 
-/// What a host hears next is of this object.
-fn pull_of(cluster: &Cluster, object: u64) -> HostMessage {
+/// Waits for the next request at a host, which must be for this object.
+fn next_request_for(cluster: &Cluster, object: u64) -> HostMessage {
     let request = cluster.next_request();
     let name = format!("{object:016x}");
     assert_eq!(
         request.field("name"),
         Some(name.as_str()),
-        "the first to come"
+        "the first request to arrive"
     );
     request
 }
 
-/// Asks for an object by a new client, hears its request alone, and answers it.
-fn next_heard(cluster: &Cluster, object: u64) {
+/// Sends a request by a new client, and checks that it is the next one at a host.
+fn assert_next_request(cluster: &Cluster, object: u64) {
     let mut other = cluster.client();
     other.request("image", object, 9000);
-    pull_of(cluster, object).answer_hit(b"other");
+    next_request_for(cluster, object).answer_hit(b"other");
     assert_eq!(other.next_answer().1, FinalAnswer::done(b"other"));
 }
 
+/// Clients reset, close or revoke while their requests wait for a connection to a host. Guards against starting such a
+/// request once the connection is established.
 #[test]
-fn what_waits_for_a_connection_is_dropped_when_its_client_leaves_or_cancels() {
-    let homes = objects_first_at("c1");
+fn requests_waiting_for_a_connection_are_dropped_when_the_client_leaves_or_revokes() {
+    let at_c1 = objects_first_at("c1");
     for cancel in [false, true] {
-        let (cluster, blocked_host) =
-            gated(|config| config["settings"]["ceilings"]["cancel"] = json!(cancel));
+        let (cluster, blocked_host) = cluster_with_blocked_c1(|config| {
+            config["settings"]["ceilings"]["cancel"] = json!(cancel)
+        });
         let (mut resets, mut closes, mut revokes) =
             (cluster.client(), cluster.client(), cluster.client());
         let mut other = cluster.client();
-        resets.request("image", homes[0], 9000);
-        closes.request("image", homes[0], 9000);
-        let number = revokes.request("image", homes[0], 9000);
-        settled(&mut other);
+        resets.request("image", at_c1[0], 9000);
+        closes.request("image", at_c1[0], 9000);
+        let number = revokes.request("image", at_c1[0], 9000);
+        wait_until_read(&mut other);
         reset(resets);
         drop(closes);
         revokes.revoke(number);
-        gone(&mut other);
-        // It waits behind them, for the same connections.
-        other.request("image", homes[1], 9000);
-        settled(&mut other);
+        wait_until_gone(&mut other);
+        // This request waits behind the others for the same connections.
+        other.request("image", at_c1[1], 9000);
+        wait_until_read(&mut other);
         blocked_host.unblock("c1", cluster.messages_in.clone());
-        pull_of(&cluster, homes[1]).answer_hit(b"other");
+        next_request_for(&cluster, at_c1[1]).answer_hit(b"other");
         assert_eq!(other.next_answer().1, FinalAnswer::done(b"other"));
-        next_heard(&cluster, homes[2]);
+        assert_next_request(&cluster, at_c1[2]);
     }
 }
 
-/// A client that has ended its side while its request was at a host.
-fn has_ended_its_side(cluster: &Cluster, class: &str) -> (Client, HostMessage) {
+/// Returns a client that has closed its sending direction while its request was at a host, and that request.
+fn half_closed_client(cluster: &Cluster, class: &str) -> (Client, HostMessage) {
     let (mut closing, mut other) = (cluster.client(), cluster.client());
     closing.request(class, 7, 9000);
     let request = cluster.next_request();
     let ended = closing.stream.shutdown(Shutdown::Write);
-    ended.expect("its side ends");
-    gone(&mut other);
+    ended.expect("a half-close");
+    wait_until_gone(&mut other);
     (closing, request)
 }
 
+/// A client closes its sending direction, and then its attempt fails. Guards against a second attempt for a client that
+/// has gone.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_has_closed() {
+fn no_further_attempt_starts_for_a_client_that_has_closed() {
     let cluster = Cluster::new();
-    let (mut closing, first) = has_ended_its_side(&cluster, "image");
+    let (mut closing, first) = half_closed_client(&cluster, "image");
     first.close();
-    // It may still listen, so it has its final answer.
+    // The client may still read, so it gets its final answer.
     assert!(closing.next_answer().1.is_error("Broken"));
     assert!(closing.is_closed());
-    next_heard(&cluster, 8);
+    assert_next_request(&cluster, 8);
 }
 
+/// Guards against dropping the answer of a client that only closed its sending direction.
 #[test]
-fn an_attempt_under_way_is_answered_after_its_client_ended_its_side() {
+fn an_attempt_in_flight_is_answered_after_a_half_close() {
     let cluster = Cluster::new();
-    let (mut closing, first) = has_ended_its_side(&cluster, "order");
+    let (mut closing, first) = half_closed_client(&cluster, "order");
     first.answer("data", "tag=aa,minted=1", b"kept");
     assert_eq!(closing.next_answer().1, FinalAnswer::done(b"kept"));
     assert!(closing.is_closed());
 }
 
+/// The process reads a request and the close behind it at once. Guards against dating the close back to when the client
+/// connected, as if it had gone long ago.
 #[test]
-fn a_client_that_speaks_late_and_ends_its_side_at_once_is_answered() {
+fn a_late_request_with_an_immediate_half_close_is_answered() {
     let cluster = Cluster::new();
     let (mut late, mut other) = (cluster.client(), cluster.client());
-    // Clients get their places in the order in which they come: the silent one has had its own for a while.
-    settled(&mut other);
-    gone(&mut other);
-    // The program finds the request and the end behind it in one reading.
+    // Clients get their slots in the order in which they connect: the silent one has had its slot for a while.
+    wait_until_read(&mut other);
+    wait_until_gone(&mut other);
+    // The daemon reads the request and the close behind it at once.
     cluster.program.signal("-STOP");
     late.request("image", 7, 3000);
     late.stream.shutdown(Shutdown::Write).expect("a half-close");
@@ -151,8 +161,8 @@
     assert!(late.is_closed());
 }
 
-/// A cluster with so few descriptors that its places are all taken, by clients that wait for answers.
-fn full() -> (Cluster, Vec<Client>, Vec<HostMessage>) {
+/// Starts a cluster with few connection slots, all of them taken by clients that wait for answers.
+fn cluster_without_free_slots() -> (Cluster, Vec<Client>, Vec<HostMessage>) {
     let cluster = Cluster::with_config(|config, _| config["limits"]["sockets"] = json!(64));
     let mut taken = Vec::new();
     let mut held = Vec::new();
@@ -165,9 +175,11 @@
     (cluster, taken, held)
 }
 
+/// Clients send a request and leave while they wait for a connection slot. Guards against starting the request when
+/// they get the slot.
 #[test]
-fn a_request_whose_client_left_while_it_waited_for_a_place_is_not_sent() {
-    let (cluster, mut taken, held) = full();
+fn a_request_whose_client_left_while_waiting_for_a_slot_is_not_sent() {
+    let (cluster, mut taken, held) = cluster_without_free_slots();
     let (mut closes, mut resets) = (cluster.client(), cluster.client());
     closes.request("image", 100, 9000);
     resets.request("image", 101, 9000);
@@ -175,46 +187,52 @@
     reset(resets);
     let mut stays = cluster.client();
     stays.request("image", 102, 9000);
-    gone(&mut taken[1]);
-    // A place is free, and all three come in by it.
+    wait_until_gone(&mut taken[1]);
+    // One slot becomes free, and all three get it in turn.
     held[0].answer_hit(b"x");
     assert_eq!(taken[0].next_answer().1, FinalAnswer::done(b"x"));
     drop(taken.remove(0));
-    pull_of(&cluster, 102).answer_hit(b"stays");
+    next_request_for(&cluster, 102).answer_hit(b"stays");
     assert_eq!(stays.next_answer().1, FinalAnswer::done(b"stays"));
 }
 
+/// A client does not read its answers and revokes other requests. Guards against not reading from it until its answers
+/// are written, which would start revoked requests.
 #[test]
-fn cancellations_are_read_behind_answers_that_are_not_taken() {
+fn revocations_are_read_although_answers_are_not() {
     let (at_c1, at_c2) = (objects_first_at("c1"), objects_first_at("c2"));
-    let (cluster, blocked_host) = gated(|_| {});
-    let mut rude = cluster.client();
-    let socket = socket2::SockRef::from(&rude.stream);
+    let (cluster, blocked_host) = cluster_with_blocked_c1(|_| {});
+    let mut slow_reader = cluster.client();
+    let socket = socket2::SockRef::from(&slow_reader.stream);
     socket.set_recv_buffer_size(4096).expect("a small buffer");
-    // Large answers fill the way back, more than the system takes for it (over 6 MB), and small ones stand behind them, as
-    // many as may be owed whatever part of the large ones has gone out.
+    // Large answers, over 6 MB, fill the system's buffers for the client. Small ones follow, as many as may be open however
+    // many of the large ones were written.
     for object in at_c2.into_iter().cycle().take(28) {
-        rude.request("image", object, 20_000);
+        slow_reader.request("image", object, 20_000);
         cluster.next_request().answer_hit(&[7; 240_000]);
     }
-    let waiting = [0, 1].map(|_| rude.request("image", at_c1[0], 20_000));
+    let waiting = [0, 1].map(|_| slow_reader.request("image", at_c1[0], 20_000));
     for _ in 0..32 {
-        rude.request_with("nonsense", vec![], &[]);
+        slow_reader.request_with("nonsense", vec![], &[]);
     }
-    waiting.iter().for_each(|&number| rude.revoke(number));
+    waiting
+        .iter()
+        .for_each(|&number| slow_reader.revoke(number));
     let mut other = cluster.client();
-    settled(&mut other);
-    gone(&mut other);
+    wait_until_read(&mut other);
+    wait_until_gone(&mut other);
     other.request("image", at_c1[1], 9000);
-    settled(&mut other);
+    wait_until_read(&mut other);
     blocked_host.unblock("c1", cluster.messages_in.clone());
-    pull_of(&cluster, at_c1[1]);
+    next_request_for(&cluster, at_c1[1]);
 }
 
+/// A connection closes while a further request waiting. Guards against assigning the request to it before the close is
+/// handled: nothing would end that request.
 #[test]
-fn what_waits_is_not_given_to_a_connection_that_has_just_ended() {
+fn a_waiting_request_is_not_assigned_to_a_closed_connection() {
     let at_c1 = objects_first_at("c1");
-    let (cluster, mut blocked_host) = gated(|config| {
+    let (cluster, mut blocked_host) = cluster_with_blocked_c1(|config| {
         config["settings"]["ceilings"]["dial_timeout_us"] = json!(400_000);
     });
     blocked_host.admit_one();
@@ -226,9 +244,9 @@
     client.request("image", at_c1[0], 9000);
     let second = cluster.next_request();
     assert_eq!(first.peer(), second.peer(), "two to a connection");
-    // The third waits for a connection of its own, which never comes up.
+    // The third waits for a connection of its own, which is never established.
     client.request("image", at_c1[0], 9000);
-    settled(&mut other);
+    wait_until_read(&mut other);
     first.close();
     for _ in 0..3 {
         let request = cluster.next_request();
@@ -240,8 +258,10 @@
     }
 }
 
+/// A host sends half an answer and pauses. Guards against new requests on that connection, whose answers would wait,
+/// and against losing the answer that completes later.
 #[test]
-fn behind_half_an_answer_nothing_new_is_sent_and_its_end_still_counts() {
+fn nothing_new_is_sent_behind_a_partial_answer_which_may_still_complete() {
     let cluster = Cluster::with_config(|config, _| {
         config["settings"]["ceilings"]["dial_timeout_us"] = json!(100_000);
     });
@@ -254,9 +274,9 @@
     );
     let (half, rest) = whole.as_bytes().split_at(40);
     (&first.stream).write_all(half).expect("half an answer");
-    // It says nothing more for longer than a connection may take to come up.
+    // The host pauses for longer than the dial timeout.
     std::thread::sleep(Duration::from_millis(250));
-    settled(&mut other);
+    wait_until_read(&mut other);
     other.request("image", 7, 9000);
     let second = cluster.next_request();
     assert_ne!((first.host, first.peer()), (second.host, second.peer()));
@@ -266,8 +286,9 @@
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"last"));
 }
 
+/// A host answers a request twice in one packet. Guards against two answers to the client.
 #[test]
-fn a_second_answer_in_one_piece_with_the_first_is_no_second_answer() {
+fn a_doubled_answer_is_passed_on_once() {
     let cluster = Cluster::new();
     let mut client = cluster.client();
     let number = client.request("image", 7, 3000);
@@ -288,23 +309,25 @@
     assert_eq!(client.next_answer(), (number, FinalAnswer::done(b"x")));
 }
 
+/// A host moves to another address while it is dialled. Guards against using the connection to the former address,
+/// where another host may be.
 #[test]
-fn a_connection_that_comes_up_late_where_a_host_was_is_not_used() {
+fn a_late_connection_to_the_former_address_of_a_host_is_not_used() {
     let at_c1 = objects_first_at("c1");
-    let (cluster, blocked_host) = gated(|_| {});
+    let (cluster, blocked_host) = cluster_with_blocked_c1(|_| {});
     let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
     client.request("image", at_c1[0], 9000);
-    settled(&mut client);
-    // Its host goes to where c2 was; another origin shows that the list is known.
+    wait_until_read(&mut client);
+    // The host moves to the address that c2 had. Requests at another origin show that the list was applied.
     let (there, by) = (cluster.addresses["c2"], cluster.addresses["p1"]);
     let gone = ["c2", "o1"].map(|id| member(id, cluster.addresses[id], "gone", 0));
-    let come = [
+    let arrived = [
         member("c1", there, "ready", 0),
         member("o9", by, "ready", 0),
     ];
-    journal.send(&hosts(2, false, &[gone, come].concat()));
+    journal.send(&hosts(2, false, &[gone, arrived].concat()));
     let mut other = cluster.client();
-    wait_for("the list is known", || {
+    wait_for("the list is applied", || {
         other.request("order", 7, 3000);
         let request = cluster.next_request();
         request.answer("data", "tag=aa,minted=1", b"x");
@@ -313,44 +336,48 @@
     });
     blocked_host.unblock("former", cluster.messages_in.clone());
     let request = cluster.next_request();
-    assert_eq!(request.host, "c2", "by the address that it has now");
+    assert_eq!(request.host, "c2", "the simulated host at the new address");
     request.answer_hit(b"x");
     assert_eq!(client.next_answer().1, FinalAnswer::done(b"x"));
 }
 
+/// SIGTERM arrives while one client waits for a host and another one is idle. Guards against closing the idle one only
+/// after the other is answered.
 #[test]
-fn whoever_rests_is_told_of_the_end_though_others_wait_for_hosts_that_hang() {
+fn idle_clients_are_closed_at_exit_while_others_wait() {
     let mut cluster = Cluster::new();
-    let (mut waits, mut rests) = (cluster.client(), cluster.client());
-    settled(&mut rests);
-    waits.request("order", 7, 3000);
+    let (mut waiting, mut idle) = (cluster.client(), cluster.client());
+    wait_until_read(&mut idle);
+    waiting.request("order", 7, 3000);
     let request = cluster.next_request();
     cluster.program.signal("-TERM");
-    assert!(rests.is_closed(), "by a half-close");
-    // It is read no more, or it would be owed an answer.
-    rests.request("image", 8, 3000);
+    assert!(idle.is_closed(), "by a half-close");
+    // The daemon no longer acts on what this client sends: otherwise it would owe an answer.
+    idle.request("image", 8, 3000);
     request.answer("data", "tag=aa,minted=1", b"kept");
-    assert_eq!(waits.next_answer().1, FinalAnswer::done(b"kept"));
-    assert!(waits.is_closed());
-    drop((waits, rests));
+    assert_eq!(waiting.next_answer().1, FinalAnswer::done(b"kept"));
+    assert!(waiting.is_closed());
+    drop((waiting, idle));
     assert!(cluster.program.wait_for_exit().success());
     assert!(cluster.next_request_within(Duration::ZERO).is_none());
 }
 
+/// All slots are taken and further clients wait in the backlog when SIGTERM arrives. Guards against closing the
+/// listener over them, which would reset their connections.
 #[test]
-fn who_waits_in_the_backlog_as_the_process_ends_is_answered() {
-    let (mut cluster, mut taken, held) = full();
+fn clients_in_the_backlog_are_answered_at_exit() {
+    let (mut cluster, mut taken, held) = cluster_without_free_slots();
     let mut late: Vec<Client> = (0..3).map(|_| cluster.client()).collect();
     for (object, client) in (100..).zip(&mut late) {
         client.request("image", object, 9000);
     }
     cluster.program.signal("-TERM");
-    // Once the first of them is ended, nobody is let in any more but who had come.
+    // Once the first of them is closed, only clients that were in the backlog are accepted.
     held[0].answer_hit(b"x");
     assert!(taken[0].next_answer().1.is_done());
     assert!(taken[0].is_closed());
     drop(taken.remove(0));
-    // One after another has the place that is free.
+    // One after another gets the slot that is free.
     for client in late {
         let request = cluster.next_request();
         request.answer_hit(b"late");
@@ -368,8 +395,9 @@
     assert!(cluster.program.wait_for_exit().success());
 }
 
+/// Guards against a signal that is lost, or that kills the process, while the configuration is read.
 #[test]
-fn a_signal_to_end_during_the_start_ends_it_in_order() {
+fn a_signal_to_end_during_the_start_exits_in_order() {
     let cluster = Cluster::new();
     for signal in ["-TERM", "-INT"] {
         let (mut program, mut pipe) = Program::spawn_with_pipe(&cluster.config, free_address());
@@ -381,8 +409,9 @@
     }
 }
 
+/// Guards against a SIGHUP that is lost, or that kills the process, while the configuration is read.
 #[test]
-fn a_signal_to_read_again_during_the_start_is_heard_after_it() {
+fn sighup_during_the_start_is_handled_after_it() {
     let cluster = Cluster::new();
     let address = free_address();
     let (mut program, mut pipe) = Program::spawn_with_pipe(&cluster.config, address);
@@ -404,15 +433,16 @@
     assert!(program.wait_for_exit().success());
 }
 
+/// The configuration is read again, first a bad one, while the process ends. Guards against losing open requests.
 #[test]
-fn to_read_again_and_to_end_at_once_leaves_what_is_open_alone() {
+fn sighup_during_the_exit_keeps_open_requests() {
     let mut cluster = Cluster::new();
     let mut client = cluster.client();
     client.request("order", 7, 3000);
     let request = cluster.next_request();
     cluster.program.signal("-TERM");
     cluster.program.reload_config("{\"half\": ");
-    wait_for("it is refused", || {
+    wait_for("the configuration is refused", || {
         cluster.program.log_contains("new configuration refused")
     });
     cluster.program.reload_config(&cluster.config.to_string());
@@ -426,23 +456,26 @@
     assert!(cluster.program.wait_for_exit().success());
 }
 
+/// A client sends a request at the moment at which its idle connection is closed. Guards against a reset, which would
+/// also lose answers in transit.
 #[test]
-fn what_an_idle_client_sends_as_it_is_ended_is_not_reset() {
+fn a_request_that_crosses_an_idle_close_is_not_reset() {
     let cluster = Cluster::new();
     let mut idle = cluster.client();
-    settled(&mut idle);
-    assert!(idle.is_closed(), "for it is idle");
+    wait_until_read(&mut idle);
+    assert!(idle.is_closed(), "closed as idle");
     let mut other = cluster.client();
-    // What crosses that is taken in and not acted upon; a reset would take answers on their way with it.
+    // What the client sends now is read and ignored. A reset would lose answers in transit.
     idle.request("image", 0, 3000);
-    settled(&mut other);
+    wait_until_read(&mut other);
     let error = idle.stream.take_error().expect("a socket");
     assert!(error.is_none(), "{error:?}");
-    next_heard(&cluster, 9);
+    assert_next_request(&cluster, 9);
 }
 
+/// A client names a deadline of an hour. Guards against remembering the ids of all later requests for as long.
 #[test]
-fn who_says_to_wait_for_an_hour_does_not_make_others_be_remembered_as_long() {
+fn a_long_deadline_does_not_extend_the_memory_of_other_request_ids() {
     let cluster = Cluster::with_config(|config, _| {
         let classes = config["settings"]["classes"].as_array_mut();
         let classes = classes.expect("classes").iter_mut();
@@ -452,21 +485,21 @@
     client.request("image", 7, 3_600_000);
     cluster.next_request().answer_hit(b"x");
     assert!(client.next_answer().1.is_done());
-    // An id that faded may come again.
+    // An id that is no longer remembered may be used again.
     let again = fields(8, 200);
     client.request_with("image", again.clone(), &[]);
     cluster.next_request().answer_hit(b"x");
     assert!(client.next_answer().1.is_done());
-    wait_for("it is forgotten", || {
+    wait_for("the id is forgotten", || {
         client.request_with("image", again.clone(), &[]);
-        let heard = cluster.next_request_within(Duration::from_millis(50));
-        heard.iter().for_each(|heard| heard.answer_hit(b"x"));
+        let request = cluster.next_request_within(Duration::from_millis(50));
+        request.iter().for_each(|request| request.answer_hit(b"x"));
         client.next_answer().1.is_done()
     });
 }
 
-/// Calls to a journal service that hangs up at once, with when they came.
-fn hangs_up() -> (SocketAddr, Receiver<Instant>) {
+/// Starts a journal service that closes every call at once, and passes on when calls were made.
+fn closing_journal_service() -> (SocketAddr, Receiver<Instant>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let (calls_in, calls) = channel();
@@ -481,9 +514,11 @@
     (address, calls)
 }
 
+/// The journal service closes every call at once. Guards against calls at a constant rate or in step with other
+/// dispatchers, which would overload a service that comes back.
 #[test]
-fn calls_to_a_discovery_that_is_down_are_spread_and_soon_rarer() {
-    let (first, second) = (hangs_up(), hangs_up());
+fn calls_to_a_journal_service_that_is_down_are_randomized_and_back_off() {
+    let (first, second) = (closing_journal_service(), closing_journal_service());
     let stages = [&first, &second].map(|(address, _)| {
         Cluster::with_config(|config, _| {
             config["journal"] = json!(address.to_string());
@@ -501,20 +536,25 @@
     let (one, other) = (gaps(&first.1), gaps(&second.1));
     drop(stages);
     for gaps in [&one, &other] {
-        // A fleet that calls ten times a second each is more than a service bears that comes back.
-        let least = Duration::from_millis(2000);
-        assert!(gaps.iter().sum::<Duration>() >= least, "{gaps:?}");
+        // Ten calls a second from each dispatcher of a fleet would overload a service that comes back.
+        let min_total = Duration::from_millis(2000);
+        assert!(gaps.iter().sum::<Duration>() >= min_total, "{gaps:?}");
     }
-    let apart = one
+    let different = one
         .iter()
         .zip(&other)
         .filter(|(a, b)| a.abs_diff(**b) > Duration::from_millis(10));
-    assert!(apart.count() >= 3, "not in step: {one:?} {other:?}");
+    assert!(
+        different.count() >= 3,
+        "the calls are in step: {one:?} {other:?}"
+    );
 }
 
+/// More clients connect than there are descriptors while the journal service is down. Guards against having no
+/// descriptor for the journal when it is back.
 #[test]
-fn idle_clients_may_fill_the_descriptors_while_discovery_is_down() {
-    let (reserved, lines) = (free_address(), channel());
+fn the_journal_is_reached_although_idle_clients_take_all_slots() {
+    let (reserved, calls) = (free_address(), channel());
     let mut known = None;
     let cluster = Cluster::with_config(|config, _| {
         config["limits"]["sockets"] = json!(64);
@@ -522,7 +562,7 @@
         known = Some(members(config).clone());
         config["known"] = json!({"pos": 0, "entries": []});
     });
-    // Far more than there are descriptors: each has said something and rests, or has said nothing.
+    // Far more clients than descriptors: half of them have sent a message and are idle, half have sent nothing.
     let resting: Vec<TcpStream> = (0..100)
         .map(|n| {
             let mut client = cluster.client();
@@ -532,55 +572,57 @@
             client.stream
         })
         .collect();
-    harness::start_journal_at(reserved, lines.0);
-    let mut line = lines
+    harness::start_journal_at(reserved, calls.0);
+    let mut journal = calls
         .1
         .recv_timeout(MAX_WAIT)
-        .expect("a call though all is full");
-    line.send(&hosts(1, true, &known.expect("members")));
+        .expect("a call although all slots are taken");
+    journal.send(&hosts(1, true, &known.expect("members")));
     let mut client = cluster.client();
-    wait_for("it serves", || {
-        // Whatever is left of the one before is too late.
+    wait_for("a request is served", || {
+        // Requests left from the previous round are too late.
         while cluster.next_request_within(Duration::ZERO).is_some() {}
         client.request("image", 7, 2000);
-        let heard = cluster.next_request_within(Duration::from_secs(1));
-        heard.iter().for_each(|heard| heard.answer_hit(b"x"));
+        let request = cluster.next_request_within(Duration::from_secs(1));
+        request.iter().for_each(|request| request.answer_hit(b"x"));
         client.next_answer().1.is_done()
     });
     drop(resting);
 }
 
+/// Guards against ignoring a full list without hosts, and against applying an old list that the service repeats after a
+/// break.
 #[test]
-fn a_list_that_came_whole_and_empty_is_followed_and_one_told_before_is_not() {
+fn an_empty_full_host_list_is_applied_and_an_old_one_is_not() {
     let cluster = Cluster::new();
-    let (mut client, mut line) = (cluster.client(), cluster.next_journal_call());
-    line.send(&hosts(2, true, &[]));
-    wait_for("none is left", || {
+    let (mut client, mut journal) = (cluster.client(), cluster.next_journal_call());
+    journal.send(&hosts(2, true, &[]));
+    wait_for("no host is left", || {
         client.request("image", 7, 300);
-        let heard = cluster.next_request_within(Duration::from_millis(50));
-        heard.iter().for_each(|heard| heard.answer_hit(b"x"));
+        let request = cluster.next_request_within(Duration::from_millis(50));
+        request.iter().for_each(|request| request.answer_hit(b"x"));
         client.next_answer().1.is_error("Throttled")
     });
-    line.close();
-    // It comes back with what it had told before: that is known, and past.
-    let mut line = cluster.next_journal_call();
-    assert_eq!(line.last_event_id, 2);
+    journal.close();
+    // The service comes back and repeats an event that was already applied.
+    let mut journal = cluster.next_journal_call();
+    assert_eq!(journal.last_event_id, 2);
     let old: Vec<_> = ["c1", "c2"]
         .map(|id| member(id, cluster.addresses[id], "ready", 0))
         .into();
-    line.send(&hosts(1, true, &old));
-    line.send(&hosts(
+    journal.send(&hosts(1, true, &old));
+    journal.send(&hosts(
         3,
         false,
         &[member("c2", cluster.addresses["c2"], "ready", 0)],
     ));
     let mut served = BTreeSet::new();
-    wait_for("the new one serves", || {
+    wait_for("the new host serves", || {
         for object in 0..12 {
             client.request("image", object, 300);
-            if let Some(heard) = cluster.next_request_within(Duration::from_millis(50)) {
-                served.insert(heard.host);
-                heard.answer_hit(b"x");
+            if let Some(request) = cluster.next_request_within(Duration::from_millis(50)) {
+                served.insert(request.host);
+                request.answer_hit(b"x");
             }
             client.next_answer();
         }
