--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -241,9 +241,9 @@
     let _ = std::fs::remove_file(path);
 }
 
-/// Three dispatchers divide a budget by their messages, and two of them end. Guards against shares that exceed the
-/// whole, and against a dispatcher that keeps more than its floor without a majority of voters. A file without peers,
-/// or with an even number of voters, is refused.
+/// Three dispatchers divide a budget by their messages, and two of them end. Guards against a budget that is not granted
+/// in full, and against a dispatcher that keeps more than its floor without a majority of voters. A file without peers, or
+/// with only two voters, is refused.
 #[test]
 fn budgets_are_divided_and_can_be_queried() {
     let addresses: Vec<SocketAddr> = (0..3).map(|_| free_udp_address()).collect();
--- a/crates/trailproxyd/tests/zones.rs
+++ b/crates/trailproxyd/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Traffic between zones on sockets: reports, budgets, and the operator's file read well, badly and slowly.
+//! Tests of traffic between zones: reports, budgets, and an operator's file that is valid, invalid or slow to evaluate.
 
 #[allow(dead_code, reason = "other test files use the rest")]
 mod harness;
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// A folder for one test, gone with it.
+/// A folder for one test, which is deleted when it is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -39,8 +39,8 @@
     }
 }
 
-/// What a reader says of a file with one limit into the zone of the caches.
-fn sheet(kb_per_s: f64, metrics: &Path) -> Json {
+/// The evaluated operator's file with one limit for traffic into the zone of the caches.
+fn zones_section(kb_per_s: f64, metrics: &Path) -> Json {
     json!({
         "file": "operator.star", "on": true, "report_s": 0.5, "first": [], "metrics": metrics, "alarm": null,
         "places": {"": [1, 1]},
@@ -52,19 +52,26 @@
     })
 }
 
+/// Starts a cluster with this operator's file.
 fn with_operator(path: &Path) -> Cluster {
     Cluster::with_config(|config, _| config["operator"] = json!(path))
 }
 
-fn logged(cluster: &Cluster, words: &str) {
+/// Waits until the log contains this text.
+fn wait_for_log(cluster: &Cluster, words: &str) {
     wait_for(words, || cluster.program.log_contains(words));
 }
 
+/// Guards against traffic between zones that is missing in the report or in the metrics file, and against a metrics
+/// file that is only partly written.
 #[test]
-fn what_crosses_is_reported_and_written_as_prometheus_text() {
+fn crossing_traffic_is_logged_and_written_as_prometheus_text() {
     let folder = Folder::new("report");
     let metrics = folder.0.join("zones.prom");
-    let path = folder.write("operator.json", &sheet(100_000.0, &metrics).to_string());
+    let path = folder.write(
+        "operator.json",
+        &zones_section(100_000.0, &metrics).to_string(),
+    );
     let mut cluster = with_operator(&path);
     let mut client = cluster.client();
     client.request("image", 5, 3000);
@@ -72,7 +79,7 @@
     assert!(request.field("via").is_some());
     request.answer("data", "why=TCP_MISS", &[7; 2048]);
     assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
-    logged(&cluster, "\"cause\":\"first\",\"moves\":1,\"kb\":2.0");
+    wait_for_log(&cluster, "\"cause\":\"first\",\"moves\":1,\"kb\":2.0");
     let line = "trailproxy_crossed_bytes_total{out_of=\"hub\",into=\"edge\",tier=\"parent\",track=\"image\",cause=\"first\"} 2048.0";
     wait_for("metrics", || {
         std::fs::read_to_string(&metrics)
@@ -82,15 +89,20 @@
     assert!(cluster.program.wait_for_exit().success());
 }
 
+/// The budget of the link is used up. Guards against fills over the link, and against refusing requests that have a
+/// reserve.
 #[test]
-fn over_a_spent_link_the_cache_is_asked_for_what_it_holds_and_an_order_passes() {
+fn over_an_exhausted_link_only_cached_copies_and_write_requests_are_served() {
     let folder = Folder::new("spent");
-    let path = folder.write("operator.json", &sheet(0.01, Path::new("")).to_string());
+    let path = folder.write(
+        "operator.json",
+        &zones_section(0.01, Path::new("")).to_string(),
+    );
     let cluster = with_operator(&path);
     let mut client = cluster.client();
     client.request("image", 5, 3000);
     let request = cluster.next_request();
-    assert_eq!(request.field("via"), None, "a fill over a spent link");
+    assert_eq!(request.field("via"), None, "a fill over an exhausted link");
     request.answer("data", "why=TCP_STALE", b"old");
     assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
     client.request("image", 6, 3000);
@@ -98,19 +110,20 @@
     let FinalAnswer::Error(_, fields) = client.next_answer().1 else {
         panic!("nothing to answer with");
     };
-    assert!(!fields.is_empty(), "no time to come back");
+    assert!(!fields.is_empty(), "no retry time");
     client.request("order", 7, 3000);
     let order = cluster.next_request();
     order.answer("data", "", b"taken");
     assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
 }
 
+/// Guards against a reload that keeps the former limits or loses the traffic counted before.
 #[test]
-fn a_reload_takes_other_rules_and_keeps_the_account() {
+fn a_reload_applies_new_limits_and_keeps_the_account() {
     let folder = Folder::new("reload");
     let path = folder.write(
         "operator.json",
-        &sheet(100_000.0, Path::new("")).to_string(),
+        &zones_section(100_000.0, Path::new("")).to_string(),
     );
     let cluster = with_operator(&path);
     let mut client = cluster.client();
@@ -119,44 +132,51 @@
         .next_request()
         .answer("data", "why=TCP_MISS", &[7; 1024]);
     client.next_answer();
-    folder.write("operator.json", &sheet(0.01, Path::new("")).to_string());
+    folder.write(
+        "operator.json",
+        &zones_section(0.01, Path::new("")).to_string(),
+    );
     cluster.program.signal("-HUP");
-    logged(&cluster, "\"kb_per_s\":0.01");
+    wait_for_log(&cluster, "\"kb_per_s\":0.01");
     client.request("image", 6, 3000);
     assert_eq!(cluster.next_request().field("via"), None);
-    logged(&cluster, "\"moves\":1,\"kb\":1.0");
-    // No file is named any more.
+    wait_for_log(&cluster, "\"moves\":1,\"kb\":1.0");
+    // The configuration names no operator's file any more.
     let mut config = cluster.config.clone();
     config
         .as_object_mut()
         .expect("an object")
         .remove("operator");
     cluster.program.reload_config(&config.to_string());
-    logged(&cluster, "zones are off");
+    wait_for_log(&cluster, "zones are off");
     client.request("image", 7, 3000);
     assert!(cluster.next_request().field("via").is_some());
 }
 
+/// Guards against switching limits off when the operator's file becomes invalid or unreadable.
 #[test]
-fn a_file_that_does_not_fit_is_refused_with_its_line_and_the_former_rules_hold() {
+fn an_invalid_file_is_refused_with_its_position_and_the_former_limits_hold() {
     let folder = Folder::new("refused");
-    let path = folder.write("operator.json", &sheet(0.01, Path::new("")).to_string());
+    let path = folder.write(
+        "operator.json",
+        &zones_section(0.01, Path::new("")).to_string(),
+    );
     let cluster = with_operator(&path);
-    let mut bad = sheet(100_000.0, Path::new(""));
+    let mut bad = zones_section(100_000.0, Path::new(""));
     bad["crossings"][0]["into"] = json!("attic");
     folder.write("operator.json", &bad.to_string());
     cluster.program.signal("-HUP");
-    logged(&cluster, "operator's file refused");
-    logged(
+    wait_for_log(&cluster, "operator's file refused");
+    wait_for_log(
         &cluster,
         "operator.star:2:30: section crossing, field into: found \"attic\", accepted: one of hub, edge",
     );
     folder.write("operator.json", "{");
     cluster.program.signal("-HUP");
-    logged(&cluster, "found no sections");
+    wait_for_log(&cluster, "found no sections");
     std::fs::remove_file(&path).expect("a file");
     cluster.program.signal("-HUP");
-    logged(&cluster, "can't be read");
+    wait_for_log(&cluster, "can't be read");
     let mut client = cluster.client();
     client.request("image", 5, 3000);
     assert_eq!(
@@ -166,14 +186,16 @@
     );
 }
 
+/// The operator's file is a script that another program evaluates. Guards against losing that program's error message,
+/// and against unbounded output.
 #[test]
-fn a_script_is_read_by_the_program_beside_and_its_complaint_is_passed_on() {
+fn a_script_is_read_by_the_reader_program_and_its_error_is_passed_on() {
     let folder = Folder::new("reader");
     let script = folder.write("operator.star", "zones()\n");
-    let said = sheet(0.01, Path::new("")).to_string();
+    let output = zones_section(0.01, Path::new("")).to_string();
     let reader = folder.program(
         "reader",
-        &format!("test \"$1 $2\" = 'zones sheet' && echo '{said}'"),
+        &format!("test \"$1 $2\" = 'zones sheet' && echo '{output}'"),
     );
     let cluster = Cluster::with_config(|config, _| {
         config["operator"] = json!(script);
@@ -187,17 +209,18 @@
         "echo 'trailproxy: operator.star:3:1: section crossing: found two' >&2; exit 1",
     );
     cluster.program.signal("-HUP");
-    logged(
+    wait_for_log(
         &cluster,
         "why: operator.star:3:1: section crossing: found two",
     );
     folder.program("reader", "head -c 9000000 /dev/zero");
     cluster.program.signal("-HUP");
-    logged(&cluster, "said more than");
+    wait_for_log(&cluster, "said more than");
 }
 
+/// Guards against requests that wait while the operator's file is evaluated.
 #[test]
-fn a_reader_that_hangs_holds_up_no_access_and_is_given_up() {
+fn a_hanging_reader_program_delays_no_request_and_times_out() {
     let folder = Folder::new("hangs");
     let script = folder.write("operator.star", "zones()\n");
     let reader = folder.program("reader", "echo null");
@@ -214,13 +237,14 @@
         assert!(matches!(client.next_answer().1, FinalAnswer::Done(..)));
     }
     assert!(begun.elapsed() < Duration::from_secs(4));
-    logged(&cluster, "said nothing of");
+    wait_for_log(&cluster, "said nothing of");
 }
 
+/// Guards against a start without the limits that the operator asked for.
 #[test]
-fn a_start_with_a_file_that_does_not_fit_ends_with_one_plain_line() {
+fn a_start_with_an_invalid_file_ends_with_one_plain_line() {
     let folder = Folder::new("start");
-    let mut bad = sheet(10.0, Path::new(""));
+    let mut bad = zones_section(10.0, Path::new(""));
     bad["crossings"][0]["reserve_kb_per_s"] = json!(11.0);
     let path = folder.write("operator.json", &bad.to_string());
     let words = Cluster::new().startup_error(&path);
