--- a/crates/trailproxyd/tests/trials.rs
+++ b/crates/trailproxyd/tests/trials.rs
@@ -1,4 +1,5 @@
-//! Three of the built program under faults between them: what clients and hosts saw is counted, not what they say.
+//! Tests of several dispatchers under faults between them. What clients and hosts observe is counted, not what the
+//! dispatchers report.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -8,7 +9,8 @@
 use trailproxy_trials::decide::script::{self, Trial};
 use trailproxy_trials::play::{Outcome, play};
 
-/// Clients come again elsewhere after 0.7 s, for longer than a host drops repeats; the origin is late for a while.
+/// Clients repeat their requests elsewhere after 0.7 s, which is longer than hosts recognise repeats. The origin is slow
+/// for a while.
 const BASE: &str = r#"
 scenario(name = "ci", seconds = 6, from_s = 1)
 fleet(notes = "hits")
@@ -81,32 +83,36 @@
     ),
 ];
 
-fn played(nth: usize, script: &str, trial: &str) -> Outcome {
-    of_text(nth, format!("{BASE}\n{trial}\n{script}\n"))
+/// Runs the base scenario with a trial section and faults.
+fn run_script(index: usize, script: &str, trial: &str) -> Outcome {
+    run_text(index, format!("{BASE}\n{trial}\n{script}\n"))
 }
 
-fn of_text(nth: usize, text: String) -> Outcome {
+/// Runs a trial from its text.
+fn run_text(index: usize, text: String) -> Outcome {
     let kinds: Vec<Kind> = scenario::KINDS
         .iter()
         .chain(script::KINDS)
         .copied()
         .collect();
     let sheet = trailproxy_operator::read("ci.star", text, &kinds, Default::default());
-    let sheet = sheet.unwrap_or_else(|wrong| panic!("{wrong}"));
-    let scenario = Scenario::from_sheet(&sheet).unwrap_or_else(|wrong| panic!("{wrong}"));
+    let sheet = sheet.unwrap_or_else(|error| panic!("{error}"));
+    let scenario = Scenario::from_sheet(&sheet).unwrap_or_else(|error| panic!("{error}"));
     let trial = Trial::of(&sheet).expect("a section trial");
-    let folder = std::env::temp_dir().join(format!("tpt-{}-{nth}", std::process::id()));
+    let folder = std::env::temp_dir().join(format!("tpt-{}-{index}", std::process::id()));
     let place = Place {
         daemon: PathBuf::from(env!("CARGO_BIN_EXE_trailproxyd")),
         folder: folder.clone(),
         descriptors: 256,
         memory_mb: 32,
     };
-    let outcome = play(&scenario, &trial, &place, nth as u64 + 1).expect("a machine that bears it");
+    let outcome = play(&scenario, &trial, &place, index as u64 + 1).expect("a run");
     let _ = std::fs::remove_dir_all(folder);
     outcome
 }
 
+/// Runs three dispatchers under each fault between them while clients repeat their keyed requests elsewhere. Guards
+/// against a change that runs twice, against service that breaks down, and against results that are forgotten too soon.
 #[test]
 fn no_fault_between_them_makes_a_change_run_twice() {
     let trial = "trial(refuse = True, keep_s = 3.5, lead_s = 6.5, patience_ms = 700, wait_ms = 40, again = 5)";
@@ -115,17 +121,17 @@
         for _ in 0..4 {
             scope.spawn(|| {
                 loop {
-                    let nth = next.lock().expect("nobody panics holding it").next();
-                    let Some(nth) = nth else {
+                    let index = next.lock().expect("no thread panics with the lock").next();
+                    let Some(index) = index else {
                         return;
                     };
-                    let (name, script) = SCRIPTS[nth];
-                    let outcome = played(nth, script, trial);
+                    let (name, script) = SCRIPTS[index];
+                    let outcome = run_script(index, script, trial);
                     assert_eq!(outcome.wrong(), None, "{name}: {outcome:?}");
                     assert!(outcome.keys.keys > 60, "{name}: {outcome:?}");
                     assert!(outcome.service > 0.2, "{name}: {outcome:?}");
-                    // Whoever is asked again at the end knows what was done, but for what had just been: that may go again
-                    // where hosts drop it.
+                    // Dispatchers that are asked again at the end know what was done, except the most recent requests: those
+                    // may be sent again where hosts drop the repeat.
                     let (asked, sent) = (outcome.keys.asked_at_end, outcome.keys.unknown_at_end);
                     assert!(asked >= 10 && sent * 4 <= asked, "{name}: {outcome:?}");
                 }
@@ -134,52 +140,59 @@
     });
 }
 
-/// One whose wall clock is off by a quarter of an hour is not listened to, and hears nobody: it must not take itself for
-/// the whole fleet.
+/// A dispatcher whose wall clock is off by a quarter of an hour is ignored by the others and ignores them. Guards
+/// against a dispatcher that then takes itself for the whole fleet.
 #[test]
-fn one_whose_clock_is_far_off_makes_no_change_run_twice() {
+fn a_dispatcher_with_a_far_off_clock_makes_no_change_run_twice() {
     let trial = "trial(refuse = True, keep_s = 3.5, lead_s = 6.5, patience_ms = 700, wait_ms = 40)";
-    for (nth, ahead) in [(110, "[1]"), (111, "[0, 2]")] {
+    for (index, ahead) in [(110, "[1]"), (111, "[0, 2]")] {
         let script =
             format!(r#"strike(what = "clock", at_s = 0, who = {ahead}, amount = 1000000)"#);
-        let outcome = played(nth, &script, trial);
+        let outcome = run_script(index, &script, trial);
         assert_eq!(outcome.wrong(), None, "{outcome:?}");
         assert!(outcome.service > 0.2, "{outcome:?}");
     }
 }
 
-/// Whoever counts must find what is wrong: without peers the same clients make changes run twice.
+/// Guards against a check that finds nothing: without peers, the same clients make changes run twice, and that must be
+/// found.
 #[test]
-fn the_count_finds_repeats_where_nobody_prevents_them() {
+fn the_check_finds_repeats_where_nothing_prevents_them() {
     let trial = "trial(peers = False, lead_s = 0, patience_ms = 700, again = 5)";
-    let outcome = played(100, "", trial);
+    let outcome = run_script(100, "", trial);
     assert!(outcome.keys.forbidden_repeats > 0, "{outcome:?}");
     assert!(outcome.wrong().is_some());
     assert_eq!(outcome.keys.unknown_at_end, outcome.keys.asked_at_end);
 }
 
-/// The journal says nothing to two of five while every group is purged and a cache drains: alone, they answer from copies
-/// of before and send to the drained one; the others tell them in time.
+/// Two of five dispatchers receive nothing from the journal while every group is purged and a cache drains. Without
+/// peers they serve old copies and send requests to the draining cache; with peers they must learn of both in time.
 #[test]
-fn purges_and_drains_reach_those_whose_journal_is_silent() {
+fn purges_and_drains_reach_dispatchers_without_a_journal() {
     let hidden = include_str!("../../../scenarios/trials/hidden.star");
     let without = hidden.replace("keep_s = 8", "keep_s = 8, peers = False");
-    let alone = std::thread::spawn(|| of_text(101, without));
-    let together = of_text(102, hidden.into());
+    let alone = std::thread::spawn(|| run_text(101, without));
+    let together = run_text(102, hidden.into());
     assert_eq!(together.wrong(), None, "{together:?}");
-    let alone = alone.join().expect("it is played");
-    let broke = |rule: &str| alone.rules_broken.iter().any(|told| told.starts_with(rule));
+    let alone = alone.join().expect("the run ends");
+    let broke = |rule: &str| {
+        alone
+            .rules_broken
+            .iter()
+            .any(|broken| broken.starts_with(rule))
+    };
     assert!(broke("rule 5") && broke("rule 3"), "{alone:?}");
 }
 
-/// Most clients come to one of five, and what they ask for would fill the way into their zone: the busy one uses what the
-/// others leave, and the link never counts more than rate and burst, whatever strikes between them.
+/// Most clients use one of five dispatchers, and their requests would fill the link into their zone. Guards against a
+/// share that is left unused by the others, and against traffic over the rate and burst of the link under any fault
+/// between the dispatchers.
 #[test]
-fn a_budget_goes_where_it_is_needed_and_never_beyond_the_whole() {
+fn a_budget_goes_where_it_is_needed_and_is_never_exceeded() {
     let text = include_str!("../../../scenarios/trials/budget.star");
     let text = text.replace("SECONDS = 12", "SECONDS = 8");
     let equal = text.replace("budgets = True", "peers = False");
-    let struck = format!(
+    let with_faults = format!(
         "{text}\n{}\n{}\n",
         r#"strike(what = "cut", at_s = 3, for_s = 3, who = [0, 1])"#,
         r#"strike(what = "pause", at_s = 4, for_s = 3, who = [2])"#
@@ -188,18 +201,21 @@
         "budgets = True",
         "budgets = True, peers = False, store = True",
     );
-    let alone = std::thread::spawn(|| of_text(103, equal));
-    let stored = std::thread::spawn(|| of_text(106, by_store));
-    let under = std::thread::spawn(|| of_text(104, struck));
-    let divided = of_text(105, text);
-    let (alone, under) = (alone.join().expect("played"), under.join().expect("played"));
-    let stored = stored.join().expect("played");
+    let alone = std::thread::spawn(|| run_text(103, equal));
+    let stored = std::thread::spawn(|| run_text(106, by_store));
+    let faulty = std::thread::spawn(|| run_text(104, with_faults));
+    let divided = run_text(105, text);
+    let (alone, faulty) = (
+        alone.join().expect("the run ends"),
+        faulty.join().expect("the run ends"),
+    );
+    let stored = stored.join().expect("the run ends");
     assert_eq!(stored.wrong(), None, "{stored:?}");
     let used = |of: &Outcome| of.budget.as_ref().map_or(0.0, |budget| budget.used);
     assert_eq!(
-        (divided.wrong(), under.wrong()),
+        (divided.wrong(), faulty.wrong()),
         (None, None),
-        "{divided:?} {under:?}"
+        "{divided:?} {faulty:?}"
     );
     assert!(used(&divided) > used(&alone) + 0.1, "{divided:?} {alone:?}");
     assert!(
@@ -207,5 +223,5 @@
         "{divided:?} {alone:?}"
     );
     assert!(used(&stored) > used(&alone) + 0.1, "{stored:?} {alone:?}");
-    assert!(used(&under) > 0.15, "{under:?}");
+    assert!(used(&faulty) > 0.15, "{faulty:?}");
 }
