--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -161,14 +161,14 @@
 }
 
 /// What a new configuration says about the journal service.
-pub struct JournalChange {
+pub struct JournalServiceUpdate {
     pub address: Option<SocketAddr>,
     /// The events that the configuration itself contains.
     pub known: Vec<Entry>,
 }
 
 /// Receives events for as long as the process runs, and applies changes of the service's address.
-pub async fn follow(mut journal: JournalClient, mut changes: mpsc::Receiver<JournalChange>) {
+pub async fn follow(mut journal: JournalClient, mut changes: mpsc::Receiver<JournalServiceUpdate>) {
     let mut last_logged = (String::new(), 0);
     loop {
         let change = tokio::select! {
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -17,7 +17,7 @@
     /// To whom settings and the operator's file go.
     pub queue: Queue,
     /// To whom the address of the journal service goes.
-    pub moved: mpsc::Sender<journal_client::JournalChange>,
+    pub moved: mpsc::Sender<journal_client::JournalServiceUpdate>,
     /// What the operator's file is held against.
     pub against: Against,
     pub log: Logger,
@@ -112,7 +112,7 @@
         let mut file = start.file;
         let settings = std::mem::replace(&mut file["settings"], self.file["settings"].take());
         self.file = file;
-        let _ = followers.moved.send(journal_client::JournalChange {
+        let _ = followers.moved.send(journal_client::JournalServiceUpdate {
             address: start.journal,
             known: start.known,
         });
