--- a/crates/trailproxyd/src/client_slots.rs
+++ b/crates/trailproxyd/src/client_slots.rs
@@ -62,7 +62,7 @@
                 kind.remove(&(since, client));
                 if let Some((used, orders)) = self.connections.get_mut(&client) {
                     *used = SlotUse::Busy;
-                    let _ = orders.send(ToClient::GiveWay);
+                    let _ = orders.send(ToClient::YieldSlot);
                 }
                 return Availability::Requested;
             }
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -60,7 +60,7 @@
 
 /// What all client connections share.
 pub struct ClientsContext {
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub classes: HashMap<String, ClassId>,
     pub slots: RefCell<ClientSlots>,
     /// The longest deadline of any class: no client waits longer than this for an answer.
@@ -113,7 +113,7 @@
     }
     accept_backlog(&listener, &mut next, last_accept_at, &shared).await;
     drop(listener);
-    let _ = shared.queue.send(Inbound::AllIn);
+    let _ = shared.queue.send(Inbound::AllAccepted);
 }
 
 /// Accepts all clients in the backlog when the process ends. It calls the system directly, because the runtime may not
@@ -367,7 +367,7 @@
             .map(|at| at + CLIENT_GONE_TIMEOUT);
         if gone_at.is_some_and(|at| at <= Instant::now()) {
             self.gone_reported = true;
-            let _ = (self.shared.queue).send(Inbound::Client(FromClient::Shut(self.id)));
+            let _ = (self.shared.queue).send(Inbound::Client(FromClient::HalfClosed(self.id)));
         }
         // After this time every answer that the client waits for is too late.
         let stalled_at = (self.last_progress + self.shared.max_deadline).max(self.latest_deadline);
@@ -378,7 +378,7 @@
                 Some(ToClient::Finish) | None => {
                     (self.finishing, self.finish_requested) = (true, true);
                 }
-                Some(ToClient::GiveWay) => {
+                Some(ToClient::YieldSlot) => {
                     system_calls::sync_readiness(&self.stream).await;
                     self.read()?;
                     if self.slot_use().0 == used && used != SlotUse::Busy {
@@ -566,7 +566,7 @@
             self.min_message_bytes = 1;
             (self.has_message, self.unused_since) = (true, Instant::now());
             if let Message::Request(call) = &mut message {
-                call.come = self.sent_at(first_read);
+                call.arrived_at = self.sent_at(first_read);
                 call.client = self.state.clone();
             }
             self.handle_message(message)?;
@@ -585,28 +585,28 @@
                 return malformed("too many open requests");
             }
             Message::Request(call) => {
-                let owed = self.owed.insert(call.id.number, call.over.clone());
+                let owed = self.owed.insert(call.id.number, call.closed.clone());
                 if owed.is_some() {
                     return malformed("a request number is used twice");
                 }
-                let deadline = call.come + Duration::from_micros(call.left.0);
+                let deadline = call.arrived_at + Duration::from_micros(call.time_left.0);
                 self.latest_deadline = self.latest_deadline.max(deadline);
                 let _ = self
                     .shared
                     .queue
-                    .send(Inbound::Client(FromClient::Called(*call)));
+                    .send(Inbound::Client(FromClient::Requested(*call)));
             }
             Message::Revoke(number) => {
                 if let Some(over) = self.owed.remove(&number) {
                     over.set(true);
-                    let id = CallId {
+                    let id = ClientRequestId {
                         client: self.id,
                         number,
                     };
                     let _ = self
                         .shared
                         .queue
-                        .send(Inbound::Client(FromClient::Revoked(id)));
+                        .send(Inbound::Client(FromClient::Cancelled(id)));
                 }
             }
             Message::Heartbeat(_) | Message::Invalid(_)
@@ -664,7 +664,7 @@
     };
     match reply {
         Reply::Served(body) => return done(body.bytes(), &[]),
-        Reply::Same => return done(&[], &[("same", "1")]),
+        Reply::NotModified => return done(&[], &[("same", "1")]),
         Reply::Refused { retry_after: None } => failed(&mut head, "Throttled", &[]),
         Reply::Refused {
             retry_after: Some(span),
@@ -695,7 +695,7 @@
 
 /// A message of a client.
 enum Message {
-    Request(Box<Call>),
+    Request(Box<ClientRequest>),
     /// The client no longer waits for the answer to this request.
     Revoke(u32),
     Heartbeat(u32),
@@ -731,7 +731,7 @@
             let Some(number) = number(id) else {
                 return Message::Malformed("a request has no number");
             };
-            let id = CallId { client, number };
+            let id = ClientRequestId { client, number };
             match text(method) {
                 Some("heartbeat") => Message::Heartbeat(number),
                 Some(method) => classes
@@ -752,7 +752,7 @@
 }
 
 /// Reads the parameters of a request; `None` if they are invalid.
-fn read_request(id: CallId, class: ClassId, params: &Value) -> Option<Call> {
+fn read_request(id: ClientRequestId, class: ClassId, params: &Value) -> Option<ClientRequest> {
     let Value::Array(params) = params else {
         return None;
     };
@@ -780,21 +780,21 @@
         .all(|name| field(name).as_ref().is_none_or(is_safe));
     let time_left_ms: f64 = field("allow")?.parse().ok()?;
     let size: Option<f64> = field("room").map(str::parse).transpose().ok()?;
-    let call = Call {
+    let call = ClientRequest {
         id,
-        come: Instant::now(),
+        arrived_at: Instant::now(),
         reference: text_field("ref")?.into(),
-        left: TimeSpan::from_secs_f64(time_left_ms / 1000.0),
-        track: class,
+        time_left: TimeSpan::from_secs_f64(time_left_ms / 1000.0),
+        class,
         object: object_id(field("lookup")?)?,
-        object_text: text_field("lookup")?,
+        object_name: text_field("lookup")?,
         group: GroupId(field("group").unwrap_or("0").parse().ok()?),
         part: field("part").unwrap_or("0").parse().ok()?,
         size_kb: size.filter(|kb| kb.is_finite() && *kb > 0.0),
-        mark: text_field("replay"),
-        held_tag: text_field("have"),
+        idempotency_key: text_field("replay"),
+        held_etag: text_field("have"),
         body: body.into(),
-        over: Rc::default(),
+        closed: Rc::default(),
         client: Rc::default(),
     };
     let within_limits =
--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -40,7 +40,7 @@
 
 /// A message that waits to be written.
 enum Packet {
-    Attempt(Sending),
+    Attempt(AttemptRequest),
     /// The cancellation of the request with this id.
     Kill(Rc<str>),
     Probe(ProbeId),
@@ -57,9 +57,9 @@
 /// One connection and the state of its task.
 pub struct HostConnection {
     host: HostId,
-    id: LineId,
+    id: ConnectionId,
     stream: TcpStream,
-    orders: mpsc::Receiver<ToServer>,
+    orders: mpsc::Receiver<ToHost>,
     shared: Rc<HostContext>,
     incoming: Ring,
     /// The next message has at least this many bytes.
@@ -67,7 +67,7 @@
     /// At most one message. A message of which no byte could be written is taken out again.
     outgoing: Ring,
     /// The attempt whose request is in `outgoing`.
-    attempt_in_outgoing: Option<Sending>,
+    attempt_in_outgoing: Option<AttemptRequest>,
     /// Whether a byte of the message in `outgoing` was written.
     has_begun: bool,
     last_write_at: Instant,
@@ -97,9 +97,9 @@
     /// Creates the state for a new connection.
     pub fn new(
         host: HostId,
-        id: LineId,
+        id: ConnectionId,
         stream: TcpStream,
-        orders: mpsc::Receiver<ToServer>,
+        orders: mpsc::Receiver<ToHost>,
         shared: Rc<HostContext>,
     ) -> HostConnection {
         HostConnection {
@@ -179,35 +179,35 @@
             self.shared
                 .probe_ended(id, self.host, Ending::ConnectionLost, vec![]);
         }
-        while let Some(order) = next_now(&mut self.orders) {
+        while let Some(order) = next_queued(&mut self.orders) {
             match order {
-                ToServer::Send(sending) => self.end(sending.id, Ending::NotSent),
-                ToServer::Probe(id) => {
+                ToHost::Send(sending) => self.end(sending.id, Ending::NotSent),
+                ToHost::Probe(id) => {
                     self.shared
                         .probe_ended(id, self.host, Ending::NotSent, vec![])
                 }
                 _ => {}
             }
         }
-        let (host, line) = (self.host, self.id);
+        let (host, connection) = (self.host, self.id);
         let _ = self
             .shared
             .queue
-            .send(Inbound::Server(FromServer::Closed { host, line }));
+            .send(Inbound::Host(FromHost::Closed { host, connection }));
     }
 
     /// Tells the pool to send nothing new here. Open attempts may still be answered.
     fn report_unfit(&mut self) {
         if !std::mem::replace(&mut self.unfit_reported, true) {
-            let (host, line) = (self.host, self.id);
-            let unfit = FromServer::Unfit { host, line };
-            let _ = self.shared.queue.send(Inbound::Server(unfit));
+            let (host, connection) = (self.host, self.id);
+            let unfit = FromHost::Unusable { host, connection };
+            let _ = self.shared.queue.send(Inbound::Host(unfit));
         }
     }
 
     /// Reports the end of an attempt without an answer.
     fn end(&self, id: AttemptId, ending: Ending) {
-        let answer = Answer::bare(ending);
+        let answer = Answer::without_body(ending);
         self.shared
             .attempt_ended(id, self.host, Some(self.id), answer);
     }
@@ -296,21 +296,21 @@
     }
 
     /// Handles an order of the pool.
-    fn handle_order(&mut self, order: ToServer) -> Result<(), CloseReason> {
+    fn handle_order(&mut self, order: ToHost) -> Result<(), CloseReason> {
         self.last_active_at = Instant::now();
         match order {
-            ToServer::Send(sending) => self.unsent.push_back(Packet::Attempt(sending)),
-            ToServer::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
-            ToServer::Kill(id) => {
+            ToHost::Send(sending) => self.unsent.push_back(Packet::Attempt(sending)),
+            ToHost::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
+            ToHost::Cancel(id) => {
                 if !self.drop_unsent(id) {
                     self.cancel(id);
                 }
             }
-            ToServer::Recall(id) => {
+            ToHost::CancelUnsent(id) => {
                 self.drop_unsent(id);
             }
-            ToServer::Retire => self.retired = true,
-            ToServer::Break => return Err("its process was started anew"),
+            ToHost::Retire => self.retired = true,
+            ToHost::HostGone => return Err("its process was started anew"),
         }
         Ok(())
     }
@@ -333,8 +333,10 @@
             return;
         };
         let clock = &self.shared.clock;
-        self.shared.trace.begun(&sending.call, sending.id, self.id);
-        let late = permits::begun_against_a_rule(clock.moment(now), &sending.facts(clock));
+        self.shared
+            .trace
+            .begun(&sending.request, sending.id, self.id);
+        let late = permits::begun_against_a_rule(clock.timestamp(now), &sending.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let deadline_holds = self.deadline_holds(now);
         must(
@@ -349,10 +351,10 @@
         let reference = self
             .attempt_in_outgoing
             .as_ref()
-            .map(|sending| &sending.call.reference);
+            .map(|sending| &sending.request.reference);
         let open = reference.and_then(|reference| self.open.get(reference));
         open.is_none_or(|open| {
-            permits::deadline_still_holds(clock.moment(now), clock.moment(open.sent_at))
+            permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(open.sent_at))
         })
     }
 
@@ -363,7 +365,7 @@
             return;
         }
         if let Some(sending) = self.attempt_in_outgoing.take() {
-            self.open.remove(&sending.call.reference);
+            self.open.remove(&sending.request.reference);
             self.outgoing.consume(self.outgoing.len());
             self.unsent.push_front(Packet::Attempt(sending));
         }
@@ -431,8 +433,10 @@
     /// start it with an outdated deadline. A request that is written slowly but steadily may continue.
     fn is_stalled(&self, now: Instant) -> bool {
         let clock = &self.shared.clock;
-        let is_steady =
-            permits::deadline_still_holds(clock.moment(now), clock.moment(self.last_write_at));
+        let is_steady = permits::deadline_still_holds(
+            clock.timestamp(now),
+            clock.timestamp(self.last_write_at),
+        );
         self.has_begun && !is_steady && !self.deadline_holds(now)
     }
 
@@ -453,21 +457,21 @@
                 self.probe = Some(id);
             }
             Packet::Attempt(sending) => {
-                let (now, call) = (Instant::now(), &sending.call);
-                if let Err(why) = sending.may_begin(&self.shared.clock, now) {
+                let (now, call) = (Instant::now(), &sending.request);
+                if let Err(why) = sending.may_send(&self.shared.clock, now) {
                     self.shared.trace.denied(call, sending.id, why.as_str());
                     return self.end(sending.id, Ending::NotSent);
                 }
                 resp::put_array(&mut out, WORDS_PER_MESSAGE);
                 resp::put_word(&mut out, b"PULL");
                 resp::put_word(&mut out, call.reference.as_bytes());
-                let timestamp = self.shared.clock.moment(now);
+                let timestamp = self.shared.clock.timestamp(now);
                 resp::put_word(&mut out, encode_fields(&sending, timestamp).as_bytes());
                 resp::put_word(&mut out, &call.body);
                 let open = OpenAttempt {
                     id: sending.id,
                     sent_at: now,
-                    may_be_unchanged: call.held_tag.is_some(),
+                    may_be_unchanged: call.held_etag.is_some(),
                 };
                 let before = self.open.insert(call.reference.clone(), open);
                 must(before.is_none(), &self.shared.counts.broken_two_endings);
@@ -570,11 +574,11 @@
 }
 
 /// Encodes the fields of a request for a host.
-fn encode_fields(sending: &Sending, now: Timestamp) -> String {
-    let call = &sending.call;
+fn encode_fields(sending: &AttemptRequest, now: Timestamp) -> String {
+    let call = &sending.request;
     let mut fields = format!(
         "lane={},name={},piece={}",
-        sending.track, call.object_text, call.part
+        sending.class_name, call.object_name, call.part
     );
     let mut add = |name: &str, value: &str| {
         let _ = write!(fields, ",{name}={value}");
@@ -582,10 +586,10 @@
     // Rounded down, so that the host gives up no later than the dispatcher.
     let time_left = permits::deadline_to_pass(now, sending.deadline);
     add("ttl", &(time_left.0 / 1000).max(1).to_string());
-    if let Some(mark) = &call.mark {
+    if let Some(mark) = &call.idempotency_key {
         add("dedupe", mark);
     }
-    if let Some(tag) = &call.held_tag {
+    if let Some(tag) = &call.held_etag {
         add("known", tag);
     }
     if let Some(source) = &sending.source {
@@ -681,11 +685,11 @@
     Some(Answer {
         ending,
         note,
-        waited: latency_ms
+        first_byte_latency: latency_ms
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
-        report: read_report(fields),
+        load_report: read_report(fields),
         body: (word == b"data").then(|| CountedBytes::new(body, buffered)),
-        minted: field("minted").and_then(stamp_of_ms),
+        issued_at: field("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/host_context.rs
+++ b/crates/trailproxyd/src/host_context.rs
@@ -15,7 +15,7 @@
 /// What all pools and host connections share.
 pub struct HostContext {
     /// The dispatcher's queue, which receives the results.
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub bounds: Bounds,
     pub clock: Clock,
     /// The number of connections that all pools together may hold.
@@ -36,29 +36,35 @@
     }
 
     /// Reports the answer or the end of an attempt.
-    pub fn attempt_ended(&self, id: AttemptId, host: HostId, line: Option<LineId>, answer: Answer) {
-        let ended = FromServer::Ended {
+    pub fn attempt_ended(
+        &self,
+        id: AttemptId,
+        host: HostId,
+        connection: Option<ConnectionId>,
+        answer: Answer,
+    ) {
+        let ended = FromHost::AttemptEnded {
             id,
             host,
-            line,
+            connection,
             answer,
         };
-        let _ = self.queue.send(Inbound::Server(ended));
+        let _ = self.queue.send(Inbound::Host(ended));
     }
 
     /// Reports the result of a probe.
     pub fn probe_ended(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
-        let probed = FromServer::Probed {
+        let probed = FromHost::Probed {
             id,
             host,
             ending,
             report,
         };
-        let _ = self.queue.send(Inbound::Server(probed));
+        let _ = self.queue.send(Inbound::Host(probed));
     }
 
     /// Reports the end of an attempt that was not given to a connection.
-    pub fn attempt_dropped(&self, sending: &Sending, ending: Ending) {
-        self.attempt_ended(sending.id, sending.host, None, Answer::bare(ending));
+    pub fn attempt_dropped(&self, sending: &AttemptRequest, ending: Ending) {
+        self.attempt_ended(sending.id, sending.host, None, Answer::without_body(ending));
     }
 }
--- a/crates/trailproxyd/src/host_pools.rs
+++ b/crates/trailproxyd/src/host_pools.rs
@@ -29,8 +29,8 @@
 
 /// One connection as its pool knows it.
 struct PooledConnection {
-    id: LineId,
-    orders: mpsc::Sender<ToServer>,
+    id: ConnectionId,
+    orders: mpsc::Sender<ToHost>,
     /// The number of attempts that were assigned to it and have not ended.
     open: usize,
     retired: bool,
@@ -40,10 +40,10 @@
 
 /// The connections to one host.
 struct Pool {
-    member: Member,
+    member: ListedHost,
     connections: Vec<PooledConnection>,
     /// Attempts that wait for a connection, each with the time at which the wait ends.
-    waiting: VecDeque<(Instant, Sending)>,
+    waiting: VecDeque<(Instant, AttemptRequest)>,
     /// The number of dials in progress.
     dialing: usize,
     /// Whether the last dial failed because of a shortage on this side.
@@ -101,7 +101,7 @@
     pub shared: Rc<HostContext>,
     pools: BTreeMap<HostId, Pool>,
     /// The host and, once assigned, the connection of each open attempt.
-    assignments: BTreeMap<AttemptId, (HostId, Option<LineId>)>,
+    assignments: BTreeMap<AttemptId, (HostId, Option<ConnectionId>)>,
     /// The number of connections and dials of all pools.
     connection_count: usize,
     /// The last id given to a connection or a probe.
@@ -131,7 +131,7 @@
 
     /// Applies a host list or a change of it. Pools are kept by host and not by address, because another host may get the
     /// address of a host that is gone. The dispatcher itself recalls attempts that wait for a host that is no longer ready.
-    pub fn apply_host_list(&mut self, kind: HostListKind, members: &[Member]) {
+    pub fn apply_host_list(&mut self, kind: HostListKind, members: &[ListedHost]) {
         if kind == HostListKind::Full {
             let mark_gone = |pool: &mut Pool| pool.member.entry.state = HostState::Gone;
             self.pools.values_mut().for_each(mark_gone);
@@ -158,7 +158,7 @@
                 };
                 for connection in pool.connections.iter_mut().filter(is_stale) {
                     connection.retired = true;
-                    let _ = connection.orders.send(ToServer::Break);
+                    let _ = connection.orders.send(ToHost::HostGone);
                 }
             }
             let same_name = pool.member.name == member.name;
@@ -169,7 +169,7 @@
             if pool.member.entry.state != HostState::Ready {
                 for connection in &mut pool.connections {
                     connection.retired = true;
-                    let _ = connection.orders.send(ToServer::Retire);
+                    let _ = connection.orders.send(ToHost::Retire);
                 }
             }
         }
@@ -201,7 +201,7 @@
     }
 
     /// Starts an attempt. Its answer or its end arrives through the queue.
-    pub fn submit(&mut self, sending: Sending) {
+    pub fn submit(&mut self, sending: AttemptRequest) {
         let (id, host) = (sending.id, sending.host);
         let until = Instant::now() + self.shared.dial_timeout();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
@@ -259,7 +259,7 @@
             let fits = |connection: &&mut PooledConnection| {
                 !connection.retired
                     && connection.open < max_streams
-                    && !sending.avoid.contains(&connection.id)
+                    && !sending.avoid_connections.contains(&connection.id)
             };
             let candidates = pool.connections.iter_mut().filter(fits);
             match candidates.min_by_key(|connection| connection.open) {
@@ -268,7 +268,7 @@
                         || unassigned.len() >= max_dials =>
                 {
                     let id = sending.id;
-                    match connection.orders.send(ToServer::Send(sending)) {
+                    match connection.orders.send(ToHost::Send(sending)) {
                         Ok(()) => {
                             self.assignments.insert(id, (host, Some(connection.id)));
                             connection.open += 1;
@@ -277,7 +277,7 @@
                         // the waiting ones, because nothing would end it at the closed connection.
                         Err(SendError(order)) => {
                             connection.retired = true;
-                            if let ToServer::Send(sending) = order {
+                            if let ToHost::Send(sending) = order {
                                 pool.waiting.push_front((until, sending));
                             }
                         }
@@ -295,7 +295,7 @@
                 .iter()
                 .find(|connection| !connection.retired)
             {
-                Some(connection) if connection.orders.send(ToServer::Probe(probe.id)).is_ok() => {
+                Some(connection) if connection.orders.send(ToHost::Probe(probe.id)).is_ok() => {
                     probe.state = ProbeState::Sent;
                 }
                 _ => wanted_connections += 1,
@@ -306,7 +306,7 @@
             self.connection_count += 1;
             self.last_id += 1;
             count(&self.shared.counts.dials);
-            let (queue, connection) = (self.shared.queue.clone(), LineId(self.last_id));
+            let (queue, connection) = (self.shared.queue.clone(), ConnectionId(self.last_id));
             tokio::task::spawn_local(dial(
                 pool.member.address,
                 dial_timeout,
@@ -326,9 +326,11 @@
                 probe.end_unanswered(shared, host);
             }
             pool.waiting.retain(|(until, sending)| {
-                match sending.may_begin(&shared.clock, now) {
+                match sending.may_send(&shared.clock, now) {
                     Err(why) => {
-                        shared.trace.denied(&sending.call, sending.id, why.as_str());
+                        shared
+                            .trace
+                            .denied(&sending.request, sending.id, why.as_str());
                         shared.attempt_dropped(sending, Ending::NotSent);
                     }
                     // A shortage on this side says nothing about the host.
@@ -350,7 +352,7 @@
         let waiting = self.pools.values().flat_map(|pool| &pool.waiting);
         let clock = &self.shared.clock;
         let wait_end =
-            |(until, sending): &(Instant, Sending)| sending.begins_until(clock).min(*until);
+            |(until, sending): &(Instant, AttemptRequest)| sending.latest_send(clock).min(*until);
         let probes = self.pools.values().filter_map(|pool| pool.probe.as_ref());
         let probes = probes.filter(|probe| probe.state != ProbeState::Ended);
         waiting
@@ -361,16 +363,16 @@
 
     /// Cancels an attempt. Its end arrives through the queue.
     pub fn cancel(&mut self, id: AttemptId) {
-        self.order(id, ToServer::Kill(id));
+        self.order(id, ToHost::Cancel(id));
     }
 
     /// Drops an attempt if no byte of it was written yet.
     pub fn drop_unsent(&mut self, id: AttemptId) {
-        self.order(id, ToServer::Recall(id));
+        self.order(id, ToHost::CancelUnsent(id));
     }
 
     /// Passes an order on to the connection of an attempt. An attempt that waits for a connection is dropped.
-    fn order(&mut self, id: AttemptId, order: ToServer) {
+    fn order(&mut self, id: AttemptId, order: ToHost) {
         let Some(&(host, line)) = self.assignments.get(&id) else {
             return;
         };
@@ -406,26 +408,26 @@
     /// Handles the report of a connection or a dial. Returns the answer or the end of an attempt, once for each attempt.
     pub fn handle_event(
         &mut self,
-        event: FromServer,
-    ) -> Option<(AttemptId, Option<LineId>, Answer)> {
+        event: FromHost,
+    ) -> Option<(AttemptId, Option<ConnectionId>, Answer)> {
         match event {
-            FromServer::Dialled {
+            FromHost::Dialled {
                 host,
-                line,
+                connection: line,
                 address,
-                dialled,
+                result: dialled,
             } => {
                 // If the host has moved since, the dialled address may now belong to another host.
                 let pool = self.pools.get(&host);
                 let moved = pool.is_some_and(|pool| pool.member.address != address);
-                let dialled = if moved { Dialled::TimedOut } else { dialled };
+                let dialled = if moved { DialResult::TimedOut } else { dialled };
                 self.on_dialled(host, line, dialled);
                 None
             }
-            FromServer::Ended {
+            FromHost::AttemptEnded {
                 id,
                 host,
-                line,
+                connection: line,
                 answer,
             } => {
                 if let (Some(pool), Some(line)) = (self.pools.get_mut(&host), line) {
@@ -442,17 +444,23 @@
                 self.assignments.remove(&id).map(|_| (id, line, answer))
             }
             // The dispatcher handles the result of a probe itself.
-            FromServer::Probed { .. } => None,
-            FromServer::Unfit { host, line } => {
+            FromHost::Probed { .. } => None,
+            FromHost::Unusable {
+                host,
+                connection: line,
+            } => {
                 if let Some(pool) = self.pools.get_mut(&host) {
                     for known in pool.connections.iter_mut().filter(|known| known.id == line) {
                         known.retired = true;
-                        let _ = known.orders.send(ToServer::Retire);
+                        let _ = known.orders.send(ToHost::Retire);
                     }
                 }
                 None
             }
-            FromServer::Closed { host, line } => {
+            FromHost::Closed {
+                host,
+                connection: line,
+            } => {
                 self.connection_count -= 1;
                 if let Some(pool) = self.pools.get_mut(&host) {
                     pool.connections.retain(|known| known.id != line);
@@ -466,9 +474,9 @@
     }
 
     /// Handles the result of a dial.
-    fn on_dialled(&mut self, host: HostId, id: LineId, dialled: Dialled) {
+    fn on_dialled(&mut self, host: HostId, id: ConnectionId, dialled: DialResult) {
         match (self.pools.get_mut(&host), dialled) {
-            (Some(pool), Dialled::Up(stream)) => {
+            (Some(pool), DialResult::Connected(stream)) => {
                 pool.dialing -= 1;
                 pool.local_shortage = false;
                 self.on_connected(host, id, stream);
@@ -476,8 +484,8 @@
             (Some(pool), failed) => {
                 self.connection_count -= 1;
                 pool.dialing -= 1;
-                pool.local_shortage = matches!(failed, Dialled::Lacking);
-                if matches!(failed, Dialled::Refused) {
+                pool.local_shortage = matches!(failed, DialResult::LocalShortage);
+                if matches!(failed, DialResult::Refused) {
                     pool.on_refused(&self.shared, host);
                 }
                 self.assign(host);
@@ -488,21 +496,21 @@
     }
 
     /// Adds a new connection to its pool and starts its task.
-    fn on_connected(&mut self, host: HostId, id: LineId, stream: TcpStream) {
+    fn on_connected(&mut self, host: HostId, id: ConnectionId, stream: TcpStream) {
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
         let (orders_in, orders) = mpsc::channel();
         let retired = pool.member.entry.state != HostState::Ready;
         if retired {
-            let _ = orders_in.send(ToServer::Retire);
+            let _ = orders_in.send(ToHost::Retire);
         }
         pool.connections.push(PooledConnection {
             id,
             orders: orders_in,
             open: 0,
             retired,
-            connected_at: self.shared.clock.moment(Instant::now()),
+            connected_at: self.shared.clock.timestamp(Instant::now()),
         });
         let connection = HostConnection::new(host, id, stream, orders, self.shared.clone());
         tokio::task::spawn_local(connection.serve());
@@ -515,24 +523,24 @@
     address: SocketAddr,
     dial_timeout: Duration,
     host: HostId,
-    line: LineId,
-    queue: Queue,
+    connection: ConnectionId,
+    queue: InboundSender,
 ) {
     let local_shortage = Cell::new(false);
-    let dialled = match timeout(dial_timeout, connect(address, &local_shortage)).await {
+    let result = match timeout(dial_timeout, connect(address, &local_shortage)).await {
         Ok(Ok(stream)) => {
             let _ = stream.set_nodelay(true);
-            Dialled::Up(stream)
+            DialResult::Connected(stream)
         }
-        Ok(Err(_)) => Dialled::Refused,
-        Err(_) if local_shortage.get() => Dialled::Lacking,
-        Err(_) => Dialled::TimedOut,
+        Ok(Err(_)) => DialResult::Refused,
+        Err(_) if local_shortage.get() => DialResult::LocalShortage,
+        Err(_) => DialResult::TimedOut,
     };
-    let _ = queue.send(Inbound::Server(FromServer::Dialled {
+    let _ = queue.send(Inbound::Host(FromHost::Dialled {
         host,
-        line,
+        connection,
         address,
-        dialled,
+        result,
     }));
 }
 
--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -63,9 +63,9 @@
     Timestamp(ms.saturating_mul(1000).saturating_add(999))
 }
 
-impl Entry {
+impl JournalEntry {
     /// Reads an event; `None` if it can't be understood. Members that can't be read are left out and counted.
-    pub fn read(json: &Value, names: &Names) -> Option<Entry> {
+    pub fn read(json: &Value, names: &Names) -> Option<JournalEntry> {
         let pos = json.get("pos")?.as_u64()?;
         if let Some(purge) = json.get("expire") {
             let object = match purge.get("name") {
@@ -78,9 +78,9 @@
             }
             let group = GroupId(u32::try_from(group.unwrap_or(0)).ok()?);
             let stamp = end_of_ms(purge.get("stamp")?.as_u64()?);
-            return Some(Entry {
-                pos,
-                change: Change::Purged {
+            return Some(JournalEntry {
+                position: pos,
+                change: JournalChange::Purged {
                     object,
                     group,
                     stamp,
@@ -97,21 +97,21 @@
         let members = members
             .iter()
             .filter_map(|member| read_member(member, names));
-        let members: Vec<Member> = members.collect();
+        let members: Vec<ListedHost> = members.collect();
         let unread = listed - members.len();
-        Some(Entry {
-            pos,
-            change: Change::Hosts {
-                form,
-                members,
-                unread,
+        Some(JournalEntry {
+            position: pos,
+            change: JournalChange::Hosts {
+                kind: form,
+                hosts: members,
+                unreadable: unread,
             },
         })
     }
 }
 
 /// Reads a member of a host list. Zones and kinds that the settings don't name get an id that no setting has.
-fn read_member(json: &Value, names: &Names) -> Option<Member> {
+fn read_member(json: &Value, names: &Names) -> Option<ListedHost> {
     let text = |key: &str| json.get(key).and_then(Value::as_str);
     let name = text("id")?;
     let started = json.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0);
@@ -138,7 +138,7 @@
             _ => return None,
         },
     };
-    Some(Member {
+    Some(ListedHost {
         entry,
         name: name.into(),
         address: text("host_port")?.parse().ok()?,
@@ -155,7 +155,7 @@
     /// The wait before the next call, without its random part.
     pub retry_interval: Duration,
     pub rng: fastrand::Rng,
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub counts: Rc<Counts>,
     pub log: Logger,
 }
@@ -164,7 +164,7 @@
 pub struct JournalServiceUpdate {
     pub address: Option<SocketAddr>,
     /// The events that the configuration itself contains.
-    pub known: Vec<Entry>,
+    pub known: Vec<JournalEntry>,
 }
 
 /// Receives events for as long as the process runs, and applies changes of the service's address.
@@ -270,9 +270,9 @@
     }
 
     /// Takes an event from a new configuration if it is the next one.
-    fn add_known(&mut self, entry: Entry) {
-        if entry.pos == self.last_position + 1 {
-            self.last_position = entry.pos;
+    fn add_known(&mut self, entry: JournalEntry) {
+        if entry.position == self.last_position + 1 {
+            self.last_position = entry.position;
             count(&self.counts.journal_events);
             let _ = self.queue.send(Inbound::Journal(entry));
         }
@@ -290,7 +290,7 @@
         if pos > self.last_position + 1 && self.last_position > 0 {
             return Err(format!("events before {pos} are missing"));
         }
-        let entry = Entry::read(&json, &self.names);
+        let entry = JournalEntry::read(&json, &self.names);
         must(pos > self.last_position, &self.counts.broken_journal_order);
         self.last_position = pos;
         match entry {
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -3,7 +3,7 @@
 //! It only carries: what to ask and when to leave comes by a queue from the one task that has the decisions, and answers
 //! go back by its own. A connection that is left takes its answers with it.
 
-use crate::messages::{FromStore, Inbound, Queue, ToStore};
+use crate::messages::{FromStore, Inbound, InboundSender, ToStore};
 use local_channel::mpsc;
 use redis::aio::MultiplexedConnection;
 use slog::{Logger, warn};
@@ -26,7 +26,12 @@
 }
 
 /// Carries until nobody asks any more.
-pub async fn carry(config: Sheet, queue: Queue, mut asked: mpsc::Receiver<ToStore>, log: Logger) {
+pub async fn carry(
+    config: Sheet,
+    queue: InboundSender,
+    mut asked: mpsc::Receiver<ToStore>,
+    log: Logger,
+) {
     // A connection that was left must not tell of its end as if it were the present one's.
     let present = Rc::new(Cell::new(0u64));
     let mut line: Option<Rc<Line>> = None;
@@ -38,7 +43,7 @@
                 line = match connect(&config).await {
                     Ok((connected, run)) => {
                         told.clear();
-                        let _ = queue.send(Inbound::Store(FromStore::Connected { run }));
+                        let _ = queue.send(Inbound::Store(FromStore::Connected { run_id: run }));
                         Some(Rc::new(connected))
                     }
                     Err(why) => {
@@ -48,7 +53,7 @@
                                 "port" => config.port, "why" => &why);
                             told = why;
                         }
-                        let _ = queue.send(Inbound::Store(FromStore::Broken));
+                        let _ = queue.send(Inbound::Store(FromStore::Disconnected));
                         None
                     }
                 };
@@ -57,7 +62,7 @@
                 present.set(present.get() + 1);
                 line = None;
             }
-            ToStore::Ask(id, request) => {
+            ToStore::Execute(id, request) => {
                 let Some(line) = line.clone() else {
                     let _ = queue.send(Inbound::Store(FromStore::Answered(id, Reply::Lost)));
                     continue;
@@ -71,7 +76,7 @@
                     let _ = queue.send(Inbound::Store(FromStore::Answered(id, reply)));
                     if broken {
                         present.set(of + 1);
-                        let _ = queue.send(Inbound::Store(FromStore::Broken));
+                        let _ = queue.send(Inbound::Store(FromStore::Disconnected));
                     }
                 });
             }
