--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -565,9 +565,9 @@
             self.incoming.consume(n);
             self.min_message_bytes = 1;
             (self.has_message, self.unused_since) = (true, Instant::now());
-            if let Message::Request(call) = &mut message {
-                call.arrived_at = self.sent_at(first_read);
-                call.client = self.state.clone();
+            if let Message::Request(request) = &mut message {
+                request.arrived_at = self.sent_at(first_read);
+                request.client = self.state.clone();
             }
             self.handle_message(message)?;
         }
@@ -584,17 +584,17 @@
             Message::Request(_) if self.open_count() >= MAX_OPEN_REQUESTS => {
                 return malformed("too many open requests");
             }
-            Message::Request(call) => {
-                let owed = self.owed.insert(call.id.number, call.closed.clone());
+            Message::Request(request) => {
+                let owed = self.owed.insert(request.id.number, request.closed.clone());
                 if owed.is_some() {
                     return malformed("a request number is used twice");
                 }
-                let deadline = call.arrived_at + Duration::from_micros(call.time_left.0);
+                let deadline = request.arrived_at + Duration::from_micros(request.time_left.0);
                 self.latest_deadline = self.latest_deadline.max(deadline);
                 let _ = self
                     .shared
                     .queue
-                    .send(Inbound::Client(FromClient::Requested(*call)));
+                    .send(Inbound::Client(FromClient::Requested(*request)));
             }
             Message::Revoke(number) => {
                 if let Some(over) = self.owed.remove(&number) {
@@ -737,8 +737,8 @@
                 Some(method) => classes
                     .get(method)
                     .and_then(|&class| read_request(id, class, params))
-                    .map_or(Message::Invalid(number), |call| {
-                        Message::Request(Box::new(call))
+                    .map_or(Message::Invalid(number), |request| {
+                        Message::Request(Box::new(request))
                     }),
                 None => Message::Invalid(number),
             }
@@ -780,7 +780,7 @@
         .all(|name| field(name).as_ref().is_none_or(is_safe));
     let time_left_ms: f64 = field("allow")?.parse().ok()?;
     let size: Option<f64> = field("room").map(str::parse).transpose().ok()?;
-    let call = ClientRequest {
+    let request = ClientRequest {
         id,
         arrived_at: Instant::now(),
         reference: text_field("ref")?.into(),
@@ -799,5 +799,5 @@
     };
     let within_limits =
         body.len() <= MAX_BODY_BYTES && (0.0..=MAX_TIME_LEFT_MS).contains(&time_left_ms);
-    (all_safe && within_limits).then_some(call)
+    (all_safe && within_limits).then_some(request)
 }
--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -181,7 +181,7 @@
         }
         while let Some(order) = next_queued(&mut self.orders) {
             match order {
-                ToHost::Send(sending) => self.end(sending.id, Ending::NotSent),
+                ToHost::Send(attempt) => self.end(attempt.id, Ending::NotSent),
                 ToHost::Probe(id) => {
                     self.shared
                         .probe_ended(id, self.host, Ending::NotSent, vec![])
@@ -215,7 +215,7 @@
     /// Reports that a message was not sent.
     fn drop_packet(&self, packet: Packet) {
         match packet {
-            Packet::Attempt(sending) => self.end(sending.id, Ending::NotSent),
+            Packet::Attempt(attempt) => self.end(attempt.id, Ending::NotSent),
             Packet::Probe(id) => self
                 .shared
                 .probe_ended(id, self.host, Ending::NotSent, vec![]),
@@ -299,7 +299,7 @@
     fn handle_order(&mut self, order: ToHost) -> Result<(), CloseReason> {
         self.last_active_at = Instant::now();
         match order {
-            ToHost::Send(sending) => self.unsent.push_back(Packet::Attempt(sending)),
+            ToHost::Send(attempt) => self.unsent.push_back(Packet::Attempt(attempt)),
             ToHost::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
             ToHost::Cancel(id) => {
                 if !self.drop_unsent(id) {
@@ -318,7 +318,7 @@
     /// Drops an attempt if no byte of it was written, and returns whether it did.
     fn drop_unsent(&mut self, id: AttemptId) -> bool {
         let is_attempt =
-            |packet: &Packet| matches!(packet, Packet::Attempt(sending) if sending.id == id);
+            |packet: &Packet| matches!(packet, Packet::Attempt(attempt) if attempt.id == id);
         let found = self.unsent.iter().position(is_attempt);
         if let Some(index) = found {
             self.unsent.remove(index);
@@ -329,14 +329,14 @@
 
     /// Checks the rules for the start of a request again after its first byte was written.
     fn check_begun(&self, now: Instant) {
-        let Some(sending) = &self.attempt_in_outgoing else {
+        let Some(attempt) = &self.attempt_in_outgoing else {
             return;
         };
         let clock = &self.shared.clock;
         self.shared
             .trace
-            .begun(&sending.request, sending.id, self.id);
-        let late = permits::begun_against_a_rule(clock.timestamp(now), &sending.send_facts(clock));
+            .begun(&attempt.request, attempt.id, self.id);
+        let late = permits::begun_against_a_rule(clock.timestamp(now), &attempt.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let deadline_holds = self.deadline_holds(now);
         must(
@@ -351,7 +351,7 @@
         let reference = self
             .attempt_in_outgoing
             .as_ref()
-            .map(|sending| &sending.request.reference);
+            .map(|attempt| &attempt.request.reference);
         let open = reference.and_then(|reference| self.open.get(reference));
         open.is_none_or(|open| {
             permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(open.sent_at))
@@ -364,10 +364,10 @@
         if self.has_begun {
             return;
         }
-        if let Some(sending) = self.attempt_in_outgoing.take() {
-            self.open.remove(&sending.request.reference);
+        if let Some(attempt) = self.attempt_in_outgoing.take() {
+            self.open.remove(&attempt.request.reference);
             self.outgoing.consume(self.outgoing.len());
-            self.unsent.push_front(Packet::Attempt(sending));
+            self.unsent.push_front(Packet::Attempt(attempt));
         }
     }
 
@@ -456,26 +456,26 @@
                 resp::put_word(&mut out, tag.as_bytes());
                 self.probe = Some(id);
             }
-            Packet::Attempt(sending) => {
-                let (now, call) = (Instant::now(), &sending.request);
-                if let Err(why) = sending.may_send(&self.shared.clock, now) {
-                    self.shared.trace.denied(call, sending.id, why.as_str());
-                    return self.end(sending.id, Ending::NotSent);
+            Packet::Attempt(attempt) => {
+                let (now, request) = (Instant::now(), &attempt.request);
+                if let Err(why) = attempt.may_send(&self.shared.clock, now) {
+                    self.shared.trace.denied(request, attempt.id, why.as_str());
+                    return self.end(attempt.id, Ending::NotSent);
                 }
                 resp::put_array(&mut out, WORDS_PER_MESSAGE);
                 resp::put_word(&mut out, b"PULL");
-                resp::put_word(&mut out, call.reference.as_bytes());
+                resp::put_word(&mut out, request.reference.as_bytes());
                 let timestamp = self.shared.clock.timestamp(now);
-                resp::put_word(&mut out, encode_fields(&sending, timestamp).as_bytes());
-                resp::put_word(&mut out, &call.body);
+                resp::put_word(&mut out, encode_fields(&attempt, timestamp).as_bytes());
+                resp::put_word(&mut out, &request.body);
                 let open = OpenAttempt {
-                    id: sending.id,
+                    id: attempt.id,
                     sent_at: now,
-                    may_be_unchanged: call.held_etag.is_some(),
+                    may_be_unchanged: request.held_etag.is_some(),
                 };
-                let before = self.open.insert(call.reference.clone(), open);
+                let before = self.open.insert(request.reference.clone(), open);
                 must(before.is_none(), &self.shared.counts.broken_two_endings);
-                self.attempt_in_outgoing = Some(sending);
+                self.attempt_in_outgoing = Some(attempt);
             }
         }
         self.outgoing.push(&out);
@@ -574,28 +574,28 @@
 }
 
 /// Encodes the fields of a request for a host.
-fn encode_fields(sending: &AttemptRequest, now: Timestamp) -> String {
-    let call = &sending.request;
+fn encode_fields(attempt: &AttemptRequest, now: Timestamp) -> String {
+    let request = &attempt.request;
     let mut fields = format!(
         "lane={},name={},piece={}",
-        sending.class_name, call.object_name, call.part
+        attempt.class_name, request.object_name, request.part
     );
     let mut add = |name: &str, value: &str| {
         let _ = write!(fields, ",{name}={value}");
     };
     // Rounded down, so that the host gives up no later than the dispatcher.
-    let time_left = permits::deadline_to_pass(now, sending.deadline);
+    let time_left = permits::deadline_to_pass(now, attempt.deadline);
     add("ttl", &(time_left.0 / 1000).max(1).to_string());
-    if let Some(mark) = &call.idempotency_key {
+    if let Some(mark) = &request.idempotency_key {
         add("dedupe", mark);
     }
-    if let Some(tag) = &call.held_etag {
+    if let Some(tag) = &request.held_etag {
         add("known", tag);
     }
-    if let Some(source) = &sending.source {
+    if let Some(source) = &attempt.source {
         add("via", source);
     }
-    if let Some(fill) = sending.fill {
+    if let Some(fill) = attempt.fill {
         add("tier", &fill.rank.to_string());
         if let Some(max_age) = fill.max_age {
             // Rounded down to the strict side, but not to 0, which would mean the usual maximum age.
--- a/crates/trailproxyd/src/host_context.rs
+++ b/crates/trailproxyd/src/host_context.rs
@@ -64,7 +64,7 @@
     }
 
     /// Reports the end of an attempt that was not given to a connection.
-    pub fn attempt_dropped(&self, sending: &AttemptRequest, ending: Ending) {
-        self.attempt_ended(sending.id, sending.host, None, Answer::without_body(ending));
+    pub fn attempt_dropped(&self, attempt: &AttemptRequest, ending: Ending) {
+        self.attempt_ended(attempt.id, attempt.host, None, Answer::without_body(ending));
     }
 }
--- a/crates/trailproxyd/src/host_pools.rs
+++ b/crates/trailproxyd/src/host_pools.rs
@@ -58,8 +58,8 @@
         if let Some(probe) = self.probe.as_mut().filter(is_waiting) {
             probe.end_unanswered(shared, host);
         }
-        for (_, sending) in self.waiting.drain(..) {
-            shared.attempt_dropped(&sending, Ending::NoConnection);
+        for (_, attempt) in self.waiting.drain(..) {
+            shared.attempt_dropped(&attempt, Ending::NoConnection);
         }
     }
 }
@@ -201,18 +201,18 @@
     }
 
     /// Starts an attempt. Its answer or its end arrives through the queue.
-    pub fn submit(&mut self, sending: AttemptRequest) {
-        let (id, host) = (sending.id, sending.host);
+    pub fn submit(&mut self, attempt: AttemptRequest) {
+        let (id, host) = (attempt.id, attempt.host);
         let until = Instant::now() + self.shared.dial_timeout();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
         let pool = self.pools.get_mut(&host).filter(ready);
         must(pool.is_some(), &self.shared.counts.broken_sent_to_drained);
         self.assignments.insert(id, (host, None));
         let Some(pool) = pool else {
-            return self.shared.attempt_dropped(&sending, Ending::NotSent);
+            return self.shared.attempt_dropped(&attempt, Ending::NotSent);
         };
         count(&self.shared.counts.hand_offs);
-        pool.waiting.push_back((until, sending));
+        pool.waiting.push_back((until, attempt));
         self.assign(host);
     }
 
@@ -255,11 +255,11 @@
                 .saturating_sub(pool.connections.len() + pool.dialing)
                 .min(free);
         let mut unassigned = VecDeque::new();
-        while let Some((until, sending)) = pool.waiting.pop_front() {
+        while let Some((until, attempt)) = pool.waiting.pop_front() {
             let fits = |connection: &&mut PooledConnection| {
                 !connection.retired
                     && connection.open < max_streams
-                    && !sending.avoid_connections.contains(&connection.id)
+                    && !attempt.avoid_connections.contains(&connection.id)
             };
             let candidates = pool.connections.iter_mut().filter(fits);
             match candidates.min_by_key(|connection| connection.open) {
@@ -267,8 +267,8 @@
                     if connection.open < TARGET_ATTEMPTS_PER_CONNECTION
                         || unassigned.len() >= max_dials =>
                 {
-                    let id = sending.id;
-                    match connection.orders.send(ToHost::Send(sending)) {
+                    let id = attempt.id;
+                    match connection.orders.send(ToHost::Send(attempt)) {
                         Ok(()) => {
                             self.assignments.insert(id, (host, Some(connection.id)));
                             connection.open += 1;
@@ -277,13 +277,13 @@
                         // the waiting ones, because nothing would end it at the closed connection.
                         Err(SendError(order)) => {
                             connection.retired = true;
-                            if let ToHost::Send(sending) = order {
-                                pool.waiting.push_front((until, sending));
+                            if let ToHost::Send(attempt) = order {
+                                pool.waiting.push_front((until, attempt));
                             }
                         }
                     }
                 }
-                _ => unassigned.push_back((until, sending)),
+                _ => unassigned.push_back((until, attempt)),
             }
         }
         pool.waiting = unassigned;
@@ -325,20 +325,20 @@
             if let Some(probe) = pool.probe.as_mut().filter(is_due) {
                 probe.end_unanswered(shared, host);
             }
-            pool.waiting.retain(|(until, sending)| {
-                match sending.may_send(&shared.clock, now) {
+            pool.waiting.retain(|(until, attempt)| {
+                match attempt.may_send(&shared.clock, now) {
                     Err(why) => {
                         shared
                             .trace
-                            .denied(&sending.request, sending.id, why.as_str());
-                        shared.attempt_dropped(sending, Ending::NotSent);
+                            .denied(&attempt.request, attempt.id, why.as_str());
+                        shared.attempt_dropped(attempt, Ending::NotSent);
                     }
                     // A shortage on this side says nothing about the host.
                     Ok(()) if *until <= now && pool.local_shortage => {
-                        shared.attempt_dropped(sending, Ending::NotSent);
+                        shared.attempt_dropped(attempt, Ending::NotSent);
                     }
                     Ok(()) if *until <= now => {
-                        shared.attempt_dropped(sending, Ending::NoConnection)
+                        shared.attempt_dropped(attempt, Ending::NoConnection)
                     }
                     Ok(()) => return true,
                 }
@@ -352,7 +352,7 @@
         let waiting = self.pools.values().flat_map(|pool| &pool.waiting);
         let clock = &self.shared.clock;
         let wait_end =
-            |(until, sending): &(Instant, AttemptRequest)| sending.latest_send(clock).min(*until);
+            |(until, attempt): &(Instant, AttemptRequest)| attempt.latest_send(clock).min(*until);
         let probes = self.pools.values().filter_map(|pool| pool.probe.as_ref());
         let probes = probes.filter(|probe| probe.state != ProbeState::Ended);
         waiting
@@ -373,25 +373,25 @@
 
     /// Passes an order on to the connection of an attempt. An attempt that waits for a connection is dropped.
     fn order(&mut self, id: AttemptId, order: ToHost) {
-        let Some(&(host, line)) = self.assignments.get(&id) else {
+        let Some(&(host, connection)) = self.assignments.get(&id) else {
             return;
         };
         let Some(pool) = self.pools.get_mut(&host) else {
             return;
         };
-        match line {
-            Some(line) => {
-                if let Some(line) = pool.connections.iter().find(|known| known.id == line) {
-                    let _ = line.orders.send(order);
+        match connection {
+            Some(id) => {
+                if let Some(connection) = pool.connections.iter().find(|known| known.id == id) {
+                    let _ = connection.orders.send(order);
                 }
             }
             None => {
                 let index = pool
                     .waiting
                     .iter()
-                    .position(|(_, sending)| sending.id == id);
-                if let Some((_, sending)) = index.and_then(|index| pool.waiting.remove(index)) {
-                    self.shared.attempt_dropped(&sending, Ending::NotSent);
+                    .position(|(_, attempt)| attempt.id == id);
+                if let Some((_, attempt)) = index.and_then(|index| pool.waiting.remove(index)) {
+                    self.shared.attempt_dropped(&attempt, Ending::NotSent);
                 }
             }
         }
@@ -413,7 +413,7 @@
         match event {
             FromHost::Dialled {
                 host,
-                connection: line,
+                connection,
                 address,
                 result: dialled,
             } => {
@@ -421,49 +421,51 @@
                 let pool = self.pools.get(&host);
                 let moved = pool.is_some_and(|pool| pool.member.address != address);
                 let dialled = if moved { DialResult::TimedOut } else { dialled };
-                self.on_dialled(host, line, dialled);
+                self.on_dialled(host, connection, dialled);
                 None
             }
             FromHost::AttemptEnded {
                 id,
                 host,
-                connection: line,
+                connection,
                 answer,
             } => {
-                if let (Some(pool), Some(line)) = (self.pools.get_mut(&host), line) {
-                    if let Some(line) = pool.connections.iter_mut().find(|known| known.id == line) {
-                        line.open -= 1;
+                if let (Some(pool), Some(number)) = (self.pools.get_mut(&host), connection) {
+                    if let Some(known) =
+                        pool.connections.iter_mut().find(|known| known.id == number)
+                    {
+                        known.open -= 1;
                     }
                     if !pool.waiting.is_empty() {
                         self.assign(host);
                     }
                 }
-                if line.is_none() {
+                if connection.is_none() {
                     self.remove_unused_pools();
                 }
-                self.assignments.remove(&id).map(|_| (id, line, answer))
+                self.assignments
+                    .remove(&id)
+                    .map(|_| (id, connection, answer))
             }
             // The dispatcher handles the result of a probe itself.
             FromHost::Probed { .. } => None,
-            FromHost::Unusable {
-                host,
-                connection: line,
-            } => {
+            FromHost::Unusable { host, connection } => {
                 if let Some(pool) = self.pools.get_mut(&host) {
-                    for known in pool.connections.iter_mut().filter(|known| known.id == line) {
+                    for known in pool
+                        .connections
+                        .iter_mut()
+                        .filter(|known| known.id == connection)
+                    {
                         known.retired = true;
                         let _ = known.orders.send(ToHost::Retire);
                     }
                 }
                 None
             }
-            FromHost::Closed {
-                host,
-                connection: line,
-            } => {
+            FromHost::Closed { host, connection } => {
                 self.connection_count -= 1;
                 if let Some(pool) = self.pools.get_mut(&host) {
-                    pool.connections.retain(|known| known.id != line);
+                    pool.connections.retain(|known| known.id != connection);
                 }
                 self.remove_unused_pools();
                 let waiting: Vec<HostId> = self.pools.keys().copied().collect();
--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -66,7 +66,7 @@
 impl JournalEntry {
     /// Reads an event; `None` if it can't be understood. Members that can't be read are left out and counted.
     pub fn read(json: &Value, names: &Names) -> Option<JournalEntry> {
-        let pos = json.get("pos")?.as_u64()?;
+        let position = json.get("pos")?.as_u64()?;
         if let Some(purge) = json.get("expire") {
             let object = match purge.get("name") {
                 Some(name) => Some(object_id(name.as_str()?)?),
@@ -79,7 +79,7 @@
             let group = GroupId(u32::try_from(group.unwrap_or(0)).ok()?);
             let stamp = end_of_ms(purge.get("stamp")?.as_u64()?);
             return Some(JournalEntry {
-                position: pos,
+                position,
                 change: JournalChange::Purged {
                     object,
                     group,
@@ -88,7 +88,7 @@
             });
         }
         let hosts = json.get("hosts")?;
-        let form = match hosts.get("complete").and_then(Value::as_bool) {
+        let kind = match hosts.get("complete").and_then(Value::as_bool) {
             Some(true) => HostListKind::Full,
             _ => HostListKind::Delta,
         };
@@ -98,13 +98,13 @@
             .iter()
             .filter_map(|member| read_member(member, names));
         let members: Vec<ListedHost> = members.collect();
-        let unread = listed - members.len();
+        let unreadable = listed - members.len();
         Some(JournalEntry {
-            position: pos,
+            position,
             change: JournalChange::Hosts {
-                kind: form,
+                kind,
                 hosts: members,
-                unreadable: unread,
+                unreadable,
             },
         })
     }
@@ -281,18 +281,21 @@
     /// Handles an event. Events that were received before are ignored; after a gap, the call ends and is made again.
     fn handle_event(&mut self, id: &str, data: &str) -> Result<(), String> {
         let json: Value = serde_json::from_str(data).unwrap_or_default();
-        let pos = id.parse().ok().or_else(|| json.get("pos")?.as_u64());
-        let pos = pos.ok_or("an event has no position")?;
-        if pos <= self.last_position {
+        let position = id.parse().ok().or_else(|| json.get("pos")?.as_u64());
+        let position = position.ok_or("an event has no position")?;
+        if position <= self.last_position {
             count(&self.counts.journal_repeats);
             return Ok(());
         }
-        if pos > self.last_position + 1 && self.last_position > 0 {
-            return Err(format!("events before {pos} are missing"));
+        if position > self.last_position + 1 && self.last_position > 0 {
+            return Err(format!("events before {position} are missing"));
         }
         let entry = JournalEntry::read(&json, &self.names);
-        must(pos > self.last_position, &self.counts.broken_journal_order);
-        self.last_position = pos;
+        must(
+            position > self.last_position,
+            &self.counts.broken_journal_order,
+        );
+        self.last_position = position;
         match entry {
             Some(entry) => {
                 count(&self.counts.journal_events);
@@ -300,7 +303,7 @@
             }
             None => {
                 count(&self.counts.bad_entries);
-                warn!(self.log, "journal event can't be read"; "pos" => pos);
+                warn!(self.log, "journal event can't be read"; "pos" => position);
             }
         }
         Ok(())
