--- a/crates/lab/src/bin/bare-relay.rs
+++ b/crates/lab/src/bin/bare-relay.rs
@@ -15,8 +15,8 @@
 use tokio::task::{LocalSet, spawn_local};
 use trailproxy_lab::chance::mix;
 use trailproxy_standins::client::writer;
-use trailproxyd::buffered::Held;
-use trailproxyd::msgpack::{self, Fault, Value};
+use trailproxyd::buffered::BufferedBytes;
+use trailproxyd::msgpack::{self, ParseError, Value};
 use trailproxyd::resp;
 use trailproxyd::ring::Ring;
 
@@ -69,20 +69,20 @@
 }
 
 async fn requests(mut read: OwnedReadHalf, out: Out, hosts: Rc<Vec<Out>>, waiting: Waiting) {
-    let mut ring = Ring::new(Held::default());
+    let mut ring = Ring::new(BufferedBytes::default());
     loop {
-        match read.read(ring.room()).await {
-            Ok(n) if n > 0 => ring.filled(n),
+        match read.read(ring.free_space()).await {
+            Ok(n) if n > 0 => ring.commit(n),
             _ => return,
         }
         loop {
-            let used = match msgpack::read(ring.whole(), LONGEST) {
+            let used = match msgpack::read(ring.as_contiguous(), LONGEST) {
                 Ok((message, used)) => {
                     request(&message, &out, &hosts, &waiting);
                     used
                 }
-                Err(Fault::Short(_)) => break,
-                Err(Fault::Malformed(_)) => return,
+                Err(ParseError::Incomplete(_)) => break,
+                Err(ParseError::Malformed(_)) => return,
             };
             ring.consume(used);
         }
@@ -157,14 +157,14 @@
 }
 
 async fn answers(mut read: OwnedReadHalf, waiting: Waiting) {
-    let mut ring = Ring::new(Held::default());
+    let mut ring = Ring::new(BufferedBytes::default());
     loop {
-        match read.read(ring.room()).await {
-            Ok(n) if n > 0 => ring.filled(n),
+        match read.read(ring.free_space()).await {
+            Ok(n) if n > 0 => ring.commit(n),
             _ => return,
         }
         loop {
-            let used = match resp::read(ring.whole(), 4, LONGEST) {
+            let used = match resp::read(ring.as_contiguous(), 4, LONGEST) {
                 Ok((words, used)) => {
                     if let Some((out, id)) = waiting.borrow_mut().remove(words[0]) {
                         let body = words.get(3).copied().unwrap_or_default();
@@ -181,8 +181,8 @@
                     }
                     used
                 }
-                Err(Fault::Short(_)) => break,
-                Err(Fault::Malformed(_)) => return,
+                Err(ParseError::Incomplete(_)) => break,
+                Err(ParseError::Malformed(_)) => return,
             };
             ring.consume(used);
         }
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -27,7 +27,7 @@
                 }
                 Action::Fail { id, reason } => self.on_given_up(now, id, Reply::Failed, reason),
                 Action::Cancel { id, attempt } => {
-                    self.pools.kill(AttemptId {
+                    self.pools.cancel(AttemptId {
                         request: id,
                         attempt,
                     });
@@ -64,7 +64,7 @@
         let source = fill
             .map(|fill| fill.source)
             .filter(|&source| source != host);
-        let name = source.and_then(|source| self.pools.name(source));
+        let name = source.and_then(|source| self.pools.host_name(source));
         let named = name.is_some() == source.is_some();
         must(named, &self.counts.broken_unknown_host);
         // A repeat group recognises a repeat only within its window, and the wait for a connection
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -32,7 +32,7 @@
         info!(self.log, "figures"; "counts" => self.counts.words(), "open" => state.requests.len(),
             "calls" => state.client_requests.len(), "clients" => state.clients.len(), "out" => attempts,
             "lines" => connections, "pools" => pools, "ids" => state.references.len(), "timers" => state.deadlines.len() + state.timers.len(),
-            "held" => self.pools.shared.held.bytes(), "process" => process_figures());
+            "held" => self.pools.shared.buffered.bytes(), "process" => process_figures());
         if let Some(store) = &self.decisions.crossings.store {
             info!(self.log, "store counts"; "what" => store.summary());
         }
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -60,7 +60,7 @@
                     let stamp = host.entry.stamp;
                     host.entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
                 }
-                self.pools.list(kind, &hosts);
+                self.pools.apply_host_list(kind, &hosts);
                 for _ in 0..unreadable {
                     count(&self.counts.bad_entries);
                 }
@@ -110,6 +110,8 @@
                 }
             }
         }
-        cancelled.into_iter().for_each(|id| self.pools.recall(id));
+        cancelled
+            .into_iter()
+            .for_each(|id| self.pools.drop_unsent(id));
     }
 }
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -12,11 +12,11 @@
 
 use crate::accounts::Accounts;
 use crate::checks::{Counts, must};
+use crate::host_pools::HostPools;
 use crate::messages::{
     ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, FromHost, Inbound, JournalEntry,
     ToClient, next_queued,
 };
-use crate::servers::Pools;
 use crate::subsystems::Subsystems;
 use local_channel::mpsc;
 use slog::{Logger, info, warn};
@@ -86,7 +86,7 @@
     /// are built.
     pub accounts: Option<(Accounts, DispatcherSettings, u64)>,
     /// The connections to hosts.
-    pub pools: Pools,
+    pub pools: HostPools,
     pub clock: Clock,
     /// How load reports of hosts are read.
     pub reports: Reports,
@@ -134,7 +134,7 @@
     /// Creates the task. `effects`: by class.
     pub fn new(
         decisions: Dispatcher<Subsystems>,
-        pools: Pools,
+        pools: HostPools,
         reports: Reports,
         effects: Vec<Effect>,
     ) -> Dispatch {
@@ -249,13 +249,13 @@
                 ending,
                 report,
             }) => {
-                if self.pools.probed(host, id) {
+                if self.pools.take_probe(host, id) {
                     let load = self.reports.load(&report);
                     self.handle_event(now, Event::Probed { host, ending, load });
                 }
             }
             Inbound::Host(message) => {
-                if let Some((id, connection, answer)) = self.pools.told(message) {
+                if let Some((id, connection, answer)) = self.pools.handle_event(message) {
                     self.on_attempt_ended(now, id, connection, answer);
                 }
             }
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -21,7 +21,7 @@
             .into_iter()
             .flat_map(PendingRequest::pending_attempts)
         {
-            self.pools.recall(AttemptId { request, attempt });
+            self.pools.drop_unsent(AttemptId { request, attempt });
             any_pending = true;
         }
         any_pending
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -123,7 +123,7 @@
         let decisions = Peers::new(now, own, rules, seed);
         let mut runtime =
             PeersRuntime::new(*section, decisions, (socket, to), targets, log.clone());
-        let (kind, entries) = (HostListKind::Full, self.pools.entries());
+        let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
         runtime.on_host_list(now, &entries, self.state.journal_position);
         runtime.on_event(&Event::HostList { kind, entries });
         self.decisions.crossings.peers = Some(runtime);
@@ -161,7 +161,7 @@
                     let targets = settings.classes.iter().map(|class| class.target).collect();
                     let mut client =
                         StoreClient::new(*config, Sharing::new(now, rules, life), to, targets, log);
-                    let (kind, entries) = (HostListKind::Full, self.pools.entries());
+                    let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
                     client.on_event(now, &Event::HostList { kind, entries });
                     *shared = Some(client);
                 }
@@ -196,7 +196,7 @@
             None => {
                 let mut zones = Zones::new(settings, rules, *seed);
                 let kind = HostListKind::Full;
-                let entries = self.pools.entries();
+                let entries = self.pools.host_entries();
                 zones.on_event(now, &Event::HostList { kind, entries });
                 *crossings = Some(zones);
             }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -2,7 +2,7 @@
 //! that other dispatchers know to be restricted.
 
 use super::Dispatch;
-use crate::buffered::Parcel;
+use crate::buffered::CountedBytes;
 use crate::messages::Reply;
 use crate::waiting::SubsystemEvent;
 use slog::info;
@@ -29,7 +29,7 @@
             match due {
                 SubsystemEvent::MayStart(arrival) => self.submit_arrival(now, arrival),
                 SubsystemEvent::AnsweredFromRecord(id, body) => {
-                    let body = Parcel::new(&body, &self.pools.shared.held);
+                    let body = CountedBytes::new(&body, &self.pools.shared.buffered);
                     self.answer(now, id, Reply::Served(body), "from_record");
                     self.remove_if_finished(now, id);
                 }
@@ -55,7 +55,7 @@
         host: HostId,
         restriction: Option<(HostState, Option<Timestamp>)>,
     ) {
-        let entries = self.pools.entries();
+        let entries = self.pools.host_entries();
         let Some(mut entry) = entries.into_iter().find(|entry| entry.host == host) else {
             return;
         };
--- /dev/null
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -0,0 +1,697 @@
+//! One connection to a host: RESP with pipelined requests that are answered in any order.
+//!
+//! Each connection is served by a task of its own, which receives attempts from the pool and reports their answers to the
+//! dispatcher's queue.
+
+use crate::buffered::{BufferedBytes, CountedBytes};
+use crate::checks::{count, must};
+use crate::host_context::HostContext;
+use crate::messages::*;
+use crate::msgpack::ParseError;
+use crate::resp;
+use crate::ring::Ring;
+use crate::stall_detector::Stall;
+use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer};
+use local_channel::mpsc;
+use slog::{info, warn};
+use std::collections::{BTreeMap, VecDeque};
+use std::fmt::Write;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::yield_now;
+use tokio::time::{Instant, sleep, sleep_until};
+use trailproxy::interface::{Ending, Note};
+use trailproxy::policy::permits;
+use trailproxy::units::{HostId, TimeSpan, Timestamp};
+
+/// The longest string of a message: an object's body, by the protocol, or the strings beside it.
+const MAX_WORD_BYTES: usize = 240_000;
+/// The number of strings in a request and in an answer.
+const WORDS_PER_MESSAGE: usize = 4;
+/// The prefix of a probe's tag. It differs from every request id, because those are hex digits.
+const PROBE_PREFIX: &str = "probe-";
+/// How often a connection that does not read checks whether memory is free again.
+const READ_RETRY_INTERVAL: Duration = Duration::from_millis(5);
+
+/// How long the message that cancels a request may be in transit. Until then the host may still process the request, and
+/// sending the same request to another host would make a second copy.
+const CANCEL_TRANSIT_TIME: Duration = Duration::from_millis(5);
+
+/// A message that waits to be written.
+enum Packet {
+    Attempt(AttemptRequest),
+    /// The cancellation of the request with this id.
+    Kill(Rc<str>),
+    Probe(ProbeId),
+}
+
+/// An attempt that was written at least in part and has no answer yet.
+struct OpenAttempt {
+    id: AttemptId,
+    sent_at: Instant,
+    /// Whether the client holds a copy, so that the answer may be that it is unchanged.
+    may_be_unchanged: bool,
+}
+
+/// One connection and the state of its task.
+pub struct HostConnection {
+    host: HostId,
+    id: ConnectionId,
+    stream: TcpStream,
+    orders: mpsc::Receiver<ToHost>,
+    shared: Rc<HostContext>,
+    incoming: Ring,
+    /// The next message has at least this many bytes.
+    min_message_bytes: usize,
+    /// At most one message. A message of which no byte could be written is taken out again.
+    outgoing: Ring,
+    /// The attempt whose request is in `outgoing`.
+    attempt_in_outgoing: Option<AttemptRequest>,
+    /// Whether a byte of the message in `outgoing` was written.
+    has_begun: bool,
+    last_write_at: Instant,
+    unsent: VecDeque<Packet>,
+    /// By the id of the request.
+    open: BTreeMap<Rc<str>, OpenAttempt>,
+    /// The last probe, until it is answered. The result of any earlier probe was reported already.
+    probe: Option<ProbeId>,
+    /// Cancelled attempts, each with the time by which the host knows.
+    cancelled: VecDeque<(Instant, AttemptId)>,
+    last_received_at: Instant,
+    last_active_at: Instant,
+    /// Whether the connection closes as soon as nothing is open.
+    retired: bool,
+    /// Whether the pool was told to send nothing new here.
+    unfit_reported: bool,
+    /// Nothing is read or written before this time because the system was short of a resource.
+    paused_until: Option<Instant>,
+    /// The last stall of the process after which client connections were read first.
+    last_yield_after: Option<Stall>,
+}
+
+/// Why the connection ends. The strings are counted and logged by their text.
+type CloseReason = &'static str;
+
+impl HostConnection {
+    /// Creates the state for a new connection.
+    pub fn new(
+        host: HostId,
+        id: ConnectionId,
+        stream: TcpStream,
+        orders: mpsc::Receiver<ToHost>,
+        shared: Rc<HostContext>,
+    ) -> HostConnection {
+        HostConnection {
+            host,
+            id,
+            stream,
+            orders,
+            incoming: Ring::new(shared.buffered.clone()),
+            min_message_bytes: 1,
+            outgoing: Ring::new(shared.buffered.clone()),
+            attempt_in_outgoing: None,
+            has_begun: false,
+            last_write_at: Instant::now(),
+            unsent: VecDeque::new(),
+            open: BTreeMap::new(),
+            probe: None,
+            cancelled: VecDeque::new(),
+            last_received_at: Instant::now(),
+            last_active_at: Instant::now(),
+            retired: false,
+            unfit_reported: false,
+            paused_until: None,
+            last_yield_after: None,
+            shared,
+        }
+    }
+
+    /// Serves the connection until it closes, and reports the end of all its attempts.
+    pub async fn serve(mut self) {
+        let why = loop {
+            if let Err(why) = self.run_once().await {
+                break why;
+            }
+        };
+        match why {
+            "idle" => count(&self.shared.counts.lines_idle),
+            "closed" => count(&self.shared.counts.lines_closed),
+            "reset" | "read failed" | "write failed" => count(&self.shared.counts.lines_reset),
+            _ => {}
+        }
+        self.shared.trace.connection_closed(self.host, self.id, why);
+        if !self.open.is_empty() || !self.unsent.is_empty() {
+            let (host, open) = (format!("{:x}", self.host.0), self.open.len());
+            info!(self.shared.log, "host connection broken"; "host" => host, "open" => open, "why" => why);
+        }
+        // If the host did not close the connection, it does not know yet that it is closed.
+        let closed_by_host = ["closed", "reset", "read failed", "write failed"].contains(&why);
+        let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
+        let in_flight = self.open.len() + self.cancelled.len();
+        if !closed_by_host && in_flight > 0 {
+            self.report_unfit();
+            sleep(CANCEL_TRANSIT_TIME).await;
+        }
+        for (_, id) in std::mem::take(&mut self.cancelled) {
+            self.end(id, Ending::Cancelled);
+        }
+        // A host does not start a request that it has not received whole.
+        let incomplete = self
+            .attempt_in_outgoing
+            .take()
+            .filter(|_| !self.outgoing.is_empty());
+        for (_, attempt) in std::mem::take(&mut self.open) {
+            let not_started = (incomplete.as_ref()).is_some_and(|kept| kept.id == attempt.id);
+            self.end(
+                attempt.id,
+                if not_started {
+                    Ending::NotSent
+                } else {
+                    Ending::ConnectionLost
+                },
+            );
+        }
+        for packet in std::mem::take(&mut self.unsent) {
+            self.drop_packet(packet);
+        }
+        if let Some(id) = self.probe.take() {
+            self.shared
+                .probe_ended(id, self.host, Ending::ConnectionLost, vec![]);
+        }
+        while let Some(order) = next_queued(&mut self.orders) {
+            match order {
+                ToHost::Send(attempt) => self.end(attempt.id, Ending::NotSent),
+                ToHost::Probe(id) => {
+                    self.shared
+                        .probe_ended(id, self.host, Ending::NotSent, vec![])
+                }
+                _ => {}
+            }
+        }
+        let (host, connection) = (self.host, self.id);
+        let _ = self
+            .shared
+            .queue
+            .send(Inbound::Host(FromHost::Closed { host, connection }));
+    }
+
+    /// Tells the pool to send nothing new here. Open attempts may still be answered.
+    fn report_unfit(&mut self) {
+        if !std::mem::replace(&mut self.unfit_reported, true) {
+            let (host, connection) = (self.host, self.id);
+            let unfit = FromHost::Unusable { host, connection };
+            let _ = self.shared.queue.send(Inbound::Host(unfit));
+        }
+    }
+
+    /// Reports the end of an attempt without an answer.
+    fn end(&self, id: AttemptId, ending: Ending) {
+        let answer = Answer::without_body(ending);
+        self.shared
+            .attempt_ended(id, self.host, Some(self.id), answer);
+    }
+
+    /// Reports that a message was not sent.
+    fn drop_packet(&self, packet: Packet) {
+        match packet {
+            Packet::Attempt(attempt) => self.end(attempt.id, Ending::NotSent),
+            Packet::Probe(id) => self
+                .shared
+                .probe_ended(id, self.host, Ending::NotSent, vec![]),
+            Packet::Kill(_) => {}
+        }
+    }
+
+    /// Pauses reading and writing because the system is short of a resource.
+    fn pause(&mut self) {
+        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
+    }
+
+    /// After a stall of the whole process, lets the client connections run first: clients may have closed or revoked
+    /// requests during the stall, and no attempt may start for them.
+    async fn yield_after_stall(&mut self) {
+        let now = Instant::now();
+        self.shared.stall_detector.record_activity(now);
+        let stall = self.shared.stall_detector.recent_stall(now);
+        if stall.is_some() && stall != self.last_yield_after {
+            self.last_yield_after = stall;
+            yield_now().await;
+        }
+    }
+
+    /// Reads and writes what is possible, then waits for one event and handles it.
+    async fn run_once(&mut self) -> Result<(), CloseReason> {
+        if let Some(until) = self.paused_until.take() {
+            sleep_until(until).await;
+        }
+        self.yield_after_stall().await;
+        // Read before writing, so that a close by the host is known before anything more is sent.
+        let may_read = self.shared.buffered.bytes() < self.shared.max_buffered_bytes;
+        if may_read {
+            self.read()?;
+        } else {
+            count(&self.shared.counts.reading_paused);
+        }
+        self.write()?;
+        let host_knows = |at: &mut (Instant, AttemptId)| at.0 <= Instant::now();
+        while let Some((_, id)) = self.cancelled.pop_front_if(host_knows) {
+            self.end(id, Ending::Cancelled);
+        }
+        let idle = self.open.is_empty()
+            && self.unsent.is_empty()
+            && self.outgoing.is_empty()
+            && self.cancelled.is_empty();
+        let has_unwritten = !self.outgoing.is_empty() || !self.unsent.is_empty();
+        let next_known_at = self.cancelled.front().map(|at| at.0);
+        // A partial answer of which no more arrives for this long would delay the answers to later requests as well.
+        let stuck_at = self.last_received_at + self.shared.dial_timeout();
+        let has_partial_answer = !self.incoming.is_empty() && !self.unfit_reported;
+        if idle && self.retired {
+            return Err("retired");
+        }
+        // The connection closes a dial timeout before the host would close it. Otherwise a request might cross the host's
+        // close.
+        let bounds = &self.shared.bounds;
+        let idle_close = Duration::from_micros((bounds.idle_close - bounds.dial_within).0);
+        let idle_until = self.last_active_at + idle_close;
+        tokio::select! {
+            biased;
+            order = self.orders.recv() => match order {
+                Some(order) => self.handle_order(order)?,
+                None => return Err("no longer needed"),
+            },
+            ready = self.stream.readable(), if may_read => {
+                ready.map_err(|_| "read failed")?;
+            }
+            ready = self.stream.writable(), if has_unwritten => {
+                ready.map_err(|_| "write failed")?;
+            }
+            _ = sleep(READ_RETRY_INTERVAL), if !may_read => {}
+            _ = sleep_until(next_known_at.unwrap_or(self.last_active_at)), if next_known_at.is_some() => {}
+            _ = sleep_until(stuck_at), if has_partial_answer => self.report_unfit(),
+            _ = sleep_until(idle_until), if idle => return Err("idle"),
+        }
+        Ok(())
+    }
+
+    /// Handles an order of the pool.
+    fn handle_order(&mut self, order: ToHost) -> Result<(), CloseReason> {
+        self.last_active_at = Instant::now();
+        match order {
+            ToHost::Send(attempt) => self.unsent.push_back(Packet::Attempt(attempt)),
+            ToHost::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
+            ToHost::Cancel(id) => {
+                if !self.drop_unsent(id) {
+                    self.cancel(id);
+                }
+            }
+            ToHost::CancelUnsent(id) => {
+                self.drop_unsent(id);
+            }
+            ToHost::Retire => self.retired = true,
+            ToHost::HostGone => return Err("its process was started anew"),
+        }
+        Ok(())
+    }
+
+    /// Drops an attempt if no byte of it was written, and returns whether it did.
+    fn drop_unsent(&mut self, id: AttemptId) -> bool {
+        let is_attempt =
+            |packet: &Packet| matches!(packet, Packet::Attempt(attempt) if attempt.id == id);
+        let found = self.unsent.iter().position(is_attempt);
+        if let Some(index) = found {
+            self.unsent.remove(index);
+            self.end(id, Ending::NotSent);
+        }
+        found.is_some()
+    }
+
+    /// Checks the rules for the start of a request again after its first byte was written.
+    fn check_begun(&self, now: Instant) {
+        let Some(attempt) = &self.attempt_in_outgoing else {
+            return;
+        };
+        let clock = &self.shared.clock;
+        self.shared
+            .trace
+            .attempt_begun(&attempt.request, attempt.id, self.id);
+        let late = permits::begun_against_a_rule(clock.timestamp(now), &attempt.send_facts(clock));
+        must(!late, &self.shared.counts.broken_began_late);
+        let deadline_holds = self.deadline_holds(now);
+        must(
+            deadline_holds,
+            &self.shared.counts.broken_deadline_passed_on,
+        );
+    }
+
+    /// Returns whether the deadline that was encoded in the current request is still accurate enough.
+    fn deadline_holds(&self, now: Instant) -> bool {
+        let clock = &self.shared.clock;
+        let reference = self
+            .attempt_in_outgoing
+            .as_ref()
+            .map(|attempt| &attempt.request.reference);
+        let open = reference.and_then(|reference| self.open.get(reference));
+        open.is_none_or(|open| {
+            permits::deadline_still_holds(clock.timestamp(now), clock.timestamp(open.sent_at))
+        })
+    }
+
+    /// Handles a write that is not possible now. A request that has not begun returns to the queue and is encoded again
+    /// later, so that its deadline is that of the time when it starts.
+    fn on_write_blocked(&mut self) {
+        if self.has_begun {
+            return;
+        }
+        if let Some(attempt) = self.attempt_in_outgoing.take() {
+            self.open.remove(&attempt.request.reference);
+            self.outgoing.consume(self.outgoing.len());
+            self.unsent.push_front(Packet::Attempt(attempt));
+        }
+    }
+
+    /// Sends a cancellation for an open attempt.
+    fn cancel(&mut self, id: AttemptId) {
+        let found = self.open.iter().find(|(_, attempt)| attempt.id == id);
+        let Some((reference, attempt)) = found.map(|(r, attempt)| (r.clone(), attempt)) else {
+            return;
+        };
+        // A connection that owed an answer and sent nothing for the time of a dial is not used again.
+        let max_silence = self.shared.dial_timeout();
+        let (silent, too_long) = (
+            self.last_received_at <= attempt.sent_at,
+            attempt.sent_at.elapsed() > max_silence,
+        );
+        if silent && too_long {
+            self.report_unfit();
+        }
+        self.open.remove(&reference);
+        self.unsent.push_back(Packet::Kill(reference));
+        self.cancelled
+            .push_back((Instant::now() + CANCEL_TRANSIT_TIME, id));
+    }
+
+    /// Encodes and writes messages until the socket accepts no more.
+    fn write(&mut self) -> Result<(), CloseReason> {
+        loop {
+            let now = Instant::now();
+            if self.outgoing.is_empty() {
+                self.attempt_in_outgoing = None;
+                self.has_begun = false;
+                let Some(packet) = self.unsent.pop_front() else {
+                    self.outgoing.release_memory(true);
+                    return Ok(());
+                };
+                self.encode(packet);
+            } else if self.is_stalled(now) {
+                return Err("write stalled within a request");
+            }
+            match system_calls::write(&self.stream, self.outgoing.as_slices().0) {
+                Transfer::Bytes(n) => {
+                    if !std::mem::replace(&mut self.has_begun, true) {
+                        self.check_begun(now);
+                    }
+                    self.last_write_at = now;
+                    self.outgoing.consume(n);
+                }
+                Transfer::NotReady => {
+                    self.on_write_blocked();
+                    return Ok(());
+                }
+                Transfer::ResourceShortage => {
+                    self.on_write_blocked();
+                    self.pause();
+                    return Ok(());
+                }
+                Transfer::Failed(_) => return Err("write failed"),
+            }
+        }
+    }
+
+    /// Returns whether the rest of a partly written request has waited so long that it must not be sent: the host would
+    /// start it with an outdated deadline. A request that is written slowly but steadily may continue.
+    fn is_stalled(&self, now: Instant) -> bool {
+        let clock = &self.shared.clock;
+        let is_steady = permits::deadline_still_holds(
+            clock.timestamp(now),
+            clock.timestamp(self.last_write_at),
+        );
+        self.has_begun && !is_steady && !self.deadline_holds(now)
+    }
+
+    /// Encodes a message into `outgoing`. An attempt that may no longer start is dropped instead.
+    fn encode(&mut self, packet: Packet) {
+        let mut out = Vec::with_capacity(512);
+        match packet {
+            Packet::Kill(reference) => {
+                resp::put_array(&mut out, 2);
+                resp::put_word(&mut out, b"KILL");
+                resp::put_word(&mut out, reference.as_bytes());
+            }
+            Packet::Probe(id) => {
+                let tag = format!("{PROBE_PREFIX}{}", id.0);
+                resp::put_array(&mut out, 2);
+                resp::put_word(&mut out, b"METER");
+                resp::put_word(&mut out, tag.as_bytes());
+                self.probe = Some(id);
+            }
+            Packet::Attempt(attempt) => {
+                let (now, request) = (Instant::now(), &attempt.request);
+                if let Err(why) = attempt.may_send(&self.shared.clock, now) {
+                    self.shared
+                        .trace
+                        .attempt_dropped(request, attempt.id, why.as_str());
+                    return self.end(attempt.id, Ending::NotSent);
+                }
+                resp::put_array(&mut out, WORDS_PER_MESSAGE);
+                resp::put_word(&mut out, b"PULL");
+                resp::put_word(&mut out, request.reference.as_bytes());
+                let timestamp = self.shared.clock.timestamp(now);
+                resp::put_word(&mut out, encode_fields(&attempt, timestamp).as_bytes());
+                resp::put_word(&mut out, &request.body);
+                let open = OpenAttempt {
+                    id: attempt.id,
+                    sent_at: now,
+                    may_be_unchanged: request.held_etag.is_some(),
+                };
+                let before = self.open.insert(request.reference.clone(), open);
+                must(before.is_none(), &self.shared.counts.broken_two_endings);
+                self.attempt_in_outgoing = Some(attempt);
+            }
+        }
+        self.outgoing.push(&out);
+    }
+
+    /// Reads and handles answers until nothing more is available or too many bytes are buffered.
+    fn read(&mut self) -> Result<(), CloseReason> {
+        loop {
+            self.incoming.reserve(self.min_message_bytes);
+            match system_calls::read(&self.stream, self.incoming.free_space()) {
+                Transfer::Bytes(0) => return Err("closed"),
+                Transfer::Bytes(n) => {
+                    self.incoming.commit(n);
+                    (self.last_received_at, self.last_active_at) = (Instant::now(), Instant::now());
+                    self.parse()?;
+                    if self.shared.buffered.bytes() >= self.shared.max_buffered_bytes {
+                        return Ok(());
+                    }
+                }
+                Transfer::NotReady => {
+                    self.incoming.release_memory(true);
+                    return Ok(());
+                }
+                Transfer::ResourceShortage => {
+                    self.pause();
+                    return Ok(());
+                }
+                Transfer::Failed(_) => return Err("reset"),
+            }
+        }
+    }
+
+    /// Handles all whole answers in the input buffer.
+    fn parse(&mut self) -> Result<(), CloseReason> {
+        while self.incoming.len() >= self.min_message_bytes {
+            let (words, n) = match resp::read(
+                self.incoming.as_contiguous(),
+                WORDS_PER_MESSAGE,
+                MAX_WORD_BYTES,
+            ) {
+                Ok(read) => read,
+                Err(ParseError::Incomplete(min_bytes)) => {
+                    self.min_message_bytes = min_bytes;
+                    return Ok(());
+                }
+                Err(ParseError::Malformed(why)) => return self.malformed(why),
+            };
+            let first_word = words
+                .first()
+                .and_then(|word| std::str::from_utf8(word).ok());
+            if let Some(number) = first_word.and_then(|tag| tag.strip_prefix(PROBE_PREFIX)) {
+                let is_last = |id: &mut ProbeId| number.parse() == Ok(id.0);
+                if let Some(id) = self.probe.take_if(is_last) {
+                    let (ending, report) = read_probe(&words);
+                    self.shared.probe_ended(id, self.host, ending, report);
+                }
+                self.incoming.consume(n);
+                self.min_message_bytes = 1;
+                continue;
+            }
+            let [reference, word, fields, body] = words.as_slice() else {
+                return self.malformed("an answer does not have four words");
+            };
+            let attempt = std::str::from_utf8(reference)
+                .ok()
+                .and_then(|r| self.open.remove(r));
+            let words = [*word, *fields, *body];
+            let answer = attempt
+                .as_ref()
+                .map(|attempt| read_answer(words, attempt, &self.shared.buffered));
+            self.incoming.consume(n);
+            self.min_message_bytes = 1;
+            match (attempt, answer) {
+                (Some(attempt), Some(Some(answer))) => {
+                    self.shared
+                        .attempt_ended(attempt.id, self.host, Some(self.id), answer);
+                }
+                (Some(attempt), _) => {
+                    self.end(attempt.id, Ending::ConnectionLost);
+                    return self.malformed("an answer has an unknown or invalid form");
+                }
+                // The attempt was cancelled before.
+                (None, _) => count(&self.shared.counts.late_answers),
+            }
+        }
+        Ok(())
+    }
+
+    /// Logs an answer that can't be read, and returns the reason as an error.
+    fn malformed(&self, why: CloseReason) -> Result<(), CloseReason> {
+        count(&self.shared.counts.bad_hosts);
+        let host = format!("{:x}", self.host.0);
+        warn!(self.shared.log, "host said what can't be read"; "host" => host, "why" => why);
+        Err(why)
+    }
+}
+
+/// Encodes the fields of a request for a host.
+fn encode_fields(attempt: &AttemptRequest, now: Timestamp) -> String {
+    let request = &attempt.request;
+    let mut fields = format!(
+        "lane={},name={},piece={}",
+        attempt.class_name, request.object_name, request.part
+    );
+    let mut add = |name: &str, value: &str| {
+        let _ = write!(fields, ",{name}={value}");
+    };
+    // Rounded down, so that the host gives up no later than the dispatcher.
+    let time_left = permits::deadline_to_pass(now, attempt.deadline);
+    add("ttl", &(time_left.0 / 1000).max(1).to_string());
+    if let Some(mark) = &request.idempotency_key {
+        add("dedupe", mark);
+    }
+    if let Some(tag) = &request.held_etag {
+        add("known", tag);
+    }
+    if let Some(source) = &attempt.source {
+        add("via", source);
+    }
+    if let Some(fill) = attempt.fill {
+        add("tier", &fill.rank.to_string());
+        if let Some(max_age) = fill.max_age {
+            // Rounded down to the strict side, but not to 0, which would mean the usual maximum age.
+            add("fresh", &(max_age.0 / 1000).max(1).to_string());
+        }
+        let options = [
+            (fill.join, "merge"),
+            (fill.only_if_cached, "local"),
+            (fill.revalidate, "revalidate"),
+        ];
+        let options: Vec<&str> = options
+            .iter()
+            .filter(|(enabled, _)| *enabled)
+            .map(|(_, name)| *name)
+            .collect();
+        if !options.is_empty() {
+            add("opts", &options.join("+"));
+        }
+    }
+    fields
+}
+
+/// Returns the value of a field.
+fn field<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
+    let mut pairs = fields.split(',').filter_map(|pair| pair.split_once('='));
+    let found = pairs.find(|(key, _)| *key == name);
+    found.map(|(_, value)| value)
+}
+
+/// Reads the values of a load report in the order of the settings. A name may precede each value.
+fn read_report(fields: &str) -> Vec<f64> {
+    let report = field(fields, "rep").unwrap_or("").split(['+', ';', ' ']);
+    let report = report.map(|pair| pair.rsplit([':', '=']).next().unwrap_or(pair));
+    report.filter_map(|value| value.parse().ok()).collect()
+}
+
+/// Reads the answer to a probe. A host that does not say that it is well, or whose answer can't be read, has not reported
+/// its load.
+fn read_probe(words: &[&[u8]]) -> (Ending, Vec<f64>) {
+    let fields = words
+        .get(2)
+        .and_then(|fields| std::str::from_utf8(fields).ok());
+    match words.get(1) {
+        Some(&b"well") => (Ending::Done, read_report(fields.unwrap_or(""))),
+        _ => (Ending::Error, vec![]),
+    }
+}
+
+/// Returns the first microsecond of a millisecond timestamp. For the age of copies, this is the strict side.
+fn stamp_of_ms(text: &str) -> Option<Timestamp> {
+    let ms: u64 = text.parse().ok()?;
+    Some(Timestamp(ms.saturating_mul(1000)))
+}
+
+/// Reads an answer; `None` if it can't be understood.
+fn read_answer(
+    words: [&[u8]; 3],
+    attempt: &OpenAttempt,
+    buffered: &BufferedBytes,
+) -> Option<Answer> {
+    let [word, fields, body] = words;
+    let fields = std::str::from_utf8(fields).ok()?;
+    let field = |name: &str| field(fields, name);
+    let ending = match word {
+        b"data" => Ending::Done,
+        b"unchanged" if attempt.may_be_unchanged => Ending::Done,
+        b"absent" => Ending::Miss,
+        b"full" => Ending::Full,
+        b"failed" => Ending::Error,
+        b"moot" => Ending::NotSent,
+        _ => return None,
+    };
+    let note = match field("why") {
+        Some("TCP_HIT") => Note::Hit,
+        Some("TCP_MISS") => Note::Filled,
+        Some("TCP_MISS_ROOT") => Note::FilledByOrigin,
+        Some("TCP_JOIN") => Note::Joined,
+        Some("TCP_STALE") => Note::Stale,
+        Some("PEER_DENY") => Note::SourceRefused,
+        Some("PEER_DEAD") => Note::SourceLost,
+        Some("PEER_MISS") => Note::SourceMiss,
+        Some("FILL_FULL") => Note::NoFillSlot,
+        Some("ROOT_FAIL") => Note::OriginFailed,
+        _ => Note::NotReported,
+    };
+    let latency_ms = field("lag").and_then(|ms| ms.parse().ok());
+    Some(Answer {
+        ending,
+        note,
+        first_byte_latency: latency_ms
+            .filter(|ms| *ms > 0.0)
+            .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
+        load_report: read_report(fields),
+        body: (word == b"data").then(|| CountedBytes::new(body, buffered)),
+        issued_at: field("minted").and_then(stamp_of_ms),
+    })
+}
--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -7,16 +7,16 @@
 mod clients;
 mod dispatch;
 mod divided;
-mod link;
-mod link_context;
-mod list;
+mod host_connection;
+mod host_context;
+mod host_pools;
+mod journal_client;
 mod logging;
 mod messages;
 mod operator;
 mod peered;
 mod peers;
 mod reload;
-mod servers;
 mod serving;
 mod starting;
 mod startup;
@@ -33,7 +33,7 @@
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
-use trailproxyd::{buffered, http, msgpack, pulse, resp, ring, sse};
+use trailproxyd::{buffered, http, msgpack, resp, ring, sse, stall_detector};
 
 /// The text of `--help`.
 const HELP: &str = "\
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -2,7 +2,7 @@
 //! and other dispatchers to the task that owns the decisions, and back. They are independent of the
 //! wire formats.
 
-use crate::buffered::Parcel;
+use crate::buffered::CountedBytes;
 use crate::operator::OperatorConfig;
 use local_channel::mpsc;
 use std::cell::Cell;
@@ -116,7 +116,7 @@
 /// The final answer to a request.
 pub enum Reply {
     /// The bytes of the object.
-    Served(Parcel),
+    Served(CountedBytes),
     /// The copy that the client holds is current.
     NotModified,
     /// Not done; the client may try again after this time.
@@ -225,7 +225,7 @@
     pub load_report: Vec<f64>,
     /// The bytes, if the attempt is done. `None` for a done attempt: the copy that the client holds
     /// is current.
-    pub body: Option<Parcel>,
+    pub body: Option<CountedBytes>,
     /// When the origin issued this copy, by its timestamp.
     pub issued_at: Option<Timestamp>,
 }
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -4,7 +4,7 @@
 //! be. A datagram that is not from the fleet costs one checksum over its bytes and nothing more.
 
 use crate::messages::{FromPeers, Inbound, InboundSender, ToPeers};
-use crate::system_calls::{LACK_PASSES, errno};
+use crate::system_calls::{RESOURCE_RETRY_INTERVAL, errno};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::cell::Cell;
@@ -85,7 +85,7 @@
             Ok((size, SocketAddr::V4(from))) => (size, from),
             // The system lacks a resource for the moment.
             Err(e) if of_stream(errno(&e)) == StreamError::Later => {
-                tokio::time::sleep(LACK_PASSES).await;
+                tokio::time::sleep(RESOURCE_RETRY_INTERVAL).await;
                 continue;
             }
             // Any other error concerns a datagram sent earlier: a port on which nobody listens any
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: reads the configuration again and applies what can change without a restart.
 
-use crate::list;
+use crate::journal_client;
 use crate::messages::{Inbound, InboundSender};
 use crate::operator::{OperatorConfig, Source, ValidationContext};
 use crate::starting::retry_async;
@@ -17,7 +17,7 @@
     /// Receives settings and the operator's file.
     pub queue: InboundSender,
     /// Receives the address of the journal service.
-    pub journal_address: mpsc::Sender<list::Moved>,
+    pub journal_address: mpsc::Sender<journal_client::JournalServiceUpdate>,
     /// What the operator's file is checked against.
     pub context: ValidationContext,
     /// Where refusals and applied changes are logged.
@@ -138,10 +138,12 @@
         let mut file = start.file;
         let settings = std::mem::replace(&mut file["settings"], self.file["settings"].take());
         self.file = file;
-        let _ = receivers.journal_address.send(list::Moved {
-            address: start.journal,
-            known: start.known,
-        });
+        let _ = receivers
+            .journal_address
+            .send(journal_client::JournalServiceUpdate {
+                address: start.journal,
+                known: start.known,
+            });
         let new_settings = applies.then_some((settings, (start.settings, start.reports)));
         (start.operator, new_settings)
     }
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -1,17 +1,17 @@
 //! Builds and runs all tasks of a serving dispatcher.
 
 use crate::accounts::Accounts;
-use crate::buffered::Held;
+use crate::buffered::BufferedBytes;
 use crate::checks::Counts;
 use crate::dispatch::Dispatch;
+use crate::host_pools::HostPools;
 use crate::messages::{Clock, Inbound};
-use crate::pulse::Pulse;
 use crate::reload::{ActiveConfig, ConfigReceivers, handle_hangups, read_operator};
-use crate::servers::Pools;
+use crate::stall_detector::StallDetector;
 use crate::starting::{StepError, retry_async};
 use crate::startup::StartConfig;
 use crate::trace::Trace;
-use crate::{Signals, client_slots, clients, link_context, list, operator, subsystems};
+use crate::{Signals, client_slots, clients, host_context, journal_client, operator, subsystems};
 use local_channel::mpsc;
 use slog::{Logger, info, warn};
 use std::cell::{Cell, RefCell};
@@ -57,22 +57,22 @@
         _ = interrupt.recv() => return Ok(()),
     };
     let (queue, inbound) = mpsc::channel();
-    let (counts, held) = (Rc::new(Counts::default()), Held::default());
-    let pulse = Rc::new(Pulse::default());
+    let (counts, buffered) = (Rc::new(Counts::default()), BufferedBytes::default());
+    let stall_detector = Rc::new(StallDetector::default());
     // Clients of ordinary behaviour hold a third of the descriptors. Connections beyond that are
     // closed when a slot is needed.
     let max_clients = start.descriptors / 2;
     let class_names = start.bounds.track_names.iter().cloned();
-    let shared = Rc::new(clients::Shared {
+    let shared = Rc::new(clients::ClientsContext {
         queue: queue.clone(),
-        tracks: class_names
+        classes: class_names
             .zip((0..).map(trailproxy::units::ClassId))
             .collect(),
-        places: RefCell::new(client_slots::Slots::new(max_clients)),
-        longest_limit: Duration::from_micros(start.bounds.longest_limit.0),
+        slots: RefCell::new(client_slots::ClientSlots::new(max_clients)),
+        max_deadline: Duration::from_micros(start.bounds.longest_limit.0),
         ending: Cell::new(false),
-        held: held.clone(),
-        pulse: pulse.clone(),
+        buffered: buffered.clone(),
+        stall_detector: stall_detector.clone(),
         counts: counts.clone(),
         log: log.clone(),
         trace: Trace::new(&log),
@@ -82,17 +82,17 @@
     let (stop, stopped) = mpsc::channel();
     tokio::task::spawn_local(clients::accept(listener, stopped, shared.clone()));
     let (journal_address, address_changes) = mpsc::channel();
-    let journal = list::Journal {
+    let journal = journal_client::JournalClient {
         address: start.journal,
         names: start.names,
-        last: start.known_position,
-        again: list::CALL_AGAIN,
-        chance: fastrand::Rng::with_seed(start.seed.rotate_left(17)),
+        last_position: start.known_position,
+        retry_interval: journal_client::MIN_RETRY_INTERVAL,
+        rng: fastrand::Rng::with_seed(start.seed.rotate_left(17)),
         queue: queue.clone(),
         counts: counts.clone(),
         log: log.clone(),
     };
-    tokio::task::spawn_local(list::follow(journal, address_changes));
+    tokio::task::spawn_local(journal_client::follow(journal, address_changes));
     let active_config = ActiveConfig {
         file: start.file,
         settings: start.settings.clone(),
@@ -137,14 +137,14 @@
     let max_connections = start
         .descriptors
         .saturating_sub(max_clients + RESERVED_DESCRIPTORS);
-    let pools = Pools::new(Rc::new(link_context::Shared {
+    let pools = HostPools::new(Rc::new(host_context::HostContext {
         queue,
         bounds: start.bounds,
         clock: Clock::new(),
-        most_lines: max_connections.max(1),
-        held,
-        pulse,
-        held_limit: start.memory_bytes / 2,
+        max_connections: max_connections.max(1),
+        buffered,
+        stall_detector,
+        max_buffered_bytes: start.memory_bytes / 2,
         counts,
         trace: Trace::new(&log),
         log,
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -1,7 +1,7 @@
 //! The configuration of a dispatcher at its start: the RELAY_ variables and the JSON file that they
 //! name.
 
-use crate::list::Names;
+use crate::journal_client::Names;
 use crate::messages::JournalEntry;
 use crate::operator::Source;
 use crate::starting::StepError;
@@ -151,7 +151,7 @@
     let unreadable = |Unreadable(reason)| reason;
     let (settings, reports) = read_terms(&lines).map_err(unreadable)?;
     let bounds = read_bounds(&lines).map_err(unreadable)?;
-    let names = Names::of(&bounds);
+    let names = Names::from_bounds(&bounds);
     let entries = field_at(json, "known.entries", "a list of events", Value::as_array)?;
     let entries: Vec<&Value> = entries.into_iter().flatten().collect();
     let known: Vec<JournalEntry> = entries
