--- a/crates/trailproxyd/src/checks.rs
+++ b/crates/trailproxyd/src/checks.rs
@@ -148,7 +148,7 @@
 }
 
 /// Checks an invariant: panics in debug builds, counts in release builds.
-pub fn must(holds: bool, counter: &Cell<u64>) {
+pub fn check_invariant(holds: bool, counter: &Cell<u64>) {
     debug_assert!(holds, "an invariant does not hold");
     if !holds {
         count(counter);
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -4,7 +4,7 @@
 //! dispatcher's queue, writes answers, and decides when the connection closes.
 
 use crate::buffered::BufferedBytes;
-use crate::checks::{Counts, count, must};
+use crate::checks::{Counts, check_invariant, count};
 use crate::client_slots::{Availability, ClientSlots, SlotUse};
 use crate::journal_client::object_id;
 use crate::messages::*;
@@ -296,7 +296,7 @@
                     unwritten: self.replies.len() + self.reply_ends.len(),
                 };
                 let may_close = permits::may_close(&facts);
-                must(may_close, &self.shared.counts.broken_closed_owing);
+                check_invariant(may_close, &self.shared.counts.broken_closed_owing);
                 why
             }
             CloseReason::Broken(why) => {
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -1,7 +1,7 @@
 //! Carries out the actions of the decisions: starts attempts and handles how they end.
 
 use super::{AttemptState, Dispatch};
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::messages::{Answer, AttemptId, AttemptRequest, ConnectionId, Reply};
 use slog::{debug, info};
 use trailproxy::interface::{Action, Attempt, Effect, Ending, Event, Outcome};
@@ -55,7 +55,7 @@
         let Attempt { id, host, fill } = attempt;
         let request = self.state.requests.get_mut(&id);
         let request = request.filter(|request| !request.closed);
-        must(request.is_some(), &self.counts.broken_sent_after_end);
+        check_invariant(request.is_some(), &self.counts.broken_sent_after_end);
         let Some(request) = request else {
             return;
         };
@@ -66,7 +66,7 @@
             .filter(|&source| source != host);
         let name = source.and_then(|source| self.pools.host_name(source));
         let named = name.is_some() == source.is_some();
-        must(named, &self.counts.broken_unknown_host);
+        check_invariant(named, &self.counts.broken_unknown_host);
         // A repeat group recognises a repeat only within its window, and the wait for a connection
         // may outlast that window.
         let earlier = request.attempts.iter();
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -11,7 +11,7 @@
 mod timers;
 
 use crate::accounts::Accounts;
-use crate::checks::{Counts, must};
+use crate::checks::{Counts, check_invariant};
 use crate::host_pools::HostPools;
 use crate::messages::{
     ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, FromHost, Inbound, JournalEntry,
@@ -220,7 +220,7 @@
         if owed > 0 {
             warn!(self.log, "ends with answers owed"; "calls" => owed);
         }
-        must(owed == 0, &self.counts.broken_ended_owing);
+        check_invariant(owed == 0, &self.counts.broken_ended_owing);
     }
 
     /// Tells the other dispatchers that this one ends, and leaves time for the messages to be sent.
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -1,7 +1,7 @@
 //! Requests, from their arrival to their one final answer.
 
 use super::{Dispatch, PendingRequest};
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::messages::{AttemptId, ClientRequest, ClientRequestId, Reply};
 use crate::subsystems::completion;
 use std::rc::Rc;
@@ -107,7 +107,7 @@
     /// Marks a request as closed: no answer is owed any more. Pending attempts may still end.
     pub(super) fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.state.requests.get_mut(&id) {
-            must(!request.closed, &self.counts.broken_two_finals);
+            check_invariant(!request.closed, &self.counts.broken_two_finals);
             request.closed = true;
             request.client_request.closed.set(true);
             self.state
--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -4,7 +4,7 @@
 //! dispatcher's queue.
 
 use crate::buffered::{BufferedBytes, CountedBytes};
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::host_context::HostContext;
 use crate::messages::*;
 use crate::msgpack::ParseError;
@@ -337,9 +337,9 @@
             .trace
             .attempt_begun(&attempt.request, attempt.id, self.id);
         let late = permits::begun_against_a_rule(clock.timestamp(now), &attempt.send_facts(clock));
-        must(!late, &self.shared.counts.broken_began_late);
+        check_invariant(!late, &self.shared.counts.broken_began_late);
         let deadline_holds = self.deadline_holds(now);
-        must(
+        check_invariant(
             deadline_holds,
             &self.shared.counts.broken_deadline_passed_on,
         );
@@ -476,7 +476,7 @@
                     may_be_unchanged: request.held_etag.is_some(),
                 };
                 let before = self.open.insert(request.reference.clone(), open);
-                must(before.is_none(), &self.shared.counts.broken_two_endings);
+                check_invariant(before.is_none(), &self.shared.counts.broken_two_endings);
                 self.attempt_in_outgoing = Some(attempt);
             }
         }
--- a/crates/trailproxyd/src/host_pools.rs
+++ b/crates/trailproxyd/src/host_pools.rs
@@ -2,7 +2,7 @@
 //!
 //! A pool assigns attempts and probes to its connections and dials new connections as descriptors allow.
 
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::host_connection::HostConnection;
 use crate::host_context::HostContext;
 use crate::messages::*;
@@ -162,7 +162,7 @@
                 }
             }
             let same_name = pool.member.name == member.name;
-            must(same_name, &self.shared.counts.broken_same_host_id);
+            check_invariant(same_name, &self.shared.counts.broken_same_host_id);
             pool.member = member.clone();
         }
         for pool in self.pools.values_mut() {
@@ -206,7 +206,7 @@
         let until = Instant::now() + self.shared.dial_timeout();
         let ready = |pool: &&mut Pool| pool.member.entry.state == HostState::Ready;
         let pool = self.pools.get_mut(&host).filter(ready);
-        must(pool.is_some(), &self.shared.counts.broken_sent_to_drained);
+        check_invariant(pool.is_some(), &self.shared.counts.broken_sent_to_drained);
         self.assignments.insert(id, (host, None));
         let Some(pool) = pool else {
             return self.shared.attempt_dropped(&attempt, Ending::NotSent);
--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -3,7 +3,7 @@
 //! Events are read from one long HTTP response of server-sent events. The client repeats the call when it ends and asks
 //! for the events after the last position that it received.
 
-use crate::checks::{Counts, count, must};
+use crate::checks::{Counts, check_invariant, count};
 use crate::http::Response;
 use crate::messages::*;
 use crate::sse::EventParser;
@@ -291,7 +291,7 @@
             return Err(format!("events before {position} are missing"));
         }
         let entry = JournalEntry::read(&json, &self.names);
-        must(
+        check_invariant(
             position > self.last_position,
             &self.counts.broken_journal_order,
         );
