--- a/crates/trailproxyd/src/checks.rs
+++ b/crates/trailproxyd/src/checks.rs
@@ -12,7 +12,7 @@
 
         impl Counts {
             /// All counters that are not zero, as `name=value` pairs.
-            pub fn words(&self) -> String {
+            pub fn summary(&self) -> String {
                 let all = [$((stringify!($name), self.$name.get()),)*];
                 let nonzero = all.iter().filter(|(_, n)| *n > 0);
                 nonzero.map(|(name, n)| format!("{name}={n}")).collect::<Vec<_>>().join(" ")
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -29,7 +29,7 @@
     pub(super) fn report(&self) {
         let (attempts, connections, pools) = self.pools.sizes();
         let state = &self.state;
-        info!(self.log, "figures"; "counts" => self.counts.words(), "open" => state.requests.len(),
+        info!(self.log, "figures"; "counts" => self.counts.summary(), "open" => state.requests.len(),
             "calls" => state.client_requests.len(), "clients" => state.clients.len(), "out" => attempts,
             "lines" => connections, "pools" => pools, "ids" => state.references.len(), "timers" => state.deadlines.len() + state.timers.len(),
             "held" => self.pools.shared.buffered.bytes(), "process" => process_figures());
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -96,8 +96,14 @@
     }
 
     /// Sends a message of another subsystem.
-    pub fn send_subsystem_message(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
-        self.peers.beside(now, to, of, bytes);
+    pub fn send_subsystem_message(
+        &mut self,
+        now: Timestamp,
+        to: PeerId,
+        subsystem: u8,
+        bytes: Vec<u8>,
+    ) {
+        self.peers.beside(now, to, subsystem, bytes);
         self.apply_actions();
     }
 
@@ -199,8 +205,8 @@
                 } => {
                     let state = match listed {
                         Listed::Ready => HostState::Ready,
-                        // A host that is gone for others is only drained here until the own host
-                        // list removes it.
+                        // A host that is gone for others is only drained here until the host list
+                        // of this dispatcher removes it.
                         Listed::Draining | Listed::Gone => HostState::Draining,
                     };
                     self.held
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -154,7 +154,7 @@
 
     /// The identity of this dispatcher among the others, if it can reach them. Through the store,
     /// the identity is kept for as long as this process runs.
-    fn identity(&self, name: &str, fresh: Life) -> Option<(PeerId, Life)> {
+    fn identity(&self, name: &str, new_life: Life) -> Option<(PeerId, Life)> {
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
         }
@@ -165,7 +165,7 @@
             .as_ref()
             .map(BudgetsRuntime::identity)
             .filter(|own| own.0 == id);
-        by_store.then(|| known.unwrap_or((id, fresh)))
+        by_store.then(|| known.unwrap_or((id, new_life)))
     }
 
     /// Applies the section about budgets. If the section and the identity are unchanged, the
@@ -174,11 +174,11 @@
         &mut self,
         now: Timestamp,
         config: Option<&BudgetsSheet>,
-        (name, fresh): (&str, Life),
+        (name, new_life): (&str, Life),
         (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.identity(name, fresh);
+        let own = self.identity(name, new_life);
         let Some((config, own)) = config.zip(own) else {
             if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -15,7 +15,7 @@
     /// An event for the decisions.
     Event(Event),
     /// Other dispatchers restrict a host: it counts as in this state, and as started then. `None`:
-    /// the state in the own host list applies again.
+    /// the state in the host list of this dispatcher applies again.
     Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
