--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -58,11 +58,11 @@
 /// A request as the client sent it.
 pub struct ClientRequest {
     pub id: ClientRequestId,
-    /// When it was received.
+    /// From when its time runs: when its data arrived, as far as that is known.
     pub arrived_at: Instant,
     /// The id that the client gave it, under which hosts answer.
     pub reference: Rc<str>,
-    /// How long after its arrival its client waits for the answer.
+    /// How long from then on its client waits for the answer.
     pub time_left: TimeSpan,
     /// The kind of request, which decides its settings.
     pub class: ClassId,
