--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -12,7 +12,7 @@
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    Address, AskNo, Has, Life, MemberUpdate, Message, Note, PeerId, Standing, State,
+    Address, AskNo, BootId, Has, MemberUpdate, Message, Note, PeerId, Standing, State,
 };
 use trailproxy_peers::decide::{Action, Peers, Rules};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
@@ -153,7 +153,7 @@
     MemberUpdate {
         id: PeerId::of_name(&format!("other{nth}")),
         address: from_socket(address),
-        life: Life(1),
+        boot_id: BootId(1),
         incarnation: 0,
         standing: Standing::Alive,
     }
@@ -164,7 +164,7 @@
         let own = Own {
             id: PeerId::of_name("own"),
             address: from_socket(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7_946)),
-            life: Life(1),
+            boot_id: BootId(1),
             seeds: Vec::new(),
             topology: None,
         };
@@ -233,7 +233,7 @@
         };
         let message = Message {
             from,
-            life: of.life,
+            boot_id: of.boot_id,
             incarnation: of.incarnation,
             stamp: now.0,
             notes,
@@ -303,7 +303,7 @@
             let first = self.others[0];
             let message = Message {
                 from: first.id,
-                life: first.life,
+                boot_id: first.boot_id,
                 incarnation: first.incarnation,
                 stamp: now.0,
                 notes: vec![Note::Updates(vec![update])],
--- a/crates/capacity-live/src/hollow.rs
+++ b/crates/capacity-live/src/hollow.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
-use trailproxy_peers::decide::life;
+use trailproxy_peers::decide::new_boot_id;
 use trailproxy_peers::sites::Site;
 
 /// How long a keyed request waits for the others, as is usual.
@@ -180,7 +180,7 @@
     let hollow = |(nth, &address): (u64, &SocketAddrV4)| Hollow {
         name: format!("hollow{nth}"),
         address,
-        life: life(now, nth).0,
+        life: new_boot_id(now, nth).0,
     };
     numbered.map(hollow).collect()
 }
--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -13,7 +13,7 @@
 use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    self, Address, Life, MemberUpdate, Message, Note, PeerId,
+    self, Address, BootId, MemberUpdate, Message, Note, PeerId,
 };
 use trailproxy_peers::decide::{Action, Peers, Stands};
 use trailproxy_peers::sites::topology;
@@ -124,7 +124,7 @@
         let name = Own {
             id: PeerId::of_name(&own.name),
             address: from_socket(own.address),
-            life: Life(own.life),
+            boot_id: BootId(own.life),
             seeds: order.seeds.iter().copied().map(from_socket).collect(),
             topology: topology("capacity", &order.sites, from_socket(own.address))
                 .map_err(io::Error::other)?,
@@ -152,7 +152,7 @@
         let now = self.clock.now();
         let message = Message {
             from: first.id,
-            life: first.life,
+            boot_id: first.boot_id,
             incarnation: first.incarnation,
             stamp: now.0,
             notes: vec![Note::Updates(updates)],
@@ -241,7 +241,7 @@
     MemberUpdate {
         id: PeerId::of_name(&of.name),
         address: from_socket(of.address),
-        life: Life(of.life),
+        boot_id: BootId(of.life),
         incarnation: 0,
         standing: messages::Standing::Alive,
     }
--- a/crates/capacity-live/src/question.rs
+++ b/crates/capacity-live/src/question.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
-use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 /// An answer that does not come by then is asked for again.
@@ -51,7 +51,7 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     Message {
         from: PeerId(0),
-        life: Life(0),
+        boot_id: BootId(0),
         incarnation: 0,
         stamp: now.map_or(0, |since| since.as_micros() as u64),
         notes: vec![Note::Show(no)],
--- a/crates/capacity-live/tests/parts.rs
+++ b/crates/capacity-live/tests/parts.rs
@@ -12,7 +12,7 @@
 use trailproxy_capacity_live::usage::Usage;
 use trailproxy_capacity_live::worker::{Hollow, Order};
 use trailproxy_peers::decide::members::Own;
-use trailproxy_peers::decide::messages::{Address, Life, PeerId};
+use trailproxy_peers::decide::messages::{Address, BootId, PeerId};
 use trailproxy_peers::decide::{Peers, Rules};
 
 fn points(values: &[(f64, f64)]) -> Vec<Point> {
@@ -79,7 +79,7 @@
     let own = Own {
         id: PeerId(1),
         address,
-        life: Life(1),
+        boot_id: BootId(1),
         seeds: Vec::new(),
         topology: None,
     };
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -13,7 +13,7 @@
 use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Address, PeerId};
-use trailproxy_peers::decide::{Peers, Rules, life};
+use trailproxy_peers::decide::{Peers, Rules, new_boot_id};
 
 const PORT: u16 = 7_946;
 
@@ -106,7 +106,7 @@
     pub fn start_budgets(&mut self, now: Timestamp, voters: &[String], seats: usize, seed: u64) {
         let Some(peers) = &self.peers else { return };
         let own = peers.members().own();
-        let own = (HolderId(own.id.0), LifeId(own.life.0));
+        let own = (HolderId(own.id.0), LifeId(own.boot_id.0));
         self.shares = Some(budgets::shares(now, own, voters, seats, seed));
     }
 }
@@ -137,7 +137,7 @@
     Own {
         id: peer_id(member),
         address: address(member),
-        life: life(now, seed),
+        boot_id: new_boot_id(now, seed),
         seeds,
         topology: placement.topology(location, zones),
     }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -128,7 +128,7 @@
             for piece in updates.chunks(UPDATES_IN_MESSAGE) {
                 let message = Message {
                     from: own.id,
-                    life: own.life,
+                    boot_id: own.boot_id,
                     incarnation: own.incarnation,
                     stamp: now.0,
                     notes: vec![Note::Updates(piece.to_vec())],
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -9,7 +9,7 @@
 use super::facts::mix;
 use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
-use super::messages::{Address, AskNo, Life, MemberUpdate, Note, PeerId, Standing, State};
+use super::messages::{Address, AskNo, BootId, MemberUpdate, Note, PeerId, Standing, State};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -89,7 +89,7 @@
 
 /// One part of the sum of who is there, and in which life.
 fn roster_part(update: &MemberUpdate) -> u64 {
-    mix(update.id.0 ^ mix(update.life.0))
+    mix(update.id.0 ^ mix(update.boot_id.0))
 }
 
 impl Index {
@@ -139,7 +139,7 @@
 pub struct Own {
     pub id: PeerId,
     pub address: Address,
-    pub life: Life,
+    pub boot_id: BootId,
     pub seeds: Vec<Address>,
     /// Where it is among the fleet's zones; `None`: nothing depends on distances.
     pub topology: Option<Topology>,
@@ -168,7 +168,7 @@
     cut_off: bool,
     own_telling: u32,
     /// The updates of the message that is being read, to which localities may follow.
-    updated: Vec<(PeerId, Life)>,
+    updated: Vec<(PeerId, BootId)>,
     index: Index,
     todo: Vec<MemberAction>,
 }
@@ -178,7 +178,7 @@
         let update = MemberUpdate {
             id: own.id,
             address: own.address,
-            life: own.life,
+            boot_id: own.boot_id,
             incarnation: 0,
             standing: Standing::Alive,
         };
@@ -292,11 +292,11 @@
     }
 
     /// Somebody says where a member is.
-    fn locate(&mut self, id: PeerId, life: Option<Life>, locality: Locality) {
+    fn locate(&mut self, id: PeerId, boot_id: Option<BootId>, locality: Locality) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
-        let same = life.is_none_or(|life| life == member.update.life);
+        let same = boot_id.is_none_or(|boot_id| boot_id == member.update.boot_id);
         if same && member.locality != Some(locality) {
             member.locality = Some(locality);
             self.todo.push(MemberAction::Located);
@@ -364,7 +364,7 @@
         now: Timestamp,
         from: PeerId,
         address: Address,
-        life: Life,
+        boot_id: BootId,
         incarnation: u32,
     ) {
         self.updated.clear();
@@ -372,7 +372,7 @@
         let update = MemberUpdate {
             id: from,
             address,
-            life,
+            boot_id,
             incarnation,
             standing,
         };
@@ -405,12 +405,12 @@
             Some(known) if update.rank() <= known.update.rank() => {}
             Some(known) => {
                 self.index.remove(known);
-                let before = (known.update.standing, known.update.life);
+                let before = (known.update.standing, known.update.boot_id);
                 known.update = update;
                 known.telling = tells;
-                if before != (update.standing, update.life) {
+                if before != (update.standing, update.boot_id) {
                     known.since = now;
-                    if before.1 != update.life {
+                    if before.1 != update.boot_id {
                         known.state = State::default();
                     }
                     self.todo
@@ -441,18 +441,18 @@
     }
 
     fn of_self(&mut self, now: Timestamp, update: MemberUpdate) {
-        if update.life > self.own.life {
+        if update.boot_id > self.own.boot_id {
             // A former life with a clock that went ahead, or one elsewhere that this one takes the name from.
             let new = now.since(self.born) < NEW;
             if update.address == self.own.address || new {
-                self.own.life = Life(update.life.0 + 1);
+                self.own.boot_id = BootId(update.boot_id.0 + 1);
                 self.own.incarnation = 0;
                 self.own_telling = self.tells();
             } else if !self.shadowed && update.standing <= Standing::Suspected {
                 self.shadowed = true;
                 self.todo.push(MemberAction::Shadowed);
             }
-        } else if update.life == self.own.life
+        } else if update.boot_id == self.own.boot_id
             && update.incarnation >= self.own.incarnation
             && update.standing > Standing::Alive
         {
@@ -554,7 +554,7 @@
                 updates.iter().for_each(|&update| self.update(now, update));
                 self.updated = updates
                     .iter()
-                    .map(|update| (update.id, update.life))
+                    .map(|update| (update.id, update.boot_id))
                     .collect();
             }
             Note::Located(locality) => self.locate(from, None, *locality),
@@ -562,9 +562,9 @@
                 let updated = std::mem::take(&mut self.updated);
                 let same = updated.len() == localities.len();
                 let told = updated.into_iter().zip(localities).filter(|_| same);
-                for ((id, life), locality) in told {
+                for ((id, boot_id), locality) in told {
                     if let Some(locality) = *locality {
-                        self.locate(id, Some(life), locality);
+                        self.locate(id, Some(boot_id), locality);
                     }
                 }
             }
@@ -592,7 +592,7 @@
     /// It comes back after it left, as another life.
     pub fn join(&mut self) {
         self.own.standing = Standing::Alive;
-        (self.own.life, self.own.incarnation) = (Life(self.own.life.0 + 1), 0);
+        (self.own.boot_id, self.own.incarnation) = (BootId(self.own.boot_id.0 + 1), 0);
     }
 
     /// It leaves in order: all are told at once.
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -24,7 +24,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Life(pub u64);
+pub struct BootId(pub u64);
 
 /// Where a member is written to: IPv4.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -47,15 +47,15 @@
 pub struct MemberUpdate {
     pub id: PeerId,
     pub address: Address,
-    pub life: Life,
+    pub boot_id: BootId,
     /// Raised by the member itself, when it hears that it is doubted.
     pub incarnation: u32,
     pub standing: Standing,
 }
 
 impl MemberUpdate {
-    pub fn rank(&self) -> (Life, u32, Standing) {
-        (self.life, self.incarnation, self.standing)
+    pub fn rank(&self) -> (BootId, u32, Standing) {
+        (self.boot_id, self.incarnation, self.standing)
     }
 }
 
@@ -244,7 +244,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     pub from: PeerId,
-    pub life: Life,
+    pub boot_id: BootId,
     pub incarnation: u32,
     /// When it was written, by the writer's clock.
     pub stamp: u64,
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -355,7 +355,7 @@
         let own = self.members.own();
         Message {
             from: own.id,
-            life: own.life,
+            boot_id: own.boot_id,
             incarnation: own.incarnation,
             stamp: now.0,
             notes,
@@ -587,6 +587,6 @@
 }
 
 /// The life of a process that starts at this moment: later ones are higher, and no two of one moment are the same.
-pub fn life(now: Timestamp, seed: u64) -> messages::Life {
-    messages::Life(now.0 << 8 | mix(seed) & 0xff)
+pub fn new_boot_id(now: Timestamp, seed: u64) -> messages::BootId {
+    messages::BootId(now.0 << 8 | mix(seed) & 0xff)
 }
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -34,7 +34,7 @@
             let update = messages::MemberUpdate {
                 id: from,
                 address,
-                life: message.life,
+                boot_id: message.boot_id,
                 incarnation: message.incarnation,
                 standing: Standing::Alive,
             };
@@ -46,7 +46,7 @@
             return self.settle(now);
         }
         self.members
-            .heard(now, from, address, message.life, message.incarnation);
+            .heard(now, from, address, message.boot_id, message.incarnation);
         self.settle(now);
         let origin = Origin {
             from,
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages as datagrams: postcard, each note by itself, so that one of a newer version is passed over, and a keyed sum
 //! behind, so that nothing of another fleet is read.
 
-use crate::decide::messages::{Life, Message, Note, PeerId};
+use crate::decide::messages::{BootId, Message, Note, PeerId};
 use serde::{Deserialize, Serialize};
 
 /// The form of the head. A note of a kind that is not known is left out by its reader; a head never changes but with this.
@@ -18,7 +18,7 @@
 struct Head {
     version: u8,
     from: PeerId,
-    life: Life,
+    boot_id: BootId,
     incarnation: u32,
     stamp: u64,
 }
@@ -56,7 +56,7 @@
         let head = Head {
             version: VERSION,
             from: message.from,
-            life: message.life,
+            boot_id: message.boot_id,
             incarnation: message.incarnation,
             stamp: message.stamp,
         };
@@ -102,7 +102,7 @@
         }
         let message = Message {
             from: head.from,
-            life: head.life,
+            boot_id: head.boot_id,
             incarnation: head.incarnation,
             stamp: head.stamp,
             notes,
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -31,7 +31,7 @@
         for piece in facts.chunks(500) {
             let message = Message {
                 from: own.id,
-                life: own.life,
+                boot_id: own.boot_id,
                 incarnation: own.incarnation,
                 stamp: world.now.0,
                 notes: vec![Note::Put(AskNo(1), piece.to_vec())],
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -5,7 +5,7 @@
 use trailproxy_peers::decide::facts::{
     Claim, Fact, Facts, Lasts, Listed, Place, Stage, Token, merge,
 };
-use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId, State};
+use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId, State};
 use trailproxy_peers::wire::{Seal, Unread, VERSION};
 
 fn place() -> impl Strategy<Value = Place> {
@@ -162,10 +162,10 @@
 }
 
 fn message(notes: Vec<Note>) -> Message {
-    let (from, life) = (PeerId(1), Life(2));
+    let (from, boot_id) = (PeerId(1), BootId(2));
     Message {
         from,
-        life,
+        boot_id,
         incarnation: 3,
         stamp: 4,
         notes,
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -5,7 +5,7 @@
 use trailproxy::interface::{HostEntry, HostState};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{
-    AskNo, Life, MemberUpdate, Message, Note, PeerId, Standing,
+    AskNo, BootId, MemberUpdate, Message, Note, PeerId, Standing,
 };
 use trailproxy_peers::decide::{Action, Rules, Stands};
 use world::*;
@@ -481,7 +481,7 @@
     // It says that all are dead, that it is this one, and that the record never was.
     let lies = |now: Timestamp, notes| Message {
         from: PeerId(99),
-        life: Life(1),
+        boot_id: BootId(1),
         incarnation: 0,
         stamp: now.0,
         notes,
@@ -560,7 +560,7 @@
     for n in 0..9 {
         let message = Message {
             from: PeerId(99),
-            life: Life(1),
+            boot_id: BootId(1),
             incarnation: 0,
             stamp: world.now.0,
             notes: vec![Note::Claim {
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -5,7 +5,7 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Message, PeerId};
-use trailproxy_peers::decide::{Action, Peers, life};
+use trailproxy_peers::decide::{Action, Peers, new_boot_id};
 use trailproxy_shared_store::decide::records::{Folding, Verdict};
 use world::*;
 
@@ -353,7 +353,7 @@
     let own = |n: u8| Own {
         id: PeerId::of_name(&format!("s{n}")),
         address: address(n),
-        life: life(DAWN, u64::from(n)),
+        boot_id: new_boot_id(DAWN, u64::from(n)),
         seeds: (0..3).map(address).collect(),
         topology: None,
     };
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
-use trailproxy_peers::decide::{Action, Peers, Rules, Stands, life};
+use trailproxy_peers::decide::{Action, Peers, Rules, Stands, new_boot_id};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
@@ -241,7 +241,7 @@
         let own = Own {
             id,
             address,
-            life: life(now, seed),
+            boot_id: new_boot_id(now, seed),
             seeds,
             topology: of.locality.map(|locality| Topology::new(locality, zones)),
         };
--- a/crates/trailproxy-cli/src/peers.rs
+++ b/crates/trailproxy-cli/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use trailproxy_operator::read_file;
 use trailproxy_peers::config::Config;
-use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 #[derive(Subcommand)]
@@ -91,7 +91,7 @@
         let no = AskNo(unix);
         let message = Message {
             from: PeerId(0),
-            life: Life(0),
+            boot_id: BootId(0),
             incarnation: 0,
             stamp: unix,
             notes: vec![note(no)],
--- a/crates/trailproxy-cli/tests/peers.rs
+++ b/crates/trailproxy-cli/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::process::{Command, Output};
 use std::time::Duration;
-use trailproxy_peers::decide::messages::{Life, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{BootId, Message, Note, PeerId};
 use trailproxy_peers::wire::Seal;
 
 fn file(name: &str, text: &str) -> std::path::PathBuf {
@@ -61,7 +61,7 @@
             };
             let message = Message {
                 from: PeerId(1),
-                life: Life(1),
+                boot_id: BootId(1),
                 incarnation: 0,
                 stamp: message.stamp,
                 notes: vec![shown],
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -13,7 +13,7 @@
 use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::PeerId;
-use trailproxy_peers::decide::{Peers, life};
+use trailproxy_peers::decide::{Peers, new_boot_id};
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::Sharing;
@@ -51,7 +51,7 @@
             let beside = &mut self.decisions.crossings;
             let fresh = (
                 self.name.as_str(),
-                life(now, *seed ^ u64::from(std::process::id())),
+                new_boot_id(now, *seed ^ u64::from(std::process::id())),
             );
             let told = told.budgets.as_deref();
             beside.budgets(now, told, fresh, (terms, *seed), &self.log);
@@ -101,7 +101,7 @@
         let own = Own {
             id: PeerId::of_name(&self.name),
             address: told.addresses.advertise,
-            life: life(now, drawn),
+            boot_id: new_boot_id(now, drawn),
             seeds: told.addresses.seeds.clone(),
             topology: told.topology.clone(),
         };
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -6,7 +6,7 @@
 use trailproxy_budgets::decide::following::Following;
 use trailproxy_budgets::decide::{HolderId, LifeId};
 use trailproxy_budgets::sheet::Sheet;
-use trailproxy_peers::decide::messages::{Life, PeerId};
+use trailproxy_peers::decide::messages::{BootId, PeerId};
 use trailproxy_zones::Zones;
 
 pub struct Divided {
@@ -18,7 +18,7 @@
     pub fn new(
         now: Timestamp,
         config: Sheet,
-        own: (PeerId, Life),
+        own: (PeerId, BootId),
         terms: &DispatcherSettings,
         seed: u64,
         log: Logger,
@@ -29,13 +29,13 @@
         Divided { following, log }
     }
 
-    pub fn own(&self) -> (PeerId, Life) {
+    pub fn own(&self) -> (PeerId, BootId) {
         let (id, life) = self.following.own();
-        (PeerId(id.0), Life(life.0))
+        (PeerId(id.0), BootId(life.0))
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, config: &Sheet, own: (PeerId, Life)) -> bool {
+    pub fn is(&self, config: &Sheet, own: (PeerId, BootId)) -> bool {
         self.following.sheet == *config && self.own() == own
     }
 
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -10,7 +10,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_peers::decide::facts::Listed;
-use trailproxy_peers::decide::messages::{Address, AskNo, Life, Message, PeerId};
+use trailproxy_peers::decide::messages::{Address, AskNo, BootId, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
 use trailproxy_shared_store::decide::records::{Came, Folding};
 
@@ -77,9 +77,9 @@
     }
 
     /// Its name and its process, as the others know it.
-    pub fn own(&self) -> (PeerId, Life) {
+    pub fn own(&self) -> (PeerId, BootId) {
         let own = self.peers.members().own();
-        (own.id, own.life)
+        (own.id, own.boot_id)
     }
 
     /// Words of other subsystems that came.
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -11,7 +11,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::BESIDE;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_peers::decide::messages::{Life, Note, PeerId};
+use trailproxy_peers::decide::messages::{BootId, Note, PeerId};
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Act, Sharing};
@@ -139,7 +139,7 @@
     }
 
     /// Who this is to the others, where there is a way to them; by the store it is this process for as long as it runs.
-    fn own(&self, name: &str, fresh: Life) -> Option<(PeerId, Life)> {
+    fn own(&self, name: &str, fresh: BootId) -> Option<(PeerId, BootId)> {
         if let Some(peers) = &self.peers {
             return Some(peers.own());
         }
@@ -161,7 +161,7 @@
         &mut self,
         now: Timestamp,
         config: Option<&BudgetsSheet>,
-        (name, fresh): (&str, Life),
+        (name, fresh): (&str, BootId),
         (terms, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -264,13 +264,13 @@
     wait_for("budgets", || stage.program.logged("budgets are on"));
     let seal = trailproxy_peers::wire::Seal::new("stories", b"");
     let ask = |at: SocketAddr| {
-        use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId};
+        use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId};
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let within = socket.set_read_timeout(Some(Duration::from_millis(300)));
         within.expect("a limit");
         let message = Message {
             from: PeerId(0),
-            life: Life(0),
+            boot_id: BootId(0),
             incarnation: 0,
             stamp: unix_ms() * 1_000,
             notes: vec![Note::ShowOf(AskNo(7), trailproxy_budgets::BESIDE)],
