--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -12,7 +12,7 @@
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    Address, AskNo, BootId, Has, MemberUpdate, Message, Note, PeerId, Standing, State,
+    Address, AskNo, BootId, Has, MemberStatus, MemberUpdate, Message, Note, PeerId, State,
 };
 use trailproxy_peers::decide::{Action, Peers, Rules};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
@@ -155,7 +155,7 @@
         address: from_socket(address),
         boot_id: BootId(1),
         incarnation: 0,
-        standing: Standing::Alive,
+        status: MemberStatus::Alive,
     }
 }
 
@@ -299,7 +299,7 @@
         for nth in 1..CHANGES.min(self.others.len()) {
             now = now + TimeSpan::from_millis(200);
             let mut update = self.others[nth];
-            update.standing = Standing::Left;
+            update.status = MemberStatus::Left;
             let first = self.others[0];
             let message = Message {
                 from: first.id,
--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -243,7 +243,7 @@
         address: from_socket(of.address),
         boot_id: BootId(of.life),
         incarnation: 0,
-        standing: messages::Standing::Alive,
+        status: messages::MemberStatus::Alive,
     }
 }
 
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -9,7 +9,7 @@
 use super::facts::mix;
 use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
-use super::messages::{Address, AskNo, BootId, MemberUpdate, Note, PeerId, Standing, State};
+use super::messages::{Address, AskNo, BootId, MemberStatus, MemberUpdate, Note, PeerId, State};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -60,12 +60,12 @@
 impl Member {
     /// Whether it counts as one of the fleet.
     pub fn there(&self) -> bool {
-        self.update.standing <= Standing::Suspected
+        self.update.status <= MemberStatus::Suspected
     }
 
     /// Whether it is alive and answers this one.
     pub fn is_reached(&self) -> bool {
-        self.update.standing == Standing::Alive && !self.one_way
+        self.update.status == MemberStatus::Alive && !self.one_way
     }
 }
 
@@ -101,7 +101,7 @@
 
     fn add(&mut self, member: &Member) {
         let id = member.update.id;
-        if member.update.standing == Standing::Suspected {
+        if member.update.status == MemberStatus::Suspected {
             self.suspected.insert(id);
         }
         if member.telling > 0 {
@@ -125,7 +125,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     Send(Address, Vec<Note>),
-    Turned(PeerId, Standing),
+    Turned(PeerId, MemberStatus),
     /// A member said where it is.
     Located,
     /// A member is reached by others only, or by this one again.
@@ -180,7 +180,7 @@
             address: own.address,
             boot_id: own.boot_id,
             incarnation: 0,
-            standing: Standing::Alive,
+            status: MemberStatus::Alive,
         };
         Members {
             born: now,
@@ -341,10 +341,10 @@
     /// believe for a moment that they lost each other; whoever is there it hears of from those that it reaches.
     pub fn cut_off(&mut self, is: bool) {
         let returns = std::mem::replace(&mut self.cut_off, is) && !is;
-        let reached = |member: &Member| member.update.standing == Standing::Alive;
+        let reached = |member: &Member| member.update.status == MemberStatus::Alive;
         if returns && self.members.values().any(reached) {
             let doubted = |update: &MemberUpdate| {
-                matches!(update.standing, Standing::Suspected | Standing::Dead)
+                matches!(update.status, MemberStatus::Suspected | MemberStatus::Dead)
             };
             self.members.retain(|_, member| !doubted(&member.update));
             self.index = Index::of(&self.members);
@@ -355,7 +355,11 @@
     }
 
     fn tellable(&self, member: &Member) -> bool {
-        !self.cut_off || matches!(member.update.standing, Standing::Alive | Standing::Left)
+        !self.cut_off
+            || matches!(
+                member.update.status,
+                MemberStatus::Alive | MemberStatus::Left
+            )
     }
 
     /// A message came from there: it is alive, in this life at least.
@@ -368,16 +372,16 @@
         incarnation: u32,
     ) {
         self.updated.clear();
-        let standing = Standing::Alive;
+        let status = MemberStatus::Alive;
         let update = MemberUpdate {
             id: from,
             address,
             boot_id,
             incarnation,
-            standing,
+            status,
         };
         if let Some(member) = self.members.get(&from)
-            && member.update.standing == Standing::Dead
+            && member.update.status == MemberStatus::Dead
             && member.update.rank() > update.rank()
         {
             // It does not know that it was given up: it says so itself under its next incarnation.
@@ -386,7 +390,7 @@
         }
         self.update(now, update);
         if let Some(member) = self.members.get_mut(&from)
-            && member.update.standing == Standing::Alive
+            && member.update.status == MemberStatus::Alive
             && member.one_way
         {
             self.todo.push(MemberAction::Reach);
@@ -405,20 +409,20 @@
             Some(known) if update.rank() <= known.update.rank() => {}
             Some(known) => {
                 self.index.remove(known);
-                let before = (known.update.standing, known.update.boot_id);
+                let before = (known.update.status, known.update.boot_id);
                 known.update = update;
                 known.telling = tells;
-                if before != (update.standing, update.boot_id) {
+                if before != (update.status, update.boot_id) {
                     known.since = now;
                     if before.1 != update.boot_id {
                         known.state = State::default();
                     }
                     self.todo
-                        .push(MemberAction::Turned(update.id, update.standing));
+                        .push(MemberAction::Turned(update.id, update.status));
                 }
                 self.index.add(known);
             }
-            None if full || update.standing > Standing::Suspected => {}
+            None if full || update.status > MemberStatus::Suspected => {}
             None => {
                 let member = Member {
                     update,
@@ -435,7 +439,7 @@
                 let place = self.next_no as usize % (self.round.len() + 1);
                 self.round.insert(place, update.id);
                 self.todo
-                    .push(MemberAction::Turned(update.id, update.standing));
+                    .push(MemberAction::Turned(update.id, update.status));
             }
         }
     }
@@ -448,13 +452,13 @@
                 self.own.boot_id = BootId(update.boot_id.0 + 1);
                 self.own.incarnation = 0;
                 self.own_telling = self.tells();
-            } else if !self.shadowed && update.standing <= Standing::Suspected {
+            } else if !self.shadowed && update.status <= MemberStatus::Suspected {
                 self.shadowed = true;
                 self.todo.push(MemberAction::Shadowed);
             }
         } else if update.boot_id == self.own.boot_id
             && update.incarnation >= self.own.incarnation
-            && update.standing > Standing::Alive
+            && update.status > MemberStatus::Alive
         {
             self.own.incarnation = update.incarnation + 1;
             self.own_telling = self.tells();
@@ -591,13 +595,13 @@
 
     /// It comes back after it left, as another life.
     pub fn join(&mut self) {
-        self.own.standing = Standing::Alive;
+        self.own.status = MemberStatus::Alive;
         (self.own.boot_id, self.own.incarnation) = (BootId(self.own.boot_id.0 + 1), 0);
     }
 
     /// It leaves in order: all are told at once.
     pub fn leave(&mut self) {
-        self.own.standing = Standing::Left;
+        self.own.status = MemberStatus::Left;
         let all: Vec<Address> = self
             .there()
             .map(|(_, member)| member.update.address)
@@ -634,8 +638,8 @@
         let dead = dead.filter(|member| now.since(member.since) >= doubt);
         let dead: Vec<MemberUpdate> = dead.map(|member| member.update).collect();
         for update in dead {
-            let standing = Standing::Dead;
-            self.update(now, MemberUpdate { standing, ..update });
+            let status = MemberStatus::Dead;
+            self.update(now, MemberUpdate { status, ..update });
         }
         self.helping.retain(|_, (.., until)| now < *until);
         if let Some(probe) = self.probe {
@@ -678,10 +682,10 @@
         let Some(member) = self.members.get(&whom) else {
             return;
         };
-        if member.update.standing == Standing::Alive {
-            let standing = Standing::Suspected;
+        if member.update.status == MemberStatus::Alive {
+            let status = MemberStatus::Suspected;
             let update = MemberUpdate {
-                standing,
+                status,
                 ..member.update
             };
             self.update(now, update);
@@ -725,7 +729,7 @@
         let dead = self
             .members
             .values()
-            .filter(|member| member.update.standing == Standing::Dead);
+            .filter(|member| member.update.status == MemberStatus::Dead);
         let dead = dead.map(|member| (member.update.address, Some(member.update)));
         let seeds = self.seeds.iter().map(|&seed| (seed, None));
         let mut all: Vec<(Address, Option<MemberUpdate>)> = dead.chain(seeds).collect();
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -35,14 +35,14 @@
 
 /// How a member stands; what is further down holds against what is further up of the same life and incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberStatus {
     Alive,
     Suspected,
     Dead,
     Left,
 }
 
-/// What somebody says of a member. The greater of two holds: a later life, then a later incarnation, then [`Standing`].
+/// What somebody says of a member. The greater of two holds: a later life, then a later incarnation, then [`MemberStatus`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     pub id: PeerId,
@@ -50,12 +50,12 @@
     pub boot_id: BootId,
     /// Raised by the member itself, when it hears that it is doubted.
     pub incarnation: u32,
-    pub standing: Standing,
+    pub status: MemberStatus,
 }
 
 impl MemberUpdate {
-    pub fn rank(&self) -> (BootId, u32, Standing) {
-        (self.boot_id, self.incarnation, self.standing)
+    pub fn rank(&self) -> (BootId, u32, MemberStatus) {
+        (self.boot_id, self.incarnation, self.status)
     }
 }
 
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -42,7 +42,7 @@
 use facts::{Fact, FactId, Facts, Lasts, Listed, Slot, Token, mix};
 use keepers::{Changed, Keepers, Scope};
 use members::{MemberAction, Members, Own};
-use messages::{Address, AskNo, Message, Note, PeerId, Standing, State};
+use messages::{Address, AskNo, MemberStatus, Message, Note, PeerId, State};
 use relay::Relays;
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{PIECE, Sync, Who, Why};
@@ -142,7 +142,7 @@
         host: HostId,
     },
     Turned(Stands),
-    Member(PeerId, Standing),
+    Member(PeerId, MemberStatus),
     /// Another subsystem's word from that one.
     Beside(PeerId, u8, Vec<u8>),
 }
@@ -439,9 +439,9 @@
                     notes.extend(self.members.gossip());
                     self.send(now, to, notes);
                 }
-                MemberAction::Turned(id, standing) => {
+                MemberAction::Turned(id, status) => {
                     (turned, members_changed) = (true, true);
-                    self.acts.push(Action::Member(id, standing));
+                    self.acts.push(Action::Member(id, status));
                 }
                 MemberAction::Reach => turned = true,
                 MemberAction::Located => {
@@ -477,9 +477,9 @@
     fn look_round(&mut self, now: Timestamp) {
         self.look_round_at = now + FLEET;
         let keep = self.rules.keep;
-        let lost = |member: &members::Member| match member.update.standing {
-            Standing::Dead => now.since(member.since) < keep,
-            Standing::Suspected => true,
+        let lost = |member: &members::Member| match member.update.status {
+            MemberStatus::Dead => now.since(member.since) < keep,
+            MemberStatus::Suspected => true,
             _ => member.one_way,
         };
         // Only those matter that a claim is agreed on with.
@@ -518,7 +518,7 @@
     }
 
     fn judged(&self) -> Stands {
-        if self.members.own().standing == Standing::Left {
+        if self.members.own().status == MemberStatus::Left {
             return Stands::Left;
         }
         if self.members.shadowed {
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -51,14 +51,14 @@
         let (mut alive, mut rest) = (0, Vec::new());
         for (id, member) in self.members.all() {
             let update = member.update;
-            if update.standing == Standing::Alive && !member.one_way {
+            if update.status == MemberStatus::Alive && !member.one_way {
                 alive += 1;
             } else if rest.len() < 16 {
                 let [a, b, c, d] = update.address.ip;
                 let how = if member.one_way {
                     "reached by others only".into()
                 } else {
-                    format!("{:?}", update.standing)
+                    format!("{:?}", update.status)
                 };
                 rest.push(format!(
                     "{:016x} at {a}.{b}.{c}.{d}:{}: {how} for {:.1} s",
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -36,7 +36,7 @@
                 address,
                 boot_id: message.boot_id,
                 incarnation: message.incarnation,
-                standing: Standing::Alive,
+                status: MemberStatus::Alive,
             };
             self.members.update(now, update);
             if !self.members.shadowed {
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -5,7 +5,7 @@
 use trailproxy::interface::{HostEntry, HostState};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{
-    AskNo, BootId, MemberUpdate, Message, Note, PeerId, Standing,
+    AskNo, BootId, MemberStatus, MemberUpdate, Message, Note, PeerId,
 };
 use trailproxy_peers::decide::{Action, Rules, Stands};
 use world::*;
@@ -494,7 +494,7 @@
         let updates = (0..3).map(|m| {
             let member = world.nodes[m].peers.as_ref().expect("up").members().own();
             MemberUpdate {
-                standing: Standing::Dead,
+                status: MemberStatus::Dead,
                 ..*member
             }
         });
