--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -12,7 +12,7 @@
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    Address, AskNo, BootId, Has, MemberStatus, MemberUpdate, Message, Note, PeerId, State,
+    Address, AskNo, BootId, Has, MemberStatus, MemberSummary, MemberUpdate, Message, Note, PeerId,
 };
 use trailproxy_peers::decide::{Action, Peers, Rules};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
@@ -212,12 +212,12 @@
         now
     }
 
-    fn state(&self) -> State {
-        State {
-            whole: true,
+    fn state(&self) -> MemberSummary {
+        MemberSummary {
+            in_sync: true,
             records: 0,
-            place: 0,
-            roster: self.core.members().roster(),
+            journal_position: 0,
+            membership_checksum: self.core.members().membership_checksum(),
         }
     }
 
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -255,10 +255,10 @@
         let Some(first) = self.up().next() else {
             return true;
         };
-        let roster = first.members().roster();
+        let roster = first.members().membership_checksum();
         self.up().all(|peers| {
             let members = peers.members();
-            members.there().count() + 1 == count && members.roster() == roster
+            members.there().count() + 1 == count && members.membership_checksum() == roster
         })
     }
 
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -9,7 +9,9 @@
 use super::facts::mix;
 use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
-use super::messages::{Address, AskNo, BootId, MemberStatus, MemberUpdate, Note, PeerId, State};
+use super::messages::{
+    Address, AskNo, BootId, MemberStatus, MemberSummary, MemberUpdate, Note, PeerId,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -46,7 +48,7 @@
     pub update: MemberUpdate,
     /// Since when it stands so.
     pub since: Timestamp,
-    pub state: State,
+    pub state: MemberSummary,
     /// It answers others, and not this one.
     pub one_way: bool,
     /// Where it is, as it says itself.
@@ -88,7 +90,7 @@
 }
 
 /// One part of the sum of who is there, and in which life.
-fn roster_part(update: &MemberUpdate) -> u64 {
+fn member_checksum(update: &MemberUpdate) -> u64 {
     mix(update.id.0 ^ mix(update.boot_id.0))
 }
 
@@ -108,7 +110,7 @@
             self.telling.insert(id);
         }
         if member.there() {
-            self.there = self.there.wrapping_add(roster_part(&member.update));
+            self.there = self.there.wrapping_add(member_checksum(&member.update));
         }
     }
 
@@ -116,7 +118,7 @@
         self.suspected.remove(&member.update.id);
         self.telling.remove(&member.update.id);
         if member.there() {
-            self.there = self.there.wrapping_sub(roster_part(&member.update));
+            self.there = self.there.wrapping_sub(member_checksum(&member.update));
         }
     }
 }
@@ -162,7 +164,7 @@
     knock_next: usize,
     next_no: u64,
     /// Not before this is another asked for all that it knows.
-    roster_at: Timestamp,
+    next_member_list_request_at: Timestamp,
     pub shadowed: bool,
     /// It may be on the smaller side of a cut: what it thinks of the others is told to nobody.
     cut_off: bool,
@@ -199,7 +201,7 @@
             knock_at: now,
             knock_next: chance.usize(0..1_024),
             next_no: chance.u64(0..1 << 32),
-            roster_at: now,
+            next_member_list_request_at: now,
             shadowed: false,
             cut_off: false,
             own_telling: 0,
@@ -415,7 +417,7 @@
                 if before != (update.status, update.boot_id) {
                     known.since = now;
                     if before.1 != update.boot_id {
-                        known.state = State::default();
+                        known.state = MemberSummary::default();
                     }
                     self.todo
                         .push(MemberAction::Turned(update.id, update.status));
@@ -427,7 +429,7 @@
                 let member = Member {
                     update,
                     since: now,
-                    state: State::default(),
+                    state: MemberSummary::default(),
                     one_way: false,
                     locality: None,
                     met: now,
@@ -501,7 +503,7 @@
         from: PeerId,
         address: Address,
         note: &Note,
-        own: State,
+        own: MemberSummary,
     ) -> bool {
         match note {
             Note::Ping(no, state) => {
@@ -578,17 +580,19 @@
     }
 
     /// A sum of who is there, and in which life.
-    pub fn roster(&self) -> u64 {
-        self.index.there.wrapping_add(roster_part(&self.own))
+    pub fn membership_checksum(&self) -> u64 {
+        self.index.there.wrapping_add(member_checksum(&self.own))
     }
 
-    fn state(&mut self, now: Timestamp, from: PeerId, address: Address, state: State) {
+    fn state(&mut self, now: Timestamp, from: PeerId, address: Address, state: MemberSummary) {
         if let Some(member) = self.members.get_mut(&from) {
             member.state = state;
         }
         // What goes round by itself would do, and takes long where hundreds come or return at once.
-        if now >= self.roster_at && state.roster != self.roster() {
-            self.roster_at = now + ROSTER_EVERY;
+        if now >= self.next_member_list_request_at
+            && state.membership_checksum != self.membership_checksum()
+        {
+            self.next_member_list_request_at = now + ROSTER_EVERY;
             self.send(address, vec![Note::Join]);
         }
     }
@@ -632,7 +636,7 @@
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Timestamp, own: State, chance: &mut fastrand::Rng) {
+    pub fn advance(&mut self, now: Timestamp, own: MemberSummary, chance: &mut fastrand::Rng) {
         let doubt = self.doubt();
         let dead = self.suspected();
         let dead = dead.filter(|member| now.since(member.since) >= doubt);
@@ -694,7 +698,7 @@
         }
     }
 
-    fn ping(&mut self, now: Timestamp, own: State, chance: &mut fastrand::Rng) {
+    fn ping(&mut self, now: Timestamp, own: MemberSummary, chance: &mut fastrand::Rng) {
         loop {
             let Some(whom) = self.round.pop_front() else {
                 let mut all: Vec<PeerId> = self.there().map(|(id, _)| id).collect();
@@ -721,7 +725,7 @@
     }
 
     /// One of those that are not there: a dead one, or an address of the operator's nobody is known at.
-    fn knock(&mut self, own: State) {
+    fn knock(&mut self, own: MemberSummary) {
         let there: Vec<Address> = self
             .there()
             .map(|(_, member)| member.update.address)
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -65,13 +65,13 @@
 
 /// How much one knows, told with signs of life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
-    pub whole: bool,
+pub struct MemberSummary {
+    pub in_sync: bool,
     pub records: u32,
     /// The last place in the journal.
-    pub place: u64,
+    pub journal_position: u64,
     /// A sum of who is there, and in which life.
-    pub roster: u64,
+    pub membership_checksum: u64,
 }
 
 /// How much of a slot its keeper has.
@@ -86,8 +86,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Note {
-    Ping(AskNo, State),
-    Ack(AskNo, State),
+    Ping(AskNo, MemberSummary),
+    Ack(AskNo, MemberSummary),
     /// Ping that one for me: I don't reach it.
     PingFor(AskNo, PeerId, Address),
     /// It is alive, though you don't reach it.
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -42,7 +42,7 @@
 use facts::{Fact, FactId, Facts, Lasts, Listed, Slot, Token, mix};
 use keepers::{Changed, Keepers, Scope};
 use members::{MemberAction, Members, Own};
-use messages::{Address, AskNo, MemberStatus, Message, Note, PeerId, State};
+use messages::{Address, AskNo, MemberStatus, MemberSummary, Message, Note, PeerId};
 use relay::Relays;
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{PIECE, Sync, Who, Why};
@@ -324,12 +324,12 @@
             .collect()
     }
 
-    fn state(&self) -> State {
-        State {
-            whole: self.stand == Stands::Whole,
+    fn summary(&self) -> MemberSummary {
+        MemberSummary {
+            in_sync: self.stand == Stands::Whole,
             records: self.facts.records() as u32,
-            place: self.place,
-            roster: self.members.roster(),
+            journal_position: self.place,
+            membership_checksum: self.members.membership_checksum(),
         }
     }
 
@@ -568,8 +568,8 @@
             return;
         }
         self.tell_owed(now);
-        let state = self.state();
-        self.members.advance(now, state, &mut self.chance);
+        let summary = self.summary();
+        self.members.advance(now, summary, &mut self.chance);
         self.settle(now);
         self.fetch(now);
         self.relay(now);
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -99,7 +99,7 @@
             address,
             stamp,
         } = origin;
-        let own = self.state();
+        let own = self.summary();
         if self.members.note(now, from, address, &note, own) {
             return;
         }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -5,7 +5,7 @@
 use trailproxy_peers::decide::facts::{
     Claim, Fact, Facts, Lasts, Listed, Place, Stage, Token, merge,
 };
-use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId, State};
+use trailproxy_peers::decide::messages::{AskNo, BootId, MemberSummary, Message, Note, PeerId};
 use trailproxy_peers::wire::{Seal, Unread, VERSION};
 
 fn place() -> impl Strategy<Value = Place> {
@@ -178,11 +178,11 @@
     let notes = vec![
         Note::Ping(
             AskNo(7),
-            State {
-                whole: true,
+            MemberSummary {
+                in_sync: true,
                 records: 5,
-                place: 9,
-                roster: 1,
+                journal_position: 9,
+                membership_checksum: 1,
             },
         ),
         Note::Join,
