--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -15,7 +15,7 @@
 use trailproxy_peers::decide::messages::{
     self, Address, BootId, MemberUpdate, Message, Note, PeerId,
 };
-use trailproxy_peers::decide::{Action, Peers, Stands};
+use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::sites::topology;
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
@@ -178,7 +178,7 @@
 
     /// Whether it lacks nothing.
     pub fn whole(&self) -> bool {
-        self.core.stands() == Stands::Whole
+        self.core.state() == PeerState::InSync
     }
 
     /// What went between it and a watched address.
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -26,7 +26,7 @@
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::shares::Act;
 use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
-use trailproxy_peers::decide::{Action, Peers, Stands};
+use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::Folding;
 
@@ -246,7 +246,7 @@
 
     /// Whether all that are up lack nothing and know just each other.
     pub fn is_settled(&self) -> bool {
-        self.up().all(|peers| peers.stands() == Stands::Whole) && self.agrees()
+        self.up().all(|peers| peers.state() == PeerState::InSync) && self.agrees()
     }
 
     /// Whether all that are up know just each other.
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -133,7 +133,7 @@
     /// A member is reached by others only, or by this one again.
     Reach,
     /// Another process has the same name, and came later: this one keeps quiet.
-    Shadowed,
+    Superseded,
 }
 
 /// Who this is, and how it finds others.
@@ -165,7 +165,7 @@
     next_no: u64,
     /// Not before this is another asked for all that it knows.
     next_member_list_request_at: Timestamp,
-    pub shadowed: bool,
+    pub superseded: bool,
     /// It may be on the smaller side of a cut: what it thinks of the others is told to nobody.
     cut_off: bool,
     own_telling: u32,
@@ -202,7 +202,7 @@
             knock_next: chance.usize(0..1_024),
             next_no: chance.u64(0..1 << 32),
             next_member_list_request_at: now,
-            shadowed: false,
+            superseded: false,
             cut_off: false,
             own_telling: 0,
             updated: Vec::new(),
@@ -454,9 +454,9 @@
                 self.own.boot_id = BootId(update.boot_id.0 + 1);
                 self.own.incarnation = 0;
                 self.own_telling = self.tells();
-            } else if !self.shadowed && update.status <= MemberStatus::Suspected {
-                self.shadowed = true;
-                self.todo.push(MemberAction::Shadowed);
+            } else if !self.superseded && update.status <= MemberStatus::Suspected {
+                self.superseded = true;
+                self.todo.push(MemberAction::Superseded);
             }
         } else if update.boot_id == self.own.boot_id
             && update.incarnation >= self.own.incarnation
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -94,22 +94,22 @@
 
 /// How it stands with the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stands {
+pub enum PeerState {
     Alone,
     Fetching,
-    Whole,
-    Shadowed,
+    InSync,
+    Superseded,
     Left,
 }
 
-impl Stands {
-    pub fn word(self) -> &'static str {
+impl PeerState {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Stands::Alone => "alone",
-            Stands::Fetching => "fetching",
-            Stands::Whole => "whole",
-            Stands::Shadowed => "shadowed",
-            Stands::Left => "left",
+            PeerState::Alone => "alone",
+            PeerState::Fetching => "fetching",
+            PeerState::InSync => "whole",
+            PeerState::Superseded => "shadowed",
+            PeerState::Left => "left",
         }
     }
 }
@@ -141,7 +141,7 @@
     Hinted {
         host: HostId,
     },
-    Turned(Stands),
+    Turned(PeerState),
     Member(PeerId, MemberStatus),
     /// Another subsystem's word from that one.
     Beside(PeerId, u8, Vec<u8>),
@@ -223,7 +223,7 @@
     last: Timestamp,
     next_no: u64,
     place: u64,
-    stand: Stands,
+    state: PeerState,
     /// It saw fewer than were lost: what the others did meanwhile is not known here.
     island: bool,
     lost: usize,
@@ -262,7 +262,7 @@
             last: now,
             next_no: chance.u64(1..1 << 40),
             place: 0,
-            stand: Stands::Alone,
+            state: PeerState::Alone,
             island: false,
             lost: 0,
             off_clock: BTreeMap::new(),
@@ -283,8 +283,8 @@
         self.counts
     }
 
-    pub fn stands(&self) -> Stands {
-        self.stand
+    pub fn state(&self) -> PeerState {
+        self.state
     }
 
     pub fn members(&self) -> &Members {
@@ -326,7 +326,7 @@
 
     fn summary(&self) -> MemberSummary {
         MemberSummary {
-            in_sync: self.stand == Stands::Whole,
+            in_sync: self.state == PeerState::InSync,
             records: self.facts.records() as u32,
             journal_position: self.place,
             membership_checksum: self.members.membership_checksum(),
@@ -339,11 +339,11 @@
     }
 
     fn quiet(&self) -> bool {
-        matches!(self.stand, Stands::Shadowed | Stands::Left)
+        matches!(self.state, PeerState::Superseded | PeerState::Left)
     }
 
     fn send(&mut self, now: Timestamp, to: Address, notes: Vec<Note>) {
-        if self.members.shadowed {
+        if self.members.superseded {
             return;
         }
         self.counts.letters_out += 1;
@@ -447,7 +447,7 @@
                 MemberAction::Located => {
                     self.look_at_fleet(self.fleet_at + FLEET);
                 }
-                MemberAction::Shadowed => {
+                MemberAction::Superseded => {
                     let steps = self.records.leave();
                     self.follow(now, steps);
                 }
@@ -463,10 +463,10 @@
             (self.fleet_due, self.fleet_at) = (None, now);
             self.fleet(now);
         }
-        let stand = self.judged();
-        if stand != self.stand {
-            self.stand = stand;
-            self.acts.push(Action::Turned(stand));
+        let state = self.current_state();
+        if state != self.state {
+            self.state = state;
+            self.acts.push(Action::Turned(state));
         }
     }
 
@@ -517,20 +517,20 @@
         self.members.cut_off(island);
     }
 
-    fn judged(&self) -> Stands {
+    fn current_state(&self) -> PeerState {
         if self.members.own().status == MemberStatus::Left {
-            return Stands::Left;
+            return PeerState::Left;
         }
-        if self.members.shadowed {
-            return Stands::Shadowed;
+        if self.members.superseded {
+            return PeerState::Superseded;
         }
         if self.members.there().next().is_none() {
-            return Stands::Alone;
+            return PeerState::Alone;
         }
         who!(self, who);
         match self.sync.lacking(&who) {
-            0 => Stands::Whole,
-            _ => Stands::Fetching,
+            0 => PeerState::InSync,
+            _ => PeerState::Fetching,
         }
     }
 
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -38,7 +38,7 @@
 
     /// One that left comes back, as one that was away.
     pub fn join(&mut self, now: Timestamp) {
-        if self.stand == Stands::Left {
+        if self.state == PeerState::Left {
             self.members.join();
             self.members.back(now);
             self.lack_all(now, Why::New);
@@ -71,7 +71,7 @@
         who!(self, who);
         let mut text = format!(
             "{}: alive={alive} not_well={} lacking={} records={} commons={} place={} {:?}",
-            self.stand.word(),
+            self.state.as_str(),
             self.members.all().count() - alive,
             self.sync.lacking(&who),
             self.facts.records(),
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -39,7 +39,7 @@
                 status: MemberStatus::Alive,
             };
             self.members.update(now, update);
-            if !self.members.shadowed {
+            if !self.members.superseded {
                 let own = *self.members.own();
                 self.send(now, address, vec![Note::Updates(vec![own])]);
             }
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -7,7 +7,7 @@
 use trailproxy_peers::decide::messages::{
     AskNo, BootId, MemberStatus, MemberUpdate, Message, Note, PeerId,
 };
-use trailproxy_peers::decide::{Action, Rules, Stands};
+use trailproxy_peers::decide::{Action, PeerState, Rules};
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -257,8 +257,8 @@
     let peers = world.nodes[2].peers.as_ref().expect("up");
     assert_eq!(peers.counts().away, 1);
     assert_ne!(
-        peers.stands(),
-        Stands::Whole,
+        peers.state(),
+        PeerState::InSync,
         "what it kept may have changed"
     );
     let took = world.until(TimeSpan::from_secs(5), |world| {
@@ -346,10 +346,9 @@
     world.run(TimeSpan::from_secs(6));
     world.start(3);
     world.run(TimeSpan::from_secs(6));
-    let stands =
-        |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.stands());
-    assert_eq!(stands(&world, 2), Some(Stands::Shadowed));
-    assert_ne!(stands(&world, 3), Some(Stands::Shadowed));
+    let stands = |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.state());
+    assert_eq!(stands(&world, 2), Some(PeerState::Superseded));
+    assert_ne!(stands(&world, 3), Some(PeerState::Superseded));
     // The quiet one serves on.
     world.ask(2, 5);
     world.run(SECOND);
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
-use trailproxy_peers::decide::{Action, Peers, Rules, Stands, new_boot_id};
+use trailproxy_peers::decide::{Action, PeerState, Peers, Rules, new_boot_id};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
@@ -625,7 +625,7 @@
             self.nodes[n]
                 .peers
                 .as_ref()
-                .is_some_and(|peers| peers.stands() == Stands::Whole)
+                .is_some_and(|peers| peers.state() == PeerState::InSync)
         })
     }
 
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -191,7 +191,7 @@
                     .waiting
                     .due(Due::Tell(Event::PeerBreakerOpened { host })),
                 Action::Beside(from, of, bytes) => self.beside.push((from, of, bytes)),
-                Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.word()),
+                Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.as_str()),
                 Action::Member(id, standing) => {
                     info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?standing);
                 }
