--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -12,7 +12,8 @@
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    Address, AskNo, BootId, Has, MemberStatus, MemberSummary, MemberUpdate, Message, Note, PeerId,
+    Address, AskNo, BootId, Has, MemberStatus, MemberSummary, MemberUpdate, Message, MessagePart,
+    PeerId,
 };
 use trailproxy_peers::decide::{Action, Peers, Rules};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
@@ -106,7 +107,7 @@
     sum_key: [u8; 32],
     chance: fastrand::Rng,
     timers: Timers,
-    answers: Vec<(PeerId, Vec<Note>)>,
+    answers: Vec<(PeerId, Vec<MessagePart>)>,
 }
 
 /// Times each part in a fleet of that size.
@@ -185,7 +186,7 @@
         let (mut ping_at, mut compare_at) = (from, from);
         let (mut now, end) = (from, from + lasts);
         if from == BEGIN {
-            let updates = vec![Note::Updates(self.others.clone())];
+            let updates = vec![MessagePart::MemberUpdates(self.others.clone())];
             self.tell(now, self.others[0].id, updates);
         }
         while now < end {
@@ -198,14 +199,14 @@
             self.collect();
             if ping_at <= now {
                 ping_at = now + PINGED_EVERY;
-                let ping = Note::Ping(AskNo(now.0), self.state());
+                let ping = MessagePart::Ping(AskNo(now.0), self.state());
                 self.tell_by_anybody(now, ping);
             }
             if compare_at <= now {
                 compare_at = now + COMPARED_EVERY;
                 let sums = self.core.sums().into_iter();
                 let sums = sums.take(usize::from(COMPARED_SLOTS)).collect();
-                self.tell_by_anybody(now, Note::Sums(sums));
+                self.tell_by_anybody(now, MessagePart::Checksums(sums));
             }
             self.answer(now);
         }
@@ -221,13 +222,13 @@
         }
     }
 
-    fn tell_by_anybody(&mut self, now: Timestamp, note: Note) {
+    fn tell_by_anybody(&mut self, now: Timestamp, note: MessagePart) {
         let nth = self.chance.usize(0..self.others.len());
         self.tell(now, self.others[nth].id, vec![note]);
     }
 
     /// The core hears a message, by way of its datagram.
-    fn tell(&mut self, now: Timestamp, from: PeerId, notes: Vec<Note>) {
+    fn tell(&mut self, now: Timestamp, from: PeerId, notes: Vec<MessagePart>) {
         let Some(of) = self.others.iter().find(|other| other.id == from).copied() else {
             return;
         };
@@ -236,7 +237,7 @@
             boot_id: of.boot_id,
             incarnation: of.incarnation,
             stamp: now.0,
-            notes,
+            parts: notes,
         };
         if let Some(bytes) = self.seal.write(&message) {
             let (seal, timers) = (&self.seal, &mut self.timers);
@@ -273,15 +274,15 @@
             return;
         };
         let (id, state) = (of.id, self.state());
-        let answers = message.notes.iter().filter_map(|note| match note {
-            Note::Ping(no, _) => Some(Note::Ack(*no, state)),
-            Note::Sums(sums) => Some(Note::Same {
+        let answers = message.parts.iter().filter_map(|note| match note {
+            MessagePart::Ping(no, _) => Some(MessagePart::Ack(*no, state)),
+            MessagePart::Checksums(sums) => Some(MessagePart::Same {
                 slots: sums.iter().map(|&(slot, _)| slot).collect::<Vec<Slot>>(),
                 has: Has::All,
             }),
             _ => None,
         });
-        let answers: Vec<Note> = answers.collect();
+        let answers: Vec<MessagePart> = answers.collect();
         if !answers.is_empty() {
             self.answers.push((id, answers));
         }
@@ -306,7 +307,7 @@
                 boot_id: first.boot_id,
                 incarnation: first.incarnation,
                 stamp: now.0,
-                notes: vec![Note::Updates(vec![update])],
+                parts: vec![MessagePart::MemberUpdates(vec![update])],
             };
             let (core, timers) = (&mut self.core, &mut self.timers);
             timers
--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -13,7 +13,7 @@
 use trailproxy::units::Timestamp;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    self, Address, BootId, MemberUpdate, Message, Note, PeerId,
+    self, Address, BootId, MemberUpdate, Message, MessagePart, PeerId,
 };
 use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::sites::topology;
@@ -155,7 +155,7 @@
             boot_id: first.boot_id,
             incarnation: first.incarnation,
             stamp: now.0,
-            notes: vec![Note::Updates(updates)],
+            parts: vec![MessagePart::MemberUpdates(updates)],
         };
         self.core.heard(now, first.address, message);
         self.send();
--- a/crates/capacity-live/src/question.rs
+++ b/crates/capacity-live/src/question.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
-use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{AskNo, BootId, Message, MessagePart, PeerId};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 /// An answer that does not come by then is asked for again.
@@ -54,14 +54,14 @@
         boot_id: BootId(0),
         incarnation: 0,
         stamp: now.map_or(0, |since| since.as_micros() as u64),
-        notes: vec![Note::Show(no)],
+        parts: vec![MessagePart::StatusRequest(no)],
     }
 }
 
 fn answer(seal: &Seal, bytes: &[u8]) -> Option<Standing> {
     let (message, _) = seal.read(bytes).ok()?;
-    match message.notes.first()? {
-        Note::Shown(_, text) => standing(text),
+    match message.parts.first()? {
+        MessagePart::OperatorReply(_, text) => standing(text),
         _ => None,
     }
 }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::shares::Act;
-use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, MessagePart, PeerId};
 use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::Folding;
@@ -131,7 +131,7 @@
                     boot_id: own.boot_id,
                     incarnation: own.incarnation,
                     stamp: now.0,
-                    notes: vec![Note::Updates(piece.to_vec())],
+                    parts: vec![MessagePart::MemberUpdates(piece.to_vec())],
                 };
                 let address = own.address;
                 self.with_peers(member, |peers| peers.heard(now, address, message));
@@ -152,7 +152,11 @@
     }
 
     fn updates_sent(&self) -> u64 {
-        let sent = |of: &Member| of.traffic.sent_of(&Note::Updates(Vec::new())).messages;
+        let sent = |of: &Member| {
+            of.traffic
+                .sent_of(&MessagePart::MemberUpdates(Vec::new()))
+                .messages
+        };
         self.members.iter().map(sent).sum()
     }
 
--- a/crates/capacity/src/fleet/planted.rs
+++ b/crates/capacity/src/fleet/planted.rs
@@ -1,6 +1,6 @@
 //! Mistakes put in on purpose around the cores, to show that the rig finds such.
 
-use trailproxy_peers::decide::messages::{Message, Note};
+use trailproxy_peers::decide::messages::{Message, MessagePart};
 
 /// One mistake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,6 +24,6 @@
 
 /// Whether a message spreads purges.
 pub fn spreads(message: &Message) -> bool {
-    let rumours = |note: &Note| matches!(note, Note::Rumours(_));
-    message.notes.iter().any(rumours)
+    let rumours = |note: &MessagePart| matches!(note, MessagePart::Gossip(_));
+    message.parts.iter().any(rumours)
 }
--- a/crates/capacity/src/fleet/traffic.rs
+++ b/crates/capacity/src/fleet/traffic.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_peers::decide::facts::Fact;
-use trailproxy_peers::decide::messages::{Message, Note};
+use trailproxy_peers::decide::messages::{Message, MessagePart};
 use trailproxy_peers::wire::Seal;
 
 /// Headers of IPv4 and UDP.
@@ -45,30 +45,30 @@
     matches!(facts.first(), Some(Fact::Record { .. }))
 }
 
-fn kind_of(note: &Note) -> usize {
+fn kind_of(note: &MessagePart) -> usize {
     match note {
-        Note::Ping(..) => 0,
-        Note::Ack(..) => 1,
-        Note::PingFor(..) => 2,
-        Note::AckFor(..) => 3,
-        Note::Join => 4,
-        Note::Updates(_) => 5,
-        Note::Opened { .. } => 6,
-        Note::Rumours(facts) if is_record(facts) => 18,
-        Note::Rumours(_) => 7,
-        Note::Claim { .. } | Note::ClaimInZone { .. } => 8,
-        Note::Stood { .. } => 9,
-        Note::Put(..) => 10,
-        Note::Taken(_) => 11,
-        Note::Sums(_) => 12,
-        Note::Same { .. } => 13,
-        Note::Differ(_) => 14,
-        Note::Pull { .. } => 15,
-        Note::Page { .. } => 16,
-        Note::Beside(..) => 17,
-        Note::Relay(_) => 19,
-        Note::Located(_) | Note::Localities(_) => 20,
-        Note::SumsWithin(..) => 21,
+        MessagePart::Ping(..) => 0,
+        MessagePart::Ack(..) => 1,
+        MessagePart::IndirectPing(..) => 2,
+        MessagePart::IndirectAck(..) => 3,
+        MessagePart::MembersRequest => 4,
+        MessagePart::MemberUpdates(_) => 5,
+        MessagePart::BreakerOpened { .. } => 6,
+        MessagePart::Gossip(facts) if is_record(facts) => 18,
+        MessagePart::Gossip(_) => 7,
+        MessagePart::Claim { .. } | MessagePart::ClaimInZone { .. } => 8,
+        MessagePart::ClaimStatus { .. } => 9,
+        MessagePart::Store(..) => 10,
+        MessagePart::Stored(_) => 11,
+        MessagePart::Checksums(_) => 12,
+        MessagePart::Same { .. } => 13,
+        MessagePart::Different(_) => 14,
+        MessagePart::PageRequest { .. } => 15,
+        MessagePart::Page { .. } => 16,
+        MessagePart::Subsystem(..) => 17,
+        MessagePart::Relay(_) => 19,
+        MessagePart::SenderLocality(_) | MessagePart::MemberLocalities(_) => 20,
+        MessagePart::ChecksumsInRange(..) => 21,
         _ => 22,
     }
 }
@@ -130,7 +130,7 @@
     pub fn sent(&mut self, now: Timestamp, message: &Message, bytes: u64) {
         self.sent.add(bytes);
         self.peak.add(now, bytes);
-        let Some((first, rest)) = message.notes.split_first() else {
+        let Some((first, rest)) = message.parts.split_first() else {
             return self.kinds[NO_NOTE].add(bytes);
         };
         let mut left = bytes;
@@ -143,7 +143,7 @@
     }
 
     /// Messages sent with notes of the kind of this one.
-    pub fn sent_of(&self, note: &Note) -> Volume {
+    pub fn sent_of(&self, note: &MessagePart) -> Volume {
         self.kinds[kind_of(note)]
     }
 
@@ -153,7 +153,7 @@
     }
 }
 
-fn note_bytes(note: &Note) -> u64 {
+fn note_bytes(note: &MessagePart) -> u64 {
     let bytes = postcard::to_allocvec(note).map_or(0, |bytes| bytes.len() as u64);
     bytes + NOTE_LENGTH_BYTES
 }
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -134,11 +134,11 @@
         key: u128,
         claim: Option<facts::Claim>,
     ) {
-        let note = match self.keepers.scope() {
-            Scope::Fleet => Note::Claim { no, key, claim },
-            Scope::Zone => Note::ClaimInZone { no, key, claim },
+        let part = match self.keepers.scope() {
+            Scope::Fleet => MessagePart::Claim { no, key, claim },
+            Scope::Zone => MessagePart::ClaimInZone { no, key, claim },
         };
-        self.send_to(now, whom, vec![note]);
+        self.send_to(now, whom, vec![part]);
     }
 
     /// A claim at one who keeps its key: what is known of the key, and whether that is all.
@@ -253,11 +253,11 @@
                     self.claims.taken(no, own);
                 } else {
                     let facts = vec![fact.clone()];
-                    let note = match scope {
-                        Scope::Fleet => Note::Put(no, facts),
-                        Scope::Zone => Note::Rumours(facts),
+                    let part = match scope {
+                        Scope::Fleet => MessagePart::Store(no, facts),
+                        Scope::Zone => MessagePart::Gossip(facts),
                     };
-                    self.send_to(now, whom, vec![note]);
+                    self.send_to(now, whom, vec![part]);
                 }
             }
         }
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -10,7 +10,7 @@
 use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
 use super::messages::{
-    Address, AskNo, BootId, MemberStatus, MemberSummary, MemberUpdate, Note, PeerId,
+    Address, AskNo, BootId, MemberStatus, MemberSummary, MemberUpdate, MessagePart, PeerId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
@@ -126,7 +126,7 @@
 /// What the members' side wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
-    Send(Address, Vec<Note>),
+    Send(Address, Vec<MessagePart>),
     Turned(PeerId, MemberStatus),
     /// A member said where it is.
     Located,
@@ -276,20 +276,22 @@
     }
 
     /// A sign of life, with where this one is.
-    fn sign(&self, note: Note) -> Vec<Note> {
-        let located = self.locality.map(Note::Located);
-        [note].into_iter().chain(located).collect()
+    fn sign(&self, part: MessagePart) -> Vec<MessagePart> {
+        let located = self.locality.map(MessagePart::SenderLocality);
+        [part].into_iter().chain(located).collect()
     }
 
     /// Updates, with where the members are.
-    fn updates(&self, updates: Vec<MemberUpdate>) -> Vec<Note> {
+    fn updates(&self, updates: Vec<MemberUpdate>) -> Vec<MessagePart> {
         let locality = |update: &MemberUpdate| match update.id == self.own.id {
             true => self.locality,
             false => self.locality(update.id),
         };
         let localities: Vec<_> = updates.iter().map(locality).collect();
-        let localities = self.locality.map(|_| Note::Localities(localities));
-        let updates = Note::Updates(updates);
+        let localities = self
+            .locality
+            .map(|_| MessagePart::MemberLocalities(localities));
+        let updates = MessagePart::MemberUpdates(updates);
         [updates].into_iter().chain(localities).collect()
     }
 
@@ -317,8 +319,8 @@
         self.doublings() * 2 + 2
     }
 
-    fn send(&mut self, to: Address, notes: Vec<Note>) {
-        self.todo.push(MemberAction::Send(to, notes));
+    fn send(&mut self, to: Address, parts: Vec<MessagePart>) {
+        self.todo.push(MemberAction::Send(to, parts));
     }
 
     fn no(&mut self) -> AskNo {
@@ -388,7 +390,7 @@
         {
             // It does not know that it was given up: it says so itself under its next incarnation.
             let told = member.update;
-            self.send(address, vec![Note::Updates(vec![told])]);
+            self.send(address, vec![MessagePart::MemberUpdates(vec![told])]);
         }
         self.update(now, update);
         if let Some(member) = self.members.get_mut(&from)
@@ -468,7 +470,7 @@
     }
 
     /// Updates that are to be passed on: what was told least comes first.
-    pub fn gossip(&mut self) -> Vec<Note> {
+    pub fn gossip(&mut self) -> Vec<MessagePart> {
         let mut updates = Vec::new();
         if self.own_telling > 0 {
             self.own_telling -= 1;
@@ -497,20 +499,20 @@
     }
 
     /// A note about who is there; `false`: it is none of these.
-    pub fn note(
+    pub fn handle_part(
         &mut self,
         now: Timestamp,
         from: PeerId,
         address: Address,
-        note: &Note,
+        part: &MessagePart,
         own: MemberSummary,
     ) -> bool {
-        match note {
-            Note::Ping(no, state) => {
+        match part {
+            MessagePart::Ping(no, state) => {
                 self.state(now, from, address, *state);
-                self.send(address, self.sign(Note::Ack(*no, own)));
+                self.send(address, self.sign(MessagePart::Ack(*no, own)));
             }
-            Note::Ack(no, state) => {
+            MessagePart::Ack(no, state) => {
                 self.state(now, from, address, *state);
                 if self
                     .probe
@@ -519,18 +521,18 @@
                     self.probe = None;
                 }
                 if let Some((asker, theirs, whom, _)) = self.helping.remove(no) {
-                    self.send(asker, vec![Note::AckFor(theirs, whom)]);
+                    self.send(asker, vec![MessagePart::IndirectAck(theirs, whom)]);
                 }
             }
-            Note::PingFor(theirs, whom, at) => {
+            MessagePart::IndirectPing(theirs, whom, at) => {
                 if self.helping.len() < MOST {
                     let no = self.no();
                     self.helping
                         .insert(no, (address, *theirs, *whom, now + PERIOD));
-                    self.send(*at, self.sign(Note::Ping(no, own)));
+                    self.send(*at, self.sign(MessagePart::Ping(no, own)));
                 }
             }
-            Note::AckFor(no, whom) => {
+            MessagePart::IndirectAck(no, whom) => {
                 if self
                     .probe
                     .is_some_and(|probe| probe.no == *no && probe.whom == *whom)
@@ -542,7 +544,7 @@
                     }
                 }
             }
-            Note::Join => {
+            MessagePart::MembersRequest => {
                 let told = |member: &&Member| {
                     self.tellable(member) && (member.there() || now.since(member.since) < LATELY)
                 };
@@ -556,15 +558,15 @@
                     self.send(address, self.updates(piece.to_vec()));
                 }
             }
-            Note::Updates(updates) => {
+            MessagePart::MemberUpdates(updates) => {
                 updates.iter().for_each(|&update| self.update(now, update));
                 self.updated = updates
                     .iter()
                     .map(|update| (update.id, update.boot_id))
                     .collect();
             }
-            Note::Located(locality) => self.locate(from, None, *locality),
-            Note::Localities(localities) => {
+            MessagePart::SenderLocality(locality) => self.locate(from, None, *locality),
+            MessagePart::MemberLocalities(localities) => {
                 let updated = std::mem::take(&mut self.updated);
                 let same = updated.len() == localities.len();
                 let told = updated.into_iter().zip(localities).filter(|_| same);
@@ -593,7 +595,7 @@
             && state.membership_checksum != self.membership_checksum()
         {
             self.next_member_list_request_at = now + ROSTER_EVERY;
-            self.send(address, vec![Note::Join]);
+            self.send(address, vec![MessagePart::MembersRequest]);
         }
     }
 
@@ -611,7 +613,7 @@
             .map(|(_, member)| member.update.address)
             .collect();
         for to in all {
-            self.send(to, vec![Note::Updates(vec![self.own])]);
+            self.send(to, vec![MessagePart::MemberUpdates(vec![self.own])]);
         }
     }
 
@@ -678,7 +680,10 @@
         let mut helpers: Vec<Address> = helpers.map(|(_, member)| member.update.address).collect();
         chance.shuffle(&mut helpers);
         for to in helpers.into_iter().take(HELPERS) {
-            self.send(to, vec![Note::PingFor(probe.no, probe.whom, address)]);
+            self.send(
+                to,
+                vec![MessagePart::IndirectPing(probe.no, probe.whom, address)],
+            );
         }
     }
 
@@ -694,7 +699,10 @@
             };
             self.update(now, update);
             // The one that is doubted hears of it first.
-            self.send(update.address, vec![Note::Updates(vec![update])]);
+            self.send(
+                update.address,
+                vec![MessagePart::MemberUpdates(vec![update])],
+            );
         }
     }
 
@@ -720,7 +728,7 @@
                 sent,
                 by_others,
             });
-            return self.send(to, self.sign(Note::Ping(no, own)));
+            return self.send(to, self.sign(MessagePart::Ping(no, own)));
         }
     }
 
@@ -744,10 +752,10 @@
             self.knock_next = self.knock_next.wrapping_add(1);
             let (to, update) = all[self.knock_next % all.len()];
             let no = self.no();
-            let mut notes = self.sign(Note::Ping(no, own));
-            notes.push(Note::Join);
-            notes.extend(update.map(|update| Note::Updates(vec![update])));
-            self.send(to, notes);
+            let mut parts = self.sign(MessagePart::Ping(no, own));
+            parts.push(MessagePart::MembersRequest);
+            parts.extend(update.map(|update| MessagePart::MemberUpdates(vec![update])));
+            self.send(to, parts);
         }
     }
 }
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -85,24 +85,24 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
+pub enum MessagePart {
     Ping(AskNo, MemberSummary),
     Ack(AskNo, MemberSummary),
     /// Ping that one for me: I don't reach it.
-    PingFor(AskNo, PeerId, Address),
+    IndirectPing(AskNo, PeerId, Address),
     /// It is alive, though you don't reach it.
-    AckFor(AskNo, PeerId),
+    IndirectAck(AskNo, PeerId),
     /// Who is there?
-    Join,
-    Updates(Vec<MemberUpdate>),
+    MembersRequest,
+    MemberUpdates(Vec<MemberUpdate>),
     /// A breaker opened at that moment, for a host that started then (in seconds).
-    Opened {
+    BreakerOpened {
         host: u64,
         started: u64,
         at: u64,
     },
     /// Facts for whoever keeps them; nothing is answered.
-    Rumours(Vec<Fact>),
+    Gossip(Vec<Fact>),
     /// I am about to send under this key: what is known of it? `claim` is none where it only looks.
     Claim {
         no: AskNo,
@@ -110,25 +110,25 @@
         claim: Option<Claim>,
     },
     /// All that is known of the key; `sure`: what is not there never was, for as long as it matters.
-    Stood {
+    ClaimStatus {
         no: AskNo,
         sure: bool,
         claims: Vec<Claim>,
     },
     /// Facts that the writer wants to be sure of.
-    Put(AskNo, Vec<Fact>),
-    Taken(AskNo),
+    Store(AskNo, Vec<Fact>),
+    Stored(AskNo),
     /// Sums of what I have in these slots.
-    Sums(Vec<(Slot, u64)>),
+    Checksums(Vec<(Slot, u64)>),
     /// The same here.
     Same {
         slots: Vec<Slot>,
         has: Has,
     },
     /// Not the same here: I fetch what you have, and you may fetch what I have.
-    Differ(Vec<Slot>),
+    Different(Vec<Slot>),
     /// Give me what you have of a slot, from after that fact on.
-    Pull {
+    PageRequest {
         slot: Slot,
         after: Option<FactId>,
     },
@@ -141,19 +141,19 @@
         has: Has,
     },
     /// From the command line: how do you stand?
-    Show(AskNo),
+    StatusRequest(AskNo),
     /// From the command line: leave the fleet and serve alone, or come back to it.
     Leave(AskNo, bool),
-    Shown(AskNo, String),
+    OperatorReply(AskNo, String),
     /// From the command line: how does that subsystem stand?
-    ShowOf(AskNo, u8),
+    SubsystemStatusRequest(AskNo, u8),
     /// Of another subsystem, which reads it by itself: its number, and its bytes.
-    Beside(u8, Vec<u8>),
+    Subsystem(u8, Vec<u8>),
     /// Where the writer is.
-    Located(Locality),
+    SenderLocality(Locality),
     /// Where the members of the updates just before are, in their order.
-    Localities(Vec<Option<Locality>>),
-    /// As [`Note::Claim`], of a writer whose zone has replicas of its own, to one of them.
+    MemberLocalities(Vec<Option<Locality>>),
+    /// As [`MessagePart::Claim`], of a writer whose zone has replicas of its own, to one of them.
     ClaimInZone {
         no: AskNo,
         key: u128,
@@ -161,8 +161,8 @@
     },
     /// What is claimed in the writer's zone.
     Relay(Relay),
-    /// As [`Note::Sums`], of what was last of use within this time only. It is answered in the same way.
-    SumsWithin(Within, Vec<(Slot, u64)>),
+    /// As [`MessagePart::Checksums`], of what was last of use within this time only. It is answered in the same way.
+    ChecksumsInRange(Within, Vec<(Slot, u64)>),
 }
 
 /// A range of time, from its first moment to the one before the last, by the writer's clock.
@@ -248,5 +248,5 @@
     pub incarnation: u32,
     /// When it was written, by the writer's clock.
     pub stamp: u64,
-    pub notes: Vec<Note>,
+    pub parts: Vec<MessagePart>,
 }
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -42,7 +42,7 @@
 use facts::{Fact, FactId, Facts, Lasts, Listed, Slot, Token, mix};
 use keepers::{Changed, Keepers, Scope};
 use members::{MemberAction, Members, Own};
-use messages::{Address, AskNo, MemberStatus, MemberSummary, Message, Note, PeerId};
+use messages::{Address, AskNo, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
 use relay::Relays;
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{PIECE, Sync, Who, Why};
@@ -342,29 +342,29 @@
         matches!(self.state, PeerState::Superseded | PeerState::Left)
     }
 
-    fn send(&mut self, now: Timestamp, to: Address, notes: Vec<Note>) {
+    fn send(&mut self, now: Timestamp, to: Address, parts: Vec<MessagePart>) {
         if self.members.superseded {
             return;
         }
         self.counts.letters_out += 1;
-        let message = self.message(now, notes);
+        let message = self.message(now, parts);
         self.acts.push(Action::Send(to, message));
     }
 
-    fn message(&self, now: Timestamp, notes: Vec<Note>) -> Message {
+    fn message(&self, now: Timestamp, parts: Vec<MessagePart>) -> Message {
         let own = self.members.own();
         Message {
             from: own.id,
             boot_id: own.boot_id,
             incarnation: own.incarnation,
             stamp: now.0,
-            notes,
+            parts,
         }
     }
 
-    fn send_to(&mut self, now: Timestamp, id: PeerId, notes: Vec<Note>) {
+    fn send_to(&mut self, now: Timestamp, id: PeerId, parts: Vec<MessagePart>) {
         if let Some(to) = self.members.address(id) {
-            self.send(now, to, notes);
+            self.send(now, to, parts);
         }
     }
 
@@ -435,9 +435,9 @@
         let (mut turned, mut members_changed) = (false, false);
         for todo in self.members.take() {
             match todo {
-                MemberAction::Send(to, mut notes) => {
-                    notes.extend(self.members.gossip());
-                    self.send(now, to, notes);
+                MemberAction::Send(to, mut parts) => {
+                    parts.extend(self.members.gossip());
+                    self.send(now, to, parts);
                 }
                 MemberAction::Turned(id, status) => {
                     (turned, members_changed) = (true, true);
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -5,9 +5,9 @@
 impl Peers {
     /// A question from the command line is answered whatever state this one is in, and makes nobody a member.
     pub fn shown(&mut self, now: Timestamp, address: Address, message: &Message) -> bool {
-        let no = match message.notes[..] {
-            [Note::Show(no)] => no,
-            [Note::Leave(no, leaves)] => {
+        let no = match message.parts[..] {
+            [MessagePart::StatusRequest(no)] => no,
+            [MessagePart::Leave(no, leaves)] => {
                 if leaves {
                     self.leave(now);
                 } else {
@@ -24,7 +24,7 @@
 
     /// What the command line asked for.
     pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
-        let message = self.message(now, vec![Note::Shown(no, text)]);
+        let message = self.message(now, vec![MessagePart::OperatorReply(no, text)]);
         self.acts.push(Action::Send(address, message));
     }
 
@@ -96,7 +96,7 @@
     /// A word of another subsystem to that one. It may be lost, as any message, and is where that one is not known.
     pub fn beside(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
         if !self.quiet() {
-            self.send_to(now, to, vec![Note::Beside(of, bytes)]);
+            self.send_to(now, to, vec![MessagePart::Subsystem(of, bytes)]);
         }
     }
 }
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -41,7 +41,7 @@
             self.members.update(now, update);
             if !self.members.superseded {
                 let own = *self.members.own();
-                self.send(now, address, vec![Note::Updates(vec![own])]);
+                self.send(now, address, vec![MessagePart::MemberUpdates(vec![own])]);
             }
             return self.settle(now);
         }
@@ -54,8 +54,8 @@
             stamp,
         };
         let mut answers = Vec::new();
-        for note in message.notes {
-            self.note(now, origin, note, &mut answers);
+        for part in message.parts {
+            self.handle_part(now, origin, part, &mut answers);
         }
         if !answers.is_empty() {
             self.send(now, address, answers);
@@ -93,18 +93,24 @@
         self.settle(now);
     }
 
-    fn note(&mut self, now: Timestamp, origin: Origin, note: Note, answers: &mut Vec<Note>) {
+    fn handle_part(
+        &mut self,
+        now: Timestamp,
+        origin: Origin,
+        part: MessagePart,
+        answers: &mut Vec<MessagePart>,
+    ) {
         let Origin {
             from,
             address,
             stamp,
         } = origin;
         let own = self.summary();
-        if self.members.note(now, from, address, &note, own) {
+        if self.members.handle_part(now, from, address, &part, own) {
             return;
         }
-        match note {
-            Note::Opened { host, started, at } => {
+        match part {
+            MessagePart::BreakerOpened { host, started, at } => {
                 let (key, at) = ((HostId(host), started), Timestamp(at).min(now));
                 let known = self.hints.contains_key(&key);
                 if self.rules.hints
@@ -116,40 +122,42 @@
                     self.acts.push(Action::Hinted { host: HostId(host) });
                 }
             }
-            Note::Rumours(facts) => facts.into_iter().for_each(|fact| self.told(now, fact)),
-            Note::Claim { no, key, claim } => {
+            MessagePart::Gossip(facts) => facts.into_iter().for_each(|fact| self.told(now, fact)),
+            MessagePart::Claim { no, key, claim } => {
                 let (sure, claims) = self.claimed(now, key, claim, Scope::Fleet);
-                answers.push(Note::Stood { no, sure, claims });
+                answers.push(MessagePart::ClaimStatus { no, sure, claims });
             }
-            Note::ClaimInZone { no, key, claim } => {
+            MessagePart::ClaimInZone { no, key, claim } => {
                 let (sure, claims) = self.claimed_in_zone(now, from, key, claim);
-                answers.push(Note::Stood { no, sure, claims });
+                answers.push(MessagePart::ClaimStatus { no, sure, claims });
             }
-            Note::Relay(relay) => self.relayed(now, from, stamp.0, relay),
-            Note::Stood { no, sure, claims } => self.stood(now, no, from, sure, claims),
-            Note::Put(no, facts) => {
+            MessagePart::Relay(relay) => self.relayed(now, from, stamp.0, relay),
+            MessagePart::ClaimStatus { no, sure, claims } => {
+                self.stood(now, no, from, sure, claims)
+            }
+            MessagePart::Store(no, facts) => {
                 facts.into_iter().for_each(|fact| self.told(now, fact));
-                answers.push(Note::Taken(no));
+                answers.push(MessagePart::Stored(no));
             }
-            Note::Taken(no) => self.claims.taken(no, from),
-            Note::Sums(sums) => {
+            MessagePart::Stored(no) => self.claims.taken(no, from),
+            MessagePart::Checksums(sums) => {
                 who!(self, who);
                 let facts = &mut self.facts;
                 answers.extend(self.sync.sums(from, &sums, |slot| facts.sum(slot), &who));
             }
-            Note::SumsWithin(within, sums) => {
+            MessagePart::ChecksumsInRange(within, sums) => {
                 who!(self, who);
                 let facts = &self.facts;
                 let own = |slot| facts.sum_within(slot, within);
                 answers.extend(self.sync.sums(from, &sums, own, &who));
             }
-            Note::Same { slots, has } => {
+            MessagePart::Same { slots, has } => {
                 who!(self, who);
                 for slot in self.sync.same(now, from, &slots, has, &who) {
                     self.facts.drop_slot(slot);
                 }
             }
-            Note::Differ(slots) => {
+            MessagePart::Different(slots) => {
                 // What is only held here becomes the same there before it is let go of.
                 let own = self.members.own().id;
                 let held: BTreeSet<Slot> = self.facts.slots().collect();
@@ -159,11 +167,11 @@
                     }
                 }
             }
-            Note::Pull { slot, after } if self.sync.gives(now) => {
+            MessagePart::PageRequest { slot, after } if self.sync.gives(now) => {
                 self.counts.pieces_out += 1;
                 let (facts, end) = self.facts.page(slot, after, PIECE);
                 let has = self.sync.has(slot);
-                answers.push(Note::Page {
+                answers.push(MessagePart::Page {
                     slot,
                     after,
                     facts,
@@ -171,7 +179,7 @@
                     has,
                 });
             }
-            Note::Page {
+            MessagePart::Page {
                 slot,
                 after,
                 facts,
@@ -192,12 +200,14 @@
                         self.sync.spread(now, &others);
                     }
                 }
-                if let Some((whom, note)) = next {
-                    self.send_to(now, whom, vec![note]);
+                if let Some((whom, part)) = next {
+                    self.send_to(now, whom, vec![part]);
                 }
             }
-            Note::Beside(of, bytes) => self.acts.push(Action::Beside(from, of, bytes)),
-            Note::Show(no) => answers.push(Note::Shown(no, self.show(now))),
+            MessagePart::Subsystem(of, bytes) => self.acts.push(Action::Beside(from, of, bytes)),
+            MessagePart::StatusRequest(no) => {
+                answers.push(MessagePart::OperatorReply(no, self.show(now)))
+            }
             _ => {}
         }
     }
@@ -226,8 +236,8 @@
             self.sync
                 .advance(now, &held, own, &who, &anybody, &mut self.chance)
         };
-        for (whom, note) in asks {
-            self.send_to(now, whom, vec![note]);
+        for (whom, part) in asks {
+            self.send_to(now, whom, vec![part]);
         }
     }
 }
--- a/crates/peers/src/decide/relaying.rs
+++ b/crates/peers/src/decide/relaying.rs
@@ -17,8 +17,8 @@
 }
 
 /// Relays to one member in as few messages as hold them, each no longer than a usual network carries in one piece.
-fn messages_of(relays: Vec<Relay>) -> Vec<Vec<Note>> {
-    let mut messages: Vec<Vec<Note>> = Vec::new();
+fn messages_of(relays: Vec<Relay>) -> Vec<Vec<MessagePart>> {
+    let mut messages: Vec<Vec<MessagePart>> = Vec::new();
     let mut room = 0;
     for relay in relays {
         let size = relay.size();
@@ -28,7 +28,7 @@
         }
         room = room.saturating_sub(size);
         if let Some(message) = messages.last_mut() {
-            message.push(Note::Relay(relay));
+            message.push(MessagePart::Relay(relay));
         }
     }
     messages
@@ -130,8 +130,8 @@
             by_partner.entry(to).or_default().push(relay);
         }
         for (to, relays) in by_partner {
-            for notes in messages_of(relays) {
-                self.send_to(now, to, notes);
+            for parts in messages_of(relays) {
+                self.send_to(now, to, parts);
             }
         }
     }
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -179,12 +179,12 @@
 
     pub(super) fn gossip(&mut self, now: Timestamp) {
         self.hints.retain(|_, (at, _)| now.since(*at) < HINT_LASTS);
-        let mut notes = Vec::new();
+        let mut parts = Vec::new();
         for (&(host, started), (at, left)) in &mut self.hints {
-            if *left > 0 && notes.len() < RUMOURS {
+            if *left > 0 && parts.len() < RUMOURS {
                 *left -= 1;
                 let (host, at) = (host.0, at.0);
-                notes.push(Note::Opened { host, started, at });
+                parts.push(MessagePart::BreakerOpened { host, started, at });
             }
         }
         let due = self
@@ -198,15 +198,15 @@
         }
         self.rumours.retain(|_, rumour| rumour.left > 0);
         if !facts.is_empty() {
-            notes.push(Note::Rumours(facts));
+            parts.push(MessagePart::Gossip(facts));
         }
-        if notes.is_empty() {
+        if parts.is_empty() {
             return;
         }
         let mut whom: Vec<PeerId> = self.members.there().map(|(id, _)| id).collect();
         self.chance.shuffle(&mut whom);
         for id in whom.into_iter().take(TELL_TO) {
-            self.send_to(now, id, notes.clone());
+            self.send_to(now, id, parts.clone());
         }
     }
 }
--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -6,7 +6,7 @@
 //! run out. Nobody waits for any of this.
 
 use super::facts::{Fact, FactId, Slot};
-use super::messages::{Has, Note, PeerId, Within};
+use super::messages::{Has, MessagePart, PeerId, Within};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -193,7 +193,7 @@
         sums: &[(Slot, u64)],
         mut own: impl FnMut(Slot) -> u64,
         who: &Who,
-    ) -> Vec<Note> {
+    ) -> Vec<MessagePart> {
         let (same, differ): (Vec<_>, Vec<_>) =
             sums.iter().partition(|&&(slot, sum)| own(slot) == sum);
         let slots =
@@ -204,18 +204,18 @@
                 self.fetch(slot, from);
             }
         }
-        let mut notes = Vec::new();
+        let mut parts = Vec::new();
         for has in [Has::All, Has::Own, Has::Some] {
             let slots = same.iter().copied().filter(|&slot| self.has(slot) == has);
             let slots: Vec<Slot> = slots.collect();
             if !slots.is_empty() {
-                notes.push(Note::Same { slots, has });
+                parts.push(MessagePart::Same { slots, has });
             }
         }
         if !differ.is_empty() {
-            notes.push(Note::Differ(differ));
+            parts.push(MessagePart::Different(differ));
         }
-        notes
+        parts
     }
 
     /// Another has the same. What is here and not this one's to keep may go then.
@@ -285,7 +285,7 @@
         facts: &[Fact],
         (end, has): (bool, Has),
         who: &Who,
-    ) -> (bool, Option<(PeerId, Note)>) {
+    ) -> (bool, Option<(PeerId, MessagePart)>) {
         let fetch = self.fetching.get_mut(&slot);
         let Some(fetch) = fetch.filter(|fetch| fetch.from == from && fetch.after == after) else {
             return (false, None);
@@ -301,7 +301,7 @@
         fetch.after = facts.last().map(Fact::id).or(after);
         (fetch.asked, fetch.tries) = (now, 0);
         let after = fetch.after;
-        (true, Some((from, Note::Pull { slot, after })))
+        (true, Some((from, MessagePart::PageRequest { slot, after })))
     }
 
     pub fn next(&self) -> Timestamp {
@@ -322,7 +322,7 @@
         who: &Who,
         anybody: &[PeerId],
         chance: &mut fastrand::Rng,
-    ) -> Vec<(PeerId, Note)> {
+    ) -> Vec<(PeerId, MessagePart)> {
         let mut asks = Vec::new();
         let (settled, held) = (held.settled, &held.slots);
         let (records, commons) = self.over;
@@ -351,7 +351,7 @@
                     has,
                 },
             );
-            asks.push((from, Note::Pull { slot, after }));
+            asks.push((from, MessagePart::PageRequest { slot, after }));
         }
         // Each slot is asked of one other, by turns, so that several share the work.
         let mut by_peer: BTreeMap<PeerId, Vec<(Slot, u64)>> = BTreeMap::new();
@@ -428,21 +428,27 @@
         if let Some(settled) = settled {
             for (whom, sums) in settled_by_peer {
                 for piece in sums.chunks(SUMS) {
-                    asks.push((whom, Note::SumsWithin(settled, piece.to_vec())));
+                    asks.push((whom, MessagePart::ChecksumsInRange(settled, piece.to_vec())));
                 }
             }
         }
         for (whom, mut sums) in by_peer {
             sums.dedup();
             for piece in sums.chunks(SUMS) {
-                asks.push((whom, Note::Sums(piece.to_vec())));
+                asks.push((whom, MessagePart::Checksums(piece.to_vec())));
             }
         }
         asks
     }
 
     /// A piece that did not come is asked for again, then of another, then left.
-    fn again(&mut self, now: Timestamp, slot: Slot, who: &Who, asks: &mut Vec<(PeerId, Note)>) {
+    fn again(
+        &mut self,
+        now: Timestamp,
+        slot: Slot,
+        who: &Who,
+        asks: &mut Vec<(PeerId, MessagePart)>,
+    ) {
         let Some(fetch) = self.fetching.get_mut(&slot) else {
             return;
         };
@@ -463,6 +469,6 @@
             }
         }
         let after = fetch.after;
-        asks.push((fetch.from, Note::Pull { slot, after }));
+        asks.push((fetch.from, MessagePart::PageRequest { slot, after }));
     }
 }
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,7 +1,7 @@
 //! Messages as datagrams: postcard, each note by itself, so that one of a newer version is passed over, and a keyed sum
 //! behind, so that nothing of another fleet is read.
 
-use crate::decide::messages::{BootId, Message, Note, PeerId};
+use crate::decide::messages::{BootId, Message, MessagePart, PeerId};
 use serde::{Deserialize, Serialize};
 
 /// The form of the head. A note of a kind that is not known is left out by its reader; a head never changes but with this.
@@ -61,10 +61,10 @@
             stamp: message.stamp,
         };
         let mut bytes = postcard::to_allocvec(&head).ok()?;
-        for note in &message.notes {
-            let note = postcard::to_allocvec(note).ok()?;
-            bytes.extend(u16::try_from(note.len()).ok()?.to_le_bytes());
-            bytes.extend(note);
+        for part in &message.parts {
+            let part = postcard::to_allocvec(part).ok()?;
+            bytes.extend(u16::try_from(part.len()).ok()?.to_le_bytes());
+            bytes.extend(part);
         }
         bytes.extend(self.sum(&bytes));
         (bytes.len() <= MOST_BYTES).then_some(bytes)
@@ -85,17 +85,17 @@
         }
         let (head, mut rest) =
             postcard::take_from_bytes::<Head>(bytes).map_err(|_| Unread::Garbled)?;
-        let (mut notes, mut unknown) = (Vec::new(), 0);
+        let (mut parts, mut unknown) = (Vec::new(), 0);
         while !rest.is_empty() {
             let Some((size, behind)) = rest.split_first_chunk::<2>() else {
                 return Err(Unread::Garbled);
             };
             let size = usize::from(u16::from_le_bytes(*size));
-            let Some((note, behind)) = behind.split_at_checked(size) else {
+            let Some((part, behind)) = behind.split_at_checked(size) else {
                 return Err(Unread::Garbled);
             };
-            match postcard::take_from_bytes::<Note>(note) {
-                Ok((note, _)) => notes.push(note),
+            match postcard::take_from_bytes::<MessagePart>(part) {
+                Ok((part, _)) => parts.push(part),
                 Err(_) => unknown += 1,
             }
             rest = behind;
@@ -105,7 +105,7 @@
             boot_id: head.boot_id,
             incarnation: head.incarnation,
             stamp: head.stamp,
-            notes,
+            parts,
         };
         Ok((message, unknown))
     }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -5,7 +5,9 @@
 use trailproxy_peers::decide::facts::{
     Claim, Fact, Facts, Lasts, Listed, Place, Stage, Token, merge,
 };
-use trailproxy_peers::decide::messages::{AskNo, BootId, MemberSummary, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{
+    AskNo, BootId, MemberSummary, Message, MessagePart, PeerId,
+};
 use trailproxy_peers::wire::{Seal, Unread, VERSION};
 
 fn place() -> impl Strategy<Value = Place> {
@@ -136,7 +138,7 @@
     fn no_bytes_are_read_but_those_of_the_fleet(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), at in any::<usize>(), bit in 0..8u8) {
         let seal = Seal::new("fleet", b"secret");
         prop_assert!(seal.read(&bytes).is_err());
-        let mut good = seal.write(&message(vec![Note::Join])).expect("short");
+        let mut good = seal.write(&message(vec![MessagePart::MembersRequest])).expect("short");
         let at = at % good.len();
         good[at] ^= 1 << bit;
         prop_assert!(seal.read(&good).is_err(), "a bit is flipped");
@@ -161,22 +163,22 @@
     assert_eq!(merge(purge(1), purge(2)), merge(purge(2), purge(1)));
 }
 
-fn message(notes: Vec<Note>) -> Message {
+fn message(parts: Vec<MessagePart>) -> Message {
     let (from, boot_id) = (PeerId(1), BootId(2));
     Message {
         from,
         boot_id,
         incarnation: 3,
         stamp: 4,
-        notes,
+        parts,
     }
 }
 
 #[test]
 fn a_letter_is_read_as_written_and_a_newer_note_is_passed_over() {
     let seal = Seal::new("fleet", b"");
-    let notes = vec![
-        Note::Ping(
+    let parts = vec![
+        MessagePart::Ping(
             AskNo(7),
             MemberSummary {
                 in_sync: true,
@@ -185,9 +187,9 @@
                 membership_checksum: 1,
             },
         ),
-        Note::Join,
+        MessagePart::MembersRequest,
     ];
-    let written = message(notes);
+    let written = message(parts);
     let bytes = seal.write(&written).expect("short");
     assert_eq!(seal.read(&bytes), Ok((written.clone(), 0)));
     assert_eq!(Seal::new("other", b"").read(&bytes), Err(Unread::Foreign));
@@ -205,7 +207,11 @@
     };
     let claims: Vec<Claim> = (0..12).map(claim).collect();
     let (no, sure) = (AskNo(u64::MAX), true);
-    let bytes = Seal::new("f", b"").write(&message(vec![Note::Stood { no, sure, claims }]));
+    let bytes = Seal::new("f", b"").write(&message(vec![MessagePart::ClaimStatus {
+        no,
+        sure,
+        claims,
+    }]));
     assert!(bytes.is_some_and(|bytes| bytes.len() < 8_192));
     assert_eq!(VERSION, 1);
 }
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -5,7 +5,7 @@
 use trailproxy::interface::{HostEntry, HostState};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{
-    AskNo, BootId, MemberStatus, MemberUpdate, Message, Note, PeerId,
+    AskNo, BootId, MemberStatus, MemberUpdate, Message, MessagePart, PeerId,
 };
 use trailproxy_peers::decide::{Action, PeerState, Rules};
 use world::*;
@@ -478,12 +478,12 @@
     world.ask(0, 7);
     world.run(SECOND);
     // It says that all are dead, that it is this one, and that the record never was.
-    let lies = |now: Timestamp, notes| Message {
+    let lies = |now: Timestamp, parts| Message {
         from: PeerId(99),
         boot_id: BootId(1),
         incarnation: 0,
         stamp: now.0,
-        notes,
+        parts,
     };
     let from = trailproxy_peers::decide::messages::Address {
         ip: [127, 9, 9, 9],
@@ -498,7 +498,7 @@
             }
         });
         let updates = updates.collect();
-        let message = lies(world.now, vec![Note::Updates(updates)]);
+        let message = lies(world.now, vec![MessagePart::MemberUpdates(updates)]);
         world.inject(n, from, message);
     }
     let took = world.until(TimeSpan::from_secs(5), |world| {
@@ -562,7 +562,7 @@
             boot_id: BootId(1),
             incarnation: 0,
             stamp: world.now.0,
-            notes: vec![Note::Claim {
+            parts: vec![MessagePart::Claim {
                 no: AskNo(1),
                 key: 5 << 120,
                 claim: None,
@@ -574,9 +574,9 @@
         let acts = peers.take();
         let says = |act: &Action| match act {
             Action::Send(_, message) => message
-                .notes
+                .parts
                 .iter()
-                .any(|note| matches!(note, Note::Stood { sure: true, .. })),
+                .any(|part| matches!(part, MessagePart::ClaimStatus { sure: true, .. })),
             _ => false,
         };
         sure += usize::from(acts.iter().any(says));
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
 use trailproxy_peers::decide::members::Own;
-use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
+use trailproxy_peers::decide::messages::{Address, Has, Message, MessagePart, PeerId, Relay};
 use trailproxy_peers::decide::{Action, PeerState, Peers, Rules, new_boot_id};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
@@ -147,8 +147,8 @@
 }
 
 fn relays(message: &mut Message) -> impl Iterator<Item = &mut Relay> {
-    message.notes.iter_mut().filter_map(|note| match note {
-        Note::Relay(relay) => Some(relay),
+    message.parts.iter_mut().filter_map(|part| match part {
+        MessagePart::Relay(relay) => Some(relay),
         _ => None,
     })
 }
@@ -330,18 +330,20 @@
     fn spoil(&self, message: &mut Message) {
         match self.planted {
             Some(Planted::WholeTooEarly) => {
-                for note in &mut message.notes {
-                    match note {
-                        Note::Stood { sure, .. } => *sure = true,
-                        Note::Same { has, .. } | Note::Page { has, .. } => *has = Has::All,
+                for part in &mut message.parts {
+                    match part {
+                        MessagePart::ClaimStatus { sure, .. } => *sure = true,
+                        MessagePart::Same { has, .. } | MessagePart::Page { has, .. } => {
+                            *has = Has::All
+                        }
                         _ => {}
                     }
                 }
             }
             Some(Planted::IncarnationTwice) => {
                 message.incarnation = 0;
-                for note in &mut message.notes {
-                    if let Note::Updates(updates) = note {
+                for part in &mut message.parts {
+                    if let MessagePart::MemberUpdates(updates) = part {
                         updates
                             .iter_mut()
                             .filter(|update| update.id == message.from)
@@ -361,8 +363,8 @@
                 relays(message).for_each(|relay| relay.hears = 0);
             }
             Some(Planted::ForgetByCount) => {
-                for note in &mut message.notes {
-                    if let Note::Stood { claims, .. } = note {
+                for part in &mut message.parts {
+                    if let MessagePart::ClaimStatus { claims, .. } = part {
                         claims.truncate(0);
                     }
                 }
--- a/crates/trailproxy-cli/src/peers.rs
+++ b/crates/trailproxy-cli/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use trailproxy_operator::read_file;
 use trailproxy_peers::config::Config;
-use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{AskNo, BootId, Message, MessagePart, PeerId};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 #[derive(Subcommand)]
@@ -84,7 +84,7 @@
     pub fn ask(
         &self,
         at: SocketAddrV4,
-        note: fn(AskNo) -> Note,
+        note: fn(AskNo) -> MessagePart,
     ) -> Result<(String, Duration), String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let unix = unix.map_err(|e| e.to_string())?.as_micros() as u64;
@@ -94,7 +94,7 @@
             boot_id: BootId(0),
             incarnation: 0,
             stamp: unix,
-            notes: vec![note(no)],
+            parts: vec![note(no)],
         };
         let bytes = self
             .seal
@@ -127,7 +127,7 @@
                 let Ok((message, _)) = self.seal.read(&heard[..size]) else {
                     continue;
                 };
-                if let Some(Note::Shown(of, text)) = message.notes.into_iter().next()
+                if let Some(MessagePart::OperatorReply(of, text)) = message.parts.into_iter().next()
                     && of == no
                 {
                     return Ok((text, begun.elapsed()));
@@ -160,7 +160,7 @@
     );
     let mut reached = 0;
     for at in way.all() {
-        match way.ask(at, Note::Show) {
+        match way.ask(at, MessagePart::StatusRequest) {
             Ok((_, took)) => {
                 reached += 1;
                 let ms = took.as_secs_f64() * 1_000.0;
@@ -179,14 +179,16 @@
 }
 
 fn show(file: &str, at: Option<SocketAddrV4>) -> Result<(), String> {
-    said(file, at, Note::Show, |text| Some(text.into()))
+    said(file, at, MessagePart::StatusRequest, |text| {
+        Some(text.into())
+    })
 }
 
 /// What all say, or the one at that address, each behind its address; `of` takes from it what is to be shown.
 pub fn said(
     file: &str,
     at: Option<SocketAddrV4>,
-    note: fn(AskNo) -> Note,
+    note: fn(AskNo) -> MessagePart,
     of: impl Fn(&str) -> Option<String>,
 ) -> Result<(), String> {
     let way = Way::open(file)?;
@@ -210,9 +212,9 @@
 
 fn leave(file: &str, at: SocketAddrV4, undo: bool) -> Result<(), String> {
     let way = Way::open(file)?;
-    let note: fn(AskNo) -> Note = match undo {
-        true => |no| Note::Leave(no, false),
-        false => |no| Note::Leave(no, true),
+    let note: fn(AskNo) -> MessagePart = match undo {
+        true => |no| MessagePart::Leave(no, false),
+        false => |no| MessagePart::Leave(no, true),
     };
     let (text, _) = way.ask(at, note)?;
     println!("{at}  {text}");
--- a/crates/trailproxy-cli/tests/peers.rs
+++ b/crates/trailproxy-cli/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::process::{Command, Output};
 use std::time::Duration;
-use trailproxy_peers::decide::messages::{BootId, Message, Note, PeerId};
+use trailproxy_peers::decide::messages::{BootId, Message, MessagePart, PeerId};
 use trailproxy_peers::wire::Seal;
 
 fn file(name: &str, text: &str) -> std::path::PathBuf {
@@ -50,13 +50,17 @@
             if !std::mem::replace(&mut lost, true) {
                 continue;
             }
-            let shown = match message.notes[..] {
-                [Note::Show(no)] => Note::Shown(no, "whole: alive=2".into()),
-                [Note::ShowOf(no, 1)] => {
+            let shown = match message.parts[..] {
+                [MessagePart::StatusRequest(no)] => {
+                    MessagePart::OperatorReply(no, "whole: alive=2".into())
+                }
+                [MessagePart::SubsystemStatusRequest(no, 1)] => {
                     let text = "budget 1/link: whole=9\n  word given to 0a: 3\nbudget cold parents: whole=1";
-                    Note::Shown(no, text.into())
+                    MessagePart::OperatorReply(no, text.into())
+                }
+                [MessagePart::Leave(no, true)] => {
+                    MessagePart::OperatorReply(no, "left: alive=2".into())
                 }
-                [Note::Leave(no, true)] => Note::Shown(no, "left: alive=2".into()),
                 _ => continue,
             };
             let message = Message {
@@ -64,7 +68,7 @@
                 boot_id: BootId(1),
                 incarnation: 0,
                 stamp: message.stamp,
-                notes: vec![shown],
+                parts: vec![shown],
             };
             let bytes = seal.write(&message).expect("short");
             let _ = socket.send_to(&bytes, from);
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -11,7 +11,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::BESIDE;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_peers::decide::messages::{BootId, Note, PeerId};
+use trailproxy_peers::decide::messages::{BootId, MessagePart, PeerId};
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Act, Sharing};
@@ -88,8 +88,8 @@
         let Some(peers) = &mut self.peers else {
             return;
         };
-        match told.message.notes[..] {
-            [Note::ShowOf(no, BESIDE)] => {
+        match told.message.parts[..] {
+            [MessagePart::SubsystemStatusRequest(no, BESIDE)] => {
                 let shown = self
                     .divided
                     .as_ref()
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -264,7 +264,7 @@
     wait_for("budgets", || stage.program.logged("budgets are on"));
     let seal = trailproxy_peers::wire::Seal::new("stories", b"");
     let ask = |at: SocketAddr| {
-        use trailproxy_peers::decide::messages::{AskNo, BootId, Message, Note, PeerId};
+        use trailproxy_peers::decide::messages::{AskNo, BootId, Message, MessagePart, PeerId};
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let within = socket.set_read_timeout(Some(Duration::from_millis(300)));
         within.expect("a limit");
@@ -273,15 +273,18 @@
             boot_id: BootId(0),
             incarnation: 0,
             stamp: unix_ms() * 1_000,
-            notes: vec![Note::ShowOf(AskNo(7), trailproxy_budgets::BESIDE)],
+            parts: vec![MessagePart::SubsystemStatusRequest(
+                AskNo(7),
+                trailproxy_budgets::BESIDE,
+            )],
         };
         let bytes = seal.write(&message).expect("short");
         socket.send_to(&bytes, at).expect("sent");
         let mut heard = vec![0; 16 << 10];
         let size = socket.recv(&mut heard).ok()?;
         let (message, _) = seal.read(&heard[..size]).ok()?;
-        match message.notes.into_iter().next() {
-            Some(Note::Shown(AskNo(7), text)) => Some(text),
+        match message.parts.into_iter().next() {
+            Some(MessagePart::OperatorReply(AskNo(7), text)) => Some(text),
             _ => None,
         }
     };
