--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -12,8 +12,8 @@
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    Address, AskNo, BootId, Has, MemberStatus, MemberSummary, MemberUpdate, Message, MessagePart,
-    PeerId,
+    Address, BootId, Has, InquiryId, MemberStatus, MemberSummary, MemberUpdate, Message,
+    MessagePart, PeerId,
 };
 use trailproxy_peers::decide::{Action, Peers, Rules};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
@@ -199,7 +199,7 @@
             self.collect();
             if ping_at <= now {
                 ping_at = now + PINGED_EVERY;
-                let ping = MessagePart::Ping(AskNo(now.0), self.state());
+                let ping = MessagePart::Ping(InquiryId(now.0), self.state());
                 self.tell_by_anybody(now, ping);
             }
             if compare_at <= now {
--- a/crates/capacity-live/src/question.rs
+++ b/crates/capacity-live/src/question.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
-use trailproxy_peers::decide::messages::{AskNo, BootId, Message, MessagePart, PeerId};
+use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 /// An answer that does not come by then is asked for again.
@@ -32,7 +32,7 @@
     let seal = Seal::new(FLEET, b"");
     let mut heard = vec![0; MOST_BYTES + 1];
     for nth in 0..TRIES {
-        let question = question(AskNo(nth + 1));
+        let question = question(InquiryId(nth + 1));
         let bytes = seal.write(&question).ok_or(io::ErrorKind::InvalidInput)?;
         // Nobody listens there yet: the next try may find it.
         let _ = socket.send(&bytes).await;
@@ -47,7 +47,7 @@
     Err(io::Error::new(io::ErrorKind::TimedOut, why))
 }
 
-fn question(no: AskNo) -> Message {
+fn question(no: InquiryId) -> Message {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     Message {
         from: PeerId(0),
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -6,7 +6,7 @@
 //! keepers until they have it.
 
 use super::facts::{Claim, Fact, FactId, Place, Stage, Token, merge, others};
-use super::messages::{AskNo, PeerId};
+use super::messages::{InquiryId, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Came, Key, Record, Stand};
@@ -55,7 +55,7 @@
     to: Option<BTreeSet<PeerId>>,
     at: Timestamp,
     pause: TimeSpan,
-    no: AskNo,
+    inquiry_id: InquiryId,
 }
 
 /// Accesses that ask, and facts that are owed, at once. More go without: it is as if the others were not there.
@@ -70,9 +70,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     own: BTreeMap<RequestId, Own>,
-    asking: BTreeMap<AskNo, Asking>,
+    asking: BTreeMap<InquiryId, Asking>,
     /// Questions that are to go out now, of the reserve.
-    to_ask: Vec<(AskNo, RequestId, PeerId)>,
+    to_ask: Vec<(InquiryId, RequestId, PeerId)>,
     owed: BTreeMap<FactId, Owed>,
     timed: BTreeSet<(Timestamp, FactId)>,
 }
@@ -116,7 +116,7 @@
     pub fn ask(
         &mut self,
         now: Timestamp,
-        no: AskNo,
+        inquiry_id: InquiryId,
         id: RequestId,
         whom: BTreeSet<PeerId>,
         reserve: Vec<PeerId>,
@@ -126,7 +126,7 @@
         self.asking
             .retain(|_, asking| asking.id != id && now.since(asking.asked) < FORGET);
         self.asking.insert(
-            no,
+            inquiry_id,
             Asking {
                 id,
                 asked: now,
@@ -143,12 +143,12 @@
     pub fn stood(
         &mut self,
         now: Timestamp,
-        no: AskNo,
+        inquiry_id: InquiryId,
         from: PeerId,
         sure: bool,
         claims: Vec<Claim>,
     ) -> Option<(RequestId, Heard)> {
-        let asking = self.asking.get_mut(&no)?;
+        let asking = self.asking.get_mut(&inquiry_id)?;
         // What a former keeper knows binds as well; its "nothing known" says nothing.
         let counts = asking.open.remove(&from);
         asking.sure += usize::from(sure && counts);
@@ -172,7 +172,7 @@
         if !sure && heard == Heard::Waits {
             asking.open.extend(asking.reserve.iter().copied());
             self.to_ask
-                .extend(asking.reserve.drain(..).map(|whom| (no, id, whom)));
+                .extend(asking.reserve.drain(..).map(|whom| (inquiry_id, id, whom)));
         }
         let earlier = |claim: &Claim| {
             (claim.at, claim.token) < (own.claim.at, own.claim.token)
@@ -183,7 +183,7 @@
             && own.claim.place == Place::Untold
             && asking.claims.iter().any(earlier);
         if asking.open.is_empty() && now.since(asked) > FORGET {
-            self.asking.remove(&no);
+            self.asking.remove(&inquiry_id);
         }
         if yields {
             self.yield_to(now, id);
@@ -192,18 +192,18 @@
     }
 
     /// The key of an access that asked under this number and is still open.
-    pub fn asked(&self, no: AskNo) -> Option<Key> {
-        let asking = self.asking.get(&no)?;
+    pub fn asked(&self, inquiry_id: InquiryId) -> Option<Key> {
+        let asking = self.asking.get(&inquiry_id)?;
         Some(self.own.get(&asking.id)?.key)
     }
 
     /// Who is to be asked in addition, about which claim.
-    pub fn to_ask(&mut self) -> Vec<(AskNo, PeerId, u128, Option<Claim>)> {
+    pub fn to_ask(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
         let to_ask = std::mem::take(&mut self.to_ask);
-        let claims = to_ask.into_iter().filter_map(|(no, id, whom)| {
+        let claims = to_ask.into_iter().filter_map(|(inquiry_id, id, whom)| {
             let own = self.own.get(&id)?;
             let claim = (!own.yielded).then(|| own.claim.clone());
-            Some((no, whom, own.key.0, claim))
+            Some((inquiry_id, whom, own.key.0, claim))
         });
         claims.collect()
     }
@@ -278,7 +278,7 @@
             None => fact,
         };
         self.timed.insert((at, id));
-        let (to, pause, no) = (None, AGAIN, AskNo::default());
+        let (to, pause, inquiry_id) = (None, AGAIN, InquiryId::default());
         self.owed.insert(
             id,
             Owed {
@@ -286,7 +286,7 @@
                 to,
                 at,
                 pause,
-                no,
+                inquiry_id,
             },
         );
     }
@@ -297,8 +297,11 @@
     }
 
     /// Somebody has what was told under this number.
-    pub fn taken(&mut self, no: AskNo, from: PeerId) {
-        let found = self.owed.iter_mut().find(|(_, owed)| owed.no == no);
+    pub fn taken(&mut self, inquiry_id: InquiryId, from: PeerId) {
+        let found = self
+            .owed
+            .iter_mut()
+            .find(|(_, owed)| owed.inquiry_id == inquiry_id);
         if let Some((&id, owed)) = found
             && let Some(to) = &mut owed.to
         {
@@ -317,9 +320,9 @@
     pub fn advance(
         &mut self,
         now: Timestamp,
-        mut no: impl FnMut() -> AskNo,
+        mut new_inquiry_id: impl FnMut() -> InquiryId,
         keepers: impl Fn(FactId) -> BTreeSet<PeerId>,
-    ) -> Vec<(AskNo, Fact, BTreeSet<PeerId>)> {
+    ) -> Vec<(InquiryId, Fact, BTreeSet<PeerId>)> {
         let mut tells = Vec::new();
         while let Some((at, id)) = self.timed.first().copied().filter(|(at, _)| *at <= now) {
             self.timed.pop_first();
@@ -336,9 +339,9 @@
                 let present = keepers(id);
                 to.retain(|id| present.contains(id));
             }
-            (owed.no, owed.at) = (no(), now + owed.pause);
+            (owed.inquiry_id, owed.at) = (new_inquiry_id(), now + owed.pause);
             owed.pause = owed.pause.mul_f64(2.0);
-            let (again, told) = (owed.at, (owed.no, owed.fact.clone(), to.clone()));
+            let (again, told) = (owed.at, (owed.inquiry_id, owed.fact.clone(), to.clone()));
             if to.is_empty() {
                 self.owed.remove(&id);
             } else {
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -98,15 +98,16 @@
         };
         let whom: BTreeSet<PeerId> = whom.into_iter().collect();
         let former: BTreeSet<PeerId> = self.keepers.former(now, slot).collect();
-        let no = self.no();
-        self.claims.ask(now, no, id, whom.clone(), reserve, enough);
+        let inquiry_id = self.new_inquiry_id();
+        self.claims
+            .ask(now, inquiry_id, id, whom.clone(), reserve, enough);
         let key = key.0;
         for &whom in whom.union(&former).filter(|&&whom| whom != own) {
-            self.ask(now, whom, no, key, claim.clone());
+            self.ask(now, whom, inquiry_id, key, claim.clone());
         }
         if whom.contains(&own) {
             let (sure, claims) = self.claimed(now, key, claim, scope);
-            self.stood(now, no, own, sure, claims);
+            self.stood(now, inquiry_id, own, sure, claims);
         }
     }
 
@@ -130,13 +131,21 @@
         &mut self,
         now: Timestamp,
         whom: PeerId,
-        no: AskNo,
+        inquiry_id: InquiryId,
         key: u128,
         claim: Option<facts::Claim>,
     ) {
         let part = match self.keepers.scope() {
-            Scope::Fleet => MessagePart::Claim { no, key, claim },
-            Scope::Zone => MessagePart::ClaimInZone { no, key, claim },
+            Scope::Fleet => MessagePart::Claim {
+                inquiry_id,
+                key,
+                claim,
+            },
+            Scope::Zone => MessagePart::ClaimInZone {
+                inquiry_id,
+                key,
+                claim,
+            },
         };
         self.send_to(now, whom, vec![part]);
     }
@@ -171,15 +180,15 @@
     pub(super) fn stood(
         &mut self,
         now: Timestamp,
-        no: AskNo,
+        inquiry_id: InquiryId,
         from: PeerId,
         sure: bool,
         claims: Vec<facts::Claim>,
     ) {
-        self.learn(now, no, &claims);
-        let heard = self.claims.stood(now, no, from, sure, claims);
-        for (no, whom, key, claim) in self.claims.to_ask() {
-            self.ask(now, whom, no, key, claim);
+        self.learn(now, inquiry_id, &claims);
+        let heard = self.claims.stood(now, inquiry_id, from, sure, claims);
+        for (inquiry_id, whom, key, claim) in self.claims.to_ask() {
+            self.ask(now, whom, inquiry_id, key, claim);
         }
         let Some((id, heard)) = heard else {
             return;
@@ -211,8 +220,8 @@
 
     /// What others answer is taken into the own copy, where this one keeps one: whoever made the claim may not have known
     /// of it. In answers within a zone other zones' claims are among them, which are not the own zone's to tell.
-    fn learn(&mut self, now: Timestamp, no: AskNo, claims: &[facts::Claim]) {
-        let Some(key) = self.claims.asked(no).filter(|_| !claims.is_empty()) else {
+    fn learn(&mut self, now: Timestamp, inquiry_id: InquiryId, claims: &[facts::Claim]) {
+        let Some(key) = self.claims.asked(inquiry_id).filter(|_| !claims.is_empty()) else {
             return;
         };
         let slot = FactId::Record(key.0).slot();
@@ -226,10 +235,10 @@
     /// What keepers are owed goes out, and into the own copy.
     pub(super) fn tell_owed(&mut self, now: Timestamp) {
         let own = self.members.own().id;
-        let (keepers, members, next) = (&self.keepers, &self.members, &mut self.next_no);
-        let no = || {
+        let (keepers, members, next) = (&self.keepers, &self.members, &mut self.next_inquiry_id);
+        let new_inquiry_id = || {
             *next += 1;
-            AskNo(*next)
+            InquiryId(*next)
         };
         let there =
             |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.there());
@@ -242,7 +251,7 @@
                 .collect()
         };
         let scope = self.keepers.scope();
-        for (no, fact, to) in self.claims.advance(now, no, of) {
+        for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, of) {
             if scope == Scope::Zone {
                 self.claims.told(fact.id());
             }
@@ -250,11 +259,11 @@
                 if whom == own {
                     let taken = self.keep(now, fact.clone());
                     self.counts.full += u64::from(taken.is_none());
-                    self.claims.taken(no, own);
+                    self.claims.taken(inquiry_id, own);
                 } else {
                     let facts = vec![fact.clone()];
                     let part = match scope {
-                        Scope::Fleet => MessagePart::Store(no, facts),
+                        Scope::Fleet => MessagePart::Store(inquiry_id, facts),
                         Scope::Zone => MessagePart::Gossip(facts),
                     };
                     self.send_to(now, whom, vec![part]);
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -10,7 +10,7 @@
 use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
 use super::messages::{
-    Address, AskNo, BootId, MemberStatus, MemberSummary, MemberUpdate, MessagePart, PeerId,
+    Address, BootId, InquiryId, MemberStatus, MemberSummary, MemberUpdate, MessagePart, PeerId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
@@ -73,7 +73,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Probe {
-    no: AskNo,
+    inquiry_id: InquiryId,
     whom: PeerId,
     sent: Timestamp,
     by_others: bool,
@@ -158,11 +158,11 @@
     round: VecDeque<PeerId>,
     probe: Option<Probe>,
     /// Pings on behalf of others: their number here, whom to tell, their number there.
-    helping: BTreeMap<AskNo, (Address, AskNo, PeerId, Timestamp)>,
+    helping: BTreeMap<InquiryId, (Address, InquiryId, PeerId, Timestamp)>,
     ping_at: Timestamp,
     knock_at: Timestamp,
     knock_next: usize,
-    next_no: u64,
+    next_inquiry_id: u64,
     /// Not before this is another asked for all that it knows.
     next_member_list_request_at: Timestamp,
     pub superseded: bool,
@@ -200,7 +200,7 @@
             ping_at: now + PERIOD.mul_f64(chance.f64()),
             knock_at: now,
             knock_next: chance.usize(0..1_024),
-            next_no: chance.u64(0..1 << 32),
+            next_inquiry_id: chance.u64(0..1 << 32),
             next_member_list_request_at: now,
             superseded: false,
             cut_off: false,
@@ -323,9 +323,9 @@
         self.todo.push(MemberAction::Send(to, parts));
     }
 
-    fn no(&mut self) -> AskNo {
-        self.next_no += 1;
-        AskNo(self.next_no)
+    fn new_inquiry_id(&mut self) -> InquiryId {
+        self.next_inquiry_id += 1;
+        InquiryId(self.next_inquiry_id)
     }
 
     /// It was away: what it waited for says nothing of the others, and they may have given it up.
@@ -440,7 +440,7 @@
                 self.index.add(&member);
                 self.members.insert(update.id, member);
                 // Somewhere in the present round, so that hundreds of newcomers are not pinged last.
-                let place = self.next_no as usize % (self.round.len() + 1);
+                let place = self.next_inquiry_id as usize % (self.round.len() + 1);
                 self.round.insert(place, update.id);
                 self.todo
                     .push(MemberAction::Turned(update.id, update.status));
@@ -508,34 +508,34 @@
         own: MemberSummary,
     ) -> bool {
         match part {
-            MessagePart::Ping(no, state) => {
+            MessagePart::Ping(inquiry_id, state) => {
                 self.state(now, from, address, *state);
-                self.send(address, self.sign(MessagePart::Ack(*no, own)));
+                self.send(address, self.sign(MessagePart::Ack(*inquiry_id, own)));
             }
-            MessagePart::Ack(no, state) => {
+            MessagePart::Ack(inquiry_id, state) => {
                 self.state(now, from, address, *state);
                 if self
                     .probe
-                    .is_some_and(|probe| probe.no == *no && probe.whom == from)
+                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == from)
                 {
                     self.probe = None;
                 }
-                if let Some((asker, theirs, whom, _)) = self.helping.remove(no) {
+                if let Some((asker, theirs, whom, _)) = self.helping.remove(inquiry_id) {
                     self.send(asker, vec![MessagePart::IndirectAck(theirs, whom)]);
                 }
             }
             MessagePart::IndirectPing(theirs, whom, at) => {
                 if self.helping.len() < MOST {
-                    let no = self.no();
+                    let inquiry_id = self.new_inquiry_id();
                     self.helping
-                        .insert(no, (address, *theirs, *whom, now + PERIOD));
-                    self.send(*at, self.sign(MessagePart::Ping(no, own)));
+                        .insert(inquiry_id, (address, *theirs, *whom, now + PERIOD));
+                    self.send(*at, self.sign(MessagePart::Ping(inquiry_id, own)));
                 }
             }
-            MessagePart::IndirectAck(no, whom) => {
+            MessagePart::IndirectAck(inquiry_id, whom) => {
                 if self
                     .probe
-                    .is_some_and(|probe| probe.no == *no && probe.whom == *whom)
+                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == *whom)
                 {
                     self.probe = None;
                     if let Some(member) = self.members.get_mut(whom) {
@@ -682,7 +682,11 @@
         for to in helpers.into_iter().take(HELPERS) {
             self.send(
                 to,
-                vec![MessagePart::IndirectPing(probe.no, probe.whom, address)],
+                vec![MessagePart::IndirectPing(
+                    probe.inquiry_id,
+                    probe.whom,
+                    address,
+                )],
             );
         }
     }
@@ -721,14 +725,14 @@
                 continue;
             };
             let (to, sent, by_others) = (member.update.address, now, false);
-            let no = self.no();
+            let inquiry_id = self.new_inquiry_id();
             self.probe = Some(Probe {
-                no,
+                inquiry_id,
                 whom,
                 sent,
                 by_others,
             });
-            return self.send(to, self.sign(MessagePart::Ping(no, own)));
+            return self.send(to, self.sign(MessagePart::Ping(inquiry_id, own)));
         }
     }
 
@@ -751,8 +755,8 @@
         for _ in 0..few.min(all.len()) {
             self.knock_next = self.knock_next.wrapping_add(1);
             let (to, update) = all[self.knock_next % all.len()];
-            let no = self.no();
-            let mut parts = self.sign(MessagePart::Ping(no, own));
+            let inquiry_id = self.new_inquiry_id();
+            let mut parts = self.sign(MessagePart::Ping(inquiry_id, own));
             parts.push(MessagePart::MembersRequest);
             parts.extend(update.map(|update| MessagePart::MemberUpdates(vec![update])));
             self.send(to, parts);
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -61,7 +61,7 @@
 
 /// One question that is answered with its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct AskNo(pub u64);
+pub struct InquiryId(pub u64);
 
 /// How much one knows, told with signs of life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -86,12 +86,12 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessagePart {
-    Ping(AskNo, MemberSummary),
-    Ack(AskNo, MemberSummary),
+    Ping(InquiryId, MemberSummary),
+    Ack(InquiryId, MemberSummary),
     /// Ping that one for me: I don't reach it.
-    IndirectPing(AskNo, PeerId, Address),
+    IndirectPing(InquiryId, PeerId, Address),
     /// It is alive, though you don't reach it.
-    IndirectAck(AskNo, PeerId),
+    IndirectAck(InquiryId, PeerId),
     /// Who is there?
     MembersRequest,
     MemberUpdates(Vec<MemberUpdate>),
@@ -105,19 +105,19 @@
     Gossip(Vec<Fact>),
     /// I am about to send under this key: what is known of it? `claim` is none where it only looks.
     Claim {
-        no: AskNo,
+        inquiry_id: InquiryId,
         key: u128,
         claim: Option<Claim>,
     },
     /// All that is known of the key; `sure`: what is not there never was, for as long as it matters.
     ClaimStatus {
-        no: AskNo,
+        inquiry_id: InquiryId,
         sure: bool,
         claims: Vec<Claim>,
     },
     /// Facts that the writer wants to be sure of.
-    Store(AskNo, Vec<Fact>),
-    Stored(AskNo),
+    Store(InquiryId, Vec<Fact>),
+    Stored(InquiryId),
     /// Sums of what I have in these slots.
     Checksums(Vec<(Slot, u64)>),
     /// The same here.
@@ -141,12 +141,12 @@
         has: Has,
     },
     /// From the command line: how do you stand?
-    StatusRequest(AskNo),
+    StatusRequest(InquiryId),
     /// From the command line: leave the fleet and serve alone, or come back to it.
-    Leave(AskNo, bool),
-    OperatorReply(AskNo, String),
+    Leave(InquiryId, bool),
+    OperatorReply(InquiryId, String),
     /// From the command line: how does that subsystem stand?
-    SubsystemStatusRequest(AskNo, u8),
+    SubsystemStatusRequest(InquiryId, u8),
     /// Of another subsystem, which reads it by itself: its number, and its bytes.
     Subsystem(u8, Vec<u8>),
     /// Where the writer is.
@@ -155,7 +155,7 @@
     MemberLocalities(Vec<Option<Locality>>),
     /// As [`MessagePart::Claim`], of a writer whose zone has replicas of its own, to one of them.
     ClaimInZone {
-        no: AskNo,
+        inquiry_id: InquiryId,
         key: u128,
         claim: Option<Claim>,
     },
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -42,7 +42,7 @@
 use facts::{Fact, FactId, Facts, Lasts, Listed, Slot, Token, mix};
 use keepers::{Changed, Keepers, Scope};
 use members::{MemberAction, Members, Own};
-use messages::{Address, AskNo, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
+use messages::{Address, InquiryId, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
 use relay::Relays;
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{PIECE, Sync, Who, Why};
@@ -221,7 +221,7 @@
     fleet_at: Timestamp,
     fleet_due: Option<Timestamp>,
     last: Timestamp,
-    next_no: u64,
+    next_inquiry_id: u64,
     place: u64,
     state: PeerState,
     /// It saw fewer than were lost: what the others did meanwhile is not known here.
@@ -260,7 +260,7 @@
             fleet_at: now - FLEET,
             fleet_due: None,
             last: now,
-            next_no: chance.u64(1..1 << 40),
+            next_inquiry_id: chance.u64(1..1 << 40),
             place: 0,
             state: PeerState::Alone,
             island: false,
@@ -333,9 +333,9 @@
         }
     }
 
-    fn no(&mut self) -> AskNo {
-        self.next_no += 1;
-        AskNo(self.next_no)
+    fn new_inquiry_id(&mut self) -> InquiryId {
+        self.next_inquiry_id += 1;
+        InquiryId(self.next_inquiry_id)
     }
 
     fn quiet(&self) -> bool {
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -5,26 +5,32 @@
 impl Peers {
     /// A question from the command line is answered whatever state this one is in, and makes nobody a member.
     pub fn shown(&mut self, now: Timestamp, address: Address, message: &Message) -> bool {
-        let no = match message.parts[..] {
-            [MessagePart::StatusRequest(no)] => no,
-            [MessagePart::Leave(no, leaves)] => {
+        let inquiry_id = match message.parts[..] {
+            [MessagePart::StatusRequest(inquiry_id)] => inquiry_id,
+            [MessagePart::Leave(inquiry_id, leaves)] => {
                 if leaves {
                     self.leave(now);
                 } else {
                     self.join(now);
                 }
-                no
+                inquiry_id
             }
             _ => return false,
         };
         let text = self.show(now);
-        self.answer(now, address, no, text);
+        self.answer(now, address, inquiry_id, text);
         true
     }
 
     /// What the command line asked for.
-    pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
-        let message = self.message(now, vec![MessagePart::OperatorReply(no, text)]);
+    pub fn answer(
+        &mut self,
+        now: Timestamp,
+        address: Address,
+        inquiry_id: InquiryId,
+        text: String,
+    ) {
+        let message = self.message(now, vec![MessagePart::OperatorReply(inquiry_id, text)]);
         self.acts.push(Action::Send(address, message));
     }
 
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -123,23 +123,41 @@
                 }
             }
             MessagePart::Gossip(facts) => facts.into_iter().for_each(|fact| self.told(now, fact)),
-            MessagePart::Claim { no, key, claim } => {
+            MessagePart::Claim {
+                inquiry_id,
+                key,
+                claim,
+            } => {
                 let (sure, claims) = self.claimed(now, key, claim, Scope::Fleet);
-                answers.push(MessagePart::ClaimStatus { no, sure, claims });
+                answers.push(MessagePart::ClaimStatus {
+                    inquiry_id,
+                    sure,
+                    claims,
+                });
             }
-            MessagePart::ClaimInZone { no, key, claim } => {
+            MessagePart::ClaimInZone {
+                inquiry_id,
+                key,
+                claim,
+            } => {
                 let (sure, claims) = self.claimed_in_zone(now, from, key, claim);
-                answers.push(MessagePart::ClaimStatus { no, sure, claims });
+                answers.push(MessagePart::ClaimStatus {
+                    inquiry_id,
+                    sure,
+                    claims,
+                });
             }
             MessagePart::Relay(relay) => self.relayed(now, from, stamp.0, relay),
-            MessagePart::ClaimStatus { no, sure, claims } => {
-                self.stood(now, no, from, sure, claims)
-            }
-            MessagePart::Store(no, facts) => {
+            MessagePart::ClaimStatus {
+                inquiry_id,
+                sure,
+                claims,
+            } => self.stood(now, inquiry_id, from, sure, claims),
+            MessagePart::Store(inquiry_id, facts) => {
                 facts.into_iter().for_each(|fact| self.told(now, fact));
-                answers.push(MessagePart::Stored(no));
+                answers.push(MessagePart::Stored(inquiry_id));
             }
-            MessagePart::Stored(no) => self.claims.taken(no, from),
+            MessagePart::Stored(inquiry_id) => self.claims.taken(inquiry_id, from),
             MessagePart::Checksums(sums) => {
                 who!(self, who);
                 let facts = &mut self.facts;
@@ -205,8 +223,8 @@
                 }
             }
             MessagePart::Subsystem(of, bytes) => self.acts.push(Action::Beside(from, of, bytes)),
-            MessagePart::StatusRequest(no) => {
-                answers.push(MessagePart::OperatorReply(no, self.show(now)))
+            MessagePart::StatusRequest(inquiry_id) => {
+                answers.push(MessagePart::OperatorReply(inquiry_id, self.show(now)))
             }
             _ => {}
         }
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -248,9 +248,9 @@
     ) -> Vec<GroupNo> {
         self.groups.retain(|group, _| kept.contains_key(group));
         let mut new = Vec::new();
-        for (no, zones) in kept {
-            let group = self.groups.entry(no).or_insert_with(|| {
-                new.push(no);
+        for (group_no, zones) in kept {
+            let group = self.groups.entry(group_no).or_insert_with(|| {
+                new.push(group_no);
                 Group::new(now, log_id())
             });
             group.pair(now, zones);
@@ -267,9 +267,15 @@
     }
 
     /// What is claimed in the own zone under a key has changed: the moment of its last claim, or nothing where it is free.
-    pub fn changed(&mut self, now: Timestamp, no: GroupNo, key: u128, last: Option<Timestamp>) {
+    pub fn changed(
+        &mut self,
+        now: Timestamp,
+        group_no: GroupNo,
+        key: u128,
+        last: Option<Timestamp>,
+    ) {
         let lasts = self.lasts;
-        if let Some(group) = self.groups.get_mut(&no) {
+        if let Some(group) = self.groups.get_mut(&group_no) {
             let logged = Logged {
                 key: ShortKey::of(key),
                 at: last.unwrap_or(now),
@@ -280,30 +286,32 @@
     }
 
     /// What other zones have claimed under a key.
-    pub fn claimed(&self, no: GroupNo, key: u128) -> Vec<FarClaim> {
+    pub fn claimed(&self, group_no: GroupNo, key: u128) -> Vec<FarClaim> {
         let key = ShortKey::of(key);
         let (first, last) = (NearId(0), NearId(u32::MAX));
-        let found = self.far.range((no, key, first)..=(no, key, last));
+        let found = self
+            .far
+            .range((group_no, key, first)..=(group_no, key, last));
         let claim = |(&(_, _, zone), kept): (&FarKey, &Kept)| FarClaim { zone, at: kept.at };
         found.map(claim).collect()
     }
 
     /// Whether a key that is not known here is new in all other zones.
-    pub fn proves(&mut self, now: Timestamp, no: GroupNo) -> bool {
-        self.judge(now, no);
+    pub fn proves(&mut self, now: Timestamp, group_no: GroupNo) -> bool {
+        self.judge(now, group_no);
         self.groups
-            .get(&no)
+            .get(&group_no)
             .is_some_and(|group| group.proof == Proof::Given)
     }
 
     /// Whether all of the own zone's claims of a group are held here.
     pub fn complete(&mut self, now: Timestamp, complete: impl Fn(GroupNo) -> bool) {
         let groups: Vec<GroupNo> = self.groups.keys().copied().collect();
-        for no in groups {
-            if let Some(group) = self.groups.get_mut(&no) {
-                group.complete = complete(no) && group.log.dropped_until <= now;
+        for group_no in groups {
+            if let Some(group) = self.groups.get_mut(&group_no) {
+                group.complete = complete(group_no) && group.log.dropped_until <= now;
             }
-            self.judge(now, no);
+            self.judge(now, group_no);
         }
     }
 
@@ -341,9 +349,9 @@
         }
         let mut relays = Vec::new();
         let groups: Vec<GroupNo> = self.groups.keys().copied().collect();
-        for no in groups {
-            self.judge(now, no);
-            relays.extend(self.tell(now, no));
+        for group_no in groups {
+            self.judge(now, group_no);
+            relays.extend(self.tell(now, group_no));
         }
         let more = relays.iter().any(|(_, relay)| !relay.last);
         let every = if more { MORE } else { EVERY };
@@ -364,9 +372,9 @@
     }
 
     /// The next relay to each partner of a group.
-    fn tell(&mut self, now: Timestamp, no: GroupNo) -> Vec<(PeerId, Relay)> {
+    fn tell(&mut self, now: Timestamp, group_no: GroupNo) -> Vec<(PeerId, Relay)> {
         let silence = self.silence();
-        let Some(group) = self.groups.get_mut(&no) else {
+        let Some(group) = self.groups.get_mut(&group_no) else {
             return Vec::new();
         };
         let hears = group.hears(now, &self.topology, silence);
@@ -374,7 +382,7 @@
         let partners: Vec<PeerId> = group.zones.values().flatten().copied().collect();
         for id in partners {
             if let Some(link) = group.links.get_mut(&id) {
-                let mut relay = link.relay(now, no, &group.log);
+                let mut relay = link.relay(now, group_no, &group.log);
                 relay.complete = group.complete;
                 relay.zones = self.topology.checksum();
                 relay.hears = hears;
@@ -386,11 +394,11 @@
 
     /// A relay came. One of a member that is not a partner, or of a zone that is not known, says nothing.
     pub fn heard(&mut self, now: Timestamp, from: Sender, relay: Relay) {
-        let no = relay.group;
-        self.judge(now, no);
+        let group_no = relay.group;
+        self.judge(now, group_no);
         let same_zones = relay.zones == self.topology.checksum();
         let room = self.far.len() + relay.entries.len() <= MOST_FAR;
-        let Some(group) = self.groups.get_mut(&no) else {
+        let Some(group) = self.groups.get_mut(&group_no) else {
             return;
         };
         if !group.zones.contains_key(&from.zone) {
@@ -406,9 +414,13 @@
         let entries = link.take(now, &relay, from.stamp, room);
         let claims: Vec<Entry> = entries.to_vec();
         for entry in claims {
-            self.far_claim(now, (no, ShortKey::of_bytes(entry.key), from.zone), entry);
+            self.far_claim(
+                now,
+                (group_no, ShortKey::of_bytes(entry.key), from.zone),
+                entry,
+            );
         }
-        self.judge(now, no);
+        self.judge(now, group_no);
     }
 
     fn far_claim(&mut self, now: Timestamp, key: FarKey, entry: Entry) {
@@ -429,9 +441,9 @@
         }
     }
 
-    fn judge(&mut self, now: Timestamp, no: GroupNo) {
+    fn judge(&mut self, now: Timestamp, group_no: GroupNo) {
         let silence = self.silence();
-        if let Some(group) = self.groups.get_mut(&no) {
+        if let Some(group) = self.groups.get_mut(&group_no) {
             let holds = group.holds(now, &self.topology, silence);
             group.proof = group.proof.after(now, holds, silence);
         }
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -5,7 +5,7 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::Rules;
 use trailproxy_peers::decide::facts::{Claim, Fact, Place, Stage, Token};
-use trailproxy_peers::decide::messages::{AskNo, Message, MessagePart};
+use trailproxy_peers::decide::messages::{InquiryId, Message, MessagePart};
 use world::*;
 
 /// Records put into a fleet, as a client of it would have them written.
@@ -34,7 +34,7 @@
                 boot_id: own.boot_id,
                 incarnation: own.incarnation,
                 stamp: world.now.0,
-                parts: vec![MessagePart::Store(AskNo(1), piece.to_vec())],
+                parts: vec![MessagePart::Store(InquiryId(1), piece.to_vec())],
             };
             world.inject(n, own.address, message);
         }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -6,7 +6,7 @@
     Claim, Fact, Facts, Lasts, Listed, Place, Stage, Token, merge,
 };
 use trailproxy_peers::decide::messages::{
-    AskNo, BootId, MemberSummary, Message, MessagePart, PeerId,
+    BootId, InquiryId, MemberSummary, Message, MessagePart, PeerId,
 };
 use trailproxy_peers::wire::{Seal, Unread, VERSION};
 
@@ -179,7 +179,7 @@
     let seal = Seal::new("fleet", b"");
     let parts = vec![
         MessagePart::Ping(
-            AskNo(7),
+            InquiryId(7),
             MemberSummary {
                 in_sync: true,
                 records: 5,
@@ -206,9 +206,9 @@
         body: Some(vec![0; 512].into()),
     };
     let claims: Vec<Claim> = (0..12).map(claim).collect();
-    let (no, sure) = (AskNo(u64::MAX), true);
+    let (inquiry_id, sure) = (InquiryId(u64::MAX), true);
     let bytes = Seal::new("f", b"").write(&message(vec![MessagePart::ClaimStatus {
-        no,
+        inquiry_id,
         sure,
         claims,
     }]));
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -5,7 +5,7 @@
 use trailproxy::interface::{HostEntry, HostState};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{
-    AskNo, BootId, MemberStatus, MemberUpdate, Message, MessagePart, PeerId,
+    BootId, InquiryId, MemberStatus, MemberUpdate, Message, MessagePart, PeerId,
 };
 use trailproxy_peers::decide::{Action, PeerState, Rules};
 use world::*;
@@ -563,7 +563,7 @@
             incarnation: 0,
             stamp: world.now.0,
             parts: vec![MessagePart::Claim {
-                no: AskNo(1),
+                inquiry_id: InquiryId(1),
                 key: 5 << 120,
                 claim: None,
             }],
--- a/crates/trailproxy-cli/src/budgets.rs
+++ b/crates/trailproxy-cli/src/budgets.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddrV4;
 use trailproxy_budgets::BESIDE;
 use trailproxy_operator::read_file;
-use trailproxy_peers::decide::messages::{AskNo, MessagePart};
+use trailproxy_peers::decide::messages::{InquiryId, MessagePart};
 
 #[derive(Subcommand)]
 pub enum Task {
@@ -48,7 +48,7 @@
     let sheet =
         budgets_sheet(&script).ok_or(format!("{file} has no section budgets that is on"))?;
     sheet.check()?;
-    let note: fn(AskNo) -> MessagePart = |no| MessagePart::SubsystemStatusRequest(no, BESIDE);
+    let note: fn(InquiryId) -> MessagePart = |no| MessagePart::SubsystemStatusRequest(no, BESIDE);
     said(file, at, note, of)
 }
 
--- a/crates/trailproxy-cli/src/peers.rs
+++ b/crates/trailproxy-cli/src/peers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use trailproxy_operator::read_file;
 use trailproxy_peers::config::Config;
-use trailproxy_peers::decide::messages::{AskNo, BootId, Message, MessagePart, PeerId};
+use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 #[derive(Subcommand)]
@@ -84,11 +84,11 @@
     pub fn ask(
         &self,
         at: SocketAddrV4,
-        note: fn(AskNo) -> MessagePart,
+        note: fn(InquiryId) -> MessagePart,
     ) -> Result<(String, Duration), String> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let unix = unix.map_err(|e| e.to_string())?.as_micros() as u64;
-        let no = AskNo(unix);
+        let no = InquiryId(unix);
         let message = Message {
             from: PeerId(0),
             boot_id: BootId(0),
@@ -188,7 +188,7 @@
 pub fn said(
     file: &str,
     at: Option<SocketAddrV4>,
-    note: fn(AskNo) -> MessagePart,
+    note: fn(InquiryId) -> MessagePart,
     of: impl Fn(&str) -> Option<String>,
 ) -> Result<(), String> {
     let way = Way::open(file)?;
@@ -212,7 +212,7 @@
 
 fn leave(file: &str, at: SocketAddrV4, undo: bool) -> Result<(), String> {
     let way = Way::open(file)?;
-    let note: fn(AskNo) -> MessagePart = match undo {
+    let note: fn(InquiryId) -> MessagePart = match undo {
         true => |no| MessagePart::Leave(no, false),
         false => |no| MessagePart::Leave(no, true),
     };
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -10,7 +10,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_peers::decide::facts::Listed;
-use trailproxy_peers::decide::messages::{Address, AskNo, BootId, Message, PeerId};
+use trailproxy_peers::decide::messages::{Address, BootId, InquiryId, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
 use trailproxy_shared_store::decide::records::{Came, Folding};
 
@@ -92,7 +92,7 @@
         self.act();
     }
 
-    pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
+    pub fn answer(&mut self, now: Timestamp, address: Address, no: InquiryId, text: String) {
         self.peers.answer(now, address, no, text);
         self.act();
     }
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -264,7 +264,7 @@
     wait_for("budgets", || stage.program.logged("budgets are on"));
     let seal = trailproxy_peers::wire::Seal::new("stories", b"");
     let ask = |at: SocketAddr| {
-        use trailproxy_peers::decide::messages::{AskNo, BootId, Message, MessagePart, PeerId};
+        use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let within = socket.set_read_timeout(Some(Duration::from_millis(300)));
         within.expect("a limit");
@@ -274,7 +274,7 @@
             incarnation: 0,
             stamp: unix_ms() * 1_000,
             parts: vec![MessagePart::SubsystemStatusRequest(
-                AskNo(7),
+                InquiryId(7),
                 trailproxy_budgets::BESIDE,
             )],
         };
@@ -284,7 +284,7 @@
         let size = socket.recv(&mut heard).ok()?;
         let (message, _) = seal.read(&heard[..size]).ok()?;
         match message.parts.into_iter().next() {
-            Some(MessagePart::OperatorReply(AskNo(7), text)) => Some(text),
+            Some(MessagePart::OperatorReply(InquiryId(7), text)) => Some(text),
             _ => None,
         }
     };
