--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -12,7 +12,7 @@
 use trailproxy_peers::decide::facts::Slot;
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{
-    Address, BootId, Has, InquiryId, MemberStatus, MemberSummary, MemberUpdate, Message,
+    Address, BootId, Completeness, InquiryId, MemberStatus, MemberSummary, MemberUpdate, Message,
     MessagePart, PeerId,
 };
 use trailproxy_peers::decide::{Action, Peers, Rules};
@@ -278,7 +278,7 @@
             MessagePart::Ping(no, _) => Some(MessagePart::Ack(*no, state)),
             MessagePart::Checksums(sums) => Some(MessagePart::Same {
                 slots: sums.iter().map(|&(slot, _)| slot).collect::<Vec<Slot>>(),
-                has: Has::All,
+                completeness: Completeness::Complete,
             }),
             _ => None,
         });
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -76,12 +76,12 @@
 
 /// How much of a slot its keeper has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Has {
+pub enum Completeness {
     /// Something may be lacking, from any time.
-    Some,
+    Partial,
     /// All that it took part in, and not what others did while it was cut off.
-    Own,
-    All,
+    OwnOnly,
+    Complete,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -123,7 +123,7 @@
     /// The same here.
     Same {
         slots: Vec<Slot>,
-        has: Has,
+        completeness: Completeness,
     },
     /// Not the same here: I fetch what you have, and you may fetch what I have.
     Different(Vec<Slot>),
@@ -138,7 +138,7 @@
         after: Option<FactId>,
         facts: Vec<Fact>,
         end: bool,
-        has: Has,
+        completeness: Completeness,
     },
     /// From the command line: how do you stand?
     StatusRequest(InquiryId),
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -169,9 +169,12 @@
                 let own = |slot| facts.sum_within(slot, within);
                 answers.extend(self.sync.sums(from, &sums, own, &who));
             }
-            MessagePart::Same { slots, has } => {
+            MessagePart::Same {
+                slots,
+                completeness,
+            } => {
                 who!(self, who);
-                for slot in self.sync.same(now, from, &slots, has, &who) {
+                for slot in self.sync.same(now, from, &slots, completeness, &who) {
                     self.facts.drop_slot(slot);
                 }
             }
@@ -188,13 +191,13 @@
             MessagePart::PageRequest { slot, after } if self.sync.gives(now) => {
                 self.counts.pieces_out += 1;
                 let (facts, end) = self.facts.page(slot, after, PIECE);
-                let has = self.sync.has(slot);
+                let completeness = self.sync.completeness(slot);
                 answers.push(MessagePart::Page {
                     slot,
                     after,
                     facts,
                     end,
-                    has,
+                    completeness,
                 });
             }
             MessagePart::Page {
@@ -202,12 +205,12 @@
                 after,
                 facts,
                 end,
-                has,
+                completeness,
             } => {
                 who!(self, who);
                 let (wanted, next) =
                     self.sync
-                        .page(now, from, (slot, after), &facts, (end, has), &who);
+                        .page(now, from, (slot, after), &facts, (end, completeness), &who);
                 if wanted {
                     self.counts.pieces_in += 1;
                     let before = self.counts.news;
--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -6,7 +6,7 @@
 //! run out. Nobody waits for any of this.
 
 use super::facts::{Fact, FactId, Slot};
-use super::messages::{Has, MessagePart, PeerId, Within};
+use super::messages::{Completeness, MessagePart, PeerId, Within};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -44,7 +44,7 @@
     asked: Timestamp,
     tries: u32,
     /// What everybody who gave a piece of it has at least.
-    has: Has,
+    completeness: Completeness,
 }
 
 /// Since when a slot is lacking, why, and whose copy has been taken in since.
@@ -52,7 +52,7 @@
 struct Lack {
     since: Timestamp,
     why: Why,
-    told: BTreeMap<PeerId, Has>,
+    told: BTreeMap<PeerId, Completeness>,
 }
 
 /// Why a slot is lacking. A claim stands with more than half of its keepers, so that one other need not know of it.
@@ -136,11 +136,11 @@
             .count()
     }
 
-    pub fn has(&self, slot: Slot) -> Has {
+    pub fn completeness(&self, slot: Slot) -> Completeness {
         match self.lacking.get(&slot).map(|lack| lack.why) {
-            None => Has::All,
-            Some(Why::CutOff) => Has::Own,
-            Some(Why::New) => Has::Some,
+            None => Completeness::Complete,
+            Some(Why::CutOff) => Completeness::OwnOnly,
+            Some(Why::New) => Completeness::Partial,
         }
     }
 
@@ -205,11 +205,21 @@
             }
         }
         let mut parts = Vec::new();
-        for has in [Has::All, Has::Own, Has::Some] {
-            let slots = same.iter().copied().filter(|&slot| self.has(slot) == has);
+        for completeness in [
+            Completeness::Complete,
+            Completeness::OwnOnly,
+            Completeness::Partial,
+        ] {
+            let slots = same
+                .iter()
+                .copied()
+                .filter(|&slot| self.completeness(slot) == completeness);
             let slots: Vec<Slot> = slots.collect();
             if !slots.is_empty() {
-                parts.push(MessagePart::Same { slots, has });
+                parts.push(MessagePart::Same {
+                    slots,
+                    completeness,
+                });
             }
         }
         if !differ.is_empty() {
@@ -224,33 +234,46 @@
         now: Timestamp,
         from: PeerId,
         slots: &[Slot],
-        has: Has,
+        completeness: Completeness,
         who: &Who,
     ) -> Vec<Slot> {
         for &slot in slots {
-            self.taken_in(now, (from, has), slot, who);
+            self.taken_in(now, (from, completeness), slot, who);
         }
         let others = slots.iter().copied();
         others.filter(|&slot| !(who.mine)(slot)).collect()
     }
 
     /// That one's copy has no more than this one's.
-    fn taken_in(&mut self, now: Timestamp, (from, has): (PeerId, Has), slot: Slot, who: &Who) {
+    fn taken_in(
+        &mut self,
+        now: Timestamp,
+        (from, completeness): (PeerId, Completeness),
+        slot: Slot,
+        who: &Who,
+    ) {
         let Some(lack) = self.lacking.get_mut(&slot) else {
             return;
         };
         if now.since(lack.since) < SETTLED {
             return;
         }
-        lack.told.insert(from, has);
+        lack.told.insert(from, completeness);
         let others = (who.keepers)(slot);
         let matter = match lack.why {
             _ if slot.is_common() => 1,
             Why::New => others.len() + who.lost,
             Why::CutOff => others.iter().filter(|id| self.away.contains(id)).count(),
         };
-        let whole = lack.told.values().filter(|&&has| has == Has::All).count();
-        let own = lack.told.values().any(|&has| has >= Has::Own);
+        let whole = lack
+            .told
+            .values()
+            .filter(|&&completeness| completeness == Completeness::Complete)
+            .count();
+        let own = lack
+            .told
+            .values()
+            .any(|&completeness| completeness >= Completeness::OwnOnly);
         let all = own && others.iter().all(|id| lack.told.contains_key(id));
         if lack.why == Why::CutOff && all || whole >= matter.clamp(1, ENOUGH) {
             self.lacking.remove(&slot);
@@ -270,9 +293,16 @@
     /// Whether a piece may be given out now.
     pub fn gives(&mut self, now: Timestamp) -> bool {
         let (had, at) = self.given;
-        let has = (had + now.since(at).as_secs_f64() * GIVEN_PER_S).min(GIVEN_AT_ONCE);
-        let gives = has >= 1.0;
-        self.given = (if gives { has - 1.0 } else { has }, now);
+        let completeness = (had + now.since(at).as_secs_f64() * GIVEN_PER_S).min(GIVEN_AT_ONCE);
+        let gives = completeness >= 1.0;
+        self.given = (
+            if gives {
+                completeness - 1.0
+            } else {
+                completeness
+            },
+            now,
+        );
         gives
     }
 
@@ -283,7 +313,7 @@
         from: PeerId,
         (slot, after): (Slot, Option<FactId>),
         facts: &[Fact],
-        (end, has): (bool, Has),
+        (end, completeness): (bool, Completeness),
         who: &Who,
     ) -> (bool, Option<(PeerId, MessagePart)>) {
         let fetch = self.fetching.get_mut(&slot);
@@ -291,11 +321,11 @@
             return (false, None);
         };
         self.pieces += 1;
-        fetch.has = fetch.has.min(has);
+        fetch.completeness = fetch.completeness.min(completeness);
         if end {
-            let has = fetch.has;
+            let completeness = fetch.completeness;
             self.fetching.remove(&slot);
-            self.taken_in(now, (from, has), slot, who);
+            self.taken_in(now, (from, completeness), slot, who);
             return (true, None);
         }
         fetch.after = facts.last().map(Fact::id).or(after);
@@ -340,7 +370,7 @@
             let Some((slot, from)) = self.waiting.remove(nth) else {
                 break;
             };
-            let (after, asked, tries, has) = (None, now, 0, Has::All);
+            let (after, asked, tries, completeness) = (None, now, 0, Completeness::Complete);
             self.fetching.insert(
                 slot,
                 Fetch {
@@ -348,7 +378,7 @@
                     after,
                     asked,
                     tries,
-                    has,
+                    completeness,
                 },
             );
             asks.push((from, MessagePart::PageRequest { slot, after }));
--- a/crates/peers/src/sites.rs
+++ b/crates/peers/src/sites.rs
@@ -166,9 +166,9 @@
 
 /// The name of the site of this address.
 pub fn site_of(sites: &[Site], own: Address) -> Option<&Site> {
-    let has = |site: &&Site| {
+    let completeness = |site: &&Site| {
         let ranges = site.members.iter().filter_map(|text| Range::read(text));
         ranges.into_iter().any(|range| range.contains(own))
     };
-    sites.iter().find(has)
+    sites.iter().find(completeness)
 }
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -8,7 +8,9 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
 use trailproxy_peers::decide::members::Own;
-use trailproxy_peers::decide::messages::{Address, Has, Message, MessagePart, PeerId, Relay};
+use trailproxy_peers::decide::messages::{
+    Address, Completeness, Message, MessagePart, PeerId, Relay,
+};
 use trailproxy_peers::decide::{Action, PeerState, Peers, Rules, new_boot_id};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
@@ -333,8 +335,9 @@
                 for part in &mut message.parts {
                     match part {
                         MessagePart::ClaimStatus { sure, .. } => *sure = true,
-                        MessagePart::Same { has, .. } | MessagePart::Page { has, .. } => {
-                            *has = Has::All
+                        MessagePart::Same { completeness, .. }
+                        | MessagePart::Page { completeness, .. } => {
+                            *completeness = Completeness::Complete
                         }
                         _ => {}
                     }
