--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -10,7 +10,7 @@
 //! | a purge, by object or group | the later moment |
 //! | a host's turn, by host | the later start; of one start, the later place in the journal; of one place, the more restricted |
 
-use super::messages::Within;
+use super::messages::TimeRange;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::*;
@@ -462,10 +462,10 @@
     }
 
     /// The same, of what was last of use within this time.
-    pub fn sum_within(&self, slot: Slot, within: Within) -> u64 {
+    pub fn checksum_in_range(&self, slot: Slot, range: TimeRange) -> u64 {
         let shelf = self.shelves.get(&slot);
         let facts = shelf.into_iter().flat_map(|shelf| shelf.facts.values());
-        let facts = facts.filter(|fact| within.contains(fact.at()));
+        let facts = facts.filter(|fact| range.contains(fact.at()));
         facts.map(Fact::digit).fold(0, u64::wrapping_add)
     }
 
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -162,17 +162,17 @@
     /// What is claimed in the writer's zone.
     Relay(Relay),
     /// As [`MessagePart::Checksums`], of what was last of use within this time only. It is answered in the same way.
-    ChecksumsInRange(Within, Vec<(Slot, u64)>),
+    ChecksumsInRange(TimeRange, Vec<(Slot, u64)>),
 }
 
 /// A range of time, from its first moment to the one before the last, by the writer's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Within {
+pub struct TimeRange {
     pub from: u64,
     pub until: u64,
 }
 
-impl Within {
+impl TimeRange {
     pub fn contains(&self, at: Timestamp) -> bool {
         (self.from..self.until).contains(&at.0)
     }
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -1,6 +1,6 @@
 //! Messages from other members, note by note, and what is fetched from them.
 
-use super::messages::Within;
+use super::messages::TimeRange;
 use super::sync::Held;
 use super::*;
 
@@ -163,10 +163,10 @@
                 let facts = &mut self.facts;
                 answers.extend(self.sync.sums(from, &sums, |slot| facts.sum(slot), &who));
             }
-            MessagePart::ChecksumsInRange(within, sums) => {
+            MessagePart::ChecksumsInRange(range, sums) => {
                 who!(self, who);
                 let facts = &self.facts;
-                let own = |slot| facts.sum_within(slot, within);
+                let own = |slot| facts.checksum_in_range(slot, range);
                 answers.extend(self.sync.sums(from, &sums, own, &who));
             }
             MessagePart::Same {
@@ -241,7 +241,7 @@
         let anybody: Vec<PeerId> = anybody.filter(|&id| self.members.alive(id)).collect();
         // Replicas of a zone are told most of what becomes of a claim once, and at different moments; and clocks that differ
         // forget at different moments.
-        let settled = (self.keepers.scope() == Scope::Zone).then(|| Within {
+        let settled = (self.keepers.scope() == Scope::Zone).then(|| TimeRange {
             from: (now - self.rules.keep).0,
             until: (now - SETTLED_AFTER).0,
         });
@@ -250,9 +250,9 @@
         let asks = {
             who!(self, who);
             let facts = &mut self.facts;
-            let own = |slot, within: Option<Within>| match within {
+            let own = |slot, range: Option<TimeRange>| match range {
                 None => facts.sum(slot),
-                Some(within) => facts.sum_within(slot, within),
+                Some(range) => facts.checksum_in_range(slot, range),
             };
             self.sync
                 .advance(now, &held, own, &who, &anybody, &mut self.chance)
--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -6,7 +6,7 @@
 //! run out. Nobody waits for any of this.
 
 use super::facts::{Fact, FactId, Slot};
-use super::messages::{Completeness, MessagePart, PeerId, Within};
+use super::messages::{Completeness, MessagePart, PeerId, TimeRange};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -106,7 +106,7 @@
     /// Slots that have anything in them.
     pub slots: Vec<Slot>,
     /// The time of which all of it can be expected to be the same at all replicas; `None`: of any time.
-    pub settled: Option<Within>,
+    pub settled: Option<TimeRange>,
 }
 
 impl Sync {
@@ -348,7 +348,7 @@
         &mut self,
         now: Timestamp,
         held: &Held,
-        mut own: impl FnMut(Slot, Option<Within>) -> u64,
+        mut own: impl FnMut(Slot, Option<TimeRange>) -> u64,
         who: &Who,
         anybody: &[PeerId],
         chance: &mut fastrand::Rng,
