--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -191,7 +191,7 @@
         }
         while now < end {
             let (core, timers) = (&mut self.core, &mut self.timers);
-            let due = timers.next.time(|| core.next());
+            let due = timers.next.time(|| core.next_deadline());
             now = due.min(ping_at).min(compare_at).max(now + TimeSpan(1));
             if due <= now {
                 timers.advance.time(|| core.advance(now));
@@ -204,7 +204,7 @@
             }
             if compare_at <= now {
                 compare_at = now + COMPARED_EVERY;
-                let sums = self.core.sums().into_iter();
+                let sums = self.core.slot_checksums().into_iter();
                 let sums = sums.take(usize::from(COMPARED_SLOTS)).collect();
                 self.tell_by_anybody(now, MessagePart::Checksums(sums));
             }
@@ -246,13 +246,15 @@
         }
         let (core, timers) = (&mut self.core, &mut self.timers);
         timers.messages += 1;
-        timers.heard.time(|| core.heard(now, of.address, message));
+        timers
+            .heard
+            .time(|| core.on_message(now, of.address, message));
         self.collect();
     }
 
     /// Takes what the core says, and notes what is answered to it.
     fn collect(&mut self) {
-        for action in self.core.take() {
+        for action in self.core.take_actions() {
             if let Action::Send(to, message) = action {
                 self.timers.messages += 1;
                 let (seal, timers) = (&self.seal, &mut self.timers);
@@ -312,8 +314,8 @@
             let (core, timers) = (&mut self.core, &mut self.timers);
             timers
                 .change
-                .time(|| core.heard(now, first.address, message));
-            self.core.take();
+                .time(|| core.on_message(now, first.address, message));
+            self.core.take_actions();
         }
     }
 }
--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -99,7 +99,7 @@
     let (socket, clock) = (member.borrow().socket.clone(), member.borrow().clock);
     let mut buffer = vec![0; MOST_BYTES + 1];
     loop {
-        let due = clock.instant(member.borrow().core.next());
+        let due = clock.instant(member.borrow().core.next_deadline());
         tokio::select! {
             biased;
             _ = socket.readable() => {}
@@ -157,14 +157,14 @@
             stamp: now.0,
             parts: vec![MessagePart::MemberUpdates(updates)],
         };
-        self.core.heard(now, first.address, message);
+        self.core.on_message(now, first.address, message);
         self.send();
     }
 
     /// Does what is due.
     fn advance(&mut self) {
         let now = self.clock.now();
-        if self.core.next() <= now {
+        if self.core.next_deadline() <= now {
             self.core.advance(now);
         }
         self.send();
@@ -202,14 +202,14 @@
             return;
         };
         let (now, from) = (self.clock.now(), from_socket(from));
-        if !self.core.shown(now, from, &message) {
-            self.core.heard(now, from, message);
+        if !self.core.on_operator_request(now, from, &message) {
+            self.core.on_message(now, from, message);
         }
         self.send();
     }
 
     fn send(&mut self) {
-        for action in self.core.take() {
+        for action in self.core.take_actions() {
             let Action::Send(to, message) = action else {
                 continue;
             };
--- a/crates/capacity-live/tests/parts.rs
+++ b/crates/capacity-live/tests/parts.rs
@@ -85,7 +85,7 @@
     };
     let now = Timestamp(1_000_000_000);
     let core = Peers::new(now, own, rules(), 1);
-    let read = standing(&core.show(now)).expect("it is understood");
+    let read = standing(&core.status_text(now)).expect("it is understood");
     assert_eq!((read.word.as_str(), read.alive), ("alone", 0));
     assert_eq!((read.messages_in, read.messages_out), (0, 0));
     assert_eq!(standing("no such words"), None);
--- a/crates/capacity/src/figures.rs
+++ b/crates/capacity/src/figures.rs
@@ -331,7 +331,7 @@
     let Some(peers) = &member.peers else {
         return Held::default();
     };
-    let (own, asking, owed, rumours) = peers.kept();
+    let (own, asking, owed, rumours) = peers.pending_counts();
     Held {
         members: peers.members().all().count(),
         records: peers.facts().records(),
--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -155,7 +155,7 @@
         self.members[member].open.insert(id, open);
         let folded = self.folding.key(ClassId(0), &key.to_string());
         let due = now + self.settings.demand.limit;
-        self.with_peers(member, |peers| peers.come(now, id, folded, due));
+        self.with_peers(member, |peers| peers.on_request(now, id, folded, due));
     }
 
     /// A member's core lets a request go on.
@@ -170,8 +170,8 @@
             return;
         }
         let waited = now.since(open.arrived);
-        let earlier = peers.earlier(id);
-        let granted = peers.granted(id);
+        let earlier = peers.earlier_attempt(id);
+        let granted = peers.is_granted(id);
         let place = (ZoneId(zone as u16), CellId(zone as u16));
         let (outcome, goes) = match verdict {
             Verdict::Answer(_) => (Outcome::Found, false),
@@ -184,10 +184,10 @@
                 Verdict::Answer(_) => Came::Done(Some(ANSWER.to_vec())),
                 Verdict::Go => Came::NeverRan,
             };
-            return peers.ended(now, id, came);
+            return peers.on_request_ended(now, id, came);
         }
         open.attempted = true;
-        peers.hand_off(now, id, place);
+        peers.on_attempt_sent(now, id, place);
         let attempt = Attempt {
             at: now,
             zone,
@@ -207,7 +207,7 @@
         }
         let now = self.now;
         let came = Came::Done(Some(ANSWER.to_vec()));
-        self.with_peers(member, |peers| peers.ended(now, request, came));
+        self.with_peers(member, |peers| peers.on_request_ended(now, request, came));
     }
 
     pub(super) fn next_purge(&mut self) {
@@ -235,7 +235,7 @@
             self.queue.push(now + after, event);
         }
         self.with_peers(member, |peers| {
-            peers.purged(now, Some(object), GroupId(0), now);
+            peers.on_purge(now, Some(object), GroupId(0), now);
         });
     }
 }
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -97,7 +97,7 @@
 
     /// When its cores want to be woken.
     pub fn next(&self) -> Option<Timestamp> {
-        let peers = self.peers.as_ref()?.next();
+        let peers = self.peers.as_ref()?.next_deadline();
         let shares = self.shares.as_ref().and_then(Shares::next);
         Some(shares.map_or(peers, |shares| shares.min(peers)))
     }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -134,7 +134,7 @@
                     parts: vec![MessagePart::MemberUpdates(piece.to_vec())],
                 };
                 let address = own.address;
-                self.with_peers(member, |peers| peers.heard(now, address, message));
+                self.with_peers(member, |peers| peers.on_message(now, address, message));
             }
         }
     }
@@ -309,7 +309,7 @@
         let now = self.now;
         self.members[to].traffic.received(now, bytes);
         let address = member::address(from);
-        self.with_peers(to, |peers| peers.heard(now, address, message));
+        self.with_peers(to, |peers| peers.on_message(now, address, message));
     }
 
     fn wake(&mut self, member: usize) {
@@ -320,7 +320,11 @@
         of.wakes_at = None;
         let now = self.now;
         let begun = Instant::now();
-        if let Some(peers) = of.peers.as_mut().filter(|peers| peers.next() <= now) {
+        if let Some(peers) = of
+            .peers
+            .as_mut()
+            .filter(|peers| peers.next_deadline() <= now)
+        {
             peers.advance(now);
         }
         let due = |at: Option<Timestamp>| at.is_some_and(|at| at <= now);
@@ -350,7 +354,7 @@
             let Some(peers) = &mut self.members[member].peers else {
                 return;
             };
-            let actions = peers.take();
+            let actions = peers.take_actions();
             if actions.is_empty() {
                 break;
             }
@@ -432,7 +436,7 @@
         for act in shares.take() {
             if let Act::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
-                peers.beside(now, PeerId(to.0), trailproxy_budgets::BESIDE, bytes);
+                peers.send_to_subsystem(now, PeerId(to.0), trailproxy_budgets::BESIDE, bytes);
             }
         }
     }
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -8,11 +8,11 @@
 
 impl Peers {
     /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
-    pub fn come(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
+    pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         self.wake(now);
         if !self.rules.records || self.quiet() {
             let verdict = Verdict::Go;
-            return self.acts.push(Action::Decided { id, verdict });
+            return self.actions.push(Action::Decided { id, verdict });
         }
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
@@ -26,7 +26,7 @@
     }
 
     /// A hand-off of it goes out.
-    pub fn hand_off(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
         let token = self.token();
         self.records.sent(id, place);
         let delay = match self.keepers.scope() {
@@ -38,17 +38,18 @@
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.records.ended(id, &came);
         self.claims.ended(now, id, came);
         self.tell_owed(now);
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
+    pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         let unsure = || {
             // It may have run anywhere, however long ago.
-            let refused = self.rules.refuse && !self.granted(id) && self.records.key(id).is_some();
+            let refused =
+                self.rules.refuse && !self.is_granted(id) && self.records.key(id).is_some();
             let (location, first_sent) = (None, Timestamp(0));
             refused.then_some(PeerAttempt {
                 location,
@@ -59,7 +60,7 @@
     }
 
     /// Whether the others said that no other has the key of this access.
-    pub fn granted(&self, id: RequestId) -> bool {
+    pub fn is_granted(&self, id: RequestId) -> bool {
         self.records.claimed(id)
     }
 
@@ -73,7 +74,7 @@
                 Step::Claim(id, key) => self.claim(now, id, key),
                 Step::Decided(id, verdict) => {
                     self.counts.answered += u64::from(matches!(verdict, Verdict::Answer(_)));
-                    self.acts.push(Action::Decided { id, verdict });
+                    self.actions.push(Action::Decided { id, verdict });
                 }
             }
         }
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -230,7 +230,7 @@
     /// Those that are there and can't be listened to.
     off_clock: BTreeMap<PeerId, OffClock>,
     counts: Counts,
-    acts: Vec<Action>,
+    actions: Vec<Action>,
 }
 
 impl Peers {
@@ -267,7 +267,7 @@
             lost: 0,
             off_clock: BTreeMap::new(),
             counts: Counts::default(),
-            acts: Vec::new(),
+            actions: Vec::new(),
             rules,
             chance,
         };
@@ -301,18 +301,18 @@
     }
 
     /// Groups of records that this member keeps a replica of by zone, and how many of them prove keys to be new.
-    pub fn proving(&self) -> (usize, usize) {
+    pub fn proving_groups(&self) -> (usize, usize) {
         self.relays.as_ref().map_or((0, 0), Relays::proving)
     }
 
     /// Accesses, questions, debts and rumours that something is kept of, for a check that it stays bounded.
-    pub fn kept(&self) -> (usize, usize, usize, usize) {
+    pub fn pending_counts(&self) -> (usize, usize, usize, usize) {
         let (own, asking, owed) = self.claims.kept();
         (own, asking, owed, self.rumours.len() + self.hints.len())
     }
 
     /// The sum of each slot that this one keeps, for a check that copies are the same.
-    pub fn sums(&mut self) -> Vec<(Slot, u64)> {
+    pub fn slot_checksums(&mut self) -> Vec<(Slot, u64)> {
         let own = self.members.own().id;
         let slots: Vec<Slot> = Slot::all()
             .filter(|&slot| self.keepers.keeps(own, slot))
@@ -348,7 +348,7 @@
         }
         self.counts.letters_out += 1;
         let message = self.message(now, parts);
-        self.acts.push(Action::Send(to, message));
+        self.actions.push(Action::Send(to, message));
     }
 
     fn message(&self, now: Timestamp, parts: Vec<MessagePart>) -> Message {
@@ -441,7 +441,7 @@
                 }
                 MemberAction::Turned(id, status) => {
                     (turned, members_changed) = (true, true);
-                    self.acts.push(Action::Member(id, status));
+                    self.actions.push(Action::Member(id, status));
                 }
                 MemberAction::Reach => turned = true,
                 MemberAction::Located => {
@@ -466,7 +466,7 @@
         let state = self.current_state();
         if state != self.state {
             self.state = state;
-            self.acts.push(Action::Turned(state));
+            self.actions.push(Action::Turned(state));
         }
     }
 
@@ -535,7 +535,7 @@
     }
 
     /// When something is to be done by itself next.
-    pub fn next(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         let relays = self.relays.as_ref().and_then(Relays::next);
         let timed = [
             self.records.next(),
@@ -581,8 +581,8 @@
     }
 
     /// What is to be done now.
-    pub fn take(&mut self) -> Vec<Action> {
-        std::mem::take(&mut self.acts)
+    pub fn take_actions(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 }
 
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -4,7 +4,12 @@
 
 impl Peers {
     /// A question from the command line is answered whatever state this one is in, and makes nobody a member.
-    pub fn shown(&mut self, now: Timestamp, address: Address, message: &Message) -> bool {
+    pub fn on_operator_request(
+        &mut self,
+        now: Timestamp,
+        address: Address,
+        message: &Message,
+    ) -> bool {
         let inquiry_id = match message.parts[..] {
             [MessagePart::StatusRequest(inquiry_id)] => inquiry_id,
             [MessagePart::Leave(inquiry_id, leaves)] => {
@@ -17,13 +22,13 @@
             }
             _ => return false,
         };
-        let text = self.show(now);
-        self.answer(now, address, inquiry_id, text);
+        let text = self.status_text(now);
+        self.send_operator_reply(now, address, inquiry_id, text);
         true
     }
 
     /// What the command line asked for.
-    pub fn answer(
+    pub fn send_operator_reply(
         &mut self,
         now: Timestamp,
         address: Address,
@@ -31,7 +36,7 @@
         text: String,
     ) {
         let message = self.message(now, vec![MessagePart::OperatorReply(inquiry_id, text)]);
-        self.acts.push(Action::Send(address, message));
+        self.actions.push(Action::Send(address, message));
     }
 
     /// This one leaves in order.
@@ -53,7 +58,7 @@
     }
 
     /// In words, for a person: a line for itself, and one for each that is not well.
-    pub fn show(&self, now: Timestamp) -> String {
+    pub fn status_text(&self, now: Timestamp) -> String {
         let (mut alive, mut rest) = (0, Vec::new());
         for (id, member) in self.members.all() {
             let update = member.update;
@@ -100,7 +105,7 @@
     }
 
     /// A word of another subsystem to that one. It may be lost, as any message, and is where that one is not known.
-    pub fn beside(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
+    pub fn send_to_subsystem(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
         if !self.quiet() {
             self.send_to(now, to, vec![MessagePart::Subsystem(of, bytes)]);
         }
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -17,7 +17,7 @@
 
 impl Peers {
     /// A message came from that address.
-    pub fn heard(&mut self, now: Timestamp, address: Address, message: Message) {
+    pub fn on_message(&mut self, now: Timestamp, address: Address, message: Message) {
         self.wake(now);
         if self.quiet() {
             return;
@@ -119,7 +119,7 @@
                     && self.hints.len() < MOST_HINTS
                 {
                     self.hints.insert(key, (at, self.tells()));
-                    self.acts.push(Action::Hinted { host: HostId(host) });
+                    self.actions.push(Action::Hinted { host: HostId(host) });
                 }
             }
             MessagePart::Gossip(facts) => facts.into_iter().for_each(|fact| self.told(now, fact)),
@@ -225,10 +225,11 @@
                     self.send_to(now, whom, vec![part]);
                 }
             }
-            MessagePart::Subsystem(of, bytes) => self.acts.push(Action::Beside(from, of, bytes)),
-            MessagePart::StatusRequest(inquiry_id) => {
-                answers.push(MessagePart::OperatorReply(inquiry_id, self.show(now)))
-            }
+            MessagePart::Subsystem(of, bytes) => self.actions.push(Action::Beside(from, of, bytes)),
+            MessagePart::StatusRequest(inquiry_id) => answers.push(MessagePart::OperatorReply(
+                inquiry_id,
+                self.status_text(now),
+            )),
             _ => {}
         }
     }
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -4,7 +4,7 @@
 
 impl Peers {
     /// A purge was heard of, from the journal, which has it at this moment.
-    pub fn purged(
+    pub fn on_purge(
         &mut self,
         now: Timestamp,
         object: Option<ObjectId>,
@@ -26,7 +26,7 @@
     }
 
     /// The own list speaks of hosts, at this place in the journal.
-    pub fn listed(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
+    pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
         self.place = self.place.max(place);
         if !self.rules.hosts {
             return;
@@ -78,7 +78,7 @@
     }
 
     /// A breaker opened here.
-    pub fn opened(&mut self, now: Timestamp, entry: HostEntry) {
+    pub fn on_breaker_opened(&mut self, now: Timestamp, entry: HostEntry) {
         if self.rules.hints && self.hints.len() < MOST_HINTS {
             let started = entry.stamp.map_or(0, |at| at.0 / 1_000_000);
             self.hints
@@ -126,7 +126,7 @@
                 };
                 match fact {
                     Fact::Record { .. } => return,
-                    Fact::Purge { object, group, at } => self.acts.push(Action::Purged {
+                    Fact::Purge { object, group, at } => self.actions.push(Action::Purged {
                         object: object.map(ObjectId),
                         group: GroupId(group),
                         at: Timestamp(at),
@@ -160,7 +160,7 @@
         let less = own.listed.is_some_and(|own| listed > own) || started > own.started;
         if place > own.place && less && until > now {
             own.restricted = Some(until);
-            self.acts.push(Action::Restricted {
+            self.actions.push(Action::Restricted {
                 host: HostId(host),
                 listed: own.listed.map_or(listed, |own| own.max(listed)),
                 started: Some(Timestamp(started.max(own.started))).filter(|at| at.0 > 0),
@@ -172,7 +172,7 @@
         for (&host, known) in &mut self.hosts {
             if known.restricted.is_some_and(|until| until <= now) {
                 known.restricted = None;
-                self.acts.push(Action::Freed { host });
+                self.actions.push(Action::Freed { host });
             }
         }
     }
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -396,17 +396,17 @@
     };
     for n in 0..3 {
         world.with_peers(n, |peers, now| {
-            peers.listed(now, &[entry(HostState::Ready, None)], 10)
+            peers.on_host_list(now, &[entry(HostState::Ready, None)], 10)
         });
     }
     world.with_peers(0, |peers, now| {
-        peers.listed(now, &[entry(HostState::Draining, None)], 11)
+        peers.on_host_list(now, &[entry(HostState::Draining, None)], 11)
     });
     world.run(SECOND);
     assert_eq!(world.seen.restricted.get(&(2, 5)), Some(&true));
     // The list comes at last, and a later place says that it is ready again.
     world.with_peers(2, |peers, now| {
-        peers.listed(now, &[entry(HostState::Ready, None)], 12)
+        peers.on_host_list(now, &[entry(HostState::Ready, None)], 12)
     });
     world.run(TimeSpan::from_secs(2));
     let one = world.seen.restricted.get(&(1, 5));
@@ -435,7 +435,7 @@
         state: HostState::Ready,
     };
     world.with_peers(4, |peers, _| {
-        peers.opened(DAWN + TimeSpan::from_secs(70), host)
+        peers.on_breaker_opened(DAWN + TimeSpan::from_secs(70), host)
     });
     world.run(TimeSpan::from_secs(2));
     let knows = |world: &World, n: usize| world.seen.purges.contains(&(n, 8));
@@ -446,7 +446,7 @@
     );
     world.with_peers(5, |peers, now| {
         let long_past = now - TimeSpan::from_secs(200);
-        peers.purged(now, Some(ObjectId(1)), GroupId(0), long_past);
+        peers.on_purge(now, Some(ObjectId(1)), GroupId(0), long_past);
     });
     world.run(TimeSpan::from_secs(2));
     assert!(!world.seen.purges.iter().any(|&(_, object)| object == 1));
@@ -461,7 +461,7 @@
         world.ask(0, key);
     }
     world.run(TimeSpan::from_millis(500));
-    let (own, asking, owed, _) = world.nodes[0].peers.as_ref().expect("up").kept();
+    let (own, asking, owed, _) = world.nodes[0].peers.as_ref().expect("up").pending_counts();
     assert!(
         own <= 8_000 && asking <= 2_048 && owed <= 8_192,
         "{own} {asking} {owed}"
@@ -570,16 +570,16 @@
         };
         let now = world.clock(n);
         let peers = world.nodes[n].peers.as_mut().expect("up");
-        peers.heard(now, asker, message);
-        let acts = peers.take();
-        let says = |act: &Action| match act {
+        peers.on_message(now, asker, message);
+        let actions = peers.take_actions();
+        let says = |action: &Action| match action {
             Action::Send(_, message) => message
                 .parts
                 .iter()
                 .any(|part| matches!(part, MessagePart::ClaimStatus { sure: true, .. })),
             _ => false,
         };
-        sure += usize::from(acts.iter().any(says));
+        sure += usize::from(actions.iter().any(says));
     }
     // Whoever asks may be taken for one of the three.
     assert!(
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -315,8 +315,8 @@
     }
     impl Small {
         fn act(&mut self, of: usize) {
-            for act in self.peers[of].take() {
-                match act {
+            for action in self.peers[of].take_actions() {
+                match action {
                     Action::Send(to, message) => {
                         self.flying.push((of, usize::from(to.ip[3]), message))
                     }
@@ -325,11 +325,11 @@
                         verdict: Verdict::Go,
                     } => {
                         self.went[of] = true;
-                        let bound = self.peers[of].earlier(id).is_some();
-                        self.granted[of] = self.peers[of].granted(id) && !bound;
+                        let bound = self.peers[of].earlier_attempt(id).is_some();
+                        self.granted[of] = self.peers[of].is_granted(id) && !bound;
                         if !bound {
                             let place = (ZoneId(of as u16), CellId(0));
-                            self.peers[of].hand_off(self.now, id, place);
+                            self.peers[of].on_attempt_sent(self.now, id, place);
                         }
                     }
                     _ => {}
@@ -341,7 +341,7 @@
             if !lost {
                 self.now = self.now + TimeSpan(100);
                 let address = self.peers[from].members().own().address;
-                self.peers[to].heard(self.now, address, message);
+                self.peers[to].on_message(self.now, address, message);
                 self.act(to);
             }
         }
@@ -379,7 +379,7 @@
     }
     let key = Folding::new("small").key(ClassId(0), "k");
     for n in 0..2 {
-        small.peers[n].come(small.now, RequestId(1), key, small.now + SECOND);
+        small.peers[n].on_request(small.now, RequestId(1), key, small.now + SECOND);
         small.act(n);
     }
     fn explore(small: &Small, depth: usize, seen: &mut (u64, u64)) {
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -272,7 +272,9 @@
             .collect();
         for id in ids {
             self.nodes[node].open.remove(&id);
-            self.with_peers(node, |peers, now| peers.ended(now, id, Came::NeverRan));
+            self.with_peers(node, |peers, now| {
+                peers.on_request_ended(now, id, Came::NeverRan)
+            });
         }
     }
 
@@ -299,7 +301,7 @@
             for (from, message) in held.into_iter().take(200) {
                 let now = self.clock(node);
                 if let Some(peers) = &mut self.nodes[node].peers {
-                    peers.heard(now, from, message);
+                    peers.on_message(now, from, message);
                 }
                 self.act(node);
             }
@@ -381,12 +383,12 @@
             let Some(peers) = &mut self.nodes[node].peers else {
                 return;
             };
-            let acts = peers.take();
-            if acts.is_empty() {
+            let actions = peers.take_actions();
+            if actions.is_empty() {
                 return;
             }
-            for act in acts {
-                match act {
+            for action in actions {
+                match action {
                     Action::Send(to, mut message) => {
                         self.spoil(&mut message);
                         if let Some(&to) = self.by_address.get(&to) {
@@ -461,7 +463,7 @@
         let folded = self.folding.key(ClassId(0), &key.to_string());
         let eager = self.planted == Some(Planted::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
-            peers.come(now, id, folded, now + TimeSpan::from_secs(1));
+            peers.on_request(now, id, folded, now + TimeSpan::from_secs(1));
         }
         if eager {
             // It goes as if it had been alone, and says so afterwards.
@@ -486,11 +488,11 @@
         if let Verdict::Answer(_) = verdict {
             self.seen.answered += 1;
             of.open.remove(&id);
-            peers.ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
             return;
         }
         let place = (open.zone, CellId(open.zone.0));
-        let earlier = peers.earlier(id);
+        let earlier = peers.earlier_attempt(id);
         // As the decisions do it: repeats are dropped within a zone, for a while from the first hand-off.
         let may = earlier.is_none_or(|earlier| {
             let near = earlier.location.is_some_and(|(zone, _)| zone == place.0);
@@ -499,11 +501,11 @@
         if !may {
             self.seen.refused += 1;
             of.open.remove(&id);
-            peers.ended(now, id, Came::NeverRan);
+            peers.on_request_ended(now, id, Came::NeverRan);
             return;
         }
-        let granted = peers.granted(id);
-        peers.hand_off(now, id, place);
+        let granted = peers.is_granted(id);
+        peers.on_attempt_sent(now, id, place);
         open.ends_at = Some(at + runs);
         let (key, zone) = (open.key, open.zone);
         self.seen.sent.push(Sent {
@@ -528,14 +530,14 @@
             .collect();
         for id in over {
             of.open.remove(&id);
-            peers.ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
         }
     }
 
     pub fn purge(&mut self, node: usize, object: u64) {
         let (now, at) = (self.clock(node), self.now);
         if let Some(peers) = &mut self.nodes[node].peers {
-            peers.purged(now, Some(ObjectId(object)), GroupId(0), at);
+            peers.on_purge(now, Some(ObjectId(object)), GroupId(0), at);
         }
         self.act(node);
     }
@@ -551,7 +553,7 @@
 
     /// A message that nobody in the world wrote.
     pub fn inject(&mut self, to: usize, from: Address, message: Message) {
-        self.with_peers(to, |peers, now| peers.heard(now, from, message));
+        self.with_peers(to, |peers, now| peers.on_message(now, from, message));
     }
 
     /// Time goes on by this.
@@ -574,7 +576,7 @@
                 }
                 let now = self.clock(to);
                 if let Some(peers) = &mut self.nodes[to].peers {
-                    peers.heard(now, address, message);
+                    peers.on_message(now, address, message);
                     self.act(to);
                 }
             }
@@ -585,7 +587,7 @@
                     continue;
                 }
                 if let Some(peers) = &mut self.nodes[node].peers {
-                    if peers.next() <= now {
+                    if peers.next_deadline() <= now {
                         peers.advance(now);
                     }
                     self.act(node);
@@ -616,7 +618,7 @@
         for n in up {
             let zone = self.nodes[n].locality.map(|locality| locality.zone);
             if let Some(peers) = &mut self.nodes[n].peers {
-                for (slot, sum) in peers.sums() {
+                for (slot, sum) in peers.slot_checksums() {
                     let zone = zone.filter(|_| !slot.is_common());
                     sums.entry((slot, zone)).or_default().insert(sum);
                 }
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -251,7 +251,10 @@
     world.kill(0);
     world.start(0);
     world.run(SECOND + SECOND);
-    let proving = world.nodes[0].peers.as_ref().map(|peers| peers.proving());
+    let proving = world.nodes[0]
+        .peers
+        .as_ref()
+        .map(|peers| peers.proving_groups());
     let groups = proving.map_or(0, |(groups, _)| groups);
     assert!(groups > 0, "it knows where all are within two seconds");
     let mut partners = 0;
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -52,26 +52,26 @@
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
         let key = self.folding.key(arrival.class, mark);
-        self.peers.come(now, arrival.id, key, due);
+        self.peers.on_request(now, arrival.id, key, due);
         self.act();
     }
 
     pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.waiting.place(host) {
-            self.peers.hand_off(now, id, place);
+            self.peers.on_attempt_sent(now, id, place);
             self.act();
         }
     }
 
     pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.waiting.forget(id);
-        self.peers.ended(now, id, came);
+        self.peers.on_request_ended(now, id, came);
         self.act();
     }
 
     pub fn message(&mut self, now: Timestamp, address: Address, message: Message) {
-        if !self.peers.shown(now, address, &message) {
-            self.peers.heard(now, address, message);
+        if !self.peers.on_operator_request(now, address, &message) {
+            self.peers.on_message(now, address, message);
         }
         self.act();
     }
@@ -88,12 +88,12 @@
     }
 
     pub fn send(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
-        self.peers.beside(now, to, of, bytes);
+        self.peers.send_to_subsystem(now, to, of, bytes);
         self.act();
     }
 
     pub fn answer(&mut self, now: Timestamp, address: Address, no: InquiryId, text: String) {
-        self.peers.answer(now, address, no, text);
+        self.peers.send_operator_reply(now, address, no, text);
         self.act();
     }
 
@@ -105,23 +105,23 @@
         group: GroupId,
         at: Timestamp,
     ) {
-        self.peers.purged(now, object, group, at);
+        self.peers.on_purge(now, object, group, at);
         self.act();
     }
 
     /// The journal told of hosts, at this place.
     pub fn listed(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
-        self.peers.listed(now, entries, place);
+        self.peers.on_host_list(now, entries, place);
         self.act();
     }
 
     pub fn opened(&mut self, now: Timestamp, host: HostEntry) {
-        self.peers.opened(now, host);
+        self.peers.on_breaker_opened(now, host);
         self.act();
     }
 
     pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
-        self.peers.earlier(id)
+        self.peers.earlier_attempt(id)
     }
 
     pub fn heard(&mut self, event: &Event) {
@@ -129,11 +129,11 @@
     }
 
     pub fn next(&self) -> Timestamp {
-        self.peers.next()
+        self.peers.next_deadline()
     }
 
     pub fn advance(&mut self, now: Timestamp) {
-        if self.peers.next() <= now {
+        if self.peers.next_deadline() <= now {
             self.peers.advance(now);
             self.act();
         }
@@ -156,11 +156,11 @@
     }
 
     pub fn figures(&self, now: Timestamp) -> String {
-        self.peers.show(now)
+        self.peers.status_text(now)
     }
 
     fn act(&mut self) {
-        for act in self.peers.take() {
+        for act in self.peers.take_actions() {
             match act {
                 Action::Send(to, message) => drop(self.to.send(ToPeers::Send(to, message))),
                 Action::Decided { id, verdict } => self.waiting.decided(id, verdict),
