--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -374,12 +374,12 @@
                     self.purges.reached(self.now, object);
                 }
             }
-            Action::Beside(from, of, bytes) => self.beside(member, from, of, &bytes),
-            Action::Restricted { .. }
-            | Action::Freed { .. }
-            | Action::Hinted { .. }
-            | Action::Turned(_)
-            | Action::Member(..) => {}
+            Action::SubsystemMessage(from, of, bytes) => self.beside(member, from, of, &bytes),
+            Action::HostRestricted { .. }
+            | Action::HostRestrictionLifted { .. }
+            | Action::PeerBreakerOpened { .. }
+            | Action::StateChanged(_)
+            | Action::MemberStatusChanged(..) => {}
         }
     }
 
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -129,22 +129,22 @@
         at: Timestamp,
     },
     /// Another's list restricts a host, which this one's does not yet.
-    Restricted {
+    HostRestricted {
         host: HostId,
         listed: Listed,
         started: Option<Timestamp>,
     },
     /// That is over: the own list holds.
-    Freed {
+    HostRestrictionLifted {
         host: HostId,
     },
-    Hinted {
+    PeerBreakerOpened {
         host: HostId,
     },
-    Turned(PeerState),
-    Member(PeerId, MemberStatus),
+    StateChanged(PeerState),
+    MemberStatusChanged(PeerId, MemberStatus),
     /// Another subsystem's word from that one.
-    Beside(PeerId, u8, Vec<u8>),
+    SubsystemMessage(PeerId, u8, Vec<u8>),
 }
 
 /// Counters by the names that the operators' page has for them.
@@ -441,7 +441,7 @@
                 }
                 MemberAction::Turned(id, status) => {
                     (turned, members_changed) = (true, true);
-                    self.actions.push(Action::Member(id, status));
+                    self.actions.push(Action::MemberStatusChanged(id, status));
                 }
                 MemberAction::Reach => turned = true,
                 MemberAction::Located => {
@@ -466,7 +466,7 @@
         let state = self.current_state();
         if state != self.state {
             self.state = state;
-            self.actions.push(Action::Turned(state));
+            self.actions.push(Action::StateChanged(state));
         }
     }
 
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -119,7 +119,8 @@
                     && self.hints.len() < MOST_HINTS
                 {
                     self.hints.insert(key, (at, self.tells()));
-                    self.actions.push(Action::Hinted { host: HostId(host) });
+                    self.actions
+                        .push(Action::PeerBreakerOpened { host: HostId(host) });
                 }
             }
             MessagePart::Gossip(facts) => facts.into_iter().for_each(|fact| self.told(now, fact)),
@@ -225,7 +226,9 @@
                     self.send_to(now, whom, vec![part]);
                 }
             }
-            MessagePart::Subsystem(of, bytes) => self.actions.push(Action::Beside(from, of, bytes)),
+            MessagePart::Subsystem(of, bytes) => {
+                self.actions.push(Action::SubsystemMessage(from, of, bytes))
+            }
             MessagePart::StatusRequest(inquiry_id) => answers.push(MessagePart::OperatorReply(
                 inquiry_id,
                 self.status_text(now),
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -160,7 +160,7 @@
         let less = own.listed.is_some_and(|own| listed > own) || started > own.started;
         if place > own.place && less && until > now {
             own.restricted = Some(until);
-            self.actions.push(Action::Restricted {
+            self.actions.push(Action::HostRestricted {
                 host: HostId(host),
                 listed: own.listed.map_or(listed, |own| own.max(listed)),
                 started: Some(Timestamp(started.max(own.started))).filter(|at| at.0 > 0),
@@ -172,7 +172,7 @@
         for (&host, known) in &mut self.hosts {
             if known.restricted.is_some_and(|until| until <= now) {
                 known.restricted = None;
-                self.actions.push(Action::Freed { host });
+                self.actions.push(Action::HostRestrictionLifted { host });
             }
         }
     }
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -399,16 +399,18 @@
                     Action::Purged { object, .. } => {
                         self.seen.purges.insert((node, object.map_or(0, |o| o.0)));
                     }
-                    Action::Hinted { host } => {
+                    Action::PeerBreakerOpened { host } => {
                         self.seen.hints.insert((node, host.0));
                     }
-                    Action::Restricted { host, .. } => {
+                    Action::HostRestricted { host, .. } => {
                         self.seen.restricted.insert((node, host.0), true);
                     }
-                    Action::Freed { host } => {
+                    Action::HostRestrictionLifted { host } => {
                         self.seen.restricted.insert((node, host.0), false);
                     }
-                    Action::Turned(_) | Action::Member(..) | Action::Beside(..) => {}
+                    Action::StateChanged(_)
+                    | Action::MemberStatusChanged(..)
+                    | Action::SubsystemMessage(..) => {}
                 }
             }
         }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -173,7 +173,7 @@
                         stamp: Some(at),
                     }));
                 }
-                Action::Restricted {
+                Action::HostRestricted {
                     host,
                     listed,
                     started,
@@ -186,13 +186,17 @@
                     self.waiting
                         .due(Due::Restricted(host, Some((state, started))));
                 }
-                Action::Freed { host } => self.waiting.due(Due::Restricted(host, None)),
-                Action::Hinted { host } => self
+                Action::HostRestrictionLifted { host } => {
+                    self.waiting.due(Due::Restricted(host, None))
+                }
+                Action::PeerBreakerOpened { host } => self
                     .waiting
                     .due(Due::Tell(Event::PeerBreakerOpened { host })),
-                Action::Beside(from, of, bytes) => self.beside.push((from, of, bytes)),
-                Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.as_str()),
-                Action::Member(id, standing) => {
+                Action::SubsystemMessage(from, of, bytes) => self.beside.push((from, of, bytes)),
+                Action::StateChanged(stands) => {
+                    info!(self.log, "peers"; "stands" => stands.as_str())
+                }
+                Action::MemberStatusChanged(id, standing) => {
                     info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?standing);
                 }
             }
