--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -15,7 +15,7 @@
     Address, BootId, Completeness, InquiryId, MemberStatus, MemberSummary, MemberUpdate, Message,
     MessagePart, PeerId,
 };
-use trailproxy_peers::decide::{Action, Peers, Rules};
+use trailproxy_peers::decide::{Action, Peers, PeersSettings};
 use trailproxy_peers::wire::{MOST_BYTES, Seal};
 
 /// When the virtual clock begins: any moment far from zero does.
@@ -135,16 +135,16 @@
     })
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: false,
-        wait: TimeSpan::from_millis(5),
-        keep: TimeSpan::from_secs(10),
-        purges_last: TimeSpan::from_secs(3),
+        refuse_unconfirmed: false,
+        max_wait: TimeSpan::from_millis(5),
+        record_retention: TimeSpan::from_secs(10),
+        purge_retention: TimeSpan::from_secs(3),
     }
 }
 
--- a/crates/capacity-live/src/worker.rs
+++ b/crates/capacity-live/src/worker.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 use trailproxy::units::TimeSpan;
-use trailproxy_peers::decide::Rules;
+use trailproxy_peers::decide::PeersSettings;
 use trailproxy_peers::sites::Site;
 
 /// A worker that does not answer by then is taken for dead.
@@ -86,16 +86,16 @@
 
 impl Order {
     /// By what its members run.
-    pub fn rules(&self) -> Rules {
-        Rules {
+    pub fn rules(&self) -> PeersSettings {
+        PeersSettings {
             records: true,
             purges: true,
             hosts: true,
             hints: true,
-            refuse: false,
-            wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
-            keep: TimeSpan::from_secs_f64(self.keep_s),
-            purges_last: TimeSpan::from_secs_f64(self.purges_last_s),
+            refuse_unconfirmed: false,
+            max_wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
+            record_retention: TimeSpan::from_secs_f64(self.keep_s),
+            purge_retention: TimeSpan::from_secs_f64(self.purges_last_s),
         }
     }
 }
--- a/crates/capacity-live/tests/parts.rs
+++ b/crates/capacity-live/tests/parts.rs
@@ -13,7 +13,7 @@
 use trailproxy_capacity_live::worker::{Hollow, Order};
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Address, BootId, PeerId};
-use trailproxy_peers::decide::{Peers, Rules};
+use trailproxy_peers::decide::{Peers, PeersSettings};
 
 fn points(values: &[(f64, f64)]) -> Vec<Point> {
     values.iter().map(|&(x, y)| Point { x, y }).collect()
@@ -56,16 +56,16 @@
     assert!(Usage::of(u32::MAX).is_err(), "nobody has that id");
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: false,
-        wait: TimeSpan::from_millis(5),
-        keep: TimeSpan::from_secs(10),
-        purges_last: TimeSpan::from_secs(3),
+        refuse_unconfirmed: false,
+        max_wait: TimeSpan::from_millis(5),
+        record_retention: TimeSpan::from_secs(10),
+        purge_retention: TimeSpan::from_secs(3),
     }
 }
 
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -13,7 +13,7 @@
 use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Address, PeerId};
-use trailproxy_peers::decide::{Peers, Rules, new_boot_id};
+use trailproxy_peers::decide::{Peers, PeersSettings, new_boot_id};
 
 const PORT: u16 = 7_946;
 
@@ -143,15 +143,15 @@
     }
 }
 
-pub fn rules(demand: &Demand) -> Rules {
-    Rules {
+pub fn rules(demand: &Demand) -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: demand.refuse,
-        wait: demand.wait,
-        keep: demand.keep,
-        purges_last: demand.purges_last,
+        refuse_unconfirmed: demand.refuse,
+        max_wait: demand.wait,
+        record_retention: demand.keep,
+        purge_retention: demand.purges_last,
     }
 }
--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -1,6 +1,6 @@
 //! What the operator's file says of the other dispatchers, as the reader of the script hands it on.
 
-use crate::decide::Rules;
+use crate::decide::PeersSettings;
 use crate::decide::locality::Topology;
 use crate::decide::messages::Address;
 use crate::sites::{self, Site};
@@ -133,7 +133,11 @@
 
     /// The longest of all windows with an outer limit behind it, and the time after which no copy from before a purge is
     /// left, are the deployment's.
-    pub fn rules(&self, longest_window: TimeSpan, purges_last: TimeSpan) -> Result<Rules, String> {
+    pub fn settings(
+        &self,
+        longest_window: TimeSpan,
+        purges_last: TimeSpan,
+    ) -> Result<PeersSettings, String> {
         let keep = TimeSpan::from_secs_f64(self.keep_s);
         if self.records && keep < longest_window {
             let least = longest_window.as_secs_f64();
@@ -141,15 +145,15 @@
                 format!("{least} or more, the longest window of a track and its outer limit");
             return Err(self.wrong("keep_s", &self.keep_s.to_string(), &accepted));
         }
-        Ok(Rules {
+        Ok(PeersSettings {
             records: self.records,
             purges: self.purges,
             hosts: self.hosts,
             hints: self.hints,
-            refuse: self.unsure == Unsure::Refuse,
-            wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
-            keep,
-            purges_last: purges_last.mul_f64(3.0),
+            refuse_unconfirmed: self.unsure == Unsure::Refuse,
+            max_wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
+            record_retention: keep,
+            purge_retention: purges_last.mul_f64(3.0),
         })
     }
 }
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -10,7 +10,7 @@
     /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
     pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         self.wake(now);
-        if !self.rules.records || self.quiet() {
+        if !self.settings.records || self.quiet() {
             let verdict = Verdict::Go;
             return self.actions.push(Action::Decided { id, verdict });
         }
@@ -19,7 +19,7 @@
         let keepers = self.keepers.of(slot);
         let reached = |id: &&PeerId| **id == own || self.members.alive(**id);
         let some = keepers.iter().filter(reached).count() > keepers.len() / 2;
-        let wait = Some(self.rules.wait).filter(|_| some && self.claims.room());
+        let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.room());
         self.counts.waited += u64::from(wait.is_some());
         let steps = self.records.come(now, id, key, due, wait);
         self.follow(now, steps);
@@ -48,8 +48,9 @@
     pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         let unsure = || {
             // It may have run anywhere, however long ago.
-            let refused =
-                self.rules.refuse && !self.is_granted(id) && self.records.key(id).is_some();
+            let refused = self.settings.refuse_unconfirmed
+                && !self.is_granted(id)
+                && self.records.key(id).is_some();
             let (location, first_sent) = (None, Timestamp(0));
             refused.then_some(PeerAttempt {
                 location,
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -77,19 +77,19 @@
 
 /// What is held in common, each by itself, and the bounds that the operator sets.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Rules {
+pub struct PeersSettings {
     pub records: bool,
     pub purges: bool,
     pub hosts: bool,
     pub hints: bool,
     /// An access with a key goes out only where the others have said that it is new, or where a repeat is dropped.
-    pub refuse: bool,
+    pub refuse_unconfirmed: bool,
     /// The longest that an access with a key waits.
-    pub wait: TimeSpan,
+    pub max_wait: TimeSpan,
     /// How long a record is kept: no shorter than any window and outer limit together.
-    pub keep: TimeSpan,
+    pub record_retention: TimeSpan,
     /// After that every copy from before a purge is gone.
-    pub purges_last: TimeSpan,
+    pub purge_retention: TimeSpan,
 }
 
 /// How it stands with the others.
@@ -201,7 +201,7 @@
 /// One dispatcher's part.
 #[derive(Clone, Debug)]
 pub struct Peers {
-    rules: Rules,
+    settings: PeersSettings,
     chance: fastrand::Rng,
     members: Members,
     keepers: Keepers,
@@ -234,11 +234,11 @@
 }
 
 impl Peers {
-    pub fn new(now: Timestamp, own: Own, rules: Rules, seed: u64) -> Peers {
+    pub fn new(now: Timestamp, own: Own, settings: PeersSettings, seed: u64) -> Peers {
         let mut chance = fastrand::Rng::with_seed(seed);
         let lasts = Lasts {
-            record: rules.keep + APART.mul_f64(2.0) + LATE,
-            purge: rules.purges_last + APART,
+            record: settings.record_retention + APART.mul_f64(2.0) + LATE,
+            purge: settings.purge_retention + APART,
             host: TURN_LASTS,
         };
         let mut peers = Peers {
@@ -268,15 +268,15 @@
             off_clock: BTreeMap::new(),
             counts: Counts::default(),
             actions: Vec::new(),
-            rules,
+            settings,
             chance,
         };
         peers.fleet(now);
         peers
     }
 
-    pub fn rules(&self) -> &Rules {
-        &self.rules
+    pub fn settings(&self) -> &PeersSettings {
+        &self.settings
     }
 
     pub fn counts(&self) -> Counts {
@@ -476,7 +476,7 @@
     /// next reckoned who keeps what: between the two it would be the only keeper that it knows, and sure.
     fn look_round(&mut self, now: Timestamp) {
         self.look_round_at = now + FLEET;
-        let keep = self.rules.keep;
+        let keep = self.settings.record_retention;
         let lost = |member: &members::Member| match member.update.status {
             MemberStatus::Dead => now.since(member.since) < keep,
             MemberStatus::Suspected => true,
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -113,7 +113,7 @@
             MessagePart::BreakerOpened { host, started, at } => {
                 let (key, at) = ((HostId(host), started), Timestamp(at).min(now));
                 let known = self.hints.contains_key(&key);
-                if self.rules.hints
+                if self.settings.hints
                     && now.since(at) < HINT_LASTS
                     && !known
                     && self.hints.len() < MOST_HINTS
@@ -246,7 +246,7 @@
         // Replicas of a zone are told most of what becomes of a claim once, and at different moments; and clocks that differ
         // forget at different moments.
         let settled = (self.keepers.scope() == Scope::Zone).then(|| TimeRange {
-            from: (now - self.rules.keep).0,
+            from: (now - self.settings.record_retention).0,
             until: (now - SETTLED_AFTER).0,
         });
         let slots = self.facts.slots().collect();
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -11,7 +11,7 @@
         group: GroupId,
         at: Timestamp,
     ) {
-        if self.rules.purges {
+        if self.settings.purges {
             let group = object.map_or(group.0, |_| 0);
             let object = object.map(|object| object.0);
             self.own_fact(
@@ -28,7 +28,7 @@
     /// The own list speaks of hosts, at this place in the journal.
     pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
         self.place = self.place.max(place);
-        if !self.rules.hosts {
+        if !self.settings.hosts {
             return;
         }
         for entry in entries {
@@ -79,7 +79,7 @@
 
     /// A breaker opened here.
     pub fn on_breaker_opened(&mut self, now: Timestamp, entry: HostEntry) {
-        if self.rules.hints && self.hints.len() < MOST_HINTS {
+        if self.settings.hints && self.hints.len() < MOST_HINTS {
             let started = entry.stamp.map_or(0, |at| at.0 / 1_000_000);
             self.hints
                 .insert((entry.host, started), (now, self.tells()));
@@ -104,9 +104,9 @@
     pub(super) fn told(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         let wanted = match &fact {
-            Fact::Record { .. } => self.rules.records,
-            Fact::Purge { .. } => self.rules.purges,
-            Fact::Host { .. } => self.rules.hosts,
+            Fact::Record { .. } => self.settings.records,
+            Fact::Purge { .. } => self.settings.purges,
+            Fact::Host { .. } => self.settings.hosts,
         };
         if !wanted {
             return;
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_peers::decide::Rules;
+use trailproxy_peers::decide::PeersSettings;
 use trailproxy_peers::decide::facts::{Claim, Fact, Place, Stage, Token};
 use trailproxy_peers::decide::messages::{InquiryId, Message, MessagePart};
 use world::*;
@@ -45,7 +45,14 @@
 #[ignore = "a measurement"]
 fn a_hundred_thousand_records_are_caught_up_with() {
     let keep = TimeSpan::from_secs(120);
-    let mut world = World::with(3, 1, Rules { keep, ..rules() });
+    let mut world = World::with(
+        3,
+        1,
+        PeersSettings {
+            record_retention: keep,
+            ..settings()
+        },
+    );
     world.run(TimeSpan::from_secs(130));
     fill(&mut world, 100_000);
     world.run(TimeSpan::from_secs(2));
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -7,7 +7,7 @@
 use trailproxy_peers::decide::messages::{
     BootId, InquiryId, MemberStatus, MemberUpdate, Message, MessagePart, PeerId,
 };
-use trailproxy_peers::decide::{Action, PeerState, Rules};
+use trailproxy_peers::decide::{Action, PeerState, PeersSettings};
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -314,7 +314,14 @@
 #[test]
 fn all_restarted_one_by_one_lose_nothing() {
     let keep = TimeSpan::from_secs(60);
-    let mut world = World::with(5, 12, Rules { keep, ..rules() });
+    let mut world = World::with(
+        5,
+        12,
+        PeersSettings {
+            record_retention: keep,
+            ..settings()
+        },
+    );
     world.run(TimeSpan::from_secs(70));
     world.ask(0, 7);
     world.purge(0, 9);
@@ -522,7 +529,14 @@
 #[test]
 fn where_the_operator_has_it_so_what_nobody_is_sure_about_is_refused() {
     let refuse = true;
-    let mut world = World::with(6, 19, Rules { refuse, ..rules() });
+    let mut world = World::with(
+        6,
+        19,
+        PeersSettings {
+            refuse_unconfirmed: refuse,
+            ..settings()
+        },
+    );
     world.run(TimeSpan::from_secs(45));
     world.split(|n| n < 2, true);
     world.run(TimeSpan::from_secs(5));
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -360,7 +360,7 @@
     let mut small = Small {
         now: DAWN,
         peers: (0..3)
-            .map(|n| Peers::new(DAWN, own(n), rules(), u64::from(n)))
+            .map(|n| Peers::new(DAWN, own(n), settings(), u64::from(n)))
             .collect(),
         flying: Vec::new(),
         granted: vec![false; 3],
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use trailproxy_peers::decide::messages::{
     Address, Completeness, Message, MessagePart, PeerId, Relay,
 };
-use trailproxy_peers::decide::{Action, PeerState, Peers, Rules, new_boot_id};
+use trailproxy_peers::decide::{Action, PeerState, Peers, PeersSettings, new_boot_id};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
@@ -20,16 +20,16 @@
 pub const LIMIT: TimeSpan = TimeSpan::from_secs(2);
 pub const DAWN: Timestamp = Timestamp(1_700_000_000_000_000);
 
-pub fn rules() -> Rules {
-    Rules {
+pub fn settings() -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: false,
-        wait: WAIT,
-        keep: TimeSpan::from_secs(8),
-        purges_last: TimeSpan::from_secs(30),
+        refuse_unconfirmed: false,
+        max_wait: WAIT,
+        record_retention: TimeSpan::from_secs(8),
+        purge_retention: TimeSpan::from_secs(30),
     }
 }
 
@@ -118,7 +118,7 @@
     pub seen: Seen,
     pub planted: Option<Planted>,
     pub chance: fastrand::Rng,
-    rules: Rules,
+    settings: PeersSettings,
     folding: Folding,
     flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
     by_address: BTreeMap<Address, usize>,
@@ -157,10 +157,10 @@
 
 impl World {
     pub fn new(n: usize, seed: u64) -> World {
-        World::with(n, seed, rules())
+        World::with(n, seed, settings())
     }
 
-    pub fn with(n: usize, seed: u64, rules: Rules) -> World {
+    pub fn with(n: usize, seed: u64, settings: PeersSettings) -> World {
         let mut world = World {
             now: DAWN,
             nodes: Vec::new(),
@@ -168,7 +168,7 @@
             seen: Seen::default(),
             planted: None,
             chance: fastrand::Rng::with_seed(seed),
-            rules,
+            settings,
             folding: Folding::new("world"),
             flying: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
@@ -186,11 +186,11 @@
     pub fn placed(
         n: usize,
         seed: u64,
-        rules: Rules,
+        settings: PeersSettings,
         zones: Vec<NearId>,
         place: impl Fn(usize) -> Option<Locality>,
     ) -> World {
-        let mut world = World::with(0, seed, rules);
+        let mut world = World::with(0, seed, settings);
         world.by_address = (0..n).map(|n| (address(n), n)).collect();
         world.step = TimeSpan::from_millis(1);
         world.zones = zones;
@@ -247,7 +247,7 @@
             seeds,
             topology: of.locality.map(|locality| Topology::new(locality, zones)),
         };
-        of.peers = Some(Peers::new(now, own, self.rules.clone(), seed));
+        of.peers = Some(Peers::new(now, own, self.settings.clone(), seed));
         (of.paused, of.waiting) = (false, Vec::new());
         of.open.clear();
     }
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_peers::decide::Rules;
+use trailproxy_peers::decide::PeersSettings;
 use trailproxy_peers::decide::locality::{Locality, NearId};
 use trailproxy_peers::decide::relay::SETTLE;
 use world::*;
@@ -36,10 +36,10 @@
     Locality::of_names(&site, &zone_name(zone), &region)
 }
 
-fn short() -> Rules {
-    Rules {
-        wait: SHORT_WAIT,
-        ..rules()
+fn short() -> PeersSettings {
+    PeersSettings {
+        max_wait: SHORT_WAIT,
+        ..settings()
     }
 }
 
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -87,7 +87,7 @@
         };
         let config = &told.config;
         let longest = longest_window(terms, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, terms.purge_propagation)?;
+        let rules = config.settings(longest, terms.purge_propagation)?;
         let listen = told.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -217,7 +217,7 @@
         store: Option<&StoreSheet>,
         against: &Against,
     ) -> Result<PeersTold, String> {
-        config.rules(against.longest_window, against.purges_last)?;
+        config.settings(against.longest_window, against.purges_last)?;
         let addresses = config.addresses(against.peers.as_deref())?;
         if config.records && store.is_some_and(|store| store.records) {
             let accepted = "records in one of the sections store and peers";
