--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_peers::decide::facts::Slot;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{
     Address, BootId, Completeness, InquiryId, MemberStatus, MemberSummary, MemberUpdate, Message,
     MessagePart, PeerId,
@@ -162,7 +162,7 @@
 
 impl Bench {
     fn new(members: usize, seed: u64) -> Bench {
-        let own = Own {
+        let own = OwnMember {
             id: PeerId::of_name("own"),
             address: from_socket(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7_946)),
             boot_id: BootId(1),
--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep_until};
 use trailproxy::units::Timestamp;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{
     self, Address, BootId, MemberUpdate, Message, MessagePart, PeerId,
 };
@@ -121,7 +121,7 @@
     /// Opens its socket; it knows the seeds only.
     pub async fn open(own: &Hollow, order: &Order, clock: UnixClock) -> io::Result<Member> {
         let socket = UdpSocket::bind(own.address).await?;
-        let name = Own {
+        let name = OwnMember {
             id: PeerId::of_name(&own.name),
             address: from_socket(own.address),
             boot_id: BootId(own.life),
--- a/crates/capacity-live/tests/parts.rs
+++ b/crates/capacity-live/tests/parts.rs
@@ -11,7 +11,7 @@
 use trailproxy_capacity_live::slope::{Point, Slope};
 use trailproxy_capacity_live::usage::Usage;
 use trailproxy_capacity_live::worker::{Hollow, Order};
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Address, BootId, PeerId};
 use trailproxy_peers::decide::{Peers, PeersSettings};
 
@@ -76,7 +76,7 @@
         ip: [127, 0, 0, 1],
         port: 1,
     };
-    let own = Own {
+    let own = OwnMember {
         id: PeerId(1),
         address,
         boot_id: BootId(1),
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -11,7 +11,7 @@
 use trailproxy_budgets::decide::shares::Shares;
 use trailproxy_budgets::decide::{HolderId, LifeId};
 use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Address, PeerId};
 use trailproxy_peers::decide::{Peers, PeersSettings, new_boot_id};
 
@@ -133,8 +133,8 @@
     location: &Location,
     zones: &[usize],
     placement: Placement,
-) -> Own {
-    Own {
+) -> OwnMember {
+    OwnMember {
         id: peer_id(member),
         address: address(member),
         boot_id: new_boot_id(now, seed),
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -138,7 +138,7 @@
 
 /// Who this is, and how it finds others.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Own {
+pub struct OwnMember {
     pub id: PeerId,
     pub address: Address,
     pub boot_id: BootId,
@@ -176,7 +176,7 @@
 }
 
 impl Members {
-    pub fn new(now: Timestamp, own: Own, chance: &mut fastrand::Rng) -> Members {
+    pub fn new(now: Timestamp, own: OwnMember, chance: &mut fastrand::Rng) -> Members {
         let update = MemberUpdate {
             id: own.id,
             address: own.address,
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -41,7 +41,7 @@
 use claims::{Claims, Heard};
 use facts::{Fact, FactId, Facts, Lasts, Listed, Slot, Token, mix};
 use keepers::{Changed, Keepers, Scope};
-use members::{MemberAction, Members, Own};
+use members::{MemberAction, Members, OwnMember};
 use messages::{Address, InquiryId, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
 use relay::Relays;
 use std::collections::{BTreeMap, BTreeSet};
@@ -234,7 +234,7 @@
 }
 
 impl Peers {
-    pub fn new(now: Timestamp, own: Own, settings: PeersSettings, seed: u64) -> Peers {
+    pub fn new(now: Timestamp, own: OwnMember, settings: PeersSettings, seed: u64) -> Peers {
         let mut chance = fastrand::Rng::with_seed(seed);
         let lasts = Lasts {
             record: settings.record_retention + APART.mul_f64(2.0) + LATE,
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers, new_boot_id};
 use trailproxy_shared_store::decide::records::{Folding, Verdict};
@@ -350,7 +350,7 @@
         ip: [127, 0, 0, n],
         port: 1,
     };
-    let own = |n: u8| Own {
+    let own = |n: u8| OwnMember {
         id: PeerId::of_name(&format!("s{n}")),
         address: address(n),
         boot_id: new_boot_id(DAWN, u64::from(n)),
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
 use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{
     Address, Completeness, Message, MessagePart, PeerId, Relay,
 };
@@ -240,7 +240,7 @@
         let of = &mut self.nodes[node];
         of.born += 1;
         let (id, address) = (of.id, of.address);
-        let own = Own {
+        let own = OwnMember {
             id,
             address,
             boot_id: new_boot_id(now, seed),
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use trailproxy::interface::{CrossingLimits, DispatcherSettings, Event, HostListKind};
 use trailproxy::units::Timestamp;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::PeerId;
 use trailproxy_peers::decide::{Peers, new_boot_id};
 use trailproxy_peers::sites;
@@ -98,7 +98,7 @@
             })?;
         // Never the same for two processes.
         let drawn = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
-        let own = Own {
+        let own = OwnMember {
             id: PeerId::of_name(&self.name),
             address: told.addresses.advertise,
             boot_id: new_boot_id(now, drawn),
