--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -173,7 +173,10 @@
     /// How many others it counts as alive.
     pub fn alive(&self) -> usize {
         let members = self.core.members();
-        members.all().filter(|(id, _)| members.alive(**id)).count()
+        members
+            .all()
+            .filter(|(id, _)| members.is_reached(**id))
+            .count()
     }
 
     /// Whether it lacks nothing.
--- a/crates/capacity-live/src/plan.rs
+++ b/crates/capacity-live/src/plan.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 /// No fleet is larger: more members are not taken in by [`trailproxy_peers`].
-pub const MOST_MEMBERS: usize = trailproxy_peers::decide::members::MOST;
+pub const MOST_MEMBERS: usize = trailproxy_peers::decide::members::MAX_MEMBERS;
 /// Real ones among hollow members.
 pub const MOST_REAL: usize = 16;
 /// Real processes at rest: each takes some 20 MB, so that half of a machine of 12 GB is never reached.
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -262,7 +262,7 @@
         let roster = first.members().membership_checksum();
         self.up().all(|peers| {
             let members = peers.members();
-            members.there().count() + 1 == count && members.membership_checksum() == roster
+            members.present().count() + 1 == count && members.membership_checksum() == roster
         })
     }
 
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -17,7 +17,7 @@
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
         let keepers = self.keepers.of(slot);
-        let reached = |id: &&PeerId| **id == own || self.members.alive(**id);
+        let reached = |id: &&PeerId| **id == own || self.members.is_reached(**id);
         let some = keepers.iter().filter(reached).count() > keepers.len() / 2;
         let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.room());
         self.counts.waited += u64::from(wait.is_some());
@@ -123,7 +123,7 @@
         };
         replicas.sort_by_key(|&id| match id == own {
             true => (false, None),
-            false => (!self.members.alive(id), distance(id)),
+            false => (!self.members.is_reached(id), distance(id)),
         });
         let reserve = replicas.split_off(enough.min(replicas.len()));
         (replicas, reserve)
@@ -243,7 +243,7 @@
             InquiryId(*next)
         };
         let there =
-            |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.there());
+            |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.is_present());
         let of = |id: FactId| {
             keepers
                 .of(id.slot())
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -16,7 +16,7 @@
 use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How often one other is pinged. Shorter costs messages, longer finds a dead one later.
-pub const PERIOD: TimeSpan = TimeSpan::from_millis(400);
+pub const PING_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 /// A ping that is not answered by then goes by others; one to another region has further to go.
 const DIRECT: TimeSpan = TimeSpan::from_millis(120);
 const DIRECT_FAR: TimeSpan = TimeSpan::from_millis(240);
@@ -39,7 +39,7 @@
 /// Those lost lately are told with it.
 const LATELY: TimeSpan = TimeSpan::from_secs(30);
 /// A bound on the fleet; more are not taken in.
-pub const MOST: usize = 1_024;
+pub const MAX_MEMBERS: usize = 1_024;
 /// In the first while of its life, a process takes the name from one that had it before.
 const NEW: TimeSpan = TimeSpan::from_secs(3);
 
@@ -61,7 +61,7 @@
 
 impl Member {
     /// Whether it counts as one of the fleet.
-    pub fn there(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.update.status <= MemberStatus::Suspected
     }
 
@@ -109,7 +109,7 @@
         if member.telling > 0 {
             self.telling.insert(id);
         }
-        if member.there() {
+        if member.is_present() {
             self.there = self.there.wrapping_add(member_checksum(&member.update));
         }
     }
@@ -117,7 +117,7 @@
     fn remove(&mut self, member: &Member) {
         self.suspected.remove(&member.update.id);
         self.telling.remove(&member.update.id);
-        if member.there() {
+        if member.is_present() {
             self.there = self.there.wrapping_sub(member_checksum(&member.update));
         }
     }
@@ -197,7 +197,7 @@
             round: VecDeque::new(),
             probe: None,
             helping: BTreeMap::new(),
-            ping_at: now + PERIOD.mul_f64(chance.f64()),
+            ping_at: now + PING_INTERVAL.mul_f64(chance.f64()),
             knock_at: now,
             knock_next: chance.usize(0..1_024),
             next_inquiry_id: chance.u64(0..1 << 32),
@@ -224,12 +224,12 @@
     }
 
     /// Whoever is there, without this one.
-    pub fn there(&self) -> impl Iterator<Item = (PeerId, &Member)> {
+    pub fn present(&self) -> impl Iterator<Item = (PeerId, &Member)> {
         let all = self.members.iter().map(|(&id, member)| (id, member));
-        all.filter(|(_, member)| member.there())
+        all.filter(|(_, member)| member.is_present())
     }
 
-    pub fn alive(&self, id: PeerId) -> bool {
+    pub fn is_reached(&self, id: PeerId) -> bool {
         let member = self.members.get(&id);
         member.is_some_and(Member::is_reached)
     }
@@ -248,7 +248,7 @@
     pub fn located(&self, now: Timestamp) -> (Vec<Located>, Option<Timestamp>) {
         let mut located = vec![(self.own.id, self.locality)];
         let mut again: Option<Timestamp> = None;
-        for (id, member) in self.there() {
+        for (id, member) in self.present() {
             let until = member.met + LOCATE;
             if self.locality.is_some() && member.locality.is_none() && now < until {
                 again = Some(again.map_or(until, |again| again.min(until)));
@@ -408,7 +408,7 @@
             return self.of_self(now, update);
         }
         let tells = self.tells();
-        let full = self.members.len() >= MOST;
+        let full = self.members.len() >= MAX_MEMBERS;
         match self.members.get_mut(&update.id) {
             Some(known) if update.rank() <= known.update.rank() => {}
             Some(known) => {
@@ -525,10 +525,10 @@
                 }
             }
             MessagePart::IndirectPing(theirs, whom, at) => {
-                if self.helping.len() < MOST {
+                if self.helping.len() < MAX_MEMBERS {
                     let inquiry_id = self.new_inquiry_id();
                     self.helping
-                        .insert(inquiry_id, (address, *theirs, *whom, now + PERIOD));
+                        .insert(inquiry_id, (address, *theirs, *whom, now + PING_INTERVAL));
                     self.send(*at, self.sign(MessagePart::Ping(inquiry_id, own)));
                 }
             }
@@ -546,7 +546,8 @@
             }
             MessagePart::MembersRequest => {
                 let told = |member: &&Member| {
-                    self.tellable(member) && (member.there() || now.since(member.since) < LATELY)
+                    self.tellable(member)
+                        && (member.is_present() || now.since(member.since) < LATELY)
                 };
                 let updates = self
                     .members
@@ -609,7 +610,7 @@
     pub fn leave(&mut self) {
         self.own.status = MemberStatus::Left;
         let all: Vec<Address> = self
-            .there()
+            .present()
             .map(|(_, member)| member.update.address)
             .collect();
         for to in all {
@@ -658,13 +659,13 @@
             }
         }
         if now >= self.ping_at {
-            self.ping_at = now + PERIOD.mul_f64(0.9 + 0.2 * chance.f64());
+            self.ping_at = now + PING_INTERVAL.mul_f64(0.9 + 0.2 * chance.f64());
             self.ping(now, own, chance);
         }
         if now >= self.knock_at {
             self.knock_at = now + KNOCK.mul_f64(0.75 + 0.5 * chance.f64());
             self.members
-                .retain(|_, member| member.there() || now.since(member.since) < REMEMBER);
+                .retain(|_, member| member.is_present() || now.since(member.since) < REMEMBER);
             self.index = Index::of(&self.members);
             self.knock(own);
         }
@@ -676,7 +677,7 @@
         let Some(address) = self.address(probe.whom) else {
             return;
         };
-        let helpers = self.there().filter(|&(id, _)| id != probe.whom);
+        let helpers = self.present().filter(|&(id, _)| id != probe.whom);
         let mut helpers: Vec<Address> = helpers.map(|(_, member)| member.update.address).collect();
         chance.shuffle(&mut helpers);
         for to in helpers.into_iter().take(HELPERS) {
@@ -713,7 +714,7 @@
     fn ping(&mut self, now: Timestamp, own: MemberSummary, chance: &mut fastrand::Rng) {
         loop {
             let Some(whom) = self.round.pop_front() else {
-                let mut all: Vec<PeerId> = self.there().map(|(id, _)| id).collect();
+                let mut all: Vec<PeerId> = self.present().map(|(id, _)| id).collect();
                 if all.is_empty() {
                     return;
                 }
@@ -721,7 +722,7 @@
                 self.round = all.into();
                 continue;
             };
-            let Some(member) = self.members.get(&whom).filter(|member| member.there()) else {
+            let Some(member) = self.members.get(&whom).filter(|member| member.is_present()) else {
                 continue;
             };
             let (to, sent, by_others) = (member.update.address, now, false);
@@ -739,7 +740,7 @@
     /// One of those that are not there: a dead one, or an address of the operator's nobody is known at.
     fn knock(&mut self, own: MemberSummary) {
         let there: Vec<Address> = self
-            .there()
+            .present()
             .map(|(_, member)| member.update.address)
             .collect();
         let dead = self
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -13,7 +13,8 @@
         let (members, keepers, own) = (&$self.members, &$self.keepers, $self.members.own().id);
         let others = |slot: Slot| -> Vec<PeerId> {
             let all = keepers.of(slot).iter().copied();
-            all.filter(|&id| id != own && members.alive(id)).collect()
+            all.filter(|&id| id != own && members.is_reached(id))
+                .collect()
         };
         let mine = |slot: Slot| keepers.keeps(own, slot);
         let $who = Who {
@@ -497,7 +498,7 @@
         self.off_clock
             .retain(|_, known| now.since(known.heard) < keep);
         for &id in self.off_clock.keys() {
-            let reached = self.members.alive(id);
+            let reached = self.members.is_reached(id);
             if !reached && !lost_now.contains(&id) {
                 lost_now.push(id);
             }
@@ -524,7 +525,7 @@
         if self.members.superseded {
             return PeerState::Superseded;
         }
-        if self.members.there().next().is_none() {
+        if self.members.present().next().is_none() {
             return PeerState::Alone;
         }
         who!(self, who);
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -241,8 +241,8 @@
         if now < self.sync.next() {
             return;
         }
-        let anybody = self.members.there().map(|(id, _)| id);
-        let anybody: Vec<PeerId> = anybody.filter(|&id| self.members.alive(id)).collect();
+        let anybody = self.members.present().map(|(id, _)| id);
+        let anybody: Vec<PeerId> = anybody.filter(|&id| self.members.is_reached(id)).collect();
         // Replicas of a zone are told most of what becomes of a claim once, and at different moments; and clocks that differ
         // forget at different moments.
         let settled = (self.keepers.scope() == Scope::Zone).then(|| TimeRange {
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -203,7 +203,7 @@
         if parts.is_empty() {
             return;
         }
-        let mut whom: Vec<PeerId> = self.members.there().map(|(id, _)| id).collect();
+        let mut whom: Vec<PeerId> = self.members.present().map(|(id, _)| id).collect();
         self.chance.shuffle(&mut whom);
         for id in whom.into_iter().take(TELL_TO) {
             self.send_to(now, id, parts.clone());
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -380,7 +380,7 @@
     let others = world.nodes[0].peers.as_ref().expect("up");
     assert!(others.counts().off_clock > 0);
     assert!(
-        !others.members().alive(world.nodes[1].id),
+        !others.members().is_reached(world.nodes[1].id),
         "as one that is not there"
     );
     world.ask(1, 99);
@@ -512,7 +512,7 @@
         world.nodes[0]
             .peers
             .as_ref()
-            .is_some_and(|peers| (1..3).all(|m| peers.members().alive(world.nodes[m].id)))
+            .is_some_and(|peers| (1..3).all(|m| peers.members().is_reached(world.nodes[m].id)))
     });
     assert!(
         took.is_some_and(|took| took < TimeSpan::from_secs(3)),
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -607,7 +607,7 @@
             let Some(peers) = &self.nodes[n].peers else {
                 return false;
             };
-            let mut known: BTreeSet<PeerId> = peers.members().there().map(|(id, _)| id).collect();
+            let mut known: BTreeSet<PeerId> = peers.members().present().map(|(id, _)| id).collect();
             known.insert(self.nodes[n].id);
             known == up
         })
