--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -10,7 +10,7 @@
 use trailproxy::units::{RequestId, Timestamp};
 use trailproxy_budgets::decide::shares::Shares;
 use trailproxy_budgets::decide::{HolderId, LifeId};
-use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
+use trailproxy_peers::decide::locality::{Locality, PeerZoneId, RegionId, SiteId, Topology};
 use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Address, PeerId};
 use trailproxy_peers::decide::{Peers, PeersSettings, new_boot_id};
@@ -49,10 +49,10 @@
         }
         let own = Locality {
             site: SiteId(location.site as u32),
-            zone: NearId(location.zone as u32),
+            zone: PeerZoneId(location.zone as u32),
             region: RegionId(location.region as u32),
         };
-        let zones = zones.iter().map(|&zone| NearId(zone as u32));
+        let zones = zones.iter().map(|&zone| PeerZoneId(zone as u32));
         Some(Topology::new(own, zones))
     }
 }
--- a/crates/peers/src/decide/keepers.rs
+++ b/crates/peers/src/decide/keepers.rs
@@ -5,7 +5,7 @@
 //! its own, so that a claim waits for near members only; what other zones claim comes by [`super::relay`].
 
 use super::facts::{RECORD_SLOTS, Slot, mix};
-use super::locality::{Locality, NearId, Topology};
+use super::locality::{Locality, PeerZoneId, Topology};
 use super::messages::PeerId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     former: Vec<Vec<PeerId>>,
     former_until: Timestamp,
     /// The members of each zone, the own one among them; seats of other zones are drawn for the groups that are kept here.
-    by_zone: BTreeMap<NearId, Vec<PeerId>>,
+    by_zone: BTreeMap<PeerZoneId, Vec<PeerId>>,
 }
 
 /// What a change of the fleet did.
@@ -188,7 +188,7 @@
     /// The members of another zone that tell this one what is claimed there: whoever has the same seat, and, where one
     /// zone has fewer seats, whoever has one that falls on the same. So any two seats of one zone and any majority of
     /// seats of the other have a pair in common.
-    pub fn partners(&self, id: PeerId, group: GroupNo, zone: NearId) -> Vec<PeerId> {
+    pub fn partners(&self, id: PeerId, group: GroupNo, zone: PeerZoneId) -> Vec<PeerId> {
         let own = self.own_seats(group);
         let members = self.by_zone.get(&zone);
         let theirs = members.map_or_else(Vec::new, |members| seats(group, members));
@@ -202,8 +202,8 @@
     }
 }
 
-fn by_zone(fleet: &[Located]) -> BTreeMap<NearId, Vec<PeerId>> {
-    let mut members: BTreeMap<NearId, Vec<PeerId>> = BTreeMap::new();
+fn by_zone(fleet: &[Located]) -> BTreeMap<PeerZoneId, Vec<PeerId>> {
+    let mut members: BTreeMap<PeerZoneId, Vec<PeerId>> = BTreeMap::new();
     for &(id, locality) in fleet {
         if let Some(locality) = locality {
             members.entry(locality.zone).or_default().push(id);
--- a/crates/peers/src/decide/locality.rs
+++ b/crates/peers/src/decide/locality.rs
@@ -22,7 +22,7 @@
     /// A site: machines less than a millisecond apart.
     SiteId;
     /// A zone: sites so near that a keyed request can wait for an answer from each.
-    NearId;
+    PeerZoneId;
     /// A region: zones that share a continent's network.
     RegionId;
 }
@@ -31,17 +31,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Locality {
     pub site: SiteId,
-    pub zone: NearId,
+    pub zone: PeerZoneId,
     pub region: RegionId,
 }
 
 /// How far apart two members are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
-    Site,
-    Zone,
-    Region,
-    BetweenRegions,
+    SameSite,
+    SameZone,
+    SameRegion,
+    OtherRegion,
 }
 
 impl Locality {
@@ -49,20 +49,20 @@
     pub fn of_names(site: &str, zone: &str, region: &str) -> Locality {
         Locality {
             site: SiteId::of_name(site),
-            zone: NearId::of_name(zone),
+            zone: PeerZoneId::of_name(zone),
             region: RegionId::of_name(region),
         }
     }
 
     pub fn distance(self, other: Locality) -> Distance {
         if self.region != other.region {
-            Distance::BetweenRegions
+            Distance::OtherRegion
         } else if self.zone != other.zone {
-            Distance::Region
+            Distance::SameRegion
         } else if self.site != other.site {
-            Distance::Zone
+            Distance::SameZone
         } else {
-            Distance::Site
+            Distance::SameSite
         }
     }
 }
@@ -71,31 +71,31 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Topology {
     pub own: Locality,
-    zones: Vec<NearId>,
+    zones: Vec<PeerZoneId>,
 }
 
 impl Topology {
     /// `zones`: all that the operator's file names, in any order; the own one is added where it is missing.
-    pub fn new(own: Locality, zones: impl IntoIterator<Item = NearId>) -> Topology {
-        let mut zones: Vec<NearId> = zones.into_iter().chain([own.zone]).collect();
+    pub fn new(own: Locality, zones: impl IntoIterator<Item = PeerZoneId>) -> Topology {
+        let mut zones: Vec<PeerZoneId> = zones.into_iter().chain([own.zone]).collect();
         zones.sort_unstable();
         zones.dedup();
         Topology { own, zones }
     }
 
     /// All zones, in the same order in every member.
-    pub fn zones(&self) -> &[NearId] {
+    pub fn zones(&self) -> &[PeerZoneId] {
         &self.zones
     }
 
     /// The zones beside the own one.
-    pub fn other_zones(&self) -> impl Iterator<Item = NearId> {
+    pub fn other_zones(&self) -> impl Iterator<Item = PeerZoneId> {
         let own = self.own.zone;
         self.zones.iter().copied().filter(move |&zone| zone != own)
     }
 
     /// Whether these zones are more than half of all. Of two halves the one with the first zone counts as more.
-    pub fn is_majority(&self, present: &[NearId]) -> bool {
+    pub fn is_majority(&self, present: &[PeerZoneId]) -> bool {
         let count = 2 * present.len();
         let has_first = self
             .zones
@@ -107,7 +107,7 @@
     /// A checksum of the list of zones: a set of zones by their places is read only by members with the same list.
     pub fn checksum(&self) -> u32 {
         let fold =
-            |sum: u32, zone: &NearId| (sum ^ zone.0).wrapping_mul(0x9e37_79b1).rotate_left(13);
+            |sum: u32, zone: &PeerZoneId| (sum ^ zone.0).wrapping_mul(0x9e37_79b1).rotate_left(13);
         self.zones.iter().fold(self.zones.len() as u32, fold)
     }
 }
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -267,8 +267,7 @@
 
     /// How long an answer to a ping is waited for.
     fn direct(&self, whom: PeerId) -> TimeSpan {
-        let far =
-            |(own, other): (Locality, Locality)| own.distance(other) == Distance::BetweenRegions;
+        let far = |(own, other): (Locality, Locality)| own.distance(other) == Distance::OtherRegion;
         match self.locality.zip(self.locality(whom)).is_some_and(far) {
             true => DIRECT_FAR,
             false => DIRECT,
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -14,7 +14,7 @@
 //! - One that has proved nothing for long waits for [`REJOIN`], so that the others hear of it before it begins again.
 
 use super::keepers::GroupNo;
-use super::locality::{NearId, Topology};
+use super::locality::{PeerZoneId, Topology};
 use super::messages::{Entry, LogId, PeerId, Relay};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
@@ -173,9 +173,9 @@
     log: Log,
     links: BTreeMap<PeerId, Link>,
     /// Partners by zone; a zone that nobody is known in has none.
-    zones: BTreeMap<NearId, Vec<PeerId>>,
+    zones: BTreeMap<PeerZoneId, Vec<PeerId>>,
     /// When a replica of that zone was heard last.
-    heard: BTreeMap<NearId, Timestamp>,
+    heard: BTreeMap<PeerZoneId, Timestamp>,
     proof: Proof,
     /// All claims of the own zone that matter are in the log.
     complete: bool,
@@ -184,7 +184,7 @@
 /// A claim of another zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FarClaim {
-    pub zone: NearId,
+    pub zone: PeerZoneId,
     /// When it was claimed, at the earliest.
     pub at: Timestamp,
 }
@@ -195,7 +195,7 @@
     ends: Timestamp,
 }
 
-type FarKey = (GroupNo, ShortKey, NearId);
+type FarKey = (GroupNo, ShortKey, PeerZoneId);
 
 /// What this member relays and was relayed, as long as each zone has replicas of its own.
 #[derive(Clone, Debug)]
@@ -210,13 +210,13 @@
 }
 
 /// The members that a replica of a group is paired with, by zone.
-pub type Pairs = BTreeMap<NearId, Vec<PeerId>>;
+pub type Pairs = BTreeMap<PeerZoneId, Vec<PeerId>>;
 
 /// What the members' side knows of the sender of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
     pub id: PeerId,
-    pub zone: NearId,
+    pub zone: PeerZoneId,
     /// The time stamp of its message, by its own clock.
     pub stamp: u64,
 }
@@ -288,7 +288,7 @@
     /// What other zones have claimed under a key.
     pub fn claimed(&self, group_no: GroupNo, key: u128) -> Vec<FarClaim> {
         let key = ShortKey::of(key);
-        let (first, last) = (NearId(0), NearId(u32::MAX));
+        let (first, last) = (PeerZoneId(0), PeerZoneId(u32::MAX));
         let found = self
             .far
             .range((group_no, key, first)..=(group_no, key, last));
@@ -501,7 +501,7 @@
     }
 
     /// The zones whose claims are known up to lately.
-    fn fresh(&self, now: Timestamp) -> Vec<NearId> {
+    fn fresh(&self, now: Timestamp) -> Vec<PeerZoneId> {
         let is_fresh = |id: &PeerId| self.links.get(id).is_some_and(|link| link.is_fresh(now));
         let fresh = |partners: &Vec<PeerId>| !partners.is_empty() && partners.iter().all(is_fresh);
         let zones = self.zones.iter().filter(|(_, partners)| fresh(partners));
@@ -511,7 +511,7 @@
     /// The zones that are heard, as a set of their places.
     fn hears(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> u64 {
         let places = topology.zones().iter().enumerate();
-        let heard = |zone: &NearId| {
+        let heard = |zone: &PeerZoneId| {
             self.heard
                 .get(zone)
                 .is_some_and(|&at| now.since(at) < silence)
@@ -529,11 +529,11 @@
         }
         let fresh = self.fresh(now);
         let places = topology.zones();
-        let left_out = |zone: NearId| {
+        let left_out = |zone: PeerZoneId| {
             let heard = self.heard.get(&zone).copied().unwrap_or(self.since);
             let place = places.iter().position(|&known| known == zone);
             let bit = 1u64 << (place.unwrap_or(0) % 64);
-            let heard_by = |zone: &NearId| {
+            let heard_by = |zone: &PeerZoneId| {
                 let partners = self.zones.get(zone).into_iter().flatten();
                 let links = partners.filter_map(|id| self.links.get(id));
                 links.fold(0, |all, link| all | link.hears) & bit != 0
@@ -544,7 +544,7 @@
         if !others.all(|zone| fresh.contains(&zone) || left_out(zone)) {
             return false;
         }
-        let present: Vec<NearId> = fresh.iter().copied().chain([topology.own.zone]).collect();
+        let present: Vec<PeerZoneId> = fresh.iter().copied().chain([topology.own.zone]).collect();
         topology.is_majority(&present)
     }
 }
--- a/crates/peers/src/decide/relaying.rs
+++ b/crates/peers/src/decide/relaying.rs
@@ -2,7 +2,7 @@
 
 use super::facts::{Claim, Place, Stage};
 use super::keepers::GroupNo;
-use super::locality::NearId;
+use super::locality::PeerZoneId;
 use super::messages::{LogId, Relay};
 use super::relay::{FarClaim, Pairs, Sender};
 use super::*;
@@ -80,13 +80,13 @@
             return relays.clear();
         }
         let (keepers, chance) = (&self.keepers, &mut self.chance);
-        let zones: Vec<NearId> = keepers
+        let zones: Vec<PeerZoneId> = keepers
             .topology()
             .into_iter()
             .flat_map(|topology| topology.other_zones())
             .collect();
         let pairs = |group: GroupNo| -> Pairs {
-            let with = |&zone: &NearId| (zone, keepers.partners(own, group, zone));
+            let with = |&zone: &PeerZoneId| (zone, keepers.partners(own, group, zone));
             zones.iter().map(with).collect()
         };
         let kept = keepers.groups(own).into_iter();
--- a/crates/peers/src/sites.rs
+++ b/crates/peers/src/sites.rs
@@ -1,6 +1,6 @@
 //! Where the fleet's dispatchers are, as the operator's file has it: one section `site` for each place.
 
-use crate::decide::locality::{Locality, NearId, Topology};
+use crate::decide::locality::{Locality, PeerZoneId, Topology};
 use crate::decide::messages::Address;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
@@ -160,7 +160,7 @@
         return Err(misfit.message(file));
     };
     let locality = Locality::of_names(&site.name, &site.zone, &site.region);
-    let zones = sites.iter().map(|site| NearId::of_name(&site.zone));
+    let zones = sites.iter().map(|site| PeerZoneId::of_name(&site.zone));
     Ok(Some(Topology::new(locality, zones)))
 }
 
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
-use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
+use trailproxy_peers::decide::locality::{Distance, Locality, PeerZoneId, Topology};
 use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{
     Address, Completeness, Message, MessagePart, PeerId, Relay,
@@ -129,16 +129,16 @@
     pub weighs: bool,
     /// How far apart events of one node may be seen: timers are looked at so often.
     pub step: TimeSpan,
-    zones: Vec<NearId>,
+    zones: Vec<PeerZoneId>,
 }
 
 /// How long a message is on its way, without faults: from, and at the most.
 fn travel(distance: Distance) -> (TimeSpan, TimeSpan) {
     let (least, most) = match distance {
-        Distance::Site => (100, 400),
-        Distance::Zone => (700, 1_500),
-        Distance::Region => (5_000, 10_000),
-        Distance::BetweenRegions => (30_000, 80_000),
+        Distance::SameSite => (100, 400),
+        Distance::SameZone => (700, 1_500),
+        Distance::SameRegion => (5_000, 10_000),
+        Distance::OtherRegion => (30_000, 80_000),
     };
     (TimeSpan(least), TimeSpan(most))
 }
@@ -187,7 +187,7 @@
         n: usize,
         seed: u64,
         settings: PeersSettings,
-        zones: Vec<NearId>,
+        zones: Vec<PeerZoneId>,
         place: impl Fn(usize) -> Option<Locality>,
     ) -> World {
         let mut world = World::with(0, seed, settings);
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -4,7 +4,7 @@
 
 use trailproxy::units::*;
 use trailproxy_peers::decide::PeersSettings;
-use trailproxy_peers::decide::locality::{Locality, NearId};
+use trailproxy_peers::decide::locality::{Locality, PeerZoneId};
 use trailproxy_peers::decide::relay::SETTLE;
 use world::*;
 
@@ -23,9 +23,9 @@
     format!("z{zone}")
 }
 
-fn zones() -> Vec<NearId> {
+fn zones() -> Vec<PeerZoneId> {
     (0..ZONES)
-        .map(|zone| NearId::of_name(&zone_name(zone)))
+        .map(|zone| PeerZoneId::of_name(&zone_name(zone)))
         .collect()
 }
 
