--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -16,7 +16,7 @@
     MessagePart, PeerId,
 };
 use trailproxy_peers::decide::{Action, Peers, PeersSettings};
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 /// When the virtual clock begins: any moment far from zero does.
 const BEGIN: Timestamp = Timestamp(1_000_000_000_000);
@@ -327,7 +327,7 @@
     let far = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
     let to = far.local_addr()?;
     let (mut sending, mut receiving) = (Timed::default(), Timed::default());
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     for _ in 0..DATAGRAMS {
         sending.time(|| near.send_to(&[0; BYTES], to))?;
         receiving.time(|| far.recv_from(&mut buffer))?;
--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -17,7 +17,7 @@
 };
 use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::sites::topology;
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 /// So many datagrams are read in a row before another member has its turn.
 const IN_A_ROW: usize = 16;
@@ -97,7 +97,7 @@
 /// Serves one member until its task is aborted.
 pub async fn run(member: Shared) {
     let (socket, clock) = (member.borrow().socket.clone(), member.borrow().clock);
-    let mut buffer = vec![0; MOST_BYTES + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let due = clock.instant(member.borrow().core.next_deadline());
         tokio::select! {
--- a/crates/capacity-live/src/question.rs
+++ b/crates/capacity-live/src/question.rs
@@ -7,7 +7,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
 use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 /// An answer that does not come by then is asked for again.
 const ANSWER_WITHIN: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     socket.connect(address).await?;
     let seal = Seal::new(FLEET, b"");
-    let mut heard = vec![0; MOST_BYTES + 1];
+    let mut heard = vec![0; MAX_DATAGRAM_BYTES + 1];
     for nth in 0..TRIES {
         let question = question(InquiryId(nth + 1));
         let bytes = seal.write(&question).ok_or(io::ErrorKind::InvalidInput)?;
--- a/crates/capacity/src/fleet/requests.rs
+++ b/crates/capacity/src/fleet/requests.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
-use trailproxy_peers::decide::relay::SETTLE;
+use trailproxy_peers::decide::relay::RELAY_SETTLE_TIME;
 
 /// Upstreams of one zone drop a second attempt under one key that comes within this from the first.
 pub const DROP_WITHIN: TimeSpan = TimeSpan::from_secs(4);
@@ -133,7 +133,7 @@
         let forbidden: Vec<Timestamp> = forbidden.map(|of| of.at).collect();
         let early = forbidden
             .iter()
-            .filter(|&&at| attempt.at.since(at) < SETTLE);
+            .filter(|&&at| attempt.at.since(at) < RELAY_SETTLE_TIME);
         self.early_repeats += early.count() as u64;
         self.forbidden_repeats += forbidden.len() as u64;
         earlier.push(attempt);
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -309,7 +309,7 @@
             Place::Untold | Place::Anywhere => None,
         },
         // The owner's clock may be ahead of the keeper's, and that of the reader's.
-        age: now.since(Timestamp(first)) + super::APART.mul_f64(2.0),
+        age: now.since(Timestamp(first)) + super::MAX_CLOCK_SKEW.mul_f64(2.0),
         body: body.map(|body| body.into_vec()),
     })
 }
@@ -391,7 +391,7 @@
     /// Takes a fact in. `Some(true)`: it is news; `Some(false)`: it was known, or is over; `None`: there is no room.
     pub fn take(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
         // One from far ahead of any clock would be held for as long.
-        if self.end(&fact) <= now || fact.at() > now + super::APART.mul_f64(2.0) {
+        if self.end(&fact) <= now || fact.at() > now + super::MAX_CLOCK_SKEW.mul_f64(2.0) {
             return Some(false);
         }
         let id = fact.id();
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -2,7 +2,7 @@
 //!
 //! Every note may be lost, doubled, late or out of order, and means the same then. Points in time are the writer's, in
 //! microseconds of Unix time; a message whose own stamp is too far from the reader's clock is not read at all, so that no
-//! writer's clock is ahead of a reader's by more than [`super::APART`].
+//! writer's clock is ahead of a reader's by more than [`super::MAX_CLOCK_SKEW`].
 
 use super::facts::{Claim, Fact, FactId, Slot};
 use super::keepers::GroupNo;
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -52,13 +52,13 @@
 use trailproxy_shared_store::decide::records::{Came, Key, Records, Step, Verdict};
 
 /// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
-pub const APART: TimeSpan = TimeSpan::from_millis(750);
+pub const MAX_CLOCK_SKEW: TimeSpan = TimeSpan::from_millis(750);
 /// How long a message may be on its way beside that: what it says may have been overtaken.
 const LATE: TimeSpan = TimeSpan::from_secs(1);
 /// One that was not run for so long was away: others may have given it up.
 const AWAY: TimeSpan = TimeSpan::from_secs(1);
 /// A host's turn is told for so long, and holds for so long against an own list that is silent.
-pub const TURN_LASTS: TimeSpan = TimeSpan::from_secs(30);
+pub const HOST_CHANGE_RETENTION: TimeSpan = TimeSpan::from_secs(30);
 /// A hint that is older says nothing.
 const HINT_LASTS: TimeSpan = TimeSpan::from_secs(5);
 /// What all hear of by themselves is told by the first after a draw from this, so that hundreds don't tell it at once.
@@ -238,9 +238,9 @@
     pub fn new(now: Timestamp, own: OwnMember, settings: PeersSettings, seed: u64) -> Peers {
         let mut chance = fastrand::Rng::with_seed(seed);
         let lasts = Lasts {
-            record: settings.record_retention + APART.mul_f64(2.0) + LATE,
-            purge: settings.purge_retention + APART,
-            host: TURN_LASTS,
+            record: settings.record_retention + MAX_CLOCK_SKEW.mul_f64(2.0) + LATE,
+            purge: settings.purge_retention + MAX_CLOCK_SKEW,
+            host: HOST_CHANGE_RETENTION,
         };
         let mut peers = Peers {
             facts: Facts::new(lasts),
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -23,7 +23,7 @@
             return;
         }
         let stamp = Timestamp(message.stamp);
-        if stamp > now + APART || now.since(stamp) > APART + LATE {
+        if stamp > now + MAX_CLOCK_SKEW || now.since(stamp) > MAX_CLOCK_SKEW + LATE {
             return self.heard_off_clock(now, message.from, address);
         }
         self.counts.letters_in += 1;
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -2,7 +2,7 @@
 //!
 //! Within a zone a claim is agreed on at once. Between zones it is only told, a few times a second, so that nobody waits for
 //! a long way. A replica *proves* that a key is new only while it knows all that was claimed in every other zone up to
-//! [`SETTLE`] ago:
+//! [`RELAY_SETTLE_TIME`] ago:
 //!
 //! - Each replica numbers what is claimed of its group in a log. A relay carries the next entries, an echo of the time stamp of
 //!   the partner's last relay, and how much of the partner's log has arrived. An echo says, by the reader's own clock, up
@@ -21,10 +21,10 @@
 
 /// How often each partner is told what is new, spread by a quarter. Shorter costs messages, longer leaves what another zone
 /// has just claimed unknown for longer.
-pub const EVERY: TimeSpan = TimeSpan::from_millis(200);
+pub const RELAY_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
 /// What was claimed in another zone longer ago is known here, or nothing is proved. It has room for the longest way there
 /// and back, two rounds and a lost message.
-pub const SETTLE: TimeSpan = TimeSpan::from_secs(1);
+pub const RELAY_SETTLE_TIME: TimeSpan = TimeSpan::from_secs(1);
 /// Conditions hold for so long before one that was away proves anything.
 const REJOIN: TimeSpan = TimeSpan::from_secs(2);
 /// Where nothing was acknowledged for this long, what was not is sent again.
@@ -148,7 +148,7 @@
 
     fn is_fresh(&self, now: Timestamp) -> bool {
         self.known_until
-            .is_some_and(|known| now.since(known) < SETTLE)
+            .is_some_and(|known| now.since(known) < RELAY_SETTLE_TIME)
     }
 }
 
@@ -235,7 +235,7 @@
 
     /// How long a zone has been silent before it is left out: all that was claimed there has run out.
     fn silence(&self) -> TimeSpan {
-        self.lasts + SETTLE
+        self.lasts + RELAY_SETTLE_TIME
     }
 
     /// Which groups are kept here, and with whom each is paired. Newly kept groups are returned; the caller logs all that is
@@ -354,7 +354,7 @@
             relays.extend(self.tell(now, group_no));
         }
         let more = relays.iter().any(|(_, relay)| !relay.last);
-        let every = if more { MORE } else { EVERY };
+        let every = if more { MORE } else { RELAY_INTERVAL };
         self.tick_at = now + every.mul_f64(0.75 + 0.5 * chance.f64());
         relays
     }
@@ -432,7 +432,7 @@
         // The writer may have it by a clock that is ahead, and the entry was on its way.
         let at = now - age;
         let kept = Kept {
-            at: at - super::APART.mul_f64(2.0),
+            at: at - super::MAX_CLOCK_SKEW.mul_f64(2.0),
             ends: at + self.lasts,
         };
         if kept.ends > now {
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -60,7 +60,9 @@
             {
                 self.restrict(now, &known);
             }
-            let young = entry.started.is_some_and(|at| now.since(at) < TURN_LASTS);
+            let young = entry
+                .started
+                .is_some_and(|at| now.since(at) < HOST_CHANGE_RETENTION);
             if !same && (listed != Listed::Ready || young) {
                 let (host, at) = (entry.host.0, now.0);
                 self.own_fact(
@@ -156,7 +158,7 @@
         let Some(own) = self.hosts.get_mut(&HostId(host)) else {
             return;
         };
-        let until = Timestamp(at) + TURN_LASTS;
+        let until = Timestamp(at) + HOST_CHANGE_RETENTION;
         let less = own.listed.is_some_and(|own| listed > own) || started > own.started;
         if place > own.place && less && until > now {
             own.restricted = Some(until);
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -7,7 +7,7 @@
 /// The form of the head. A note of a kind that is not known is left out by its reader; a head never changes but with this.
 pub const VERSION: u8 = 1;
 /// No longer datagram is read or written.
-pub const MOST_BYTES: usize = 16 << 10;
+pub const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 const SUM: usize = 16;
 
 /// Tells the messages of one fleet from all others'.
@@ -67,7 +67,7 @@
             bytes.extend(part);
         }
         bytes.extend(self.sum(&bytes));
-        (bytes.len() <= MOST_BYTES).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     /// The message, and how many of its notes are of kinds that this version does not know.
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -5,7 +5,7 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::PeersSettings;
 use trailproxy_peers::decide::locality::{Locality, PeerZoneId};
-use trailproxy_peers::decide::relay::SETTLE;
+use trailproxy_peers::decide::relay::RELAY_SETTLE_TIME;
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -16,7 +16,7 @@
 /// All that was claimed in a zone that is silent has run out.
 const UNTIL_LEFT_OUT: TimeSpan = TimeSpan::from_secs(13);
 /// A client that comes again in another zone does so no sooner.
-const ELSEWHERE: TimeSpan = TimeSpan(SETTLE.0 + 100_000);
+const ELSEWHERE: TimeSpan = TimeSpan(RELAY_SETTLE_TIME.0 + 100_000);
 const ZONES: usize = 6;
 
 fn zone_name(zone: usize) -> String {
@@ -143,7 +143,7 @@
     let apart = |node: usize| node % ZONES < 2;
     world.split(apart, true);
     // What the others may have claimed just before is unknown at first.
-    world.run(SETTLE + SECOND);
+    world.run(RELAY_SETTLE_TIME + SECOND);
     let (granted, _) = granted_at(&mut world, 0..18, 1_000);
     assert_eq!(granted, 0, "nobody knows yet what the others did last");
     world.run(UNTIL_LEFT_OUT);
--- a/crates/trailproxy-cli/src/peers.rs
+++ b/crates/trailproxy-cli/src/peers.rs
@@ -8,7 +8,7 @@
 use trailproxy_operator::read_file;
 use trailproxy_peers::config::Config;
 use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 #[derive(Subcommand)]
 pub enum Task {
@@ -102,7 +102,7 @@
             .ok_or("a question that is too long")?;
         self.socket.connect(at).map_err(|e| e.to_string())?;
         let begun = Instant::now();
-        let mut heard = vec![0; MOST_BYTES];
+        let mut heard = vec![0; MAX_DATAGRAM_BYTES];
         let mut refused = None;
         while begun.elapsed() < WITHIN {
             // The word that nobody listened to the one before comes with the next.
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use trailproxy::policy::system_errors::{StreamError, of_stream};
 use trailproxy_peers::decide::messages::Address;
-use trailproxy_peers::wire::{MOST_BYTES, Seal, Unread};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal, Unread};
 
 /// What was not read is told this often at most.
 const TELL_EVERY: Duration = Duration::from_secs(10);
@@ -71,7 +71,7 @@
 }
 
 async fn hear(socket: Rc<UdpSocket>, seal: Seal, queue: Queue, log: Logger) {
-    let mut bytes = vec![0; MOST_BYTES + 1];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
     let (unreads, mut row) = (Unreads::default(), 0);
     let more = |count: &Cell<u64>, by: usize| count.set(count.get() + by as u64);
     loop {
