--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -25,7 +25,7 @@
 
 /// Why a datagram was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum ReadError {
     /// Another fleet's, or spoilt on its way.
     Foreign,
     /// Of a version that this one does not know the head of.
@@ -71,28 +71,28 @@
     }
 
     /// The message, and how many of its notes are of kinds that this version does not know.
-    pub fn read(&self, bytes: &[u8]) -> Result<(Message, usize), Unread> {
-        let at = bytes.len().checked_sub(SUM).ok_or(Unread::Garbled)?;
+    pub fn read(&self, bytes: &[u8]) -> Result<(Message, usize), ReadError> {
+        let at = bytes.len().checked_sub(SUM).ok_or(ReadError::Garbled)?;
         let (bytes, sum) = bytes.split_at(at);
         let right = self.sum(bytes);
         // Every byte is looked at, so that the time it takes tells nothing.
         let off = right.iter().zip(sum).fold(0, |off, (a, b)| off | (a ^ b));
         if off != 0 {
-            return Err(Unread::Foreign);
+            return Err(ReadError::Foreign);
         }
         if bytes.first().is_some_and(|&version| version != VERSION) {
-            return Err(Unread::Newer);
+            return Err(ReadError::Newer);
         }
         let (head, mut rest) =
-            postcard::take_from_bytes::<Head>(bytes).map_err(|_| Unread::Garbled)?;
+            postcard::take_from_bytes::<Head>(bytes).map_err(|_| ReadError::Garbled)?;
         let (mut parts, mut unknown) = (Vec::new(), 0);
         while !rest.is_empty() {
             let Some((size, behind)) = rest.split_first_chunk::<2>() else {
-                return Err(Unread::Garbled);
+                return Err(ReadError::Garbled);
             };
             let size = usize::from(u16::from_le_bytes(*size));
             let Some((part, behind)) = behind.split_at_checked(size) else {
-                return Err(Unread::Garbled);
+                return Err(ReadError::Garbled);
             };
             match postcard::take_from_bytes::<MessagePart>(part) {
                 Ok((part, _)) => parts.push(part),
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -8,7 +8,7 @@
 use trailproxy_peers::decide::messages::{
     BootId, InquiryId, MemberSummary, Message, MessagePart, PeerId,
 };
-use trailproxy_peers::wire::{Seal, Unread, VERSION};
+use trailproxy_peers::wire::{ReadError, Seal, VERSION};
 
 fn place() -> impl Strategy<Value = Place> {
     prop_oneof![
@@ -143,7 +143,7 @@
         good[at] ^= 1 << bit;
         prop_assert!(seal.read(&good).is_err(), "a bit is flipped");
         bytes.truncate(10);
-        prop_assert_eq!(seal.read(&bytes), Err(Unread::Garbled));
+        prop_assert_eq!(seal.read(&bytes), Err(ReadError::Garbled));
     }
 }
 
@@ -192,8 +192,14 @@
     let written = message(parts);
     let bytes = seal.write(&written).expect("short");
     assert_eq!(seal.read(&bytes), Ok((written.clone(), 0)));
-    assert_eq!(Seal::new("other", b"").read(&bytes), Err(Unread::Foreign));
-    assert_eq!(Seal::new("fleet", b"x").read(&bytes), Err(Unread::Foreign));
+    assert_eq!(
+        Seal::new("other", b"").read(&bytes),
+        Err(ReadError::Foreign)
+    );
+    assert_eq!(
+        Seal::new("fleet", b"x").read(&bytes),
+        Err(ReadError::Foreign)
+    );
 }
 
 #[test]
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use trailproxy::policy::system_errors::{StreamError, of_stream};
 use trailproxy_peers::decide::messages::Address;
-use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal, Unread};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, ReadError, Seal};
 
 /// What was not read is told this often at most.
 const TELL_EVERY: Duration = Duration::from_secs(10);
@@ -110,9 +110,9 @@
             Err(why) => {
                 more(
                     match why {
-                        Unread::Foreign => &unreads.foreign,
-                        Unread::Newer => &unreads.newer,
-                        Unread::Garbled => &unreads.garbled,
+                        ReadError::Foreign => &unreads.foreign,
+                        ReadError::Newer => &unreads.newer,
+                        ReadError::Garbled => &unreads.garbled,
                     },
                     1,
                 );
