--- a/crates/capacity/src/figures.rs
+++ b/crates/capacity/src/figures.rs
@@ -334,8 +334,8 @@
     let (own, asking, owed, rumours) = peers.pending_counts();
     Held {
         members: peers.members().all().count(),
-        records: peers.facts().records(),
-        common: peers.facts().commons(),
+        records: peers.facts().record_count(),
+        common: peers.facts().common_count(),
         pending: own + asking + owed + rumours,
     }
 }
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -5,7 +5,7 @@
 //! other at one keeper at least: the later one yields, the earlier waits for that. What becomes of a claim is told to the
 //! keepers until they have it.
 
-use super::facts::{Claim, Fact, FactId, Place, Stage, Token, merge, others};
+use super::facts::{Claim, ClaimLocation, Fact, FactId, Stage, Token, merge, others};
 use super::messages::{InquiryId, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
@@ -104,7 +104,7 @@
                 token,
                 at: now.0,
                 stage: Stage::Claimed,
-                place: Place::Untold,
+                location: ClaimLocation::NotReported,
                 body: None,
             },
             yielded: false,
@@ -176,11 +176,11 @@
         }
         let earlier = |claim: &Claim| {
             (claim.at, claim.token) < (own.claim.at, own.claim.token)
-                && claim.stage != Stage::Free
+                && claim.stage != Stage::Released
                 && Some(claim.token) != token
         };
         let yields = matches!(&heard, Heard::Found(_, record) if record.stand == Stand::Claimed)
-            && own.claim.place == Place::Untold
+            && own.claim.location == ClaimLocation::NotReported
             && asking.claims.iter().any(earlier);
         if asking.open.is_empty() && now.since(asked) > FORGET {
             self.asking.remove(&inquiry_id);
@@ -212,7 +212,7 @@
         if let Some(own) = self.own.get_mut(&id).filter(|own| !own.yielded) {
             own.yielded = true;
             let mut claim = own.claim.clone();
-            claim.stage = Stage::Free;
+            claim.stage = Stage::Released;
             let key = own.key.0;
             self.owe(now, key, claim);
         }
@@ -223,7 +223,7 @@
         &mut self,
         now: Timestamp,
         id: RequestId,
-        place: (ZoneId, CellId),
+        location: (ZoneId, CellId),
         token: Token,
         delay: TimeSpan,
     ) {
@@ -235,16 +235,16 @@
             own.yielded = false;
             own.claim.token = token;
         }
-        let to = Place::At(place.0.0, place.1.0);
-        let joined = match own.claim.place {
-            Place::Untold => to,
+        let to = ClaimLocation::At(location.0.0, location.1.0);
+        let joined = match own.claim.location {
+            ClaimLocation::NotReported => to,
             known if known == to => known,
-            _ => Place::Anywhere,
+            _ => ClaimLocation::Anywhere,
         };
-        if own.claim.stage == Stage::Sent && own.claim.place == joined {
+        if own.claim.stage == Stage::Sent && own.claim.location == joined {
             return;
         }
-        (own.claim.stage, own.claim.place) = (Stage::Sent, joined);
+        (own.claim.stage, own.claim.location) = (Stage::Sent, joined);
         let (key, claim) = (own.key.0, own.claim.clone());
         self.owe(now + delay, key, claim);
     }
@@ -256,11 +256,11 @@
         };
         let mut claim = own.claim;
         // What was answered from another's record is no run of this one's.
-        let ran = claim.place != Place::Untold;
+        let ran = claim.location != ClaimLocation::NotReported;
         (claim.stage, claim.body) = match came {
             Came::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
             Came::Unknown if ran => (Stage::Unknown, None),
-            _ => (Stage::Free, None),
+            _ => (Stage::Released, None),
         };
         let key = own.key.0;
         self.owe(now, key, claim);
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -48,7 +48,7 @@
     Claimed,
     Sent,
     /// It never ran, and never will.
-    Free,
+    Released,
     /// Its owner ended without knowing whether it ran.
     Unknown,
     Done,
@@ -56,19 +56,19 @@
 
 /// Where it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Place {
-    Untold,
+pub enum ClaimLocation {
+    NotReported,
     /// A zone and a cell.
     At(u16, u16),
     Anywhere,
 }
 
-impl Place {
-    fn join(self, other: Place) -> Place {
+impl ClaimLocation {
+    fn join(self, other: ClaimLocation) -> ClaimLocation {
         match (self, other) {
-            (Place::Untold, place) | (place, Place::Untold) => place,
+            (ClaimLocation::NotReported, place) | (place, ClaimLocation::NotReported) => place,
             (one, other) if one == other => one,
-            _ => Place::Anywhere,
+            _ => ClaimLocation::Anywhere,
         }
     }
 }
@@ -79,7 +79,7 @@
     /// Before the first hand-off, by the owner's clock; never changed on the way.
     pub at: u64,
     pub stage: Stage,
-    pub place: Place,
+    pub location: ClaimLocation,
     /// The answer, where it is done and small.
     pub body: Option<Box<[u8]>>,
 }
@@ -110,7 +110,7 @@
 
 /// How a host stands in the list, from free to restricted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Listed {
+pub enum ListedState {
     Ready,
     Draining,
     Gone,
@@ -131,8 +131,8 @@
     Host {
         host: u64,
         started: u64,
-        place: u64,
-        listed: Listed,
+        journal_position: u64,
+        listed: ListedState,
         /// When the list said so, by the clock of who heard it.
         at: u64,
     },
@@ -204,7 +204,7 @@
         token: one.token,
         at: one.at.min(other.at),
         stage: one.stage.max(other.stage),
-        place: one.place.join(other.place),
+        location: one.location.join(other.location),
         body: one.body.max(other.body),
     }
 }
@@ -229,7 +229,7 @@
         token,
         at,
         stage: Stage::Unknown,
-        place: Place::Anywhere,
+        location: ClaimLocation::Anywhere,
         body: None,
     };
     MANY.into_iter().zip(ends).map(one).collect()
@@ -263,12 +263,12 @@
             let rank = |fact: &Fact| match fact {
                 Fact::Host {
                     started,
-                    place,
+                    journal_position: place,
                     listed,
                     at,
                     ..
                 } => (*started, *place, *listed, *at),
-                _ => (0, 0, Listed::Ready, 0),
+                _ => (0, 0, ListedState::Ready, 0),
             };
             if rank(&other) > rank(&one) {
                 other
@@ -285,15 +285,17 @@
 pub fn others(now: Timestamp, claims: &[Claim], own: Option<Token>) -> Option<Record> {
     let others = claims.iter();
     let others: Vec<&Claim> = others
-        .filter(|claim| Some(claim.token) != own && claim.stage != Stage::Free)
+        .filter(|claim| Some(claim.token) != own && claim.stage != Stage::Released)
         .collect();
     let first = others.iter().map(|claim| claim.at).min()?;
-    let place = others.iter().fold(Place::Untold, |place, claim| {
-        place.join(match claim.place {
-            Place::Untold => Place::Anywhere,
-            told => told,
-        })
-    });
+    let place = others
+        .iter()
+        .fold(ClaimLocation::NotReported, |place, claim| {
+            place.join(match claim.location {
+                ClaimLocation::NotReported => ClaimLocation::Anywhere,
+                told => told,
+            })
+        });
     let is = |stage| others.iter().any(|claim| claim.stage == stage);
     let stand = match (is(Stage::Done), is(Stage::Sent), is(Stage::Unknown)) {
         (true, ..) => Stand::Done,
@@ -305,8 +307,8 @@
     Some(Record {
         stand,
         place: match place {
-            Place::At(zone, cell) => Some((ZoneId(zone), CellId(cell))),
-            Place::Untold | Place::Anywhere => None,
+            ClaimLocation::At(zone, cell) => Some((ZoneId(zone), CellId(cell))),
+            ClaimLocation::NotReported | ClaimLocation::Anywhere => None,
         },
         // The owner's clock may be ahead of the keeper's, and that of the reader's.
         age: now.since(Timestamp(first)) + super::MAX_CLOCK_SKEW.mul_f64(2.0),
@@ -316,7 +318,7 @@
 
 /// For how long facts are held, by kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Lasts {
+pub struct Retention {
     pub record: TimeSpan,
     pub purge: TimeSpan,
     pub host: TimeSpan,
@@ -331,7 +333,7 @@
 /// All that one member holds.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    lasts: Lasts,
+    lasts: Retention,
     shelves: BTreeMap<Slot, Shelf>,
     /// When each is over; one that was renewed stands here under its former end, too.
     ends: std::collections::BTreeSet<(Timestamp, FactId)>,
@@ -345,7 +347,7 @@
 pub const MOST_COMMON: usize = 16_384;
 
 impl Facts {
-    pub fn new(lasts: Lasts) -> Facts {
+    pub fn new(lasts: Retention) -> Facts {
         Facts {
             lasts,
             shelves: BTreeMap::new(),
@@ -364,11 +366,11 @@
         fact.at() + lasts
     }
 
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records
     }
 
-    pub fn commons(&self) -> usize {
+    pub fn common_count(&self) -> usize {
         self.commons
     }
 
@@ -389,7 +391,7 @@
     }
 
     /// Takes a fact in. `Some(true)`: it is news; `Some(false)`: it was known, or is over; `None`: there is no room.
-    pub fn take(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
+    pub fn insert(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
         // One from far ahead of any clock would be held for as long.
         if self.end(&fact) <= now || fact.at() > now + super::MAX_CLOCK_SKEW.mul_f64(2.0) {
             return Some(false);
@@ -429,7 +431,7 @@
         }
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.ends.first().map(|&(at, _)| at)
     }
 
@@ -451,7 +453,7 @@
     }
 
     /// The same for the same facts, in whatever order they came.
-    pub fn sum(&mut self, slot: Slot) -> u64 {
+    pub fn checksum(&mut self, slot: Slot) -> u64 {
         let Some(shelf) = self.shelves.get_mut(&slot) else {
             return 0;
         };
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -26,14 +26,14 @@
     }
 
     /// A hand-off of it goes out.
-    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
         let token = self.token();
-        self.records.sent(id, place);
+        self.records.sent(id, location);
         let delay = match self.keepers.scope() {
             Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
         };
-        self.claims.sent(now, id, place, token, delay);
+        self.claims.sent(now, id, location, token, delay);
         self.tell_owed(now);
     }
 
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -40,7 +40,7 @@
 pub mod sync;
 
 use claims::{Claims, Heard};
-use facts::{Fact, FactId, Facts, Lasts, Listed, Slot, Token, mix};
+use facts::{Fact, FactId, Facts, ListedState, Retention, Slot, Token, mix};
 use keepers::{Changed, Keepers, Scope};
 use members::{MemberAction, Members, OwnMember};
 use messages::{Address, InquiryId, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
@@ -132,7 +132,7 @@
     /// Another's list restricts a host, which this one's does not yet.
     HostRestricted {
         host: HostId,
-        listed: Listed,
+        listed: ListedState,
         started: Option<Timestamp>,
     },
     /// That is over: the own list holds.
@@ -185,8 +185,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Host {
     started: u64,
-    place: u64,
-    listed: Option<Listed>,
+    journal_position: u64,
+    listed: Option<ListedState>,
     /// Until then another's word holds against it.
     restricted: Option<Timestamp>,
 }
@@ -223,7 +223,7 @@
     fleet_due: Option<Timestamp>,
     last: Timestamp,
     next_inquiry_id: u64,
-    place: u64,
+    journal_position: u64,
     state: PeerState,
     /// It saw fewer than were lost: what the others did meanwhile is not known here.
     island: bool,
@@ -237,7 +237,7 @@
 impl Peers {
     pub fn new(now: Timestamp, own: OwnMember, settings: PeersSettings, seed: u64) -> Peers {
         let mut chance = fastrand::Rng::with_seed(seed);
-        let lasts = Lasts {
+        let lasts = Retention {
             record: settings.record_retention + MAX_CLOCK_SKEW.mul_f64(2.0) + LATE,
             purge: settings.purge_retention + MAX_CLOCK_SKEW,
             host: HOST_CHANGE_RETENTION,
@@ -262,7 +262,7 @@
             fleet_due: None,
             last: now,
             next_inquiry_id: chance.u64(1..1 << 40),
-            place: 0,
+            journal_position: 0,
             state: PeerState::Alone,
             island: false,
             lost: 0,
@@ -321,15 +321,15 @@
         let facts = &mut self.facts;
         slots
             .into_iter()
-            .map(|slot| (slot, facts.sum(slot)))
+            .map(|slot| (slot, facts.checksum(slot)))
             .collect()
     }
 
     fn summary(&self) -> MemberSummary {
         MemberSummary {
             in_sync: self.state == PeerState::InSync,
-            records: self.facts.records() as u32,
-            journal_position: self.place,
+            records: self.facts.record_count() as u32,
+            journal_position: self.journal_position,
             membership_checksum: self.members.membership_checksum(),
         }
     }
@@ -541,7 +541,7 @@
         let timed = [
             self.records.next(),
             self.claims.next(),
-            self.facts.next(),
+            self.facts.next_deadline(),
             relays,
         ];
         let freed = self.hosts.values().filter_map(|host| host.restricted);
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -85,9 +85,9 @@
             self.state.as_str(),
             self.members.all().count() - alive,
             self.sync.lacking(&who),
-            self.facts.records(),
-            self.facts.commons(),
-            self.place,
+            self.facts.record_count(),
+            self.facts.common_count(),
+            self.journal_position,
             self.counts
         );
         if let Some(relays) = &self.relays {
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -162,7 +162,10 @@
             MessagePart::Checksums(sums) => {
                 who!(self, who);
                 let facts = &mut self.facts;
-                answers.extend(self.sync.sums(from, &sums, |slot| facts.sum(slot), &who));
+                answers.extend(
+                    self.sync
+                        .sums(from, &sums, |slot| facts.checksum(slot), &who),
+                );
             }
             MessagePart::ChecksumsInRange(range, sums) => {
                 who!(self, who);
@@ -255,7 +258,7 @@
             who!(self, who);
             let facts = &mut self.facts;
             let own = |slot, range: Option<TimeRange>| match range {
-                None => facts.sum(slot),
+                None => facts.checksum(slot),
                 Some(range) => facts.checksum_in_range(slot, range),
             };
             self.sync
--- a/crates/peers/src/decide/relaying.rs
+++ b/crates/peers/src/decide/relaying.rs
@@ -1,6 +1,6 @@
 //! How claims of the own zone reach the replicas of other zones, and what theirs say here.
 
-use super::facts::{Claim, Place, Stage};
+use super::facts::{Claim, ClaimLocation, Stage};
 use super::keepers::GroupNo;
 use super::locality::PeerZoneId;
 use super::messages::{LogId, Relay};
@@ -12,7 +12,7 @@
     let Some(Fact::Record { claims, .. }) = fact else {
         return None;
     };
-    let binding = claims.iter().filter(|claim| claim.stage != Stage::Free);
+    let binding = claims.iter().filter(|claim| claim.stage != Stage::Released);
     binding.map(|claim| Timestamp(claim.at)).max()
 }
 
@@ -41,7 +41,7 @@
         token: Token(folded.max(16)),
         at: far.at.0,
         stage: Stage::Unknown,
-        place: Place::Anywhere,
+        location: ClaimLocation::Anywhere,
         body: None,
     }
 }
@@ -51,7 +51,7 @@
     pub(super) fn keep(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
         let id = fact.id();
         let before = last_claim(self.facts.get(id));
-        let taken = self.facts.take(now, fact);
+        let taken = self.facts.insert(now, fact);
         if taken == Some(true) {
             self.log(now, id, before);
         }
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -25,17 +25,17 @@
         }
     }
 
-    /// The own list speaks of hosts, at this place in the journal.
-    pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], place: u64) {
-        self.place = self.place.max(place);
+    /// The own list speaks of hosts, at this journal position.
+    pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], journal_position: u64) {
+        self.journal_position = self.journal_position.max(journal_position);
         if !self.settings.hosts {
             return;
         }
         for entry in entries {
             let listed = match entry.state {
-                HostState::Ready => Listed::Ready,
-                HostState::Draining => Listed::Draining,
-                HostState::Gone => Listed::Gone,
+                HostState::Ready => ListedState::Ready,
+                HostState::Draining => ListedState::Draining,
+                HostState::Gone => ListedState::Gone,
             };
             let started = entry.stamp.map_or(0, |at| at.0);
             let host = self.hosts.entry(entry.host).or_default();
@@ -45,11 +45,11 @@
             );
             *host = Host {
                 started,
-                place,
+                journal_position,
                 listed: Some(listed),
                 restricted: None,
             };
-            if listed == Listed::Gone {
+            if listed == ListedState::Gone {
                 self.hosts.remove(&entry.host);
             }
             // What another said of it is overtaken, unless that other is further in the journal.
@@ -63,14 +63,14 @@
             let young = entry
                 .started
                 .is_some_and(|at| now.since(at) < HOST_CHANGE_RETENTION);
-            if !same && (listed != Listed::Ready || young) {
+            if !same && (listed != ListedState::Ready || young) {
                 let (host, at) = (entry.host.0, now.0);
                 self.own_fact(
                     now,
                     Fact::Host {
                         host,
                         started,
-                        place,
+                        journal_position,
                         listed,
                         at,
                     },
@@ -95,7 +95,7 @@
     /// What happened here, which others may have heard of, too.
     pub(super) fn own_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
-        if self.facts.take(now, fact) == Some(true) && self.rumours.len() < MOST_RUMOURS {
+        if self.facts.insert(now, fact) == Some(true) && self.rumours.len() < MOST_RUMOURS {
             let at = now + TELL_WITHIN.mul_f64(self.chance.f64());
             let left = self.tells();
             self.rumours.insert(id, Rumour { left, at });
@@ -148,7 +148,7 @@
         let Fact::Host {
             host,
             started,
-            place,
+            journal_position,
             listed,
             at,
         } = *fact
@@ -160,7 +160,7 @@
         };
         let until = Timestamp(at) + HOST_CHANGE_RETENTION;
         let less = own.listed.is_some_and(|own| listed > own) || started > own.started;
-        if place > own.place && less && until > now {
+        if journal_position > own.journal_position && less && until > now {
             own.restricted = Some(until);
             self.actions.push(Action::HostRestricted {
                 host: HostId(host),
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -4,7 +4,7 @@
 
 use trailproxy::units::*;
 use trailproxy_peers::decide::PeersSettings;
-use trailproxy_peers::decide::facts::{Claim, Fact, Place, Stage, Token};
+use trailproxy_peers::decide::facts::{Claim, ClaimLocation, Fact, Stage, Token};
 use trailproxy_peers::decide::messages::{InquiryId, Message, MessagePart};
 use world::*;
 
@@ -18,7 +18,7 @@
                 token: Token(100 + n),
                 at: world.now.0,
                 stage: Stage::Done,
-                place: Place::At(0, 0),
+                location: ClaimLocation::At(0, 0),
                 body: None,
             }],
         })
@@ -64,7 +64,7 @@
     let records = world.nodes[2]
         .peers
         .as_ref()
-        .map(|peers| peers.facts().records());
+        .map(|peers| peers.facts().record_count());
     figure("catch_up_s", took.as_secs_f64());
     assert_eq!(records, Some(100_000));
 }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -3,18 +3,18 @@
 use proptest::prelude::*;
 use trailproxy::units::*;
 use trailproxy_peers::decide::facts::{
-    Claim, Fact, Facts, Lasts, Listed, Place, Stage, Token, merge,
+    Claim, ClaimLocation, Fact, Facts, ListedState, Retention, Stage, Token, merge,
 };
 use trailproxy_peers::decide::messages::{
     BootId, InquiryId, MemberSummary, Message, MessagePart, PeerId,
 };
 use trailproxy_peers::wire::{ReadError, Seal, VERSION};
 
-fn place() -> impl Strategy<Value = Place> {
+fn place() -> impl Strategy<Value = ClaimLocation> {
     prop_oneof![
-        Just(Place::Untold),
-        (0..3u16).prop_map(|z| Place::At(z, 0)),
-        Just(Place::Anywhere)
+        Just(ClaimLocation::NotReported),
+        (0..3u16).prop_map(|z| ClaimLocation::At(z, 0)),
+        Just(ClaimLocation::Anywhere)
     ]
 }
 
@@ -22,7 +22,7 @@
     prop_oneof![
         Just(Stage::Claimed),
         Just(Stage::Sent),
-        Just(Stage::Free),
+        Just(Stage::Released),
         Just(Stage::Unknown),
         Just(Stage::Done)
     ]
@@ -35,7 +35,7 @@
         token: Token(token),
         at: token * 3 % 40 + 1,
         stage,
-        place,
+        location: place,
         body: body.map(Vec::into_boxed_slice),
     })
 }
@@ -51,21 +51,23 @@
     })
 }
 
-fn listed() -> impl Strategy<Value = Listed> {
+fn listed() -> impl Strategy<Value = ListedState> {
     prop_oneof![
-        Just(Listed::Ready),
-        Just(Listed::Draining),
-        Just(Listed::Gone)
+        Just(ListedState::Ready),
+        Just(ListedState::Draining),
+        Just(ListedState::Gone)
     ]
 }
 
 fn host() -> impl Strategy<Value = Fact> {
-    (0..3u64, 0..3u64, listed(), 0..3u64).prop_map(|(started, place, listed, at)| Fact::Host {
-        host: 1,
-        started,
-        place,
-        listed,
-        at,
+    (0..3u64, 0..3u64, listed(), 0..3u64).prop_map(|(started, journal_position, listed, at)| {
+        Fact::Host {
+            host: 1,
+            started,
+            journal_position,
+            listed,
+            at,
+        }
     })
 }
 
@@ -120,17 +122,17 @@
     /// Members that hold the same facts have the same sums, in whatever order they came.
     #[test]
     fn sums_follow_from_the_facts_alone(mut facts in proptest::collection::vec(one_kind(), 1..6), seed in 0..99u64) {
-        let lasts = Lasts { record: TimeSpan(1_000), purge: TimeSpan(1_000), host: TimeSpan(1_000) };
+        let lasts = Retention { record: TimeSpan(1_000), purge: TimeSpan(1_000), host: TimeSpan(1_000) };
         let mut held = [Facts::new(lasts), Facts::new(lasts)];
         for held in &mut held {
             for fact in facts.iter().flatten() {
-                let _ = held.take(Timestamp(5), fact.clone());
+                let _ = held.insert(Timestamp(5), fact.clone());
             }
             fastrand::Rng::with_seed(seed).shuffle(&mut facts);
         }
         let [one, other] = &mut held;
         for slot in trailproxy_peers::decide::facts::Slot::all() {
-            prop_assert_eq!(one.sum(slot), other.sum(slot));
+            prop_assert_eq!(one.checksum(slot), other.checksum(slot));
         }
     }
 
@@ -208,7 +210,7 @@
         token: Token(100 + n),
         at: u64::MAX,
         stage: Stage::Done,
-        place: Place::At(u16::MAX, u16::MAX),
+        location: ClaimLocation::At(u16::MAX, u16::MAX),
         body: Some(vec![0; 512].into()),
     };
     let claims: Vec<Claim> = (0..12).map(claim).collect();
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -162,7 +162,7 @@
     for n in 0..6 {
         let peers = world.nodes[n].peers.as_ref().expect("up");
         assert_eq!(
-            peers.facts().records(),
+            peers.facts().record_count(),
             0,
             "forgotten, and not brought back"
         );
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_peers::decide::facts::Listed;
+use trailproxy_peers::decide::facts::ListedState;
 use trailproxy_peers::decide::messages::{Address, BootId, InquiryId, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
 use trailproxy_shared_store::decide::records::{Came, Folding};
@@ -179,9 +179,9 @@
                     started,
                 } => {
                     let state = match listed {
-                        Listed::Ready => HostState::Ready,
+                        ListedState::Ready => HostState::Ready,
                         // One that is gone elsewhere is left alone here until the own list says so.
-                        Listed::Draining | Listed::Gone => HostState::Draining,
+                        ListedState::Draining | ListedState::Gone => HostState::Draining,
                     };
                     self.waiting
                         .due(Due::Restricted(host, Some((state, started))));
