--- a/crates/capacity-live/src/surroundings.rs
+++ b/crates/capacity-live/src/surroundings.rs
@@ -97,7 +97,7 @@
     let site = |zone: usize| {
         let of_zone = members.iter().skip(zone).step_by(zones);
         Site {
-            place: (1, 1),
+            position: (1, 1),
             name: format!("site{zone}"),
             zone: format!("zone{zone}"),
             region: format!("region{}", zone / 2),
--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -9,10 +9,11 @@
 
 /// The section `peers`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Config {
+pub struct PeersConfig {
     pub file: String,
     /// Line and column of the section, from 1.
-    pub place: (usize, usize),
+    #[serde(rename = "place")]
+    pub position: (usize, usize),
     pub fleet: String,
     /// A file that holds what only this fleet knows; empty: its name alone tells it from others.
     #[serde(default)]
@@ -64,10 +65,10 @@
     })
 }
 
-impl Config {
+impl PeersConfig {
     /// The message of a field that does not fit.
-    pub fn wrong(&self, field: &str, found: &str, accepted: &str) -> String {
-        let (line, column) = self.place;
+    pub fn invalid_field(&self, field: &str, found: &str, accepted: &str) -> String {
+        let (line, column) = self.position;
         format!(
             "{}:{line}:{column}: section peers, field {field}: found {found}, accepted: {accepted}",
             self.file
@@ -79,7 +80,7 @@
     pub fn addresses(&self, given: Option<&str>) -> Result<Addresses, String> {
         const FORM: &str = "an IPv4 address and a port, as in 10.1.2.3:7946";
         let read = |field: &str, text: &str| {
-            address(text).ok_or_else(|| self.wrong(field, &format!("{text:?}"), FORM))
+            address(text).ok_or_else(|| self.invalid_field(field, &format!("{text:?}"), FORM))
         };
         let listen = match (self.listen.as_str(), given) {
             (_, Some(given)) => address(given).ok_or_else(|| {
@@ -89,7 +90,7 @@
             })?,
             ("", None) => {
                 let accepted = "an address here, in RELAY_PEERS or as `peers` in the configuration";
-                return Err(self.wrong("listen", "nothing", accepted));
+                return Err(self.invalid_field("listen", "nothing", accepted));
             }
             (text, None) => read("listen", text)?,
         };
@@ -99,7 +100,7 @@
         };
         if advertise.ip == [0; 4] {
             let accepted = "an address that others can write to";
-            return Err(self.wrong("advertise", "that of all interfaces", accepted));
+            return Err(self.invalid_field("advertise", "that of all interfaces", accepted));
         }
         let seeds = self.seeds.iter().map(|seed| read("seeds", seed));
         Ok(Addresses {
@@ -122,7 +123,7 @@
         }
         let secret = std::fs::read(path);
         let secret = secret.map_err(|e| {
-            self.wrong(
+            self.invalid_field(
                 "secret_file",
                 &format!("{path} ({e})"),
                 "a file that can be read",
@@ -143,7 +144,7 @@
             let least = longest_window.as_secs_f64();
             let accepted =
                 format!("{least} or more, the longest window of a track and its outer limit");
-            return Err(self.wrong("keep_s", &self.keep_s.to_string(), &accepted));
+            return Err(self.invalid_field("keep_s", &self.keep_s.to_string(), &accepted));
         }
         Ok(PeersSettings {
             records: self.records,
--- a/crates/peers/src/sites.rs
+++ b/crates/peers/src/sites.rs
@@ -9,7 +9,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Site {
     /// Line and column of the section, from 1.
-    pub place: (usize, usize),
+    #[serde(rename = "place")]
+    pub position: (usize, usize),
     pub name: String,
     pub zone: String,
     pub region: String,
@@ -72,7 +73,7 @@
 
 impl Misfit<'_> {
     fn message(&self, file: &str) -> String {
-        let ((line, column), field) = (self.site.place, self.field);
+        let ((line, column), field) = (self.site.position, self.field);
         let (found, accepted) = (&self.found, &self.accepted);
         format!(
             "{file}:{line}:{column}: section site, field {field}: found {found}, accepted: {accepted}"
@@ -101,7 +102,10 @@
                 site,
                 field: "region",
                 found: format!("{:?}", site.region),
-                accepted: format!("{region:?}, where line {} has zone {zone:?}", other.place.0),
+                accepted: format!(
+                    "{region:?}, where line {} has zone {zone:?}",
+                    other.position.0
+                ),
             });
         }
     }
@@ -123,7 +127,7 @@
                     found: format!("{text:?}"),
                     accepted: format!(
                         "what site {:?} in line {} does not have",
-                        other.name, other.place.0
+                        other.name, other.position.0
                     ),
                 });
             }
--- a/crates/trailproxy-cli/src/peers.rs
+++ b/crates/trailproxy-cli/src/peers.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddrV4, UdpSocket};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use trailproxy_operator::read_file;
-use trailproxy_peers::config::Config;
+use trailproxy_peers::config::PeersConfig;
 use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
 use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
@@ -41,7 +41,7 @@
 
 /// The way to the dispatchers of a file's section `peers`.
 pub struct Way {
-    sheet: Config,
+    sheet: PeersConfig,
     seal: Seal,
     socket: UdpSocket,
 }
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -2,7 +2,7 @@
 
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
 use trailproxy_operator::decide::{Absent, Kind, Shape, Sheet as Script, may, must};
-use trailproxy_peers::config::{Config as PeersConfig, Unsure};
+use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
 
@@ -101,7 +101,7 @@
     let of = script.one("peers").filter(|of| of.flag("on"))?;
     Some(PeersConfig {
         file: script.file.clone(),
-        place: (of.place.line, of.place.column),
+        position: (of.place.line, of.place.column),
         fleet: of.text("fleet").into(),
         secret_file: of.text("secret_file").into(),
         listen: of.text("listen").into(),
@@ -139,7 +139,7 @@
 
 fn sites(script: &Script) -> Vec<Site> {
     let site = script.all(SITE.name).map(|of| Site {
-        place: (of.place.line, of.place.column),
+        position: (of.place.line, of.place.column),
         name: of.text("name").into(),
         zone: of.text("zone").into(),
         region: of.text("region").into(),
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -94,7 +94,7 @@
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
-                config.wrong("listen", &found, "an address of this machine that is free")
+                config.invalid_field("listen", &found, "an address of this machine that is free")
             })?;
         // Never the same for two processes.
         let drawn = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -12,7 +12,7 @@
 use trailproxy::interface::{DispatcherSettings, Effect};
 use trailproxy::units::TimeSpan;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_peers::config::{Addresses, Config as PeersConfig};
+use trailproxy_peers::config::{Addresses, PeersConfig};
 use trailproxy_peers::decide::locality::Topology;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
 use trailproxy_zones::Rules;
@@ -221,7 +221,11 @@
         let addresses = config.addresses(against.peers.as_deref())?;
         if config.records && store.is_some_and(|store| store.records) {
             let accepted = "records in one of the sections store and peers";
-            return Err(config.wrong("records", "True, and True in section store", accepted));
+            return Err(config.invalid_field(
+                "records",
+                "True, and True in section store",
+                accepted,
+            ));
         }
         let secret = config.secret()?;
         let topology = config.topology(addresses.advertise)?;
