--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -316,12 +316,12 @@
         self.timed.first().map(|&(at, _)| at)
     }
 
-    /// What is to be told by now, to whom: those who keep it, as `keepers` has them.
+    /// What is to be told by now, to whom: those who keep it, as `replicas` has them.
     pub fn advance(
         &mut self,
         now: Timestamp,
         mut new_inquiry_id: impl FnMut() -> InquiryId,
-        keepers: impl Fn(FactId) -> BTreeSet<PeerId>,
+        replicas: impl Fn(FactId) -> BTreeSet<PeerId>,
     ) -> Vec<(InquiryId, Fact, BTreeSet<PeerId>)> {
         let mut tells = Vec::new();
         while let Some((at, id)) = self.timed.first().copied().filter(|(at, _)| *at <= now) {
@@ -333,10 +333,10 @@
                 self.owed.remove(&id);
                 continue;
             }
-            let to = owed.to.get_or_insert_with(|| keepers(id));
+            let to = owed.to.get_or_insert_with(|| replicas(id));
             // Who keeps it now that one of them is gone is told as well, with the next round.
             if owed.pause > AGAIN {
-                let present = keepers(id);
+                let present = replicas(id);
                 to.retain(|id| present.contains(id));
             }
             (owed.inquiry_id, owed.at) = (new_inquiry_id(), now + owed.pause);
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -16,9 +16,9 @@
         }
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
-        let keepers = self.keepers.of(slot);
+        let replicas = self.replicas.of(slot);
         let reached = |id: &&PeerId| **id == own || self.members.is_reached(**id);
-        let some = keepers.iter().filter(reached).count() > keepers.len() / 2;
+        let some = replicas.iter().filter(reached).count() > replicas.len() / 2;
         let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.room());
         self.counts.waited += u64::from(wait.is_some());
         let steps = self.records.come(now, id, key, due, wait);
@@ -29,7 +29,7 @@
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
         let token = self.token();
         self.records.sent(id, location);
-        let delay = match self.keepers.scope() {
+        let delay = match self.replicas.scope() {
             Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
         };
@@ -91,15 +91,15 @@
         let claim = self.claims.claim(now, id, key, token);
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
-        let keepers = self.keepers.of(slot).to_vec();
-        let enough = keepers.len() / 2 + 1;
-        let scope = self.keepers.scope();
+        let replicas = self.replicas.of(slot).to_vec();
+        let enough = replicas.len() / 2 + 1;
+        let scope = self.replicas.scope();
         let (whom, reserve) = match scope {
-            Scope::Fleet => (keepers, Vec::new()),
-            Scope::Zone => self.nearest(keepers, enough),
+            Scope::Fleet => (replicas, Vec::new()),
+            Scope::Zone => self.nearest(replicas, enough),
         };
         let whom: BTreeSet<PeerId> = whom.into_iter().collect();
-        let former: BTreeSet<PeerId> = self.keepers.former(now, slot).collect();
+        let former: BTreeSet<PeerId> = self.replicas.former(now, slot).collect();
         let inquiry_id = self.new_inquiry_id();
         self.claims
             .ask(now, inquiry_id, id, whom.clone(), reserve, enough);
@@ -116,7 +116,7 @@
     /// Of a key's replicas as many as have to be sure, the nearest ones that are reached, and the others in reserve.
     fn nearest(&self, mut replicas: Vec<PeerId>, enough: usize) -> (Vec<PeerId>, Vec<PeerId>) {
         let own = self.members.own().id;
-        let here = self.keepers.topology().map(|topology| topology.own);
+        let here = self.replicas.topology().map(|topology| topology.own);
         let distance = |id: PeerId| {
             let places = here.zip(self.members.locality(id));
             places.map(|(here, there)| here.distance(there))
@@ -137,7 +137,7 @@
         key: u128,
         claim: Option<facts::Claim>,
     ) {
-        let part = match self.keepers.scope() {
+        let part = match self.replicas.scope() {
             Scope::Fleet => MessagePart::Claim {
                 inquiry_id,
                 key,
@@ -163,8 +163,8 @@
         let id = FactId::Record(key);
         // One who does not know that it keeps the key has fetched nothing of it. And whoever draws replicas from another set
         // of members asks others that this one agrees with nobody.
-        let keeps = self.keepers.keeps(self.members.own().id, id.slot());
-        let keeps = keeps && self.keepers.scope() == scope;
+        let keeps = self.replicas.is_replica(self.members.own().id, id.slot());
+        let keeps = keeps && self.replicas.scope() == scope;
         let (proved, mut known) = self.elsewhere(now, key);
         let mut sure = keeps && self.sync.whole(id.slot()) && !self.island && proved;
         if let Some(claim) = claim {
@@ -228,7 +228,7 @@
         };
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
-        if self.keepers.scope() == Scope::Fleet && self.keepers.keeps(own, slot) {
+        if self.replicas.scope() == Scope::Fleet && self.replicas.is_replica(own, slot) {
             let (key, claims) = (key.0, claims.to_vec());
             self.keep(now, Fact::Record { key, claims });
         }
@@ -237,7 +237,7 @@
     /// What keepers are owed goes out, and into the own copy.
     pub(super) fn tell_owed(&mut self, now: Timestamp) {
         let own = self.members.own().id;
-        let (keepers, members, next) = (&self.keepers, &self.members, &mut self.next_inquiry_id);
+        let (replicas, members, next) = (&self.replicas, &self.members, &mut self.next_inquiry_id);
         let new_inquiry_id = || {
             *next += 1;
             InquiryId(*next)
@@ -245,14 +245,14 @@
         let there =
             |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.is_present());
         let of = |id: FactId| {
-            keepers
+            replicas
                 .of(id.slot())
                 .iter()
                 .copied()
                 .filter(there)
                 .collect()
         };
-        let scope = self.keepers.scope();
+        let scope = self.replicas.scope();
         for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, of) {
             if scope == Scope::Zone {
                 self.claims.told(fact.id());
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -7,11 +7,11 @@
 //! doing.
 
 use super::facts::mix;
-use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
 use super::messages::{
     Address, BootId, InquiryId, MemberStatus, MemberSummary, MemberUpdate, MessagePart, PeerId,
 };
+use super::replicas::Located;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -5,8 +5,8 @@
 //! writer's clock is ahead of a reader's by more than [`super::MAX_CLOCK_SKEW`].
 
 use super::facts::{Claim, Fact, FactId, Slot};
-use super::keepers::GroupNo;
 use super::locality::Locality;
+use super::replicas::GroupNo;
 use serde::{Deserialize, Serialize};
 use trailproxy::units::{TimeSpan, Timestamp};
 
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -10,15 +10,15 @@
 /// What the others know to be this one's to keep. A macro of borrowed parts, so that the sync can change meanwhile.
 macro_rules! who {
     ($self:ident, $who:ident) => {
-        let (members, keepers, own) = (&$self.members, &$self.keepers, $self.members.own().id);
+        let (members, replicas, own) = (&$self.members, &$self.replicas, $self.members.own().id);
         let others = |slot: Slot| -> Vec<PeerId> {
-            let all = keepers.of(slot).iter().copied();
+            let all = replicas.of(slot).iter().copied();
             all.filter(|&id| id != own && members.is_reached(id))
                 .collect()
         };
-        let mine = |slot: Slot| keepers.keeps(own, slot);
+        let mine = |slot: Slot| replicas.is_replica(own, slot);
         let $who = Who {
-            keepers: &others,
+            replicas: &others,
             mine: &mine,
             lost: $self.lost,
         };
@@ -27,7 +27,6 @@
 
 pub mod claims;
 pub mod facts;
-pub mod keepers;
 mod keyed;
 pub mod locality;
 pub mod members;
@@ -36,15 +35,16 @@
 mod receiving;
 pub mod relay;
 mod relaying;
+pub mod replicas;
 mod spreading;
 pub mod sync;
 
 use claims::{Claims, Heard};
 use facts::{Fact, FactId, Facts, ListedState, Retention, Slot, Token, mix};
-use keepers::{Changed, Keepers, Scope};
 use members::{MemberAction, Members, OwnMember};
 use messages::{Address, InquiryId, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
 use relay::Relays;
+use replicas::{Changed, Replicas, Scope};
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{PIECE, Sync, Who, Why};
 use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
@@ -205,7 +205,7 @@
     settings: PeersSettings,
     chance: fastrand::Rng,
     members: Members,
-    keepers: Keepers,
+    replicas: Replicas,
     facts: Facts,
     sync: Sync,
     /// What other zones claim, where this member says where it is.
@@ -249,7 +249,7 @@
                 .topology
                 .clone()
                 .map(|topology| Relays::new(now, topology, lasts.record)),
-            keepers: Keepers::new(own.topology.clone()),
+            replicas: Replicas::new(own.topology.clone()),
             members: Members::new(now, own, &mut chance),
             records: Records::default(),
             claims: Claims::default(),
@@ -316,7 +316,7 @@
     pub fn slot_checksums(&mut self) -> Vec<(Slot, u64)> {
         let own = self.members.own().id;
         let slots: Vec<Slot> = Slot::all()
-            .filter(|&slot| self.keepers.keeps(own, slot))
+            .filter(|&slot| self.replicas.is_replica(own, slot))
             .collect();
         let facts = &mut self.facts;
         slots
@@ -389,11 +389,11 @@
     }
 
     fn lack_all(&mut self, now: Timestamp, why: Why) {
-        let (keepers, own) = (&self.keepers, self.members.own().id);
+        let (replicas, own) = (&self.replicas, self.members.own().id);
         self.sync.lacks(
             now,
             why,
-            Slot::all().filter(|&slot| keepers.keeps(own, slot)),
+            Slot::all().filter(|&slot| replicas.is_replica(own, slot)),
         );
     }
 
@@ -411,21 +411,21 @@
             self.look_at_fleet(again);
         }
         let before: BTreeSet<Slot> = Slot::all()
-            .filter(|&slot| self.keepers.keeps(own, slot))
+            .filter(|&slot| self.replicas.is_replica(own, slot))
             .collect();
-        let changed = self.keepers.fleet(now, fleet);
+        let changed = self.replicas.fleet(now, fleet);
         if changed == Changed::Scope {
             // What was agreed on among other replicas is not known to these.
             self.lack_all(now, Why::New);
         }
         if changed != Changed::Nothing {
             self.reseat(now);
-            let keepers = &self.keepers;
-            let fell =
-                Slot::all().filter(|&slot| keepers.keeps(own, slot) && !before.contains(&slot));
+            let replicas = &self.replicas;
+            let fell = Slot::all()
+                .filter(|&slot| replicas.is_replica(own, slot) && !before.contains(&slot));
             self.sync.lacks(now, Why::New, fell);
-            let kept = Slot::all().filter(|&slot| keepers.keeps(own, slot));
-            let with: BTreeSet<PeerId> = kept.flat_map(|slot| keepers.of(slot).to_vec()).collect();
+            let kept = Slot::all().filter(|&slot| replicas.is_replica(own, slot));
+            let with: BTreeSet<PeerId> = kept.flat_map(|slot| replicas.of(slot).to_vec()).collect();
             self.sync
                 .compare(now, with.into_iter().filter(|&id| id != own));
         }
@@ -484,7 +484,7 @@
             _ => member.one_way,
         };
         // Only those matter that a claim is agreed on with.
-        let zone_only = self.keepers.scope() == Scope::Zone;
+        let zone_only = self.replicas.scope() == Scope::Zone;
         let (mut there, mut lost_now) = (1, Vec::new());
         for (&id, member) in self.members.all() {
             if zone_only && !self.members.is_in_zone(member) {
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -187,7 +187,7 @@
                 let own = self.members.own().id;
                 let held: BTreeSet<Slot> = self.facts.slots().collect();
                 for slot in slots {
-                    if self.keepers.keeps(own, slot) || held.contains(&slot) {
+                    if self.replicas.is_replica(own, slot) || held.contains(&slot) {
                         self.sync.fetch(slot, from);
                     }
                 }
@@ -221,7 +221,7 @@
                     facts.into_iter().for_each(|fact| self.told(now, fact));
                     if self.counts.news > before && !slot.is_common() {
                         who!(self, who);
-                        let others = (who.keepers)(slot);
+                        let others = (who.replicas)(slot);
                         self.sync.spread(now, &others);
                     }
                 }
@@ -248,7 +248,7 @@
         let anybody: Vec<PeerId> = anybody.filter(|&id| self.members.is_reached(id)).collect();
         // Replicas of a zone are told most of what becomes of a claim once, and at different moments; and clocks that differ
         // forget at different moments.
-        let settled = (self.keepers.scope() == Scope::Zone).then(|| TimeRange {
+        let settled = (self.replicas.scope() == Scope::Zone).then(|| TimeRange {
             from: (now - self.settings.record_retention).0,
             until: (now - SETTLED_AFTER).0,
         });
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -13,9 +13,9 @@
 //!   cut one goes on at most, and none where no part has more than half.
 //! - One that has proved nothing for long waits for [`REJOIN`], so that the others hear of it before it begins again.
 
-use super::keepers::GroupNo;
 use super::locality::{PeerZoneId, Topology};
 use super::messages::{Entry, LogId, PeerId, Relay};
+use super::replicas::GroupNo;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
--- a/crates/peers/src/decide/relaying.rs
+++ b/crates/peers/src/decide/relaying.rs
@@ -1,10 +1,10 @@
 //! How claims of the own zone reach the replicas of other zones, and what theirs say here.
 
 use super::facts::{Claim, ClaimLocation, Stage};
-use super::keepers::GroupNo;
 use super::locality::PeerZoneId;
 use super::messages::{LogId, Relay};
 use super::relay::{FarClaim, Pairs, Sender};
+use super::replicas::GroupNo;
 use super::*;
 
 /// The last claim under a key that binds others; `None`: there is none, or all are free.
@@ -76,20 +76,20 @@
         let Some(relays) = &mut self.relays else {
             return;
         };
-        if self.keepers.scope() == Scope::Fleet {
+        if self.replicas.scope() == Scope::Fleet {
             return relays.clear();
         }
-        let (keepers, chance) = (&self.keepers, &mut self.chance);
-        let zones: Vec<PeerZoneId> = keepers
+        let (replicas, chance) = (&self.replicas, &mut self.chance);
+        let zones: Vec<PeerZoneId> = replicas
             .topology()
             .into_iter()
             .flat_map(|topology| topology.other_zones())
             .collect();
         let pairs = |group: GroupNo| -> Pairs {
-            let with = |&zone: &PeerZoneId| (zone, keepers.partners(own, group, zone));
+            let with = |&zone: &PeerZoneId| (zone, replicas.partners(own, group, zone));
             zones.iter().map(with).collect()
         };
-        let kept = keepers.groups(own).into_iter();
+        let kept = replicas.groups(own).into_iter();
         let kept = kept.map(|group| (group, pairs(group))).collect();
         for group in relays.reseat(now, kept, || LogId(chance.u32(1..))) {
             for slot in group.slots() {
@@ -156,7 +156,7 @@
         key: u128,
         claim: Option<Claim>,
     ) -> (bool, Vec<Claim>) {
-        let own = self.keepers.topology().map(|topology| topology.own.zone);
+        let own = self.replicas.topology().map(|topology| topology.own.zone);
         let theirs = self.members.locality(from).map(|locality| locality.zone);
         let asked = claim.as_ref().map(|claim| claim.token);
         let (sure, mut claims) = self.claimed(now, key, claim, Scope::Zone);
@@ -168,7 +168,7 @@
     /// What other zones claim under a key, and whether one that is not there is new everywhere.
     pub(super) fn elsewhere(&mut self, now: Timestamp, key: u128) -> (bool, Vec<Claim>) {
         let group = GroupNo::of(FactId::Record(key).slot());
-        if self.keepers.scope() == Scope::Fleet {
+        if self.replicas.scope() == Scope::Fleet {
             return (true, Vec::new());
         }
         self.complete_groups(now);
--- a/crates/peers/src/decide/keepers.rs
+++ b/crates/peers/src/decide/replicas.rs
@@ -12,7 +12,7 @@
 use trailproxy::units::{TimeSpan, Timestamp};
 
 /// So many members keep a slot. More cost messages on every claim, fewer lose a record with two that die together.
-pub const KEEP: usize = 3;
+pub const REPLICAS_PER_SLOT: usize = 3;
 /// So long after the fleet changed, the former keepers are asked as well: they know what the new ones still fetch.
 const FORMER: TimeSpan = TimeSpan::from_secs(5);
 /// Slots of records with the same replicas within a zone: fewer groups mean fewer members to relay claims to.
@@ -52,7 +52,7 @@
 pub type Located = (PeerId, Option<Locality>);
 
 #[derive(Clone, Debug, Default)]
-pub struct Keepers {
+pub struct Replicas {
     topology: Option<Topology>,
     scope: Scope,
     fleet: Vec<Located>,
@@ -75,13 +75,13 @@
 /// The first few in the order of one slot.
 fn first_few(slot: Slot, fleet: &[PeerId]) -> Vec<PeerId> {
     let salt = mix(u64::from(slot.0));
-    let mut few: Vec<(u64, PeerId)> = Vec::with_capacity(KEEP + 1);
+    let mut few: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
     for &id in fleet {
         let drawn = mix(id.0 ^ salt);
         let at = few.partition_point(|&(other, _)| other > drawn);
-        if at < KEEP {
+        if at < REPLICAS_PER_SLOT {
             few.insert(at, (drawn, id));
-            few.truncate(KEEP);
+            few.truncate(REPLICAS_PER_SLOT);
         }
     }
     few.into_iter().map(|(_, id)| id).collect()
@@ -90,8 +90,8 @@
 /// The seats of a group among the members of one zone. Each seat has an order of its own, so that the members in the
 /// other seats stay where they are when one of them goes.
 fn seats(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
-    let mut seats: Vec<PeerId> = Vec::with_capacity(KEEP);
-    for seat in 0..KEEP as u64 {
+    let mut seats: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
+    for seat in 0..REPLICAS_PER_SLOT as u64 {
         let drawn = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | seat));
         let free = members.iter().filter(|id| !seats.contains(id));
         if let Some(&best) = free.max_by_key(|id| drawn(id)) {
@@ -101,11 +101,11 @@
     seats
 }
 
-impl Keepers {
-    pub fn new(topology: Option<Topology>) -> Keepers {
-        Keepers {
+impl Replicas {
+    pub fn new(topology: Option<Topology>) -> Replicas {
+        Replicas {
             topology,
-            ..Keepers::default()
+            ..Replicas::default()
         }
     }
 
@@ -167,7 +167,7 @@
         former.flatten().copied().filter(|id| !present.contains(id))
     }
 
-    pub fn keeps(&self, id: PeerId, slot: Slot) -> bool {
+    pub fn is_replica(&self, id: PeerId, slot: Slot) -> bool {
         slot.is_common() || self.of(slot).contains(&id)
     }
 
--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -94,7 +94,7 @@
 /// Others by slot, as the sync asks for them.
 pub struct Who<'a> {
     /// Whoever else keeps the slot and is alive.
-    pub keepers: &'a dyn Fn(Slot) -> Vec<PeerId>,
+    pub replicas: &'a dyn Fn(Slot) -> Vec<PeerId>,
     /// Whether this member keeps it.
     pub mine: &'a dyn Fn(Slot) -> bool,
     /// Members lost so lately that what only they know may matter.
@@ -259,7 +259,7 @@
             return;
         }
         lack.told.insert(from, completeness);
-        let others = (who.keepers)(slot);
+        let others = (who.replicas)(slot);
         let matter = match lack.why {
             _ if slot.is_common() => 1,
             Why::New => others.len() + who.lost,
@@ -387,7 +387,7 @@
         let mut by_peer: BTreeMap<PeerId, Vec<(Slot, u64)>> = BTreeMap::new();
         let others = |slot: Slot| match slot.is_common() {
             true => anybody.to_vec(),
-            false => (who.keepers)(slot),
+            false => (who.replicas)(slot),
         };
         if now >= self.hurry_at {
             self.turn = self.turn.wrapping_add(1);
@@ -492,7 +492,7 @@
             return;
         }
         if fetch.tries > SAME_AGAIN && !slot.is_common() {
-            let others = (who.keepers)(slot);
+            let others = (who.replicas)(slot);
             if let Some(&other) = others.get(fetch.tries as usize % others.len().max(1)) {
                 // Where the former one stopped: all have the same order.
                 fetch.from = other;
