--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -53,7 +53,7 @@
 
 /// What all connections share.
 pub struct Shared {
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub tracks: HashMap<String, ClassId>,
     pub places: RefCell<Slots>,
     /// No client waits longer than this for anything.
@@ -101,7 +101,7 @@
     }
     accept_the_last(&listener, &mut next, before, &shared).await;
     drop(listener);
-    let _ = shared.queue.send(Inbound::AllIn);
+    let _ = shared.queue.send(Inbound::AllAccepted);
 }
 
 /// Lets in whoever waits as the process ends. The system is asked itself: what has come in this moment is not told to the
@@ -321,7 +321,7 @@
         let gone_at = self.eof.filter(|_| !self.shut).map(|at| at + GONE_AFTER);
         if gone_at.is_some_and(|at| at <= Instant::now()) {
             self.shut = true;
-            let _ = (self.shared.queue).send(Inbound::Client(FromClient::Shut(self.id)));
+            let _ = (self.shared.queue).send(Inbound::Client(FromClient::HalfClosed(self.id)));
         }
         // By then nothing that it waits for can come in time.
         let stalled = (self.progress + self.shared.longest_limit).max(self.last_limit);
@@ -332,7 +332,7 @@
                 Some(ToClient::Finish) | None => {
                     (self.finishing, self.told_to_finish) = (true, true);
                 }
-                Some(ToClient::GiveWay) => {
+                Some(ToClient::YieldSlot) => {
                     system_calls::hear_the_system(&self.stream).await;
                     self.read()?;
                     if self.used().0 == used && used != Use::Busy {
@@ -511,7 +511,7 @@
             self.wants = 1;
             (self.spoken, self.since) = (true, Instant::now());
             if let Message::Call(call) = &mut message {
-                call.come = self.sent_at(first);
+                call.arrived_at = self.sent_at(first);
                 call.client = self.state.clone();
             }
             self.take(message)?;
@@ -528,28 +528,28 @@
             Message::Damage(why) => return damage(why),
             Message::Call(_) if self.open() >= OPEN => return damage("too many are open at once"),
             Message::Call(call) => {
-                let owed = self.owed.insert(call.id.number, call.over.clone());
+                let owed = self.owed.insert(call.id.number, call.closed.clone());
                 if owed.is_some() {
                     return damage("a number is used twice");
                 }
-                let limit = call.come + Duration::from_micros(call.left.0);
+                let limit = call.arrived_at + Duration::from_micros(call.time_left.0);
                 self.last_limit = self.last_limit.max(limit);
                 let _ = self
                     .shared
                     .queue
-                    .send(Inbound::Client(FromClient::Called(*call)));
+                    .send(Inbound::Client(FromClient::Requested(*call)));
             }
             Message::Revoke(number) => {
                 if let Some(over) = self.owed.remove(&number) {
                     over.set(true);
-                    let id = CallId {
+                    let id = ClientRequestId {
                         client: self.id,
                         number,
                     };
                     let _ = self
                         .shared
                         .queue
-                        .send(Inbound::Client(FromClient::Revoked(id)));
+                        .send(Inbound::Client(FromClient::Cancelled(id)));
                 }
             }
             Message::Heartbeat(_) | Message::Bad(_) if self.open() >= MOST_OPEN => {
@@ -604,7 +604,7 @@
     };
     match reply {
         Reply::Served(body) => return done(body.bytes(), &[]),
-        Reply::Same => return done(&[], &[("same", "1")]),
+        Reply::NotModified => return done(&[], &[("same", "1")]),
         Reply::Refused { retry_after: None } => failed(&mut head, "Throttled", &[]),
         Reply::Refused {
             retry_after: Some(span),
@@ -633,7 +633,7 @@
 }
 
 enum Message {
-    Call(Box<Call>),
+    Call(Box<ClientRequest>),
     Revoke(u32),
     Heartbeat(u32),
     /// A request whose number can be told, but nothing to act on.
@@ -665,7 +665,7 @@
             let Some(number) = number(id) else {
                 return Message::Damage("a request has no number");
             };
-            let id = CallId { client, number };
+            let id = ClientRequestId { client, number };
             match text(method) {
                 Some("heartbeat") => Message::Heartbeat(number),
                 Some(method) => tracks
@@ -683,7 +683,7 @@
     }
 }
 
-fn read_call(id: CallId, track: ClassId, params: &Value) -> Option<Call> {
+fn read_call(id: ClientRequestId, track: ClassId, params: &Value) -> Option<ClientRequest> {
     let Value::Array(params) = params else {
         return None;
     };
@@ -711,21 +711,21 @@
         .all(|name| named(name).as_ref().is_none_or(sound));
     let allow: f64 = named("allow")?.parse().ok()?;
     let size: Option<f64> = named("room").map(str::parse).transpose().ok()?;
-    let call = Call {
+    let call = ClientRequest {
         id,
-        come: Instant::now(),
+        arrived_at: Instant::now(),
         reference: passed("ref")?.into(),
-        left: TimeSpan::from_secs_f64(allow / 1000.0),
-        track,
+        time_left: TimeSpan::from_secs_f64(allow / 1000.0),
+        class: track,
         object: object_id(named("lookup")?)?,
-        object_text: passed("lookup")?,
+        object_name: passed("lookup")?,
         group: GroupId(named("group").unwrap_or("0").parse().ok()?),
         part: named("part").unwrap_or("0").parse().ok()?,
         size_kb: size.filter(|kb| kb.is_finite() && *kb > 0.0),
-        mark: passed("replay"),
-        held_tag: passed("have"),
+        idempotency_key: passed("replay"),
+        held_etag: passed("have"),
         body: body.into(),
-        over: Rc::default(),
+        closed: Rc::default(),
         client: Rc::default(),
     };
     let sized = body.len() <= LONGEST_BODY && (0.0..=LONGEST_WAIT_MS).contains(&allow);
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -1,12 +1,13 @@
-//! What is logged now and then: counts, sizes and the account of traffic between zones.
+//! Periodic log lines: counts, sizes and the account of traffic between zones.
 
 use super::Dispatch;
 use slog::info;
 use tokio::time::Instant;
 
 impl Dispatch {
-    pub(super) fn account(&mut self, instant: Instant) {
-        let now = self.clock.moment(instant);
+    /// Brings the account of traffic between zones up to now.
+    pub(super) fn advance_accounts(&mut self, instant: Instant) {
+        let now = self.clock.timestamp(instant);
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
         {
@@ -14,8 +15,9 @@
         }
     }
 
-    pub(super) fn last_account(&mut self) {
-        let now = self.clock.moment(Instant::now());
+    /// Writes the last account before the process ends.
+    pub(super) fn write_final_account(&mut self) {
+        let now = self.clock.timestamp(Instant::now());
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
         {
@@ -23,17 +25,18 @@
         }
     }
 
+    /// Logs counts, sizes and the state of the subsystems.
     pub(super) fn report(&self) {
-        let (out, lines, pools) = self.pools.sizes();
+        let (attempts, connections, pools) = self.pools.sizes();
         let state = &self.state;
         info!(self.log, "figures"; "counts" => self.counts.words(), "open" => state.requests.len(),
-            "calls" => state.calls.len(), "clients" => state.clients.len(), "out" => out,
-            "lines" => lines, "pools" => pools, "ids" => state.references.len(), "timers" => state.limits.len() + state.wakes.len(),
+            "calls" => state.client_requests.len(), "clients" => state.clients.len(), "out" => attempts,
+            "lines" => connections, "pools" => pools, "ids" => state.references.len(), "timers" => state.deadlines.len() + state.timers.len(),
             "held" => self.pools.shared.held.bytes(), "process" => process_figures());
         if let Some(shared) = &self.decisions.crossings.shared {
             info!(self.log, "store counts"; "what" => shared.figures());
         }
-        let now = self.clock.moment(Instant::now());
+        let now = self.clock.timestamp(Instant::now());
         if let Some(peers) = &self.decisions.crossings.peers {
             info!(self.log, "peers counts"; "what" => peers.figures(now));
         }
@@ -50,7 +53,7 @@
     }
 }
 
-/// Resident memory with its peak, descriptors and processor time, as the system tells them.
+/// Resident memory with its peak, open descriptors and processor time, as the kernel reports them.
 fn process_figures() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let field = |name: &str| {
--- a/crates/trailproxyd/src/link_context.rs
+++ b/crates/trailproxyd/src/link_context.rs
@@ -14,7 +14,7 @@
 
 /// What all pools and connections share.
 pub struct Shared {
-    pub queue: Queue,
+    pub queue: InboundSender,
     pub bounds: Bounds,
     pub clock: Clock,
     /// Connections that all pools together may hold.
@@ -34,27 +34,27 @@
         Duration::from_micros(self.bounds.dial_within.0)
     }
 
-    pub fn end(&self, id: AttemptId, host: HostId, line: Option<LineId>, answer: Answer) {
-        let ended = FromServer::Ended {
+    pub fn end(&self, id: AttemptId, host: HostId, line: Option<ConnectionId>, answer: Answer) {
+        let ended = FromHost::AttemptEnded {
             id,
             host,
-            line,
+            connection: line,
             answer,
         };
-        let _ = self.queue.send(Inbound::Server(ended));
+        let _ = self.queue.send(Inbound::Host(ended));
     }
 
     pub fn probed(&self, id: ProbeId, host: HostId, ending: Ending, report: Vec<f64>) {
-        let probed = FromServer::Probed {
+        let probed = FromHost::Probed {
             id,
             host,
             ending,
             report,
         };
-        let _ = self.queue.send(Inbound::Server(probed));
+        let _ = self.queue.send(Inbound::Host(probed));
     }
 
-    pub fn dropped(&self, sending: &Sending, ending: Ending) {
-        self.end(sending.id, sending.host, None, Answer::bare(ending));
+    pub fn dropped(&self, sending: &AttemptRequest, ending: Ending) {
+        self.end(sending.id, sending.host, None, Answer::without_body(ending));
     }
 }
