--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -13,7 +13,7 @@
 
 /// A claim of an access that is open here.
 #[derive(Clone, Debug)]
-pub struct Own {
+pub struct OwnClaim {
     pub key: Key,
     pub claim: Claim,
     /// It saw an earlier one before anything went out, and took itself back.
@@ -22,25 +22,25 @@
 
 /// One round of questions about one key.
 #[derive(Clone, Debug)]
-struct Asking {
+struct Inquiry {
     id: RequestId,
     asked: Timestamp,
     /// Who has not answered, and how many have to be sure.
-    open: BTreeSet<PeerId>,
+    unanswered: BTreeSet<PeerId>,
     /// Who is asked as soon as one of the others is not sure.
     reserve: Vec<PeerId>,
-    enough: usize,
+    required: usize,
     sure: usize,
     claims: Vec<Claim>,
 }
 
 /// What an answer makes of an access.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum ClaimOutcome {
     /// Nothing yet.
-    Waits,
+    Pending,
     /// No other has it.
-    Mine,
+    Granted,
     /// Another has it, or had it, as far as was known when it was asked at that moment.
     Found(Timestamp, Record),
     /// All have answered, and too few are sure.
@@ -49,7 +49,7 @@
 
 /// What others are to know of a claim, until they have it.
 #[derive(Clone, Debug)]
-struct Owed {
+struct PendingUpdate {
     fact: Fact,
     /// `None`: whoever keeps it by then.
     to: Option<BTreeSet<PeerId>>,
@@ -59,35 +59,35 @@
 }
 
 /// Accesses that ask, and facts that are owed, at once. More go without: it is as if the others were not there.
-const MOST_ASKING: usize = 2_048;
-const MOST_OWED: usize = 8_192;
+const MAX_INQUIRIES: usize = 2_048;
+const MAX_PENDING_UPDATES: usize = 8_192;
 /// How long an answer is of use, for what has not gone out yet.
-const FORGET: TimeSpan = TimeSpan::from_secs(4);
+const INQUIRY_RETENTION: TimeSpan = TimeSpan::from_secs(4);
 /// What is owed is told again after this, then after twice as long, up to the longest pause; then it is left.
-const AGAIN: TimeSpan = TimeSpan::from_millis(60);
-const LONGEST: TimeSpan = TimeSpan::from_secs(4);
+const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(60);
+const MAX_RETRY_DELAY: TimeSpan = TimeSpan::from_secs(4);
 
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
-    own: BTreeMap<RequestId, Own>,
-    asking: BTreeMap<InquiryId, Asking>,
+    own: BTreeMap<RequestId, OwnClaim>,
+    inquiries: BTreeMap<InquiryId, Inquiry>,
     /// Questions that are to go out now, of the reserve.
-    to_ask: Vec<(InquiryId, RequestId, PeerId)>,
-    owed: BTreeMap<FactId, Owed>,
-    timed: BTreeSet<(Timestamp, FactId)>,
+    reserve_inquiries: Vec<(InquiryId, RequestId, PeerId)>,
+    pending: BTreeMap<FactId, PendingUpdate>,
+    update_deadlines: BTreeSet<(Timestamp, FactId)>,
 }
 
 impl Claims {
-    pub fn kept(&self) -> (usize, usize, usize) {
-        (self.own.len(), self.asking.len(), self.owed.len())
+    pub fn counts(&self) -> (usize, usize, usize) {
+        (self.own.len(), self.inquiries.len(), self.pending.len())
     }
 
-    pub fn get(&self, id: RequestId) -> Option<&Own> {
+    pub fn get(&self, id: RequestId) -> Option<&OwnClaim> {
         self.own.get(&id)
     }
 
-    pub fn room(&self) -> bool {
-        self.asking.len() < MOST_ASKING
+    pub fn has_room(&self) -> bool {
+        self.inquiries.len() < MAX_INQUIRIES
     }
 
     /// The claim of an access, made with the first question for it. `None`: it has yielded, and only looks.
@@ -98,7 +98,7 @@
         key: Key,
         token: Token,
     ) -> Option<Claim> {
-        let own = self.own.entry(id).or_insert_with(|| Own {
+        let own = self.own.entry(id).or_insert_with(|| OwnClaim {
             key,
             claim: Claim {
                 token,
@@ -112,27 +112,28 @@
         (!own.yielded).then(|| own.claim.clone())
     }
 
-    /// A round begins: these are asked, of whom `enough` have to be sure.
-    pub fn ask(
+    /// A round begins: these are asked, of whom `required` have to be sure.
+    pub fn start_inquiry(
         &mut self,
         now: Timestamp,
         inquiry_id: InquiryId,
         id: RequestId,
         whom: BTreeSet<PeerId>,
         reserve: Vec<PeerId>,
-        enough: usize,
+        required: usize,
     ) {
         // The round before it is over: its answers would count twice.
-        self.asking
-            .retain(|_, asking| asking.id != id && now.since(asking.asked) < FORGET);
-        self.asking.insert(
+        self.inquiries.retain(|_, inquiries| {
+            inquiries.id != id && now.since(inquiries.asked) < INQUIRY_RETENTION
+        });
+        self.inquiries.insert(
             inquiry_id,
-            Asking {
+            Inquiry {
                 id,
                 asked: now,
-                open: whom,
+                unanswered: whom,
                 reserve,
-                enough,
+                required,
                 sure: 0,
                 claims: Vec::new(),
             },
@@ -140,86 +141,96 @@
     }
 
     /// One that was asked answers.
-    pub fn stood(
+    pub fn on_claim_status(
         &mut self,
         now: Timestamp,
         inquiry_id: InquiryId,
         from: PeerId,
         sure: bool,
         claims: Vec<Claim>,
-    ) -> Option<(RequestId, Heard)> {
-        let asking = self.asking.get_mut(&inquiry_id)?;
+    ) -> Option<(RequestId, ClaimOutcome)> {
+        let inquiries = self.inquiries.get_mut(&inquiry_id)?;
         // What a former keeper knows binds as well; its "nothing known" says nothing.
-        let counts = asking.open.remove(&from);
-        asking.sure += usize::from(sure && counts);
-        let (id, asked, key) = (asking.id, asking.asked, 0);
-        let known = std::mem::take(&mut asking.claims);
+        let counts = inquiries.unanswered.remove(&from);
+        inquiries.sure += usize::from(sure && counts);
+        let (id, asked, key) = (inquiries.id, inquiries.asked, 0);
+        let known = std::mem::take(&mut inquiries.claims);
         let both = merge(
             Fact::Record { key, claims: known },
             Fact::Record { key, claims },
         );
         if let Fact::Record { claims, .. } = both {
-            asking.claims = claims;
+            inquiries.claims = claims;
         }
         let own = self.own.get(&id)?;
         let token = Some(own.claim.token).filter(|_| !own.yielded);
-        let heard = match others(asked, &asking.claims, token) {
-            Some(record) => Heard::Found(asked, record),
-            None if asking.sure >= asking.enough => Heard::Mine,
-            None if asking.open.is_empty() && asking.reserve.is_empty() => Heard::Unsure,
-            None => Heard::Waits,
+        let outcome = match others(asked, &inquiries.claims, token) {
+            Some(record) => ClaimOutcome::Found(asked, record),
+            None if inquiries.sure >= inquiries.required => ClaimOutcome::Granted,
+            None if inquiries.unanswered.is_empty() && inquiries.reserve.is_empty() => {
+                ClaimOutcome::Unsure
+            }
+            None => ClaimOutcome::Pending,
         };
-        if !sure && heard == Heard::Waits {
-            asking.open.extend(asking.reserve.iter().copied());
-            self.to_ask
-                .extend(asking.reserve.drain(..).map(|whom| (inquiry_id, id, whom)));
+        if !sure && outcome == ClaimOutcome::Pending {
+            inquiries
+                .unanswered
+                .extend(inquiries.reserve.iter().copied());
+            self.reserve_inquiries.extend(
+                inquiries
+                    .reserve
+                    .drain(..)
+                    .map(|whom| (inquiry_id, id, whom)),
+            );
         }
         let earlier = |claim: &Claim| {
             (claim.at, claim.token) < (own.claim.at, own.claim.token)
                 && claim.stage != Stage::Released
                 && Some(claim.token) != token
         };
-        let yields = matches!(&heard, Heard::Found(_, record) if record.stand == Stand::Claimed)
+        let yields = matches!(&outcome, ClaimOutcome::Found(_, record) if record.stand == Stand::Claimed)
             && own.claim.location == ClaimLocation::NotReported
-            && asking.claims.iter().any(earlier);
-        if asking.open.is_empty() && now.since(asked) > FORGET {
-            self.asking.remove(&inquiry_id);
+            && inquiries.claims.iter().any(earlier);
+        if inquiries.unanswered.is_empty() && now.since(asked) > INQUIRY_RETENTION {
+            self.inquiries.remove(&inquiry_id);
         }
         if yields {
-            self.yield_to(now, id);
+            self.yield_claim(now, id);
         }
-        Some((id, heard))
+        Some((id, outcome))
     }
 
     /// The key of an access that asked under this number and is still open.
-    pub fn asked(&self, inquiry_id: InquiryId) -> Option<Key> {
-        let asking = self.asking.get(&inquiry_id)?;
-        Some(self.own.get(&asking.id)?.key)
+    pub fn inquired_key(&self, inquiry_id: InquiryId) -> Option<Key> {
+        let inquiries = self.inquiries.get(&inquiry_id)?;
+        Some(self.own.get(&inquiries.id)?.key)
     }
 
     /// Who is to be asked in addition, about which claim.
-    pub fn to_ask(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
-        let to_ask = std::mem::take(&mut self.to_ask);
-        let claims = to_ask.into_iter().filter_map(|(inquiry_id, id, whom)| {
-            let own = self.own.get(&id)?;
-            let claim = (!own.yielded).then(|| own.claim.clone());
-            Some((inquiry_id, whom, own.key.0, claim))
-        });
+    pub fn take_reserve_inquiries(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
+        let reserve_inquiries = std::mem::take(&mut self.reserve_inquiries);
+        let claims = reserve_inquiries
+            .into_iter()
+            .filter_map(|(inquiry_id, id, whom)| {
+                let own = self.own.get(&id)?;
+                let claim = (!own.yielded).then(|| own.claim.clone());
+                Some((inquiry_id, whom, own.key.0, claim))
+            });
         claims.collect()
     }
 
-    fn yield_to(&mut self, now: Timestamp, id: RequestId) {
+    fn yield_claim(&mut self, now: Timestamp, id: RequestId) {
         if let Some(own) = self.own.get_mut(&id).filter(|own| !own.yielded) {
             own.yielded = true;
             let mut claim = own.claim.clone();
             claim.stage = Stage::Released;
             let key = own.key.0;
-            self.owe(now, key, claim);
+            self.queue_update(now, key, claim);
         }
     }
 
     /// A hand-off goes out. It is told after `delay`, together with the end where that comes before.
-    pub fn sent(
+    pub fn on_attempt_sent(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -246,42 +257,42 @@
         }
         (own.claim.stage, own.claim.location) = (Stage::Sent, joined);
         let (key, claim) = (own.key.0, own.claim.clone());
-        self.owe(now + delay, key, claim);
+        self.queue_update(now + delay, key, claim);
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Came) {
         let Some(own) = self.own.remove(&id).filter(|own| !own.yielded) else {
             return;
         };
         let mut claim = own.claim;
         // What was answered from another's record is no run of this one's.
         let ran = claim.location != ClaimLocation::NotReported;
-        (claim.stage, claim.body) = match came {
+        (claim.stage, claim.body) = match completion {
             Came::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
             Came::Unknown if ran => (Stage::Unknown, None),
             _ => (Stage::Released, None),
         };
         let key = own.key.0;
-        self.owe(now, key, claim);
+        self.queue_update(now, key, claim);
     }
 
-    fn owe(&mut self, at: Timestamp, key: u128, claim: Claim) {
+    fn queue_update(&mut self, at: Timestamp, key: u128, claim: Claim) {
         let claims = vec![claim];
         let fact = Fact::Record { key, claims };
         let id = fact.id();
-        if self.owed.len() >= MOST_OWED && !self.owed.contains_key(&id) {
+        if self.pending.len() >= MAX_PENDING_UPDATES && !self.pending.contains_key(&id) {
             return;
         }
-        let fact = match self.owed.remove(&id) {
-            Some(owed) => merge(owed.fact, fact),
+        let fact = match self.pending.remove(&id) {
+            Some(pending) => merge(pending.fact, fact),
             None => fact,
         };
-        self.timed.insert((at, id));
-        let (to, pause, inquiry_id) = (None, AGAIN, InquiryId::default());
-        self.owed.insert(
+        self.update_deadlines.insert((at, id));
+        let (to, pause, inquiry_id) = (None, RETRY_DELAY, InquiryId::default());
+        self.pending.insert(
             id,
-            Owed {
+            PendingUpdate {
                 fact,
                 to,
                 at,
@@ -292,28 +303,28 @@
     }
 
     /// What was told is not told again: whoever keeps it compares it with the others that do.
-    pub fn told(&mut self, fact: FactId) {
-        self.owed.remove(&fact);
+    pub fn drop_update(&mut self, fact: FactId) {
+        self.pending.remove(&fact);
     }
 
     /// Somebody has what was told under this number.
-    pub fn taken(&mut self, inquiry_id: InquiryId, from: PeerId) {
+    pub fn on_stored(&mut self, inquiry_id: InquiryId, from: PeerId) {
         let found = self
-            .owed
+            .pending
             .iter_mut()
-            .find(|(_, owed)| owed.inquiry_id == inquiry_id);
-        if let Some((&id, owed)) = found
-            && let Some(to) = &mut owed.to
+            .find(|(_, pending)| pending.inquiry_id == inquiry_id);
+        if let Some((&id, pending)) = found
+            && let Some(to) = &mut pending.to
         {
             to.remove(&from);
             if to.is_empty() {
-                self.owed.remove(&id);
+                self.pending.remove(&id);
             }
         }
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
-        self.timed.first().map(|&(at, _)| at)
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        self.update_deadlines.first().map(|&(at, _)| at)
     }
 
     /// What is to be told by now, to whom: those who keep it, as `replicas` has them.
@@ -324,28 +335,36 @@
         replicas: impl Fn(FactId) -> BTreeSet<PeerId>,
     ) -> Vec<(InquiryId, Fact, BTreeSet<PeerId>)> {
         let mut tells = Vec::new();
-        while let Some((at, id)) = self.timed.first().copied().filter(|(at, _)| *at <= now) {
-            self.timed.pop_first();
-            let Some(owed) = self.owed.get_mut(&id).filter(|owed| owed.at == at) else {
+        while let Some((at, id)) = self
+            .update_deadlines
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= now)
+        {
+            self.update_deadlines.pop_first();
+            let Some(pending) = self.pending.get_mut(&id).filter(|pending| pending.at == at) else {
                 continue;
             };
-            if owed.pause > LONGEST {
-                self.owed.remove(&id);
+            if pending.pause > MAX_RETRY_DELAY {
+                self.pending.remove(&id);
                 continue;
             }
-            let to = owed.to.get_or_insert_with(|| replicas(id));
+            let to = pending.to.get_or_insert_with(|| replicas(id));
             // Who keeps it now that one of them is gone is told as well, with the next round.
-            if owed.pause > AGAIN {
+            if pending.pause > RETRY_DELAY {
                 let present = replicas(id);
                 to.retain(|id| present.contains(id));
             }
-            (owed.inquiry_id, owed.at) = (new_inquiry_id(), now + owed.pause);
-            owed.pause = owed.pause.mul_f64(2.0);
-            let (again, told) = (owed.at, (owed.inquiry_id, owed.fact.clone(), to.clone()));
+            (pending.inquiry_id, pending.at) = (new_inquiry_id(), now + pending.pause);
+            pending.pause = pending.pause.mul_f64(2.0);
+            let (again, told) = (
+                pending.at,
+                (pending.inquiry_id, pending.fact.clone(), to.clone()),
+            );
             if to.is_empty() {
-                self.owed.remove(&id);
+                self.pending.remove(&id);
             } else {
-                self.timed.insert((again, id));
+                self.update_deadlines.insert((again, id));
             }
             tells.push(told);
         }
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -6,7 +6,7 @@
 //! | kind | rule |
 //! | --- | --- |
 //! | a claim, by its token | only its owner writes it, and only forward: the further one holds |
-//! | a record, by its key | all claims of both; beyond [`MOST_CLAIMS`] it is a run that may have been anywhere |
+//! | a record, by its key | all claims of both; beyond [`MAX_CLAIMS_PER_KEY`] it is a run that may have been anywhere |
 //! | a purge, by object or group | the later moment |
 //! | a host's turn, by host | the later start; of one start, the later place in the journal; of one place, the more restricted |
 
@@ -85,9 +85,9 @@
 }
 
 /// Claims of one key that are told apart. More is one client that comes again everywhere at once.
-pub const MOST_CLAIMS: usize = 12;
+pub const MAX_CLAIMS_PER_KEY: usize = 12;
 /// The tokens under which further claims are one: the first of them and the last.
-const MANY: [Token; 2] = [Token(0), Token(1)];
+const OVERFLOW_TOKENS: [Token; 2] = [Token(0), Token(1)];
 
 /// What is asked of a record of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -156,7 +156,7 @@
     }
 
     /// One digit of the sum of a slot.
-    fn digit(&self) -> u64 {
+    fn hash(&self) -> u64 {
         let mut hash = Fnv(0xcbf2_9ce4_8422_2325);
         std::hash::Hash::hash(self, &mut hash);
         mix(hash.0)
@@ -199,7 +199,7 @@
 }
 
 /// The further of two copies of one claim.
-fn further(one: Claim, other: Claim) -> Claim {
+fn merge_claim(one: Claim, other: Claim) -> Claim {
     Claim {
         token: one.token,
         at: one.at.min(other.at),
@@ -209,17 +209,19 @@
     }
 }
 
-fn all_claims(one: Vec<Claim>, other: Vec<Claim>) -> Vec<Claim> {
+fn merge_claims(one: Vec<Claim>, other: Vec<Claim>) -> Vec<Claim> {
     let mut by_token: BTreeMap<Token, Claim> = BTreeMap::new();
     for claim in one.into_iter().chain(other) {
         let merged = match by_token.remove(&claim.token) {
-            Some(known) => further(known, claim),
+            Some(known) => merge_claim(known, claim),
             None => claim,
         };
         by_token.insert(merged.token, merged);
     }
-    let many = MANY.iter().any(|token| by_token.contains_key(token));
-    if by_token.len() <= MOST_CLAIMS && !many {
+    let many = OVERFLOW_TOKENS
+        .iter()
+        .any(|token| by_token.contains_key(token));
+    if by_token.len() <= MAX_CLAIMS_PER_KEY && !many {
         return by_token.into_values().collect();
     }
     // The first counts for windows, the last for how long the record is held.
@@ -232,7 +234,7 @@
         location: ClaimLocation::Anywhere,
         body: None,
     };
-    MANY.into_iter().zip(ends).map(one).collect()
+    OVERFLOW_TOKENS.into_iter().zip(ends).map(one).collect()
 }
 
 /// What two copies of one fact make together; the first where they are no copies of one.
@@ -245,7 +247,7 @@
                 claims: more,
             },
         ) if key == k => {
-            let claims = all_claims(claims, more);
+            let claims = merge_claims(claims, more);
             Fact::Record { key, claims }
         }
         (
@@ -325,7 +327,7 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct Shelf {
+struct SlotFacts {
     facts: BTreeMap<FactId, Fact>,
     sum: Option<u64>,
 }
@@ -334,7 +336,7 @@
 #[derive(Clone, Debug)]
 pub struct Facts {
     lasts: Retention,
-    shelves: BTreeMap<Slot, Shelf>,
+    slots_held: BTreeMap<Slot, SlotFacts>,
     /// When each is over; one that was renewed stands here under its former end, too.
     ends: std::collections::BTreeSet<(Timestamp, FactId)>,
     records: usize,
@@ -343,14 +345,14 @@
 
 /// Bounds by number. What does not fit is not taken, and who asks is told that it is not sure; nothing that may still
 /// matter is forgotten for it.
-pub const MOST_RECORDS: usize = 120_000;
-pub const MOST_COMMON: usize = 16_384;
+pub const MAX_RECORDS: usize = 120_000;
+pub const MAX_COMMON_FACTS: usize = 16_384;
 
 impl Facts {
     pub fn new(lasts: Retention) -> Facts {
         Facts {
             lasts,
-            shelves: BTreeMap::new(),
+            slots_held: BTreeMap::new(),
             ends: std::collections::BTreeSet::new(),
             records: 0,
             commons: 0,
@@ -375,11 +377,11 @@
     }
 
     pub fn get(&self, id: FactId) -> Option<&Fact> {
-        self.shelves.get(&id.slot())?.facts.get(&id)
+        self.slots_held.get(&id.slot())?.facts.get(&id)
     }
 
     pub fn slots(&self) -> impl Iterator<Item = Slot> {
-        self.shelves.keys().copied()
+        self.slots_held.keys().copied()
     }
 
     fn count(&mut self, id: FactId, by: isize) {
@@ -399,8 +401,8 @@
         let id = fact.id();
         let known = self.get(id);
         let full = match id {
-            FactId::Record(_) => self.records >= MOST_RECORDS,
-            _ => self.commons >= MOST_COMMON,
+            FactId::Record(_) => self.records >= MAX_RECORDS,
+            _ => self.commons >= MAX_COMMON_FACTS,
         };
         let merged = match known {
             None if full => return None,
@@ -416,16 +418,16 @@
         let new = known.is_none();
         self.count(id, isize::from(new));
         self.ends.insert((self.end(&merged), id));
-        let shelf = self.shelves.entry(id.slot()).or_default();
-        shelf.sum = None;
-        shelf.facts.insert(id, merged);
+        let held = self.slots_held.entry(id.slot()).or_default();
+        held.sum = None;
+        held.facts.insert(id, merged);
         Some(true)
     }
 
     /// What others keep now is dropped here.
     pub fn drop_slot(&mut self, slot: Slot) {
-        if let Some(shelf) = self.shelves.remove(&slot) {
-            for id in shelf.facts.into_keys() {
+        if let Some(held) = self.slots_held.remove(&slot) {
+            for id in held.facts.into_keys() {
                 self.count(id, -1);
             }
         }
@@ -441,11 +443,11 @@
             self.ends.pop_first();
             let slot = id.slot();
             let over = self.get(id).is_some_and(|fact| self.end(fact) <= now);
-            if let Some(shelf) = self.shelves.get_mut(&slot).filter(|_| over) {
-                shelf.facts.remove(&id);
-                shelf.sum = None;
-                if shelf.facts.is_empty() {
-                    self.shelves.remove(&slot);
+            if let Some(held) = self.slots_held.get_mut(&slot).filter(|_| over) {
+                held.facts.remove(&id);
+                held.sum = None;
+                if held.facts.is_empty() {
+                    self.slots_held.remove(&slot);
                 }
                 self.count(id, -1);
             }
@@ -454,30 +456,30 @@
 
     /// The same for the same facts, in whatever order they came.
     pub fn checksum(&mut self, slot: Slot) -> u64 {
-        let Some(shelf) = self.shelves.get_mut(&slot) else {
+        let Some(held) = self.slots_held.get_mut(&slot) else {
             return 0;
         };
-        *shelf.sum.get_or_insert_with(|| {
-            let digits = shelf.facts.values().map(Fact::digit);
+        *held.sum.get_or_insert_with(|| {
+            let digits = held.facts.values().map(Fact::hash);
             digits.fold(0, u64::wrapping_add)
         })
     }
 
     /// The same, of what was last of use within this time.
     pub fn checksum_in_range(&self, slot: Slot, range: TimeRange) -> u64 {
-        let shelf = self.shelves.get(&slot);
-        let facts = shelf.into_iter().flat_map(|shelf| shelf.facts.values());
+        let held = self.slots_held.get(&slot);
+        let facts = held.into_iter().flat_map(|held| held.facts.values());
         let facts = facts.filter(|fact| range.contains(fact.at()));
-        facts.map(Fact::digit).fold(0, u64::wrapping_add)
+        facts.map(Fact::hash).fold(0, u64::wrapping_add)
     }
 
     /// A piece of a slot, of about so many bytes; `true`: it is the last.
     pub fn page(&self, slot: Slot, after: Option<FactId>, bytes: usize) -> (Vec<Fact>, bool) {
-        let Some(shelf) = self.shelves.get(&slot) else {
+        let Some(held) = self.slots_held.get(&slot) else {
             return (Vec::new(), true);
         };
         let from = after.map_or(std::ops::Bound::Unbounded, std::ops::Bound::Excluded);
-        let mut rest = shelf.facts.range((from, std::ops::Bound::Unbounded));
+        let mut rest = held.facts.range((from, std::ops::Bound::Unbounded));
         let (mut page, mut size) = (Vec::new(), 0);
         for (_, fact) in rest.by_ref() {
             size += fact.size();
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -9,8 +9,8 @@
 impl Peers {
     /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
     pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
-        self.wake(now);
-        if !self.settings.records || self.quiet() {
+        self.detect_pause(now);
+        if !self.settings.records || self.is_silent() {
             let verdict = Verdict::Go;
             return self.actions.push(Action::Decided { id, verdict });
         }
@@ -19,29 +19,29 @@
         let replicas = self.replicas.of(slot);
         let reached = |id: &&PeerId| **id == own || self.members.is_reached(**id);
         let some = replicas.iter().filter(reached).count() > replicas.len() / 2;
-        let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.room());
+        let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.has_room());
         self.counts.waited += u64::from(wait.is_some());
         let steps = self.records.come(now, id, key, due, wait);
-        self.follow(now, steps);
+        self.run_steps(now, steps);
     }
 
     /// A hand-off of it goes out.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
-        let token = self.token();
+        let token = self.new_token();
         self.records.sent(id, location);
         let delay = match self.replicas.scope() {
             Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
         };
-        self.claims.sent(now, id, location, token, delay);
-        self.tell_owed(now);
+        self.claims.on_attempt_sent(now, id, location, token, delay);
+        self.send_pending_updates(now);
     }
 
     /// It has its final answer.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.records.ended(id, &came);
-        self.claims.ended(now, id, came);
-        self.tell_owed(now);
+        self.claims.on_request_ended(now, id, came);
+        self.send_pending_updates(now);
     }
 
     /// What another dispatcher did under the key of this access.
@@ -65,14 +65,14 @@
         self.records.claimed(id)
     }
 
-    pub(super) fn token(&mut self) -> Token {
-        Token(self.chance.u64(16..))
+    pub(super) fn new_token(&mut self) -> Token {
+        Token(self.rng.u64(16..))
     }
 
-    pub(super) fn follow(&mut self, now: Timestamp, steps: Vec<Step>) {
+    pub(super) fn run_steps(&mut self, now: Timestamp, steps: Vec<Step>) {
         for step in steps {
             match step {
-                Step::Claim(id, key) => self.claim(now, id, key),
+                Step::Claim(id, key) => self.send_claim(now, id, key),
                 Step::Decided(id, verdict) => {
                     self.counts.answered += u64::from(matches!(verdict, Verdict::Answer(_)));
                     self.actions.push(Action::Decided { id, verdict });
@@ -81,13 +81,13 @@
         }
     }
 
-    pub(super) fn claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
-        if !self.claims.room() {
+    pub(super) fn send_claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
+        if !self.claims.has_room() {
             let steps = self.records.go(id);
-            return self.follow(now, steps);
+            return self.run_steps(now, steps);
         }
         self.counts.claimed += 1;
-        let token = self.token();
+        let token = self.new_token();
         let claim = self.claims.claim(now, id, key, token);
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
@@ -96,25 +96,29 @@
         let scope = self.replicas.scope();
         let (whom, reserve) = match scope {
             Scope::Fleet => (replicas, Vec::new()),
-            Scope::Zone => self.nearest(replicas, enough),
+            Scope::Zone => self.nearest_replicas(replicas, enough),
         };
         let whom: BTreeSet<PeerId> = whom.into_iter().collect();
         let former: BTreeSet<PeerId> = self.replicas.former(now, slot).collect();
         let inquiry_id = self.new_inquiry_id();
         self.claims
-            .ask(now, inquiry_id, id, whom.clone(), reserve, enough);
+            .start_inquiry(now, inquiry_id, id, whom.clone(), reserve, enough);
         let key = key.0;
         for &whom in whom.union(&former).filter(|&&whom| whom != own) {
-            self.ask(now, whom, inquiry_id, key, claim.clone());
+            self.send_claim_to(now, whom, inquiry_id, key, claim.clone());
         }
         if whom.contains(&own) {
-            let (sure, claims) = self.claimed(now, key, claim, scope);
-            self.stood(now, inquiry_id, own, sure, claims);
+            let (sure, claims) = self.on_claim(now, key, claim, scope);
+            self.on_claim_status(now, inquiry_id, own, sure, claims);
         }
     }
 
     /// Of a key's replicas as many as have to be sure, the nearest ones that are reached, and the others in reserve.
-    fn nearest(&self, mut replicas: Vec<PeerId>, enough: usize) -> (Vec<PeerId>, Vec<PeerId>) {
+    fn nearest_replicas(
+        &self,
+        mut replicas: Vec<PeerId>,
+        enough: usize,
+    ) -> (Vec<PeerId>, Vec<PeerId>) {
         let own = self.members.own().id;
         let here = self.replicas.topology().map(|topology| topology.own);
         let distance = |id: PeerId| {
@@ -129,7 +133,7 @@
         (replicas, reserve)
     }
 
-    fn ask(
+    fn send_claim_to(
         &mut self,
         now: Timestamp,
         whom: PeerId,
@@ -153,7 +157,7 @@
     }
 
     /// A claim at one who keeps its key: what is known of the key, and whether that is all.
-    pub(super) fn claimed(
+    pub(super) fn on_claim(
         &mut self,
         now: Timestamp,
         key: u128,
@@ -165,11 +169,12 @@
         // of members asks others that this one agrees with nobody.
         let keeps = self.replicas.is_replica(self.members.own().id, id.slot());
         let keeps = keeps && self.replicas.scope() == scope;
-        let (proved, mut known) = self.elsewhere(now, key);
-        let mut sure = keeps && self.sync.whole(id.slot()) && !self.island && proved;
+        let (proved, mut known) = self.claims_in_other_zones(now, key);
+        let mut sure =
+            keeps && self.sync.is_in_sync(id.slot()) && !self.in_minority_partition && proved;
         if let Some(claim) = claim {
             let claims = vec![claim];
-            let taken = self.keep(now, Fact::Record { key, claims });
+            let taken = self.store(now, Fact::Record { key, claims });
             self.counts.full += u64::from(taken.is_none());
             sure &= taken.is_some();
         }
@@ -179,7 +184,7 @@
         (sure, known)
     }
 
-    pub(super) fn stood(
+    pub(super) fn on_claim_status(
         &mut self,
         now: Timestamp,
         inquiry_id: InquiryId,
@@ -187,27 +192,29 @@
         sure: bool,
         claims: Vec<facts::Claim>,
     ) {
-        self.learn(now, inquiry_id, &claims);
-        let heard = self.claims.stood(now, inquiry_id, from, sure, claims);
-        for (inquiry_id, whom, key, claim) in self.claims.to_ask() {
-            self.ask(now, whom, inquiry_id, key, claim);
+        self.store_answered_claims(now, inquiry_id, &claims);
+        let heard = self
+            .claims
+            .on_claim_status(now, inquiry_id, from, sure, claims);
+        for (inquiry_id, whom, key, claim) in self.claims.take_reserve_inquiries() {
+            self.send_claim_to(now, whom, inquiry_id, key, claim);
         }
         let Some((id, heard)) = heard else {
             return;
         };
         let steps = match heard {
-            Heard::Waits => return,
-            Heard::Mine => {
+            ClaimOutcome::Pending => return,
+            ClaimOutcome::Granted => {
                 self.counts.granted += u64::from(self.records.waits(id));
                 // One that claimed at the same time has taken its claim back.
                 self.records.freed(id);
                 self.records.mine(id)
             }
-            Heard::Unsure => {
+            ClaimOutcome::Unsure => {
                 self.counts.unsure += 1;
                 self.records.go(id)
             }
-            Heard::Found(asked, record) => {
+            ClaimOutcome::Found(asked, record) => {
                 let news = !self.records.waits(id) && self.records.earlier(id).is_none();
                 let steps = self.records.found(now, asked, id, record);
                 let waits = self.records.waits(id);
@@ -216,26 +223,35 @@
                 steps
             }
         };
-        self.follow(now, steps);
-        self.tell_owed(now);
+        self.run_steps(now, steps);
+        self.send_pending_updates(now);
     }
 
     /// What others answer is taken into the own copy, where this one keeps one: whoever made the claim may not have known
     /// of it. In answers within a zone other zones' claims are among them, which are not the own zone's to tell.
-    fn learn(&mut self, now: Timestamp, inquiry_id: InquiryId, claims: &[facts::Claim]) {
-        let Some(key) = self.claims.asked(inquiry_id).filter(|_| !claims.is_empty()) else {
+    fn store_answered_claims(
+        &mut self,
+        now: Timestamp,
+        inquiry_id: InquiryId,
+        claims: &[facts::Claim],
+    ) {
+        let Some(key) = self
+            .claims
+            .inquired_key(inquiry_id)
+            .filter(|_| !claims.is_empty())
+        else {
             return;
         };
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
         if self.replicas.scope() == Scope::Fleet && self.replicas.is_replica(own, slot) {
             let (key, claims) = (key.0, claims.to_vec());
-            self.keep(now, Fact::Record { key, claims });
+            self.store(now, Fact::Record { key, claims });
         }
     }
 
     /// What keepers are owed goes out, and into the own copy.
-    pub(super) fn tell_owed(&mut self, now: Timestamp) {
+    pub(super) fn send_pending_updates(&mut self, now: Timestamp) {
         let own = self.members.own().id;
         let (replicas, members, next) = (&self.replicas, &self.members, &mut self.next_inquiry_id);
         let new_inquiry_id = || {
@@ -255,13 +271,13 @@
         let scope = self.replicas.scope();
         for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, of) {
             if scope == Scope::Zone {
-                self.claims.told(fact.id());
+                self.claims.drop_update(fact.id());
             }
             for whom in to {
                 if whom == own {
-                    let taken = self.keep(now, fact.clone());
+                    let taken = self.store(now, fact.clone());
                     self.counts.full += u64::from(taken.is_none());
-                    self.claims.taken(inquiry_id, own);
+                    self.claims.on_stored(inquiry_id, own);
                 } else {
                     let facts = vec![fact.clone()];
                     let part = match scope {
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -18,30 +18,30 @@
 /// How often one other is pinged. Shorter costs messages, longer finds a dead one later.
 pub const PING_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 /// A ping that is not answered by then goes by others; one to another region has further to go.
-const DIRECT: TimeSpan = TimeSpan::from_millis(120);
-const DIRECT_FAR: TimeSpan = TimeSpan::from_millis(240);
+const PING_TIMEOUT: TimeSpan = TimeSpan::from_millis(120);
+const PING_TIMEOUT_OTHER_REGION: TimeSpan = TimeSpan::from_millis(240);
 /// A member that has not said where it is for so long is of a form that does not say.
-const LOCATE: TimeSpan = TimeSpan::from_secs(5);
+const LOCALITY_WAIT: TimeSpan = TimeSpan::from_secs(5);
 /// Others that are asked to ping one that does not answer.
-const HELPERS: usize = 3;
+const INDIRECT_PING_HELPERS: usize = 3;
 /// A suspected one has this long to say that it is well, and longer in a large fleet, by the doublings of its number.
-const DOUBT: TimeSpan = TimeSpan::from_millis(900);
-const DOUBT_EACH: TimeSpan = TimeSpan::from_millis(100);
+const SUSPICION_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
+const SUSPICION_TIMEOUT_PER_DOUBLING: TimeSpan = TimeSpan::from_millis(100);
 /// A dead one is remembered for this long, and knocked at.
-const REMEMBER: TimeSpan = TimeSpan::from_secs(3_600);
+const DEAD_MEMBER_RETENTION: TimeSpan = TimeSpan::from_secs(3_600);
 /// How often one that is not there is knocked at.
-const KNOCK: TimeSpan = TimeSpan::from_millis(500);
+const REJOIN_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 /// Updates in one message.
-const UPDATES: usize = 10;
+const MAX_UPDATES_PER_MESSAGE: usize = 10;
 /// Updates in one message of the whole fleet, and how often it is asked for where two know different ones.
-const ROSTER: usize = 24;
-const ROSTER_EVERY: TimeSpan = TimeSpan::from_millis(500);
+const MAX_MEMBERS_PER_MESSAGE: usize = 24;
+const MEMBER_LIST_REQUEST_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 /// Those lost lately are told with it.
-const LATELY: TimeSpan = TimeSpan::from_secs(30);
+const LOST_MEMBER_REPORT_PERIOD: TimeSpan = TimeSpan::from_secs(30);
 /// A bound on the fleet; more are not taken in.
 pub const MAX_MEMBERS: usize = 1_024;
 /// In the first while of its life, a process takes the name from one that had it before.
-const NEW: TimeSpan = TimeSpan::from_secs(3);
+const NAME_TAKEOVER_PERIOD: TimeSpan = TimeSpan::from_secs(3);
 
 #[derive(Clone, Debug)]
 pub struct Member {
@@ -54,9 +54,9 @@
     /// Where it is, as it says itself.
     locality: Option<Locality>,
     /// When it became known.
-    met: Timestamp,
+    known_since: Timestamp,
     /// Times that its update is still to be passed on.
-    telling: u32,
+    gossip_rounds_left: u32,
 }
 
 impl Member {
@@ -75,16 +75,16 @@
 struct Probe {
     inquiry_id: InquiryId,
     whom: PeerId,
-    sent: Timestamp,
-    by_others: bool,
+    sent_at: Timestamp,
+    is_indirect: bool,
 }
 
 /// What would else be looked for among all members with each event.
 #[derive(Clone, Debug, Default)]
-struct Index {
+struct MemberIndex {
     suspected: BTreeSet<PeerId>,
     /// Members whose update is still to be passed on.
-    telling: BTreeSet<PeerId>,
+    gossip_rounds_left: BTreeSet<PeerId>,
     /// A sum over whoever is there, as [`Members::roster`] has it.
     there: u64,
 }
@@ -94,9 +94,9 @@
     mix(update.id.0 ^ mix(update.boot_id.0))
 }
 
-impl Index {
-    fn of(members: &BTreeMap<PeerId, Member>) -> Index {
-        let mut index = Index::default();
+impl MemberIndex {
+    fn of(members: &BTreeMap<PeerId, Member>) -> MemberIndex {
+        let mut index = MemberIndex::default();
         members.values().for_each(|member| index.add(member));
         index
     }
@@ -106,8 +106,8 @@
         if member.update.status == MemberStatus::Suspected {
             self.suspected.insert(id);
         }
-        if member.telling > 0 {
-            self.telling.insert(id);
+        if member.gossip_rounds_left > 0 {
+            self.gossip_rounds_left.insert(id);
         }
         if member.is_present() {
             self.there = self.there.wrapping_add(member_checksum(&member.update));
@@ -116,7 +116,7 @@
 
     fn remove(&mut self, member: &Member) {
         self.suspected.remove(&member.update.id);
-        self.telling.remove(&member.update.id);
+        self.gossip_rounds_left.remove(&member.update.id);
         if member.is_present() {
             self.there = self.there.wrapping_sub(member_checksum(&member.update));
         }
@@ -127,11 +127,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
     Send(Address, Vec<MessagePart>),
-    Turned(PeerId, MemberStatus),
+    StatusChanged(PeerId, MemberStatus),
     /// A member said where it is.
-    Located,
+    LocalityLearned,
     /// A member is reached by others only, or by this one again.
-    Reach,
+    ReachabilityChanged,
     /// Another process has the same name, and came later: this one keeps quiet.
     Superseded,
 }
@@ -151,32 +151,32 @@
 pub struct Members {
     own: MemberUpdate,
     locality: Option<Locality>,
-    born: Timestamp,
+    started_at: Timestamp,
     seeds: Vec<Address>,
     members: BTreeMap<PeerId, Member>,
     /// Who is pinged next in this round.
     round: VecDeque<PeerId>,
     probe: Option<Probe>,
     /// Pings on behalf of others: their number here, whom to tell, their number there.
-    helping: BTreeMap<InquiryId, (Address, InquiryId, PeerId, Timestamp)>,
-    ping_at: Timestamp,
-    knock_at: Timestamp,
-    knock_next: usize,
+    relayed_pings: BTreeMap<InquiryId, (Address, InquiryId, PeerId, Timestamp)>,
+    next_ping_at: Timestamp,
+    next_rejoin_at: Timestamp,
+    missing_index: usize,
     next_inquiry_id: u64,
     /// Not before this is another asked for all that it knows.
     next_member_list_request_at: Timestamp,
     pub superseded: bool,
     /// It may be on the smaller side of a cut: what it thinks of the others is told to nobody.
-    cut_off: bool,
-    own_telling: u32,
+    in_minority_partition: bool,
+    own_gossip_rounds_left: u32,
     /// The updates of the message that is being read, to which localities may follow.
-    updated: Vec<(PeerId, BootId)>,
-    index: Index,
-    todo: Vec<MemberAction>,
+    last_updates: Vec<(PeerId, BootId)>,
+    index: MemberIndex,
+    actions: Vec<MemberAction>,
 }
 
 impl Members {
-    pub fn new(now: Timestamp, own: OwnMember, chance: &mut fastrand::Rng) -> Members {
+    pub fn new(now: Timestamp, own: OwnMember, rng: &mut fastrand::Rng) -> Members {
         let update = MemberUpdate {
             id: own.id,
             address: own.address,
@@ -185,7 +185,7 @@
             status: MemberStatus::Alive,
         };
         Members {
-            born: now,
+            started_at: now,
             seeds: own
                 .seeds
                 .into_iter()
@@ -196,18 +196,18 @@
             members: BTreeMap::new(),
             round: VecDeque::new(),
             probe: None,
-            helping: BTreeMap::new(),
-            ping_at: now + PING_INTERVAL.mul_f64(chance.f64()),
-            knock_at: now,
-            knock_next: chance.usize(0..1_024),
-            next_inquiry_id: chance.u64(0..1 << 32),
+            relayed_pings: BTreeMap::new(),
+            next_ping_at: now + PING_INTERVAL.mul_f64(rng.f64()),
+            next_rejoin_at: now,
+            missing_index: rng.usize(0..1_024),
+            next_inquiry_id: rng.u64(0..1 << 32),
             next_member_list_request_at: now,
             superseded: false,
-            cut_off: false,
-            own_telling: 0,
-            updated: Vec::new(),
-            index: Index::default(),
-            todo: Vec::new(),
+            in_minority_partition: false,
+            own_gossip_rounds_left: 0,
+            last_updates: Vec::new(),
+            index: MemberIndex::default(),
+            actions: Vec::new(),
         }
     }
 
@@ -249,7 +249,7 @@
         let mut located = vec![(self.own.id, self.locality)];
         let mut again: Option<Timestamp> = None;
         for (id, member) in self.present() {
-            let until = member.met + LOCATE;
+            let until = member.known_since + LOCALITY_WAIT;
             if self.locality.is_some() && member.locality.is_none() && now < until {
                 again = Some(again.map_or(until, |again| again.min(until)));
             } else {
@@ -266,22 +266,22 @@
     }
 
     /// How long an answer to a ping is waited for.
-    fn direct(&self, whom: PeerId) -> TimeSpan {
+    fn ping_timeout(&self, whom: PeerId) -> TimeSpan {
         let far = |(own, other): (Locality, Locality)| own.distance(other) == Distance::OtherRegion;
         match self.locality.zip(self.locality(whom)).is_some_and(far) {
-            true => DIRECT_FAR,
-            false => DIRECT,
+            true => PING_TIMEOUT_OTHER_REGION,
+            false => PING_TIMEOUT,
         }
     }
 
     /// A sign of life, with where this one is.
-    fn sign(&self, part: MessagePart) -> Vec<MessagePart> {
+    fn with_locality(&self, part: MessagePart) -> Vec<MessagePart> {
         let located = self.locality.map(MessagePart::SenderLocality);
         [part].into_iter().chain(located).collect()
     }
 
     /// Updates, with where the members are.
-    fn updates(&self, updates: Vec<MemberUpdate>) -> Vec<MessagePart> {
+    fn updates_with_localities(&self, updates: Vec<MemberUpdate>) -> Vec<MessagePart> {
         let locality = |update: &MemberUpdate| match update.id == self.own.id {
             true => self.locality,
             false => self.locality(update.id),
@@ -295,31 +295,31 @@
     }
 
     /// Somebody says where a member is.
-    fn locate(&mut self, id: PeerId, boot_id: Option<BootId>, locality: Locality) {
+    fn learn_locality(&mut self, id: PeerId, boot_id: Option<BootId>, locality: Locality) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
         let same = boot_id.is_none_or(|boot_id| boot_id == member.update.boot_id);
         if same && member.locality != Some(locality) {
             member.locality = Some(locality);
-            self.todo.push(MemberAction::Located);
+            self.actions.push(MemberAction::LocalityLearned);
         }
     }
 
-    pub fn take(&mut self) -> Vec<MemberAction> {
-        std::mem::take(&mut self.todo)
+    pub fn take_actions(&mut self) -> Vec<MemberAction> {
+        std::mem::take(&mut self.actions)
     }
 
     fn doublings(&self) -> u32 {
         usize::BITS - (self.members.len() + 1).leading_zeros()
     }
 
-    fn tells(&self) -> u32 {
+    fn gossip_rounds(&self) -> u32 {
         self.doublings() * 2 + 2
     }
 
     fn send(&mut self, to: Address, parts: Vec<MessagePart>) {
-        self.todo.push(MemberAction::Send(to, parts));
+        self.actions.push(MemberAction::Send(to, parts));
     }
 
     fn new_inquiry_id(&mut self) -> InquiryId {
@@ -328,37 +328,37 @@
     }
 
     /// It was away: what it waited for says nothing of the others, and they may have given it up.
-    pub fn back(&mut self, now: Timestamp) {
-        (self.probe, self.ping_at, self.knock_at) = (None, now, now);
-        self.helping.clear();
+    pub fn on_pause_ended(&mut self, now: Timestamp) {
+        (self.probe, self.next_ping_at, self.next_rejoin_at) = (None, now, now);
+        self.relayed_pings.clear();
         for member in self.members.values_mut() {
             member.since = now;
             member.one_way = false;
         }
-        self.todo.push(MemberAction::Reach);
+        self.actions.push(MemberAction::ReachabilityChanged);
         self.own.incarnation += 1;
-        self.own_telling = self.tells();
+        self.own_gossip_rounds_left = self.gossip_rounds();
     }
 
     /// Whether it may be on the smaller side of a cut. Afterwards it forgets whom it gave up meanwhile, or it would have all
     /// believe for a moment that they lost each other; whoever is there it hears of from those that it reaches.
-    pub fn cut_off(&mut self, is: bool) {
-        let returns = std::mem::replace(&mut self.cut_off, is) && !is;
+    pub fn set_in_minority_partition(&mut self, is: bool) {
+        let returns = std::mem::replace(&mut self.in_minority_partition, is) && !is;
         let reached = |member: &Member| member.update.status == MemberStatus::Alive;
         if returns && self.members.values().any(reached) {
             let doubted = |update: &MemberUpdate| {
                 matches!(update.status, MemberStatus::Suspected | MemberStatus::Dead)
             };
             self.members.retain(|_, member| !doubted(&member.update));
-            self.index = Index::of(&self.members);
+            self.index = MemberIndex::of(&self.members);
             let members = &self.members;
             self.round.retain(|id| members.contains_key(id));
             self.probe = None;
         }
     }
 
-    fn tellable(&self, member: &Member) -> bool {
-        !self.cut_off
+    fn may_gossip(&self, member: &Member) -> bool {
+        !self.in_minority_partition
             || matches!(
                 member.update.status,
                 MemberStatus::Alive | MemberStatus::Left
@@ -366,7 +366,7 @@
     }
 
     /// A message came from there: it is alive, in this life at least.
-    pub fn heard(
+    pub fn on_message(
         &mut self,
         now: Timestamp,
         from: PeerId,
@@ -374,7 +374,7 @@
         boot_id: BootId,
         incarnation: u32,
     ) {
-        self.updated.clear();
+        self.last_updates.clear();
         let status = MemberStatus::Alive;
         let update = MemberUpdate {
             id: from,
@@ -391,22 +391,22 @@
             let told = member.update;
             self.send(address, vec![MessagePart::MemberUpdates(vec![told])]);
         }
-        self.update(now, update);
+        self.apply_update(now, update);
         if let Some(member) = self.members.get_mut(&from)
             && member.update.status == MemberStatus::Alive
             && member.one_way
         {
-            self.todo.push(MemberAction::Reach);
+            self.actions.push(MemberAction::ReachabilityChanged);
             member.one_way = false;
         }
     }
 
     /// Somebody says something of a member.
-    pub fn update(&mut self, now: Timestamp, update: MemberUpdate) {
+    pub fn apply_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.id == self.own.id {
-            return self.of_self(now, update);
+            return self.on_own_update(now, update);
         }
-        let tells = self.tells();
+        let tells = self.gossip_rounds();
         let full = self.members.len() >= MAX_MEMBERS;
         match self.members.get_mut(&update.id) {
             Some(known) if update.rank() <= known.update.rank() => {}
@@ -414,14 +414,14 @@
                 self.index.remove(known);
                 let before = (known.update.status, known.update.boot_id);
                 known.update = update;
-                known.telling = tells;
+                known.gossip_rounds_left = tells;
                 if before != (update.status, update.boot_id) {
                     known.since = now;
                     if before.1 != update.boot_id {
                         known.state = MemberSummary::default();
                     }
-                    self.todo
-                        .push(MemberAction::Turned(update.id, update.status));
+                    self.actions
+                        .push(MemberAction::StatusChanged(update.id, update.status));
                 }
                 self.index.add(known);
             }
@@ -433,60 +433,60 @@
                     state: MemberSummary::default(),
                     one_way: false,
                     locality: None,
-                    met: now,
-                    telling: tells,
+                    known_since: now,
+                    gossip_rounds_left: tells,
                 };
                 self.index.add(&member);
                 self.members.insert(update.id, member);
                 // Somewhere in the present round, so that hundreds of newcomers are not pinged last.
                 let place = self.next_inquiry_id as usize % (self.round.len() + 1);
                 self.round.insert(place, update.id);
-                self.todo
-                    .push(MemberAction::Turned(update.id, update.status));
+                self.actions
+                    .push(MemberAction::StatusChanged(update.id, update.status));
             }
         }
     }
 
-    fn of_self(&mut self, now: Timestamp, update: MemberUpdate) {
+    fn on_own_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.boot_id > self.own.boot_id {
             // A former life with a clock that went ahead, or one elsewhere that this one takes the name from.
-            let new = now.since(self.born) < NEW;
+            let new = now.since(self.started_at) < NAME_TAKEOVER_PERIOD;
             if update.address == self.own.address || new {
                 self.own.boot_id = BootId(update.boot_id.0 + 1);
                 self.own.incarnation = 0;
-                self.own_telling = self.tells();
+                self.own_gossip_rounds_left = self.gossip_rounds();
             } else if !self.superseded && update.status <= MemberStatus::Suspected {
                 self.superseded = true;
-                self.todo.push(MemberAction::Superseded);
+                self.actions.push(MemberAction::Superseded);
             }
         } else if update.boot_id == self.own.boot_id
             && update.incarnation >= self.own.incarnation
             && update.status > MemberStatus::Alive
         {
             self.own.incarnation = update.incarnation + 1;
-            self.own_telling = self.tells();
+            self.own_gossip_rounds_left = self.gossip_rounds();
         }
     }
 
     /// Updates that are to be passed on: what was told least comes first.
     pub fn gossip(&mut self) -> Vec<MessagePart> {
         let mut updates = Vec::new();
-        if self.own_telling > 0 {
-            self.own_telling -= 1;
+        if self.own_gossip_rounds_left > 0 {
+            self.own_gossip_rounds_left -= 1;
             updates.push(self.own);
         }
-        let telling = self.index.telling.iter();
-        let telling = telling.filter_map(|id| self.members.get(id));
-        let mut fresh: Vec<(u32, PeerId)> = telling
-            .filter(|member| self.tellable(member))
-            .map(|member| (u32::MAX - member.telling, member.update.id))
+        let gossip_rounds_left = self.index.gossip_rounds_left.iter();
+        let gossip_rounds_left = gossip_rounds_left.filter_map(|id| self.members.get(id));
+        let mut fresh: Vec<(u32, PeerId)> = gossip_rounds_left
+            .filter(|member| self.may_gossip(member))
+            .map(|member| (u32::MAX - member.gossip_rounds_left, member.update.id))
             .collect();
         fresh.sort_unstable();
-        for (_, id) in fresh.into_iter().take(UPDATES) {
+        for (_, id) in fresh.into_iter().take(MAX_UPDATES_PER_MESSAGE) {
             if let Some(member) = self.members.get_mut(&id) {
-                member.telling -= 1;
-                if member.telling == 0 {
-                    self.index.telling.remove(&id);
+                member.gossip_rounds_left -= 1;
+                if member.gossip_rounds_left == 0 {
+                    self.index.gossip_rounds_left.remove(&id);
                 }
                 updates.push(member.update);
             }
@@ -494,7 +494,7 @@
         if updates.is_empty() {
             return Vec::new();
         }
-        self.updates(updates)
+        self.updates_with_localities(updates)
     }
 
     /// A note about who is there; `false`: it is none of these.
@@ -508,27 +508,30 @@
     ) -> bool {
         match part {
             MessagePart::Ping(inquiry_id, state) => {
-                self.state(now, from, address, *state);
-                self.send(address, self.sign(MessagePart::Ack(*inquiry_id, own)));
+                self.on_summary(now, from, address, *state);
+                self.send(
+                    address,
+                    self.with_locality(MessagePart::Ack(*inquiry_id, own)),
+                );
             }
             MessagePart::Ack(inquiry_id, state) => {
-                self.state(now, from, address, *state);
+                self.on_summary(now, from, address, *state);
                 if self
                     .probe
                     .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == from)
                 {
                     self.probe = None;
                 }
-                if let Some((asker, theirs, whom, _)) = self.helping.remove(inquiry_id) {
+                if let Some((asker, theirs, whom, _)) = self.relayed_pings.remove(inquiry_id) {
                     self.send(asker, vec![MessagePart::IndirectAck(theirs, whom)]);
                 }
             }
             MessagePart::IndirectPing(theirs, whom, at) => {
-                if self.helping.len() < MAX_MEMBERS {
+                if self.relayed_pings.len() < MAX_MEMBERS {
                     let inquiry_id = self.new_inquiry_id();
-                    self.helping
+                    self.relayed_pings
                         .insert(inquiry_id, (address, *theirs, *whom, now + PING_INTERVAL));
-                    self.send(*at, self.sign(MessagePart::Ping(inquiry_id, own)));
+                    self.send(*at, self.with_locality(MessagePart::Ping(inquiry_id, own)));
                 }
             }
             MessagePart::IndirectAck(inquiry_id, whom) => {
@@ -539,14 +542,15 @@
                     self.probe = None;
                     if let Some(member) = self.members.get_mut(whom) {
                         member.one_way = true;
-                        self.todo.push(MemberAction::Reach);
+                        self.actions.push(MemberAction::ReachabilityChanged);
                     }
                 }
             }
             MessagePart::MembersRequest => {
                 let told = |member: &&Member| {
-                    self.tellable(member)
-                        && (member.is_present() || now.since(member.since) < LATELY)
+                    self.may_gossip(member)
+                        && (member.is_present()
+                            || now.since(member.since) < LOST_MEMBER_REPORT_PERIOD)
                 };
                 let updates = self
                     .members
@@ -554,25 +558,27 @@
                     .filter(told)
                     .map(|member| member.update);
                 let updates: Vec<MemberUpdate> = updates.chain([self.own]).collect();
-                for piece in updates.chunks(ROSTER) {
-                    self.send(address, self.updates(piece.to_vec()));
+                for piece in updates.chunks(MAX_MEMBERS_PER_MESSAGE) {
+                    self.send(address, self.updates_with_localities(piece.to_vec()));
                 }
             }
             MessagePart::MemberUpdates(updates) => {
-                updates.iter().for_each(|&update| self.update(now, update));
-                self.updated = updates
+                updates
+                    .iter()
+                    .for_each(|&update| self.apply_update(now, update));
+                self.last_updates = updates
                     .iter()
                     .map(|update| (update.id, update.boot_id))
                     .collect();
             }
-            MessagePart::SenderLocality(locality) => self.locate(from, None, *locality),
+            MessagePart::SenderLocality(locality) => self.learn_locality(from, None, *locality),
             MessagePart::MemberLocalities(localities) => {
-                let updated = std::mem::take(&mut self.updated);
-                let same = updated.len() == localities.len();
-                let told = updated.into_iter().zip(localities).filter(|_| same);
+                let last_updates = std::mem::take(&mut self.last_updates);
+                let same = last_updates.len() == localities.len();
+                let told = last_updates.into_iter().zip(localities).filter(|_| same);
                 for ((id, boot_id), locality) in told {
                     if let Some(locality) = *locality {
-                        self.locate(id, Some(boot_id), locality);
+                        self.learn_locality(id, Some(boot_id), locality);
                     }
                 }
             }
@@ -586,7 +592,7 @@
         self.index.there.wrapping_add(member_checksum(&self.own))
     }
 
-    fn state(&mut self, now: Timestamp, from: PeerId, address: Address, state: MemberSummary) {
+    fn on_summary(&mut self, now: Timestamp, from: PeerId, address: Address, state: MemberSummary) {
         if let Some(member) = self.members.get_mut(&from) {
             member.state = state;
         }
@@ -594,7 +600,7 @@
         if now >= self.next_member_list_request_at
             && state.membership_checksum != self.membership_checksum()
         {
-            self.next_member_list_request_at = now + ROSTER_EVERY;
+            self.next_member_list_request_at = now + MEMBER_LIST_REQUEST_INTERVAL;
             self.send(address, vec![MessagePart::MembersRequest]);
         }
     }
@@ -617,15 +623,17 @@
         }
     }
 
-    pub fn next(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         let probe = self
             .probe
-            .filter(|probe| !probe.by_others)
-            .map(|probe| probe.sent + self.direct(probe.whom));
-        let doubt = self.doubt();
+            .filter(|probe| !probe.is_indirect)
+            .map(|probe| probe.sent_at + self.ping_timeout(probe.whom));
+        let doubt = self.suspicion_timeout();
         let doubts = self.suspected().map(|member| member.since + doubt);
-        let all = doubts.chain(probe).chain([self.ping_at, self.knock_at]);
-        all.min().unwrap_or(self.ping_at)
+        let all = doubts
+            .chain(probe)
+            .chain([self.next_ping_at, self.next_rejoin_at]);
+        all.min().unwrap_or(self.next_ping_at)
     }
 
     fn suspected(&self) -> impl Iterator<Item = &Member> {
@@ -633,53 +641,57 @@
         suspected.filter_map(|id| self.members.get(id))
     }
 
-    fn doubt(&self) -> TimeSpan {
-        DOUBT + DOUBT_EACH.mul_f64(f64::from(self.doublings()))
+    fn suspicion_timeout(&self) -> TimeSpan {
+        SUSPICION_TIMEOUT + SUSPICION_TIMEOUT_PER_DOUBLING.mul_f64(f64::from(self.doublings()))
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Timestamp, own: MemberSummary, chance: &mut fastrand::Rng) {
-        let doubt = self.doubt();
+    pub fn advance(&mut self, now: Timestamp, own: MemberSummary, rng: &mut fastrand::Rng) {
+        let doubt = self.suspicion_timeout();
         let dead = self.suspected();
         let dead = dead.filter(|member| now.since(member.since) >= doubt);
         let dead: Vec<MemberUpdate> = dead.map(|member| member.update).collect();
         for update in dead {
             let status = MemberStatus::Dead;
-            self.update(now, MemberUpdate { status, ..update });
+            self.apply_update(now, MemberUpdate { status, ..update });
         }
-        self.helping.retain(|_, (.., until)| now < *until);
+        self.relayed_pings.retain(|_, (.., until)| now < *until);
         if let Some(probe) = self.probe {
-            if !probe.by_others && now.since(probe.sent) >= self.direct(probe.whom) {
-                self.by_others(probe, chance);
+            if !probe.is_indirect && now.since(probe.sent_at) >= self.ping_timeout(probe.whom) {
+                self.send_indirect_pings(probe, rng);
             }
-            if now >= self.ping_at {
+            if now >= self.next_ping_at {
                 self.probe = None;
-                self.doubted(now, probe.whom);
+                self.suspect(now, probe.whom);
             }
         }
-        if now >= self.ping_at {
-            self.ping_at = now + PING_INTERVAL.mul_f64(0.9 + 0.2 * chance.f64());
-            self.ping(now, own, chance);
+        if now >= self.next_ping_at {
+            self.next_ping_at = now + PING_INTERVAL.mul_f64(0.9 + 0.2 * rng.f64());
+            self.ping(now, own, rng);
         }
-        if now >= self.knock_at {
-            self.knock_at = now + KNOCK.mul_f64(0.75 + 0.5 * chance.f64());
-            self.members
-                .retain(|_, member| member.is_present() || now.since(member.since) < REMEMBER);
-            self.index = Index::of(&self.members);
-            self.knock(own);
+        if now >= self.next_rejoin_at {
+            self.next_rejoin_at = now + REJOIN_INTERVAL.mul_f64(0.75 + 0.5 * rng.f64());
+            self.members.retain(|_, member| {
+                member.is_present() || now.since(member.since) < DEAD_MEMBER_RETENTION
+            });
+            self.index = MemberIndex::of(&self.members);
+            self.ping_missing_members(own);
         }
     }
 
-    fn by_others(&mut self, probe: Probe, chance: &mut fastrand::Rng) {
-        let by_others = true;
-        self.probe = Some(Probe { by_others, ..probe });
+    fn send_indirect_pings(&mut self, probe: Probe, rng: &mut fastrand::Rng) {
+        let is_indirect = true;
+        self.probe = Some(Probe {
+            is_indirect,
+            ..probe
+        });
         let Some(address) = self.address(probe.whom) else {
             return;
         };
         let helpers = self.present().filter(|&(id, _)| id != probe.whom);
         let mut helpers: Vec<Address> = helpers.map(|(_, member)| member.update.address).collect();
-        chance.shuffle(&mut helpers);
-        for to in helpers.into_iter().take(HELPERS) {
+        rng.shuffle(&mut helpers);
+        for to in helpers.into_iter().take(INDIRECT_PING_HELPERS) {
             self.send(
                 to,
                 vec![MessagePart::IndirectPing(
@@ -691,7 +703,7 @@
         }
     }
 
-    fn doubted(&mut self, now: Timestamp, whom: PeerId) {
+    fn suspect(&mut self, now: Timestamp, whom: PeerId) {
         let Some(member) = self.members.get(&whom) else {
             return;
         };
@@ -701,7 +713,7 @@
                 status,
                 ..member.update
             };
-            self.update(now, update);
+            self.apply_update(now, update);
             // The one that is doubted hears of it first.
             self.send(
                 update.address,
@@ -710,34 +722,34 @@
         }
     }
 
-    fn ping(&mut self, now: Timestamp, own: MemberSummary, chance: &mut fastrand::Rng) {
+    fn ping(&mut self, now: Timestamp, own: MemberSummary, rng: &mut fastrand::Rng) {
         loop {
             let Some(whom) = self.round.pop_front() else {
                 let mut all: Vec<PeerId> = self.present().map(|(id, _)| id).collect();
                 if all.is_empty() {
                     return;
                 }
-                chance.shuffle(&mut all);
+                rng.shuffle(&mut all);
                 self.round = all.into();
                 continue;
             };
             let Some(member) = self.members.get(&whom).filter(|member| member.is_present()) else {
                 continue;
             };
-            let (to, sent, by_others) = (member.update.address, now, false);
+            let (to, sent_at, is_indirect) = (member.update.address, now, false);
             let inquiry_id = self.new_inquiry_id();
             self.probe = Some(Probe {
                 inquiry_id,
                 whom,
-                sent,
-                by_others,
+                sent_at,
+                is_indirect,
             });
-            return self.send(to, self.sign(MessagePart::Ping(inquiry_id, own)));
+            return self.send(to, self.with_locality(MessagePart::Ping(inquiry_id, own)));
         }
     }
 
     /// One of those that are not there: a dead one, or an address of the operator's nobody is known at.
-    fn knock(&mut self, own: MemberSummary) {
+    fn ping_missing_members(&mut self, own: MemberSummary) {
         let there: Vec<Address> = self
             .present()
             .map(|(_, member)| member.update.address)
@@ -753,10 +765,10 @@
         // Alone, all of them at once are few enough.
         let few = if there.is_empty() { 4 } else { 1 };
         for _ in 0..few.min(all.len()) {
-            self.knock_next = self.knock_next.wrapping_add(1);
-            let (to, update) = all[self.knock_next % all.len()];
+            self.missing_index = self.missing_index.wrapping_add(1);
+            let (to, update) = all[self.missing_index % all.len()];
             let inquiry_id = self.new_inquiry_id();
-            let mut parts = self.sign(MessagePart::Ping(inquiry_id, own));
+            let mut parts = self.with_locality(MessagePart::Ping(inquiry_id, own));
             parts.push(MessagePart::MembersRequest);
             parts.extend(update.map(|update| MessagePart::MemberUpdates(vec![update])));
             self.send(to, parts);
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -202,7 +202,7 @@
     pub ack: Option<(LogId, u64)>,
     /// A checksum of the list of zones, and those of it that the writer hears, by their places.
     pub zones: u32,
-    pub hears: u64,
+    pub reachable_zones: u64,
 }
 
 impl Relay {
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -8,8 +8,8 @@
 //! *whole*; and *shadowed*, a later process has its name, and this one keeps quiet.
 
 /// What the others know to be this one's to keep. A macro of borrowed parts, so that the sync can change meanwhile.
-macro_rules! who {
-    ($self:ident, $who:ident) => {
+macro_rules! view {
+    ($self:ident, $view:ident) => {
         let (members, replicas, own) = (&$self.members, &$self.replicas, $self.members.own().id);
         let others = |slot: Slot| -> Vec<PeerId> {
             let all = replicas.of(slot).iter().copied();
@@ -17,7 +17,7 @@
                 .collect()
         };
         let mine = |slot: Slot| replicas.is_replica(own, slot);
-        let $who = Who {
+        let $view = ReplicaView {
             replicas: &others,
             mine: &mine,
             lost: $self.lost,
@@ -39,14 +39,14 @@
 mod spreading;
 pub mod sync;
 
-use claims::{Claims, Heard};
+use claims::{ClaimOutcome, Claims};
 use facts::{Fact, FactId, Facts, ListedState, Retention, Slot, Token, mix};
 use members::{MemberAction, Members, OwnMember};
 use messages::{Address, InquiryId, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
 use relay::Relays;
 use replicas::{Changed, Replicas, Scope};
 use std::collections::{BTreeMap, BTreeSet};
-use sync::{PIECE, Sync, Who, Why};
+use sync::{MAX_PAGE_BYTES, ReplicaView, ResyncReason, SlotSync};
 use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Came, Key, Records, Step, Verdict};
@@ -54,27 +54,27 @@
 /// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
 pub const MAX_CLOCK_SKEW: TimeSpan = TimeSpan::from_millis(750);
 /// How long a message may be on its way beside that: what it says may have been overtaken.
-const LATE: TimeSpan = TimeSpan::from_secs(1);
+const MAX_MESSAGE_DELAY: TimeSpan = TimeSpan::from_secs(1);
 /// One that was not run for so long was away: others may have given it up.
-const AWAY: TimeSpan = TimeSpan::from_secs(1);
+const PAUSE_THRESHOLD: TimeSpan = TimeSpan::from_secs(1);
 /// A host's turn is told for so long, and holds for so long against an own list that is silent.
 pub const HOST_CHANGE_RETENTION: TimeSpan = TimeSpan::from_secs(30);
 /// A hint that is older says nothing.
-const HINT_LASTS: TimeSpan = TimeSpan::from_secs(5);
+const HINT_RETENTION: TimeSpan = TimeSpan::from_secs(5);
 /// What all hear of by themselves is told by the first after a draw from this, so that hundreds don't tell it at once.
-const TELL_WITHIN: TimeSpan = TimeSpan::from_millis(300);
+const MAX_GOSSIP_DELAY: TimeSpan = TimeSpan::from_millis(300);
 /// How often what is new is told on, and to how many.
-const GOSSIP: TimeSpan = TimeSpan::from_millis(150);
-const TELL_TO: usize = 3;
+const GOSSIP_INTERVAL: TimeSpan = TimeSpan::from_millis(150);
+const GOSSIP_FANOUT: usize = 3;
 /// Who keeps what is reckoned anew no more often: hundreds that come at once change it once.
-const FLEET: TimeSpan = TimeSpan::from_millis(100);
+const REPLICA_UPDATE_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
 /// Rumours in a message, and remembered at once.
-const RUMOURS: usize = 20;
-const MOST_RUMOURS: usize = 8_192;
-const MOST_HINTS: usize = 1_024;
+const MAX_FACTS_PER_GOSSIP: usize = 20;
+const MAX_GOSSIP_ENTRIES: usize = 8_192;
+const MAX_HINTS: usize = 1_024;
 /// One whose clock is too far off is answered no more often, and so many are remembered.
-const ANSWER_OFF_CLOCK: TimeSpan = TimeSpan::from_secs(1);
-const MOST_OFF_CLOCK: usize = 1_024;
+const OFF_CLOCK_REPLY_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
+const MAX_OFF_CLOCK_MEMBERS: usize = 1_024;
 
 /// What is held in common, each by itself, and the bounds that the operator sets.
 #[derive(Clone, Debug, PartialEq)]
@@ -176,7 +176,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Rumour {
+struct GossipEntry {
     left: u32,
     at: Timestamp,
 }
@@ -203,30 +203,30 @@
 #[derive(Clone, Debug)]
 pub struct Peers {
     settings: PeersSettings,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     members: Members,
     replicas: Replicas,
     facts: Facts,
-    sync: Sync,
+    sync: SlotSync,
     /// What other zones claim, where this member says where it is.
     relays: Option<Relays>,
     records: Records,
     claims: Claims,
-    rumours: BTreeMap<FactId, Rumour>,
+    gossip_queue: BTreeMap<FactId, GossipEntry>,
     hints: BTreeMap<(HostId, u64), (Timestamp, u32)>,
     hosts: BTreeMap<HostId, Host>,
     gossip_at: Timestamp,
     /// When it is to be looked again how many were lost lately, where nothing turns before.
-    look_round_at: Timestamp,
+    next_partition_check_at: Timestamp,
     /// When it was last reckoned who keeps what, and when it is to be again.
-    fleet_at: Timestamp,
-    fleet_due: Option<Timestamp>,
-    last: Timestamp,
+    replicas_updated_at: Timestamp,
+    replica_update_due: Option<Timestamp>,
+    last_run_at: Timestamp,
     next_inquiry_id: u64,
     journal_position: u64,
     state: PeerState,
     /// It saw fewer than were lost: what the others did meanwhile is not known here.
-    island: bool,
+    in_minority_partition: bool,
     lost: usize,
     /// Those that are there and can't be listened to.
     off_clock: BTreeMap<PeerId, OffClock>,
@@ -236,43 +236,43 @@
 
 impl Peers {
     pub fn new(now: Timestamp, own: OwnMember, settings: PeersSettings, seed: u64) -> Peers {
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let lasts = Retention {
-            record: settings.record_retention + MAX_CLOCK_SKEW.mul_f64(2.0) + LATE,
+            record: settings.record_retention + MAX_CLOCK_SKEW.mul_f64(2.0) + MAX_MESSAGE_DELAY,
             purge: settings.purge_retention + MAX_CLOCK_SKEW,
             host: HOST_CHANGE_RETENTION,
         };
         let mut peers = Peers {
             facts: Facts::new(lasts),
-            sync: Sync::new(now, (lasts.record, lasts.purge.max(lasts.host))),
+            sync: SlotSync::new(now, (lasts.record, lasts.purge.max(lasts.host))),
             relays: own
                 .topology
                 .clone()
                 .map(|topology| Relays::new(now, topology, lasts.record)),
             replicas: Replicas::new(own.topology.clone()),
-            members: Members::new(now, own, &mut chance),
+            members: Members::new(now, own, &mut rng),
             records: Records::default(),
             claims: Claims::default(),
-            rumours: BTreeMap::new(),
+            gossip_queue: BTreeMap::new(),
             hints: BTreeMap::new(),
             hosts: BTreeMap::new(),
             gossip_at: now,
-            look_round_at: now,
-            fleet_at: now - FLEET,
-            fleet_due: None,
-            last: now,
-            next_inquiry_id: chance.u64(1..1 << 40),
+            next_partition_check_at: now,
+            replicas_updated_at: now - REPLICA_UPDATE_INTERVAL,
+            replica_update_due: None,
+            last_run_at: now,
+            next_inquiry_id: rng.u64(1..1 << 40),
             journal_position: 0,
             state: PeerState::Alone,
-            island: false,
+            in_minority_partition: false,
             lost: 0,
             off_clock: BTreeMap::new(),
             counts: Counts::default(),
             actions: Vec::new(),
             settings,
-            chance,
+            rng,
         };
-        peers.fleet(now);
+        peers.update_replicas(now);
         peers
     }
 
@@ -303,13 +303,18 @@
 
     /// Groups of records that this member keeps a replica of by zone, and how many of them prove keys to be new.
     pub fn proving_groups(&self) -> (usize, usize) {
-        self.relays.as_ref().map_or((0, 0), Relays::proving)
+        self.relays.as_ref().map_or((0, 0), Relays::proving_groups)
     }
 
     /// Accesses, questions, debts and rumours that something is kept of, for a check that it stays bounded.
     pub fn pending_counts(&self) -> (usize, usize, usize, usize) {
-        let (own, asking, owed) = self.claims.kept();
-        (own, asking, owed, self.rumours.len() + self.hints.len())
+        let (own, asking, owed) = self.claims.counts();
+        (
+            own,
+            asking,
+            owed,
+            self.gossip_queue.len() + self.hints.len(),
+        )
     }
 
     /// The sum of each slot that this one keeps, for a check that copies are the same.
@@ -339,7 +344,7 @@
         InquiryId(self.next_inquiry_id)
     }
 
-    fn quiet(&self) -> bool {
+    fn is_silent(&self) -> bool {
         matches!(self.state, PeerState::Superseded | PeerState::Left)
     }
 
@@ -370,27 +375,27 @@
     }
 
     /// Time has come to `now`; one that was not run for long learns of it before it does anything else.
-    fn wake(&mut self, now: Timestamp) {
-        let away = now.since(self.last) >= AWAY;
-        self.last = self.last.max(now);
-        if !away || self.quiet() {
+    fn detect_pause(&mut self, now: Timestamp) {
+        let away = now.since(self.last_run_at) >= PAUSE_THRESHOLD;
+        self.last_run_at = self.last_run_at.max(now);
+        if !away || self.is_silent() {
             return;
         }
         self.counts.away += 1;
-        self.members.back(now);
+        self.members.on_pause_ended(now);
         // It remembers all that it took part in; what the others did meanwhile it does not know.
-        self.sync.together();
+        self.sync.clear_unreachable();
         let others = self.members.all().map(|(&id, _)| id);
-        self.sync.without(others);
-        self.lack_all(now, Why::CutOff);
+        self.sync.add_unreachable(others);
+        self.resync_all(now, ResyncReason::Partitioned);
         let steps = self.records.leave();
-        self.follow(now, steps);
-        self.settle(now);
+        self.run_steps(now, steps);
+        self.run_member_actions(now);
     }
 
-    fn lack_all(&mut self, now: Timestamp, why: Why) {
+    fn resync_all(&mut self, now: Timestamp, why: ResyncReason) {
         let (replicas, own) = (&self.replicas, self.members.own().id);
-        self.sync.lacks(
+        self.sync.start_resync(
             now,
             why,
             Slot::all().filter(|&slot| replicas.is_replica(own, slot)),
@@ -398,71 +403,73 @@
     }
 
     /// Who keeps what is to be reckoned anew by then.
-    fn look_at_fleet(&mut self, at: Timestamp) {
-        let due = self.fleet_due.map_or(at, |due| due.min(at));
-        self.fleet_due = Some(due);
+    fn schedule_replica_update(&mut self, at: Timestamp) {
+        let due = self.replica_update_due.map_or(at, |due| due.min(at));
+        self.replica_update_due = Some(due);
     }
 
     /// The fleet as it is known: who keeps what follows from it.
-    fn fleet(&mut self, now: Timestamp) {
+    fn update_replicas(&mut self, now: Timestamp) {
         let own = self.members.own().id;
         let (fleet, again) = self.members.located(now);
         if let Some(again) = again {
-            self.look_at_fleet(again);
+            self.schedule_replica_update(again);
         }
         let before: BTreeSet<Slot> = Slot::all()
             .filter(|&slot| self.replicas.is_replica(own, slot))
             .collect();
-        let changed = self.replicas.fleet(now, fleet);
+        let changed = self.replicas.set_members(now, fleet);
         if changed == Changed::Scope {
             // What was agreed on among other replicas is not known to these.
-            self.lack_all(now, Why::New);
+            self.resync_all(now, ResyncReason::New);
         }
         if changed != Changed::Nothing {
-            self.reseat(now);
+            self.assign_relay_groups(now);
             let replicas = &self.replicas;
             let fell = Slot::all()
                 .filter(|&slot| replicas.is_replica(own, slot) && !before.contains(&slot));
-            self.sync.lacks(now, Why::New, fell);
+            self.sync.start_resync(now, ResyncReason::New, fell);
             let kept = Slot::all().filter(|&slot| replicas.is_replica(own, slot));
             let with: BTreeSet<PeerId> = kept.flat_map(|slot| replicas.of(slot).to_vec()).collect();
             self.sync
-                .compare(now, with.into_iter().filter(|&id| id != own));
+                .compare_with(now, with.into_iter().filter(|&id| id != own));
         }
     }
 
     /// What the members' side wants, and what follows from it.
-    fn settle(&mut self, now: Timestamp) {
+    fn run_member_actions(&mut self, now: Timestamp) {
         let (mut turned, mut members_changed) = (false, false);
-        for todo in self.members.take() {
+        for todo in self.members.take_actions() {
             match todo {
                 MemberAction::Send(to, mut parts) => {
                     parts.extend(self.members.gossip());
                     self.send(now, to, parts);
                 }
-                MemberAction::Turned(id, status) => {
+                MemberAction::StatusChanged(id, status) => {
                     (turned, members_changed) = (true, true);
                     self.actions.push(Action::MemberStatusChanged(id, status));
                 }
-                MemberAction::Reach => turned = true,
-                MemberAction::Located => {
-                    self.look_at_fleet(self.fleet_at + FLEET);
+                MemberAction::ReachabilityChanged => turned = true,
+                MemberAction::LocalityLearned => {
+                    self.schedule_replica_update(
+                        self.replicas_updated_at + REPLICA_UPDATE_INTERVAL,
+                    );
                 }
                 MemberAction::Superseded => {
                     let steps = self.records.leave();
-                    self.follow(now, steps);
+                    self.run_steps(now, steps);
                 }
             }
         }
         if turned {
-            self.look_round(now);
+            self.update_partition_state(now);
         }
         if members_changed {
-            self.look_at_fleet(self.fleet_at + FLEET);
+            self.schedule_replica_update(self.replicas_updated_at + REPLICA_UPDATE_INTERVAL);
         }
-        if self.fleet_due.is_some_and(|due| due <= now) {
-            (self.fleet_due, self.fleet_at) = (None, now);
-            self.fleet(now);
+        if self.replica_update_due.is_some_and(|due| due <= now) {
+            (self.replica_update_due, self.replicas_updated_at) = (None, now);
+            self.update_replicas(now);
         }
         let state = self.current_state();
         if state != self.state {
@@ -475,8 +482,8 @@
     /// Whoever was there lacks all that it keeps, from when the others are back: they did without it
     /// what it can't know, and its "nothing known" counts for nothing until it has compared. At once, and not when it is
     /// next reckoned who keeps what: between the two it would be the only keeper that it knows, and sure.
-    fn look_round(&mut self, now: Timestamp) {
-        self.look_round_at = now + FLEET;
+    fn update_partition_state(&mut self, now: Timestamp) {
+        self.next_partition_check_at = now + REPLICA_UPDATE_INTERVAL;
         let keep = self.settings.record_retention;
         let lost = |member: &members::Member| match member.update.status {
             MemberStatus::Dead => now.since(member.since) < keep,
@@ -504,18 +511,19 @@
             }
         }
         let lost = lost_now;
-        let island = there <= lost.len();
-        if island && !self.island {
-            self.sync.together();
+        let in_minority_partition = there <= lost.len();
+        if in_minority_partition && !self.in_minority_partition {
+            self.sync.clear_unreachable();
         }
         self.lost = lost.len();
-        if island {
-            self.sync.without(lost.into_iter());
-        } else if self.island {
-            self.lack_all(now, Why::CutOff);
+        if in_minority_partition {
+            self.sync.add_unreachable(lost.into_iter());
+        } else if self.in_minority_partition {
+            self.resync_all(now, ResyncReason::Partitioned);
         }
-        self.island = island;
-        self.members.cut_off(island);
+        self.in_minority_partition = in_minority_partition;
+        self.members
+            .set_in_minority_partition(in_minority_partition);
     }
 
     fn current_state(&self) -> PeerState {
@@ -528,8 +536,8 @@
         if self.members.present().next().is_none() {
             return PeerState::Alone;
         }
-        who!(self, who);
-        match self.sync.lacking(&who) {
+        view!(self, view);
+        match self.sync.out_of_sync_count(&view) {
             0 => PeerState::InSync,
             _ => PeerState::Fetching,
         }
@@ -537,48 +545,52 @@
 
     /// When something is to be done by itself next.
     pub fn next_deadline(&self) -> Timestamp {
-        let relays = self.relays.as_ref().and_then(Relays::next);
+        let relays = self.relays.as_ref().and_then(Relays::next_deadline);
         let timed = [
             self.records.next(),
-            self.claims.next(),
+            self.claims.next_deadline(),
             self.facts.next_deadline(),
             relays,
         ];
         let freed = self.hosts.values().filter_map(|host| host.restricted);
         let timed = timed.into_iter().flatten().chain(freed);
-        let timed = timed.chain(self.fleet_due);
-        let always = [self.members.next(), self.sync.next(), self.gossip_at];
-        if self.quiet() {
-            return timed.min().unwrap_or(self.last + AWAY);
+        let timed = timed.chain(self.replica_update_due);
+        let always = [
+            self.members.next_deadline(),
+            self.sync.next_deadline(),
+            self.gossip_at,
+        ];
+        if self.is_silent() {
+            return timed.min().unwrap_or(self.last_run_at + PAUSE_THRESHOLD);
         }
         timed.chain(always).min().unwrap_or(self.gossip_at)
     }
 
     /// Time passes: what is due is done.
     pub fn advance(&mut self, now: Timestamp) {
-        self.wake(now);
+        self.detect_pause(now);
         let steps = self.records.advance(now);
-        self.follow(now, steps);
+        self.run_steps(now, steps);
         self.facts.advance(now);
-        self.free(now);
+        self.lift_expired_restrictions(now);
         // The lost are counted for a while only.
-        if now >= self.look_round_at {
-            self.look_round(now);
+        if now >= self.next_partition_check_at {
+            self.update_partition_state(now);
         }
-        if self.quiet() {
+        if self.is_silent() {
             return;
         }
-        self.tell_owed(now);
+        self.send_pending_updates(now);
         let summary = self.summary();
-        self.members.advance(now, summary, &mut self.chance);
-        self.settle(now);
+        self.members.advance(now, summary, &mut self.rng);
+        self.run_member_actions(now);
         self.fetch(now);
-        self.relay(now);
+        self.send_relays(now);
         if now >= self.gossip_at {
-            self.gossip_at = now + GOSSIP.mul_f64(0.75 + 0.5 * self.chance.f64());
+            self.gossip_at = now + GOSSIP_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.f64());
             self.gossip(now);
         }
-        self.settle(now);
+        self.run_member_actions(now);
     }
 
     /// What is to be done now.
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -41,9 +41,9 @@
 
     /// This one leaves in order.
     pub fn leave(&mut self, now: Timestamp) {
-        if !self.quiet() {
+        if !self.is_silent() {
             self.members.leave();
-            self.settle(now);
+            self.run_member_actions(now);
         }
     }
 
@@ -51,9 +51,9 @@
     pub fn join(&mut self, now: Timestamp) {
         if self.state == PeerState::Left {
             self.members.join();
-            self.members.back(now);
-            self.lack_all(now, Why::New);
-            self.settle(now);
+            self.members.on_pause_ended(now);
+            self.resync_all(now, ResyncReason::New);
+            self.run_member_actions(now);
         }
     }
 
@@ -79,19 +79,20 @@
                 ));
             }
         }
-        who!(self, who);
+        view!(self, view);
         let mut text = format!(
             "{}: alive={alive} not_well={} lacking={} records={} commons={} place={} {:?}",
             self.state.as_str(),
             self.members.all().count() - alive,
-            self.sync.lacking(&who),
+            self.sync.out_of_sync_count(&view),
             self.facts.record_count(),
             self.facts.common_count(),
             self.journal_position,
             self.counts
         );
         if let Some(relays) = &self.relays {
-            let ((groups, proving), (logged, elsewhere)) = (relays.proving(), relays.kept());
+            let ((groups, proving), (logged, elsewhere)) =
+                (relays.proving_groups(), relays.entry_counts());
             let partners = relays.partners();
             text.push_str(&format!(
                 "\nzone: groups={groups} proving={proving} partners={partners} logged={logged} elsewhere={elsewhere}"
@@ -106,7 +107,7 @@
 
     /// A word of another subsystem to that one. It may be lost, as any message, and is where that one is not known.
     pub fn send_to_subsystem(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
-        if !self.quiet() {
+        if !self.is_silent() {
             self.send_to(now, to, vec![MessagePart::Subsystem(of, bytes)]);
         }
     }
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -1,7 +1,7 @@
 //! Messages from other members, note by note, and what is fetched from them.
 
 use super::messages::TimeRange;
-use super::sync::Held;
+use super::sync::HeldSlots;
 use super::*;
 
 /// What was claimed less long ago may still be on its way to some replica of its zone.
@@ -18,13 +18,13 @@
 impl Peers {
     /// A message came from that address.
     pub fn on_message(&mut self, now: Timestamp, address: Address, message: Message) {
-        self.wake(now);
-        if self.quiet() {
+        self.detect_pause(now);
+        if self.is_silent() {
             return;
         }
         let stamp = Timestamp(message.stamp);
-        if stamp > now + MAX_CLOCK_SKEW || now.since(stamp) > MAX_CLOCK_SKEW + LATE {
-            return self.heard_off_clock(now, message.from, address);
+        if stamp > now + MAX_CLOCK_SKEW || now.since(stamp) > MAX_CLOCK_SKEW + MAX_MESSAGE_DELAY {
+            return self.on_message_off_clock(now, message.from, address);
         }
         self.counts.letters_in += 1;
         let from = message.from;
@@ -38,16 +38,16 @@
                 incarnation: message.incarnation,
                 status: MemberStatus::Alive,
             };
-            self.members.update(now, update);
+            self.members.apply_update(now, update);
             if !self.members.superseded {
                 let own = *self.members.own();
                 self.send(now, address, vec![MessagePart::MemberUpdates(vec![own])]);
             }
-            return self.settle(now);
+            return self.run_member_actions(now);
         }
         self.members
-            .heard(now, from, address, message.boot_id, message.incarnation);
-        self.settle(now);
+            .on_message(now, from, address, message.boot_id, message.incarnation);
+        self.run_member_actions(now);
         let origin = Origin {
             from,
             address,
@@ -60,22 +60,22 @@
         if !answers.is_empty() {
             self.send(now, address, answers);
         }
-        self.settle(now);
+        self.run_member_actions(now);
     }
 
     /// Somebody is there whose clock is too far off to be listened to: what it does is not known here, nor the other way
     /// round. It is answered now and then, so that it learns as much.
-    fn heard_off_clock(&mut self, now: Timestamp, from: PeerId, address: Address) {
+    fn on_message_off_clock(&mut self, now: Timestamp, from: PeerId, address: Address) {
         self.counts.off_clock += 1;
         if from == self.members.own().id {
             return;
         }
         let known = self.off_clock.get(&from).copied();
-        if known.is_none() && self.off_clock.len() >= MOST_OFF_CLOCK {
+        if known.is_none() && self.off_clock.len() >= MAX_OFF_CLOCK_MEMBERS {
             return;
         }
         let answered = known.map(|known| known.answered);
-        let answer = answered.is_none_or(|at| now.since(at) >= ANSWER_OFF_CLOCK);
+        let answer = answered.is_none_or(|at| now.since(at) >= OFF_CLOCK_REPLY_INTERVAL);
         let answered = if answer { now } else { answered.unwrap_or(now) };
         self.off_clock.insert(
             from,
@@ -88,9 +88,9 @@
             self.send(now, address, Vec::new());
         }
         if known.is_none() {
-            self.look_round(now);
+            self.update_partition_state(now);
         }
-        self.settle(now);
+        self.run_member_actions(now);
     }
 
     fn handle_part(
@@ -114,22 +114,24 @@
                 let (key, at) = ((HostId(host), started), Timestamp(at).min(now));
                 let known = self.hints.contains_key(&key);
                 if self.settings.hints
-                    && now.since(at) < HINT_LASTS
+                    && now.since(at) < HINT_RETENTION
                     && !known
-                    && self.hints.len() < MOST_HINTS
+                    && self.hints.len() < MAX_HINTS
                 {
-                    self.hints.insert(key, (at, self.tells()));
+                    self.hints.insert(key, (at, self.gossip_rounds()));
                     self.actions
                         .push(Action::PeerBreakerOpened { host: HostId(host) });
                 }
             }
-            MessagePart::Gossip(facts) => facts.into_iter().for_each(|fact| self.told(now, fact)),
+            MessagePart::Gossip(facts) => {
+                facts.into_iter().for_each(|fact| self.on_fact(now, fact))
+            }
             MessagePart::Claim {
                 inquiry_id,
                 key,
                 claim,
             } => {
-                let (sure, claims) = self.claimed(now, key, claim, Scope::Fleet);
+                let (sure, claims) = self.on_claim(now, key, claim, Scope::Fleet);
                 answers.push(MessagePart::ClaimStatus {
                     inquiry_id,
                     sure,
@@ -141,44 +143,46 @@
                 key,
                 claim,
             } => {
-                let (sure, claims) = self.claimed_in_zone(now, from, key, claim);
+                let (sure, claims) = self.on_claim_in_zone(now, from, key, claim);
                 answers.push(MessagePart::ClaimStatus {
                     inquiry_id,
                     sure,
                     claims,
                 });
             }
-            MessagePart::Relay(relay) => self.relayed(now, from, stamp.0, relay),
+            MessagePart::Relay(relay) => self.on_relay(now, from, stamp.0, relay),
             MessagePart::ClaimStatus {
                 inquiry_id,
                 sure,
                 claims,
-            } => self.stood(now, inquiry_id, from, sure, claims),
+            } => self.on_claim_status(now, inquiry_id, from, sure, claims),
             MessagePart::Store(inquiry_id, facts) => {
-                facts.into_iter().for_each(|fact| self.told(now, fact));
+                facts.into_iter().for_each(|fact| self.on_fact(now, fact));
                 answers.push(MessagePart::Stored(inquiry_id));
             }
-            MessagePart::Stored(inquiry_id) => self.claims.taken(inquiry_id, from),
+            MessagePart::Stored(inquiry_id) => self.claims.on_stored(inquiry_id, from),
             MessagePart::Checksums(sums) => {
-                who!(self, who);
+                view!(self, view);
                 let facts = &mut self.facts;
-                answers.extend(
-                    self.sync
-                        .sums(from, &sums, |slot| facts.checksum(slot), &who),
-                );
+                answers.extend(self.sync.on_checksums(
+                    from,
+                    &sums,
+                    |slot| facts.checksum(slot),
+                    &view,
+                ));
             }
             MessagePart::ChecksumsInRange(range, sums) => {
-                who!(self, who);
+                view!(self, view);
                 let facts = &self.facts;
                 let own = |slot| facts.checksum_in_range(slot, range);
-                answers.extend(self.sync.sums(from, &sums, own, &who));
+                answers.extend(self.sync.on_checksums(from, &sums, own, &view));
             }
             MessagePart::Same {
                 slots,
                 completeness,
             } => {
-                who!(self, who);
-                for slot in self.sync.same(now, from, &slots, completeness, &who) {
+                view!(self, view);
+                for slot in self.sync.on_same(now, from, &slots, completeness, &view) {
                     self.facts.drop_slot(slot);
                 }
             }
@@ -188,13 +192,13 @@
                 let held: BTreeSet<Slot> = self.facts.slots().collect();
                 for slot in slots {
                     if self.replicas.is_replica(own, slot) || held.contains(&slot) {
-                        self.sync.fetch(slot, from);
+                        self.sync.queue_fetch(slot, from);
                     }
                 }
             }
-            MessagePart::PageRequest { slot, after } if self.sync.gives(now) => {
+            MessagePart::PageRequest { slot, after } if self.sync.take_page_permit(now) => {
                 self.counts.pieces_out += 1;
-                let (facts, end) = self.facts.page(slot, after, PIECE);
+                let (facts, end) = self.facts.page(slot, after, MAX_PAGE_BYTES);
                 let completeness = self.sync.completeness(slot);
                 answers.push(MessagePart::Page {
                     slot,
@@ -211,18 +215,18 @@
                 end,
                 completeness,
             } => {
-                who!(self, who);
+                view!(self, view);
                 let (wanted, next) =
                     self.sync
-                        .page(now, from, (slot, after), &facts, (end, completeness), &who);
+                        .on_page(now, from, (slot, after), &facts, (end, completeness), &view);
                 if wanted {
                     self.counts.pieces_in += 1;
                     let before = self.counts.news;
-                    facts.into_iter().for_each(|fact| self.told(now, fact));
+                    facts.into_iter().for_each(|fact| self.on_fact(now, fact));
                     if self.counts.news > before && !slot.is_common() {
-                        who!(self, who);
-                        let others = (who.replicas)(slot);
-                        self.sync.spread(now, &others);
+                        view!(self, view);
+                        let others = (view.replicas)(slot);
+                        self.sync.compare_soon(now, &others);
                     }
                 }
                 if let Some((whom, part)) = next {
@@ -241,7 +245,7 @@
     }
 
     pub(super) fn fetch(&mut self, now: Timestamp) {
-        if now < self.sync.next() {
+        if now < self.sync.next_deadline() {
             return;
         }
         let anybody = self.members.present().map(|(id, _)| id);
@@ -253,16 +257,16 @@
             until: (now - SETTLED_AFTER).0,
         });
         let slots = self.facts.slots().collect();
-        let held = Held { slots, settled };
+        let held = HeldSlots { slots, settled };
         let asks = {
-            who!(self, who);
+            view!(self, view);
             let facts = &mut self.facts;
             let own = |slot, range: Option<TimeRange>| match range {
                 None => facts.checksum(slot),
                 Some(range) => facts.checksum_in_range(slot, range),
             };
             self.sync
-                .advance(now, &held, own, &who, &anybody, &mut self.chance)
+                .advance(now, &held, own, &view, &anybody, &mut self.rng)
         };
         for (whom, part) in asks {
             self.send_to(now, whom, vec![part]);
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -11,7 +11,7 @@
 //!   left out, as long as none of the zones that are heard hears it.
 //! - A replica that does not know the logs of more than half of all zones proves nothing. So of the parts of a fleet that is
 //!   cut one goes on at most, and none where no part has more than half.
-//! - One that has proved nothing for long waits for [`REJOIN`], so that the others hear of it before it begins again.
+//! - One that has proved nothing for long waits for [`REJOIN_DELAY`], so that the others hear of it before it begins again.
 
 use super::locality::{PeerZoneId, Topology};
 use super::messages::{Entry, LogId, PeerId, Relay};
@@ -26,16 +26,16 @@
 /// and back, two rounds and a lost message.
 pub const RELAY_SETTLE_TIME: TimeSpan = TimeSpan::from_secs(1);
 /// Conditions hold for so long before one that was away proves anything.
-const REJOIN: TimeSpan = TimeSpan::from_secs(2);
+const REJOIN_DELAY: TimeSpan = TimeSpan::from_secs(2);
 /// Where nothing was acknowledged for this long, what was not is sent again.
-const AGAIN: TimeSpan = TimeSpan::from_millis(500);
+const RESEND_DELAY: TimeSpan = TimeSpan::from_millis(500);
 /// Entries in one relay, and how soon the next one goes where there are more.
-const ENTRIES: usize = 120;
-const MORE: TimeSpan = TimeSpan::from_millis(25);
+const MAX_ENTRIES_PER_RELAY: usize = 120;
+const BACKLOG_RELAY_INTERVAL: TimeSpan = TimeSpan::from_millis(25);
 /// Bounds on what is kept. A log that is full forgets its first entries and is not complete until they have run out;
 /// claims of others without room are not taken, and prove nothing.
-const MOST_LOGGED: usize = 65_536;
-const MOST_FAR: usize = 262_144;
+const MAX_LOG_ENTRIES: usize = 65_536;
+const MAX_REMOTE_CLAIMS: usize = 262_144;
 
 /// A key as it goes between zones: enough of it that two keys of one group are the same once in a hundred million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -64,7 +64,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Logged {
+struct LogEntry {
     key: ShortKey,
     /// Of the last claim; of a key that is free again, when it became so.
     at: Timestamp,
@@ -77,7 +77,7 @@
     id: LogId,
     /// The number of the first entry.
     base: u64,
-    entries: VecDeque<Logged>,
+    entries: VecDeque<LogEntry>,
     /// Entries that still matter were dropped; until then the log is not complete.
     dropped_until: Timestamp,
 }
@@ -87,21 +87,21 @@
         self.base + self.entries.len() as u64
     }
 
-    fn push(&mut self, logged: Logged, lasts: TimeSpan) {
-        if self.entries.len() >= MOST_LOGGED
+    fn push(&mut self, logged: LogEntry, retention: TimeSpan) {
+        if self.entries.len() >= MAX_LOG_ENTRIES
             && let Some(first) = self.entries.pop_front()
         {
             self.base += 1;
-            self.dropped_until = self.dropped_until.max(first.at + lasts);
+            self.dropped_until = self.dropped_until.max(first.at + retention);
         }
         self.entries.push_back(logged);
     }
 
-    fn forget(&mut self, now: Timestamp, lasts: TimeSpan) {
+    fn drop_expired(&mut self, now: Timestamp, retention: TimeSpan) {
         while self
             .entries
             .front()
-            .is_some_and(|first| first.at + lasts <= now)
+            .is_some_and(|first| first.at + retention <= now)
         {
             self.entries.pop_front();
             self.base += 1;
@@ -127,7 +127,7 @@
     /// Up to this moment, by the own clock, its log is known here.
     known_until: Option<Timestamp>,
     /// The zones that it hears, by their places in the list.
-    hears: u64,
+    reachable_zones: u64,
 }
 
 impl Link {
@@ -142,7 +142,7 @@
             next: 0,
             stamp: None,
             known_until: None,
-            hears: 0,
+            reachable_zones: 0,
         }
     }
 
@@ -175,7 +175,7 @@
     /// Partners by zone; a zone that nobody is known in has none.
     zones: BTreeMap<PeerZoneId, Vec<PeerId>>,
     /// When a replica of that zone was heard last.
-    heard: BTreeMap<PeerZoneId, Timestamp>,
+    last_seen: BTreeMap<PeerZoneId, Timestamp>,
     proof: Proof,
     /// All claims of the own zone that matter are in the log.
     complete: bool,
@@ -183,29 +183,29 @@
 
 /// A claim of another zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FarClaim {
+pub struct RemoteClaim {
     pub zone: PeerZoneId,
     /// When it was claimed, at the earliest.
     pub at: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct RemoteClaimTimes {
     at: Timestamp,
     ends: Timestamp,
 }
 
-type FarKey = (GroupNo, ShortKey, PeerZoneId);
+type RemoteClaimKey = (GroupNo, ShortKey, PeerZoneId);
 
 /// What this member relays and was relayed, as long as each zone has replicas of its own.
 #[derive(Clone, Debug)]
 pub struct Relays {
     topology: Topology,
     /// How long a claim matters.
-    lasts: TimeSpan,
+    retention: TimeSpan,
     groups: BTreeMap<GroupNo, Group>,
-    far: BTreeMap<FarKey, Kept>,
-    ends: BTreeSet<(Timestamp, FarKey)>,
+    remote_claims: BTreeMap<RemoteClaimKey, RemoteClaimTimes>,
+    ends: BTreeSet<(Timestamp, RemoteClaimKey)>,
     tick_at: Timestamp,
 }
 
@@ -222,25 +222,25 @@
 }
 
 impl Relays {
-    pub fn new(now: Timestamp, topology: Topology, lasts: TimeSpan) -> Relays {
+    pub fn new(now: Timestamp, topology: Topology, retention: TimeSpan) -> Relays {
         Relays {
             topology,
-            lasts,
+            retention,
             groups: BTreeMap::new(),
-            far: BTreeMap::new(),
+            remote_claims: BTreeMap::new(),
             ends: BTreeSet::new(),
             tick_at: now,
         }
     }
 
     /// How long a zone has been silent before it is left out: all that was claimed there has run out.
-    fn silence(&self) -> TimeSpan {
-        self.lasts + RELAY_SETTLE_TIME
+    fn silence_timeout(&self) -> TimeSpan {
+        self.retention + RELAY_SETTLE_TIME
     }
 
     /// Which groups are kept here, and with whom each is paired. Newly kept groups are returned; the caller logs all that is
     /// held of them.
-    pub fn reseat(
+    pub fn assign_groups(
         &mut self,
         now: Timestamp,
         kept: BTreeMap<GroupNo, Pairs>,
@@ -253,72 +253,75 @@
                 new.push(group_no);
                 Group::new(now, log_id())
             });
-            group.pair(now, zones);
+            group.set_partners(now, zones);
         }
-        self.tick_at = self.tick_at.min(now + MORE);
+        self.tick_at = self.tick_at.min(now + BACKLOG_RELAY_INTERVAL);
         new
     }
 
     /// Another scope of replicas: nothing of before holds.
     pub fn clear(&mut self) {
         self.groups.clear();
-        self.far.clear();
+        self.remote_claims.clear();
         self.ends.clear();
     }
 
     /// What is claimed in the own zone under a key has changed: the moment of its last claim, or nothing where it is free.
-    pub fn changed(
+    pub fn log_change(
         &mut self,
         now: Timestamp,
         group_no: GroupNo,
         key: u128,
         last: Option<Timestamp>,
     ) {
-        let lasts = self.lasts;
+        let retention = self.retention;
         if let Some(group) = self.groups.get_mut(&group_no) {
-            let logged = Logged {
+            let logged = LogEntry {
                 key: ShortKey::of(key),
                 at: last.unwrap_or(now),
                 claimed: last.is_some(),
             };
-            group.log.push(logged, lasts);
+            group.log.push(logged, retention);
         }
     }
 
     /// What other zones have claimed under a key.
-    pub fn claimed(&self, group_no: GroupNo, key: u128) -> Vec<FarClaim> {
+    pub fn remote_claims(&self, group_no: GroupNo, key: u128) -> Vec<RemoteClaim> {
         let key = ShortKey::of(key);
         let (first, last) = (PeerZoneId(0), PeerZoneId(u32::MAX));
         let found = self
-            .far
+            .remote_claims
             .range((group_no, key, first)..=(group_no, key, last));
-        let claim = |(&(_, _, zone), kept): (&FarKey, &Kept)| FarClaim { zone, at: kept.at };
+        let claim = |(&(_, _, zone), kept): (&RemoteClaimKey, &RemoteClaimTimes)| RemoteClaim {
+            zone,
+            at: kept.at,
+        };
         found.map(claim).collect()
     }
 
     /// Whether a key that is not known here is new in all other zones.
-    pub fn proves(&mut self, now: Timestamp, group_no: GroupNo) -> bool {
-        self.judge(now, group_no);
+    pub fn proves_new_keys(&mut self, now: Timestamp, group_no: GroupNo) -> bool {
+        self.update_proof(now, group_no);
         self.groups
             .get(&group_no)
             .is_some_and(|group| group.proof == Proof::Given)
     }
 
     /// Whether all of the own zone's claims of a group are held here.
-    pub fn complete(&mut self, now: Timestamp, complete: impl Fn(GroupNo) -> bool) {
+    pub fn update_completeness(&mut self, now: Timestamp, complete: impl Fn(GroupNo) -> bool) {
         let groups: Vec<GroupNo> = self.groups.keys().copied().collect();
         for group_no in groups {
             if let Some(group) = self.groups.get_mut(&group_no) {
                 group.complete = complete(group_no) && group.log.dropped_until <= now;
             }
-            self.judge(now, group_no);
+            self.update_proof(now, group_no);
         }
     }
 
     /// For a check that it stays bounded, and for figures: entries logged, and claims of other zones.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn entry_counts(&self) -> (usize, usize) {
         let logged = self.groups.values().map(|group| group.log.entries.len());
-        (logged.sum(), self.far.len())
+        (logged.sum(), self.remote_claims.len())
     }
 
     /// Replicas that are told of claims, each counted once for each group.
@@ -327,7 +330,7 @@
     }
 
     /// Groups kept, and of how many keys can be proved to be new.
-    pub fn proving(&self) -> (usize, usize) {
+    pub fn proving_groups(&self) -> (usize, usize) {
         let given = self
             .groups
             .values()
@@ -335,49 +338,57 @@
         (self.groups.len(), given.count())
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let ends = self.ends.first().map(|&(at, _)| at);
         let tick = (!self.groups.is_empty()).then_some(self.tick_at);
         ends.into_iter().chain(tick).min()
     }
 
     /// Forgets what has run out, and tells partners what is new when that is due.
-    pub fn advance(&mut self, now: Timestamp, chance: &mut fastrand::Rng) -> Vec<(PeerId, Relay)> {
-        self.forget(now);
+    pub fn advance(&mut self, now: Timestamp, rng: &mut fastrand::Rng) -> Vec<(PeerId, Relay)> {
+        self.drop_expired(now);
         if now < self.tick_at || self.groups.is_empty() {
             return Vec::new();
         }
         let mut relays = Vec::new();
         let groups: Vec<GroupNo> = self.groups.keys().copied().collect();
         for group_no in groups {
-            self.judge(now, group_no);
-            relays.extend(self.tell(now, group_no));
+            self.update_proof(now, group_no);
+            relays.extend(self.relays_of_group(now, group_no));
         }
         let more = relays.iter().any(|(_, relay)| !relay.last);
-        let every = if more { MORE } else { RELAY_INTERVAL };
-        self.tick_at = now + every.mul_f64(0.75 + 0.5 * chance.f64());
+        let every = if more {
+            BACKLOG_RELAY_INTERVAL
+        } else {
+            RELAY_INTERVAL
+        };
+        self.tick_at = now + every.mul_f64(0.75 + 0.5 * rng.f64());
         relays
     }
 
-    fn forget(&mut self, now: Timestamp) {
+    fn drop_expired(&mut self, now: Timestamp) {
         while let Some((at, key)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.ends.pop_first();
-            if self.far.get(&key).is_some_and(|kept| kept.ends <= at) {
-                self.far.remove(&key);
+            if self
+                .remote_claims
+                .get(&key)
+                .is_some_and(|kept| kept.ends <= at)
+            {
+                self.remote_claims.remove(&key);
             }
         }
         for group in self.groups.values_mut() {
-            group.log.forget(now, self.lasts);
+            group.log.drop_expired(now, self.retention);
         }
     }
 
     /// The next relay to each partner of a group.
-    fn tell(&mut self, now: Timestamp, group_no: GroupNo) -> Vec<(PeerId, Relay)> {
-        let silence = self.silence();
+    fn relays_of_group(&mut self, now: Timestamp, group_no: GroupNo) -> Vec<(PeerId, Relay)> {
+        let silence = self.silence_timeout();
         let Some(group) = self.groups.get_mut(&group_no) else {
             return Vec::new();
         };
-        let hears = group.hears(now, &self.topology, silence);
+        let reachable_zones = group.reachable_zones(now, &self.topology, silence);
         let mut relays = Vec::new();
         let partners: Vec<PeerId> = group.zones.values().flatten().copied().collect();
         for id in partners {
@@ -385,7 +396,7 @@
                 let mut relay = link.relay(now, group_no, &group.log);
                 relay.complete = group.complete;
                 relay.zones = self.topology.checksum();
-                relay.hears = hears;
+                relay.reachable_zones = reachable_zones;
                 relays.push((id, relay));
             }
         }
@@ -393,65 +404,69 @@
     }
 
     /// A relay came. One of a member that is not a partner, or of a zone that is not known, says nothing.
-    pub fn heard(&mut self, now: Timestamp, from: Sender, relay: Relay) {
+    pub fn on_relay(&mut self, now: Timestamp, from: Sender, relay: Relay) {
         let group_no = relay.group;
-        self.judge(now, group_no);
+        self.update_proof(now, group_no);
         let same_zones = relay.zones == self.topology.checksum();
-        let room = self.far.len() + relay.entries.len() <= MOST_FAR;
+        let room = self.remote_claims.len() + relay.entries.len() <= MAX_REMOTE_CLAIMS;
         let Some(group) = self.groups.get_mut(&group_no) else {
             return;
         };
         if !group.zones.contains_key(&from.zone) {
             return;
         }
-        group.heard.insert(from.zone, now);
+        group.last_seen.insert(from.zone, now);
         let Some(link) = group.links.get_mut(&from.id) else {
             return;
         };
         // Whoever has another list of zones may mean others by its places: it is taken to hear all.
-        link.hears = if same_zones { relay.hears } else { u64::MAX };
-        link.acknowledged(now, &relay, &group.log);
-        let entries = link.take(now, &relay, from.stamp, room);
+        link.reachable_zones = if same_zones {
+            relay.reachable_zones
+        } else {
+            u64::MAX
+        };
+        link.on_ack(now, &relay, &group.log);
+        let entries = link.accept_entries(now, &relay, from.stamp, room);
         let claims: Vec<Entry> = entries.to_vec();
         for entry in claims {
-            self.far_claim(
+            self.on_remote_entry(
                 now,
                 (group_no, ShortKey::of_bytes(entry.key), from.zone),
                 entry,
             );
         }
-        self.judge(now, group_no);
+        self.update_proof(now, group_no);
     }
 
-    fn far_claim(&mut self, now: Timestamp, key: FarKey, entry: Entry) {
+    fn on_remote_entry(&mut self, now: Timestamp, key: RemoteClaimKey, entry: Entry) {
         let (age, claimed) = entry.age();
         if !claimed {
-            self.far.remove(&key);
+            self.remote_claims.remove(&key);
             return;
         }
         // The writer may have it by a clock that is ahead, and the entry was on its way.
         let at = now - age;
-        let kept = Kept {
+        let kept = RemoteClaimTimes {
             at: at - super::MAX_CLOCK_SKEW.mul_f64(2.0),
-            ends: at + self.lasts,
+            ends: at + self.retention,
         };
         if kept.ends > now {
             self.ends.insert((kept.ends, key));
-            self.far.insert(key, kept);
+            self.remote_claims.insert(key, kept);
         }
     }
 
-    fn judge(&mut self, now: Timestamp, group_no: GroupNo) {
-        let silence = self.silence();
+    fn update_proof(&mut self, now: Timestamp, group_no: GroupNo) {
+        let silence = self.silence_timeout();
         if let Some(group) = self.groups.get_mut(&group_no) {
-            let holds = group.holds(now, &self.topology, silence);
-            group.proof = group.proof.after(now, holds, silence);
+            let holds = group.conditions_hold(now, &self.topology, silence);
+            group.proof = group.proof.next_state(now, holds, silence);
         }
     }
 }
 
 impl Proof {
-    fn after(self, now: Timestamp, holds: bool, silence: TimeSpan) -> Proof {
+    fn next_state(self, now: Timestamp, holds: bool, silence: TimeSpan) -> Proof {
         match (self, holds) {
             (Proof::Given, true) => Proof::Given,
             (Proof::Given, false) => Proof::Lapsed { since: now },
@@ -464,7 +479,9 @@
                 Proof::Joining { since, lapsed }
             }
             (lapsed @ Proof::Lapsed { .. }, false) => lapsed,
-            (Proof::Joining { since, .. }, true) if now.since(since) >= REJOIN => Proof::Given,
+            (Proof::Joining { since, .. }, true) if now.since(since) >= REJOIN_DELAY => {
+                Proof::Given
+            }
             (joining @ Proof::Joining { .. }, true) => joining,
             (Proof::Joining { lapsed, .. }, false) => Proof::Lapsed { since: lapsed },
         }
@@ -483,7 +500,7 @@
             },
             links: BTreeMap::new(),
             zones: BTreeMap::new(),
-            heard: BTreeMap::new(),
+            last_seen: BTreeMap::new(),
             proof: Proof::Lapsed {
                 since: Timestamp(0),
             },
@@ -491,7 +508,7 @@
         }
     }
 
-    fn pair(&mut self, now: Timestamp, zones: Pairs) {
+    fn set_partners(&mut self, now: Timestamp, zones: Pairs) {
         let partner = |id: &PeerId| zones.values().any(|partners| partners.contains(id));
         self.links.retain(|id, _| partner(id));
         for &id in zones.values().flatten() {
@@ -501,7 +518,7 @@
     }
 
     /// The zones whose claims are known up to lately.
-    fn fresh(&self, now: Timestamp) -> Vec<PeerZoneId> {
+    fn fresh_zones(&self, now: Timestamp) -> Vec<PeerZoneId> {
         let is_fresh = |id: &PeerId| self.links.get(id).is_some_and(|link| link.is_fresh(now));
         let fresh = |partners: &Vec<PeerId>| !partners.is_empty() && partners.iter().all(is_fresh);
         let zones = self.zones.iter().filter(|(_, partners)| fresh(partners));
@@ -509,36 +526,36 @@
     }
 
     /// The zones that are heard, as a set of their places.
-    fn hears(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> u64 {
+    fn reachable_zones(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> u64 {
         let places = topology.zones().iter().enumerate();
-        let heard = |zone: &PeerZoneId| {
-            self.heard
+        let last_seen = |zone: &PeerZoneId| {
+            self.last_seen
                 .get(zone)
                 .is_some_and(|&at| now.since(at) < silence)
         };
         let bits = places
-            .filter(|(_, zone)| heard(zone))
+            .filter(|(_, zone)| last_seen(zone))
             .map(|(place, _)| 1u64 << (place % 64));
         bits.fold(0, |all, bit| all | bit)
     }
 
     /// Whether all that matters is known: see the head of this module.
-    fn holds(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> bool {
+    fn conditions_hold(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> bool {
         if !self.complete {
             return false;
         }
-        let fresh = self.fresh(now);
+        let fresh = self.fresh_zones(now);
         let places = topology.zones();
         let left_out = |zone: PeerZoneId| {
-            let heard = self.heard.get(&zone).copied().unwrap_or(self.since);
+            let last_seen = self.last_seen.get(&zone).copied().unwrap_or(self.since);
             let place = places.iter().position(|&known| known == zone);
             let bit = 1u64 << (place.unwrap_or(0) % 64);
             let heard_by = |zone: &PeerZoneId| {
                 let partners = self.zones.get(zone).into_iter().flatten();
                 let links = partners.filter_map(|id| self.links.get(id));
-                links.fold(0, |all, link| all | link.hears) & bit != 0
+                links.fold(0, |all, link| all | link.reachable_zones) & bit != 0
             };
-            now.since(heard.max(self.since)) >= silence && !fresh.iter().any(heard_by)
+            now.since(last_seen.max(self.since)) >= silence && !fresh.iter().any(heard_by)
         };
         let mut others = topology.other_zones();
         if !others.all(|zone| fresh.contains(&zone) || left_out(zone)) {
@@ -552,14 +569,14 @@
 impl Link {
     /// The next relay to this partner; what the group knows is filled in by the caller.
     fn relay(&mut self, now: Timestamp, group: GroupNo, log: &Log) -> Relay {
-        if self.sent > self.acked && now.since(self.sent_at) >= AGAIN {
+        if self.sent > self.acked && now.since(self.sent_at) >= RESEND_DELAY {
             (self.sent, self.sent_twice) = (self.acked, self.acked);
         }
         let first = self.sent_twice.max(self.acked);
         let first = first.clamp(log.base, log.end());
         let waiting = log.entries.range((first - log.base) as usize..);
         let entries: Vec<Entry> = waiting
-            .take(ENTRIES)
+            .take(MAX_ENTRIES_PER_RELAY)
             .map(|logged| Entry::new(logged.key.bytes(), now.since(logged.at), logged.claimed))
             .collect();
         let end = first + entries.len() as u64;
@@ -579,12 +596,12 @@
             echo: self.stamp,
             ack: self.log.map(|log| (log, self.next)),
             zones: 0,
-            hears: 0,
+            reachable_zones: 0,
         }
     }
 
     /// How much of the own log the partner has. One that knows another log has none of it, also where it had before.
-    fn acknowledged(&mut self, now: Timestamp, relay: &Relay, log: &Log) {
+    fn on_ack(&mut self, now: Timestamp, relay: &Relay, log: &Log) {
         let ack = relay
             .ack
             .filter(|&(id, next)| id == log.id && next <= log.end());
@@ -596,7 +613,7 @@
     }
 
     /// The entries that are new, where the log is known without a gap before them.
-    fn take<'a>(
+    fn accept_entries<'a>(
         &mut self,
         now: Timestamp,
         relay: &'a Relay,
--- a/crates/peers/src/decide/replicas.rs
+++ b/crates/peers/src/decide/replicas.rs
@@ -14,7 +14,7 @@
 /// So many members keep a slot. More cost messages on every claim, fewer lose a record with two that die together.
 pub const REPLICAS_PER_SLOT: usize = 3;
 /// So long after the fleet changed, the former keepers are asked as well: they know what the new ones still fetch.
-const FORMER: TimeSpan = TimeSpan::from_secs(5);
+const FORMER_REPLICA_PERIOD: TimeSpan = TimeSpan::from_secs(5);
 /// Slots of records with the same replicas within a zone: fewer groups mean fewer members to relay claims to.
 pub const SLOTS_IN_GROUP: u16 = 16;
 
@@ -73,7 +73,7 @@
 }
 
 /// The first few in the order of one slot.
-fn first_few(slot: Slot, fleet: &[PeerId]) -> Vec<PeerId> {
+fn rendezvous_replicas(slot: Slot, fleet: &[PeerId]) -> Vec<PeerId> {
     let salt = mix(u64::from(slot.0));
     let mut few: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
     for &id in fleet {
@@ -89,16 +89,16 @@
 
 /// The seats of a group among the members of one zone. Each seat has an order of its own, so that the members in the
 /// other seats stay where they are when one of them goes.
-fn seats(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
-    let mut seats: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
-    for seat in 0..REPLICAS_PER_SLOT as u64 {
-        let drawn = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | seat));
-        let free = members.iter().filter(|id| !seats.contains(id));
+fn replica_positions(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
+    let mut replica_positions: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
+    for position in 0..REPLICAS_PER_SLOT as u64 {
+        let drawn = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | position));
+        let free = members.iter().filter(|id| !replica_positions.contains(id));
         if let Some(&best) = free.max_by_key(|id| drawn(id)) {
-            seats.push(best);
+            replica_positions.push(best);
         }
     }
-    seats
+    replica_positions
 }
 
 impl Replicas {
@@ -118,7 +118,7 @@
     }
 
     /// Another fleet, in any order.
-    pub fn fleet(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> Changed {
+    pub fn set_members(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> Changed {
         fleet.sort_unstable();
         if fleet == self.fleet {
             return Changed::Nothing;
@@ -133,18 +133,18 @@
                 self.by_zone = by_zone(&fleet);
                 let own = self.by_zone.get(&topology.own.zone);
                 let own = own.map_or(&[][..], Vec::as_slice);
-                let of_group = |group| vec![seats(group, own); SLOTS_IN_GROUP.into()];
+                let of_group = |group| vec![replica_positions(group, own); SLOTS_IN_GROUP.into()];
                 GroupNo::all().flat_map(of_group).collect()
             }
             _ => {
                 self.by_zone.clear();
                 let members: Vec<PeerId> = fleet.iter().map(|&(id, _)| id).collect();
-                let slots = (0..RECORD_SLOTS).map(|slot| first_few(Slot(slot), &members));
+                let slots = (0..RECORD_SLOTS).map(|slot| rendezvous_replicas(Slot(slot), &members));
                 slots.collect::<Vec<_>>()
             }
         };
         self.former = std::mem::replace(&mut self.of, of);
-        self.former_until = now + FORMER;
+        self.former_until = now + FORMER_REPLICA_PERIOD;
         let first = self.fleet.is_empty();
         self.fleet = fleet;
         let before = std::mem::replace(&mut self.scope, scope);
@@ -172,7 +172,7 @@
     }
 
     /// The seats of a group in the own zone, in their order.
-    fn own_seats(&self, group: GroupNo) -> &[PeerId] {
+    fn own_replicas(&self, group: GroupNo) -> &[PeerId] {
         group.slots().next().map_or(&[], |first| self.of(first))
     }
 
@@ -181,7 +181,7 @@
         if self.scope == Scope::Fleet {
             return Vec::new();
         }
-        let kept = GroupNo::all().filter(|group| self.own_seats(*group).contains(&id));
+        let kept = GroupNo::all().filter(|group| self.own_replicas(*group).contains(&id));
         kept.collect()
     }
 
@@ -189,15 +189,15 @@
     /// zone has fewer seats, whoever has one that falls on the same. So any two seats of one zone and any majority of
     /// seats of the other have a pair in common.
     pub fn partners(&self, id: PeerId, group: GroupNo, zone: PeerZoneId) -> Vec<PeerId> {
-        let own = self.own_seats(group);
+        let own = self.own_replicas(group);
         let members = self.by_zone.get(&zone);
-        let theirs = members.map_or_else(Vec::new, |members| seats(group, members));
-        let Some(seat) = own.iter().position(|&member| member == id) else {
+        let theirs = members.map_or_else(Vec::new, |members| replica_positions(group, members));
+        let Some(position) = own.iter().position(|&member| member == id) else {
             return Vec::new();
         };
         let fewest = own.len().min(theirs.len()).max(1);
         let paired = theirs.iter().enumerate();
-        let paired = paired.filter(|(other, _)| other % fewest == seat % fewest);
+        let paired = paired.filter(|(other, _)| other % fewest == position % fewest);
         paired.map(|(_, &member)| member).collect()
     }
 }
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -14,7 +14,7 @@
         if self.settings.purges {
             let group = object.map_or(group.0, |_| 0);
             let object = object.map(|object| object.0);
-            self.own_fact(
+            self.add_own_fact(
                 now,
                 Fact::Purge {
                     object,
@@ -58,14 +58,14 @@
             if restricted.is_some()
                 && let Some(known) = known
             {
-                self.restrict(now, &known);
+                self.apply_host_fact(now, &known);
             }
             let young = entry
                 .started
                 .is_some_and(|at| now.since(at) < HOST_CHANGE_RETENTION);
             if !same && (listed != ListedState::Ready || young) {
                 let (host, at) = (entry.host.0, now.0);
-                self.own_fact(
+                self.add_own_fact(
                     now,
                     Fact::Host {
                         host,
@@ -81,29 +81,31 @@
 
     /// A breaker opened here.
     pub fn on_breaker_opened(&mut self, now: Timestamp, entry: HostEntry) {
-        if self.settings.hints && self.hints.len() < MOST_HINTS {
+        if self.settings.hints && self.hints.len() < MAX_HINTS {
             let started = entry.stamp.map_or(0, |at| at.0 / 1_000_000);
             self.hints
-                .insert((entry.host, started), (now, self.tells()));
+                .insert((entry.host, started), (now, self.gossip_rounds()));
         }
     }
 
-    pub(super) fn tells(&self) -> u32 {
+    pub(super) fn gossip_rounds(&self) -> u32 {
         (usize::BITS - self.members.all().count().leading_zeros()) + 2
     }
 
     /// What happened here, which others may have heard of, too.
-    pub(super) fn own_fact(&mut self, now: Timestamp, fact: Fact) {
+    pub(super) fn add_own_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
-        if self.facts.insert(now, fact) == Some(true) && self.rumours.len() < MOST_RUMOURS {
-            let at = now + TELL_WITHIN.mul_f64(self.chance.f64());
-            let left = self.tells();
-            self.rumours.insert(id, Rumour { left, at });
+        if self.facts.insert(now, fact) == Some(true)
+            && self.gossip_queue.len() < MAX_GOSSIP_ENTRIES
+        {
+            let at = now + MAX_GOSSIP_DELAY.mul_f64(self.rng.f64());
+            let left = self.gossip_rounds();
+            self.gossip_queue.insert(id, GossipEntry { left, at });
         }
     }
 
     /// A fact from another.
-    pub(super) fn told(&mut self, now: Timestamp, fact: Fact) {
+    pub(super) fn on_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         let wanted = match &fact {
             Fact::Record { .. } => self.settings.records,
@@ -113,12 +115,12 @@
         if !wanted {
             return;
         }
-        match self.keep(now, fact) {
+        match self.store(now, fact) {
             None => self.counts.full += 1,
             Some(false) => {
                 // All have it, by and by.
-                if let Some(rumour) = self.rumours.get_mut(&id) {
-                    rumour.left = rumour.left.saturating_sub(1);
+                if let Some(entry) = self.gossip_queue.get_mut(&id) {
+                    entry.left = entry.left.saturating_sub(1);
                 }
             }
             Some(true) => {
@@ -133,18 +135,18 @@
                         group: GroupId(group),
                         at: Timestamp(at),
                     }),
-                    Fact::Host { .. } => self.restrict(now, &fact),
+                    Fact::Host { .. } => self.apply_host_fact(now, &fact),
                 }
-                if self.rumours.len() < MOST_RUMOURS {
-                    let left = self.tells();
-                    self.rumours.insert(id, Rumour { left, at: now });
+                if self.gossip_queue.len() < MAX_GOSSIP_ENTRIES {
+                    let left = self.gossip_rounds();
+                    self.gossip_queue.insert(id, GossipEntry { left, at: now });
                 }
             }
         }
     }
 
     /// Another's word of a host holds where it is later in the journal and allows less; it never adds a host.
-    pub(super) fn restrict(&mut self, now: Timestamp, fact: &Fact) {
+    pub(super) fn apply_host_fact(&mut self, now: Timestamp, fact: &Fact) {
         let Fact::Host {
             host,
             started,
@@ -170,7 +172,7 @@
         }
     }
 
-    pub(super) fn free(&mut self, now: Timestamp) {
+    pub(super) fn lift_expired_restrictions(&mut self, now: Timestamp) {
         for (&host, known) in &mut self.hosts {
             if known.restricted.is_some_and(|until| until <= now) {
                 known.restricted = None;
@@ -180,25 +182,26 @@
     }
 
     pub(super) fn gossip(&mut self, now: Timestamp) {
-        self.hints.retain(|_, (at, _)| now.since(*at) < HINT_LASTS);
+        self.hints
+            .retain(|_, (at, _)| now.since(*at) < HINT_RETENTION);
         let mut parts = Vec::new();
         for (&(host, started), (at, left)) in &mut self.hints {
-            if *left > 0 && parts.len() < RUMOURS {
+            if *left > 0 && parts.len() < MAX_FACTS_PER_GOSSIP {
                 *left -= 1;
                 let (host, at) = (host.0, at.0);
                 parts.push(MessagePart::BreakerOpened { host, started, at });
             }
         }
         let due = self
-            .rumours
+            .gossip_queue
             .iter_mut()
-            .filter(|(_, rumour)| rumour.at <= now);
+            .filter(|(_, entry)| entry.at <= now);
         let mut facts = Vec::new();
-        for (&id, rumour) in due.take(RUMOURS) {
-            rumour.left = rumour.left.saturating_sub(1);
+        for (&id, entry) in due.take(MAX_FACTS_PER_GOSSIP) {
+            entry.left = entry.left.saturating_sub(1);
             facts.extend(self.facts.get(id).cloned());
         }
-        self.rumours.retain(|_, rumour| rumour.left > 0);
+        self.gossip_queue.retain(|_, entry| entry.left > 0);
         if !facts.is_empty() {
             parts.push(MessagePart::Gossip(facts));
         }
@@ -206,8 +209,8 @@
             return;
         }
         let mut whom: Vec<PeerId> = self.members.present().map(|(id, _)| id).collect();
-        self.chance.shuffle(&mut whom);
-        for id in whom.into_iter().take(TELL_TO) {
+        self.rng.shuffle(&mut whom);
+        for id in whom.into_iter().take(GOSSIP_FANOUT) {
             self.send_to(now, id, parts.clone());
         }
     }
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -10,10 +10,10 @@
 
 /// Records put into a fleet, as a client of it would have them written.
 fn fill(world: &mut World, records: u64) {
-    let mut chance = fastrand::Rng::with_seed(3);
+    let mut rng = fastrand::Rng::with_seed(3);
     let facts: Vec<Fact> = (0..records)
         .map(|n| Fact::Record {
-            key: chance.u128(..),
+            key: rng.u128(..),
             claims: vec![Claim {
                 token: Token(100 + n),
                 at: world.now.0,
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -146,18 +146,18 @@
     let mut world = World::new(n, seed);
     world.run(TimeSpan::from_secs(12));
     world.planted = planted;
-    let mut chance = fastrand::Rng::with_seed(seed ^ 5);
+    let mut rng = fastrand::Rng::with_seed(seed ^ 5);
     let mut ran = Ran::default();
-    let ask = |world: &mut World, chance: &mut fastrand::Rng, ran: &mut Ran, key: u64| {
+    let ask = |world: &mut World, rng: &mut fastrand::Rng, ran: &mut Ran, key: u64| {
         for again in 0..2 {
-            let node = chance.usize(0..n);
+            let node = rng.usize(0..n);
             let up = world.nodes[node].peers.is_some() && !world.nodes[node].paused;
             if up {
                 ran.asked += 1;
                 world.ask(node, key);
             }
             if again == 0 {
-                world.run(TimeSpan(chance.u64(0..120_000)));
+                world.run(TimeSpan(rng.u64(0..120_000)));
             }
         }
     };
@@ -168,22 +168,22 @@
         if key == 25 {
             world.purge(n - 1, 500 + seed);
         }
-        ask(&mut world, &mut chance, &mut ran, key);
+        ask(&mut world, &mut rng, &mut ran, key);
         if key == 12 {
             // Clients whose change was under way before come again.
-            (0..10).for_each(|key| ask(&mut world, &mut chance, &mut ran, key));
+            (0..10).for_each(|key| ask(&mut world, &mut rng, &mut ran, key));
         }
     }
     world.run(TimeSpan::from_secs(2));
     faults.iter().for_each(|(.., end)| end(&mut world));
     // Clients whose change was under way meanwhile come again in the very moment when it ends.
     for key in 12..40 {
-        let node = chance.usize(0..n);
+        let node = rng.usize(0..n);
         if world.nodes[node].peers.is_some() && !world.nodes[node].paused {
             ran.asked += 1;
             world.ask(node, key);
         }
-        world.run(TimeSpan(chance.u64(0..12_000)));
+        world.run(TimeSpan(rng.u64(0..12_000)));
     }
     let heals = world.until(TimeSpan::from_secs(20), |world| {
         world.agree() && world.differing() == 0
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -117,7 +117,7 @@
     pub ways: BTreeMap<(usize, usize), Way>,
     pub seen: Seen,
     pub planted: Option<Planted>,
-    pub chance: fastrand::Rng,
+    pub rng: fastrand::Rng,
     settings: PeersSettings,
     folding: Folding,
     flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
@@ -167,7 +167,7 @@
             ways: BTreeMap::new(),
             seen: Seen::default(),
             planted: None,
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             settings,
             folding: Folding::new("world"),
             flying: BTreeMap::new(),
@@ -235,7 +235,7 @@
     pub fn start(&mut self, node: usize) {
         let now = self.clock(node);
         let seeds = (0..3).map(address).collect();
-        let seed = self.chance.u64(..);
+        let seed = self.rng.u64(..);
         let zones = self.zones.clone();
         let of = &mut self.nodes[node];
         of.born += 1;
@@ -365,7 +365,7 @@
                 relays(message).for_each(|relay| relay.complete = true);
             }
             Some(Planted::HearsNobody) => {
-                relays(message).for_each(|relay| relay.hears = 0);
+                relays(message).for_each(|relay| relay.reachable_zones = 0);
             }
             Some(Planted::ForgetByCount) => {
                 for part in &mut message.parts {
@@ -422,7 +422,7 @@
             Some((from, to)) => travel(from.distance(to)),
             None => (TimeSpan(200), TimeSpan(500)),
         };
-        least + (most - least).mul_f64(self.chance.f64())
+        least + (most - least).mul_f64(self.rng.f64())
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
@@ -433,13 +433,13 @@
             self.seen.bytes += bytes.map_or(0, |bytes| bytes.len() as u64 + 28);
         }
         let way = self.ways.get(&(from, to)).copied().unwrap_or_default();
-        if way.cut || self.chance.f64() < way.lost {
+        if way.cut || self.rng.f64() < way.lost {
             return;
         }
-        let copies = 1 + usize::from(self.chance.f64() < way.doubled);
+        let copies = 1 + usize::from(self.rng.f64() < way.doubled);
         for _ in 0..copies {
             let usual = self.usual(from, to);
-            let slower = way.slower.mul_f64(-(1.0 - self.chance.f64()).ln());
+            let slower = way.slower.mul_f64(-(1.0 - self.rng.f64()).ln());
             self.next += 1;
             let at = self.now + usual + slower;
             self.flying
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -510,20 +510,20 @@
         let mut first = Vec::new();
         for _ in 0..6 {
             *next_key += 1;
-            let node = world.chance.usize(0..members);
+            let node = world.rng.usize(0..members);
             world.ask(node, *next_key);
             first.push((node, *next_key));
-            let pause = TimeSpan((world.chance.f64() * 20_000.0) as u64);
+            let pause = TimeSpan((world.rng.f64() * 20_000.0) as u64);
             world.run(pause);
         }
         for &(node, key) in first.iter().take(3) {
-            let same_zone = (node + ZONES * world.chance.usize(1..3)) % members;
+            let same_zone = (node + ZONES * world.rng.usize(1..3)) % members;
             world.ask(same_zone, key);
             world.run(TimeSpan::from_millis(3));
         }
         world.run(ELSEWHERE);
         for &(_, key) in &first {
-            let elsewhere = world.chance.usize(0..members);
+            let elsewhere = world.rng.usize(0..members);
             world.ask(elsewhere, key);
         }
         world.run(TimeSpan::from_millis(150));
