--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -10,10 +10,10 @@
 use trailproxy::units::{RequestId, Timestamp};
 use trailproxy_budgets::decide::shares::Shares;
 use trailproxy_budgets::decide::{HolderId, LifeId};
-use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::locality::{Locality, PeerZoneId, RegionId, SiteId, Topology};
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Address, PeerId};
-use trailproxy_peers::decide::{Peers, Rules, life};
+use trailproxy_peers::decide::{Peers, PeersSettings, new_boot_id};
 
 const PORT: u16 = 7_946;
 
@@ -49,10 +49,10 @@
         }
         let own = Locality {
             site: SiteId(location.site as u32),
-            zone: NearId(location.zone as u32),
+            zone: PeerZoneId(location.zone as u32),
             region: RegionId(location.region as u32),
         };
-        let zones = zones.iter().map(|&zone| NearId(zone as u32));
+        let zones = zones.iter().map(|&zone| PeerZoneId(zone as u32));
         Some(Topology::new(own, zones))
     }
 }
@@ -97,7 +97,7 @@
 
     /// When its cores want to be woken.
     pub fn next(&self) -> Option<Timestamp> {
-        let peers = self.peers.as_ref()?.next();
+        let peers = self.peers.as_ref()?.next_deadline();
         let shares = self.shares.as_ref().and_then(Shares::next);
         Some(shares.map_or(peers, |shares| shares.min(peers)))
     }
@@ -106,7 +106,7 @@
     pub fn start_budgets(&mut self, now: Timestamp, voters: &[String], seats: usize, seed: u64) {
         let Some(peers) = &self.peers else { return };
         let own = peers.members().own();
-        let own = (HolderId(own.id.0), LifeId(own.life.0));
+        let own = (HolderId(own.id.0), LifeId(own.boot_id.0));
         self.shares = Some(budgets::shares(now, own, voters, seats, seed));
     }
 }
@@ -133,25 +133,25 @@
     location: &Location,
     zones: &[usize],
     placement: Placement,
-) -> Own {
-    Own {
+) -> OwnMember {
+    OwnMember {
         id: peer_id(member),
         address: address(member),
-        life: life(now, seed),
+        boot_id: new_boot_id(now, seed),
         seeds,
         topology: placement.topology(location, zones),
     }
 }
 
-pub fn rules(demand: &Demand) -> Rules {
-    Rules {
+pub fn rules(demand: &Demand) -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: demand.refuse,
-        wait: demand.wait,
-        keep: demand.keep,
-        purges_last: demand.purges_last,
+        refuse_unconfirmed: demand.refuse,
+        max_wait: demand.wait,
+        record_retention: demand.keep,
+        purge_retention: demand.purges_last,
     }
 }
--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -2,11 +2,11 @@
 //!
 //! Every note may be lost, doubled, late or out of order, and means the same then. Points in time are the writer's, in
 //! microseconds of Unix time; a message whose own stamp is too far from the reader's clock is not read at all, so that no
-//! writer's clock is ahead of a reader's by more than [`super::APART`].
+//! writer's clock is ahead of a reader's by more than [`super::MAX_CLOCK_SKEW`].
 
 use super::facts::{Claim, Fact, FactId, Slot};
-use super::keepers::GroupNo;
 use super::locality::Locality;
+use super::replicas::GroupNo;
 use serde::{Deserialize, Serialize};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -24,7 +24,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Life(pub u64);
+pub struct BootId(pub u64);
 
 /// Where a member is written to: IPv4.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -35,100 +35,100 @@
 
 /// How a member stands; what is further down holds against what is further up of the same life and incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberStatus {
     Alive,
     Suspected,
     Dead,
     Left,
 }
 
-/// What somebody says of a member. The greater of two holds: a later life, then a later incarnation, then [`Standing`].
+/// What somebody says of a member. The greater of two holds: a later life, then a later incarnation, then [`MemberStatus`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     pub id: PeerId,
     pub address: Address,
-    pub life: Life,
+    pub boot_id: BootId,
     /// Raised by the member itself, when it hears that it is doubted.
     pub incarnation: u32,
-    pub standing: Standing,
+    pub status: MemberStatus,
 }
 
 impl MemberUpdate {
-    pub fn rank(&self) -> (Life, u32, Standing) {
-        (self.life, self.incarnation, self.standing)
+    pub fn rank(&self) -> (BootId, u32, MemberStatus) {
+        (self.boot_id, self.incarnation, self.status)
     }
 }
 
 /// One question that is answered with its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct AskNo(pub u64);
+pub struct InquiryId(pub u64);
 
 /// How much one knows, told with signs of life.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
-    pub whole: bool,
+pub struct MemberSummary {
+    pub in_sync: bool,
     pub records: u32,
     /// The last place in the journal.
-    pub place: u64,
+    pub journal_position: u64,
     /// A sum of who is there, and in which life.
-    pub roster: u64,
+    pub membership_checksum: u64,
 }
 
 /// How much of a slot its keeper has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Has {
+pub enum Completeness {
     /// Something may be lacking, from any time.
-    Some,
+    Partial,
     /// All that it took part in, and not what others did while it was cut off.
-    Own,
-    All,
+    OwnOnly,
+    Complete,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
-    Ping(AskNo, State),
-    Ack(AskNo, State),
+pub enum MessagePart {
+    Ping(InquiryId, MemberSummary),
+    Ack(InquiryId, MemberSummary),
     /// Ping that one for me: I don't reach it.
-    PingFor(AskNo, PeerId, Address),
+    IndirectPing(InquiryId, PeerId, Address),
     /// It is alive, though you don't reach it.
-    AckFor(AskNo, PeerId),
+    IndirectAck(InquiryId, PeerId),
     /// Who is there?
-    Join,
-    Updates(Vec<MemberUpdate>),
+    MembersRequest,
+    MemberUpdates(Vec<MemberUpdate>),
     /// A breaker opened at that moment, for a host that started then (in seconds).
-    Opened {
+    BreakerOpened {
         host: u64,
         started: u64,
         at: u64,
     },
     /// Facts for whoever keeps them; nothing is answered.
-    Rumours(Vec<Fact>),
+    Gossip(Vec<Fact>),
     /// I am about to send under this key: what is known of it? `claim` is none where it only looks.
     Claim {
-        no: AskNo,
+        inquiry_id: InquiryId,
         key: u128,
         claim: Option<Claim>,
     },
     /// All that is known of the key; `sure`: what is not there never was, for as long as it matters.
-    Stood {
-        no: AskNo,
+    ClaimStatus {
+        inquiry_id: InquiryId,
         sure: bool,
         claims: Vec<Claim>,
     },
     /// Facts that the writer wants to be sure of.
-    Put(AskNo, Vec<Fact>),
-    Taken(AskNo),
+    Store(InquiryId, Vec<Fact>),
+    Stored(InquiryId),
     /// Sums of what I have in these slots.
-    Sums(Vec<(Slot, u64)>),
+    Checksums(Vec<(Slot, u64)>),
     /// The same here.
     Same {
         slots: Vec<Slot>,
-        has: Has,
+        completeness: Completeness,
     },
     /// Not the same here: I fetch what you have, and you may fetch what I have.
-    Differ(Vec<Slot>),
+    Different(Vec<Slot>),
     /// Give me what you have of a slot, from after that fact on.
-    Pull {
+    PageRequest {
         slot: Slot,
         after: Option<FactId>,
     },
@@ -138,41 +138,41 @@
         after: Option<FactId>,
         facts: Vec<Fact>,
         end: bool,
-        has: Has,
+        completeness: Completeness,
     },
     /// From the command line: how do you stand?
-    Show(AskNo),
+    StatusRequest(InquiryId),
     /// From the command line: leave the fleet and serve alone, or come back to it.
-    Leave(AskNo, bool),
-    Shown(AskNo, String),
+    Leave(InquiryId, bool),
+    OperatorReply(InquiryId, String),
     /// From the command line: how does that subsystem stand?
-    ShowOf(AskNo, u8),
+    SubsystemStatusRequest(InquiryId, u8),
     /// Of another subsystem, which reads it by itself: its number, and its bytes.
-    Beside(u8, Vec<u8>),
+    Subsystem(u8, Vec<u8>),
     /// Where the writer is.
-    Located(Locality),
+    SenderLocality(Locality),
     /// Where the members of the updates just before are, in their order.
-    Localities(Vec<Option<Locality>>),
-    /// As [`Note::Claim`], of a writer whose zone has replicas of its own, to one of them.
+    MemberLocalities(Vec<Option<Locality>>),
+    /// As [`MessagePart::Claim`], of a writer whose zone has replicas of its own, to one of them.
     ClaimInZone {
-        no: AskNo,
+        inquiry_id: InquiryId,
         key: u128,
         claim: Option<Claim>,
     },
     /// What is claimed in the writer's zone.
     Relay(Relay),
-    /// As [`Note::Sums`], of what was last of use within this time only. It is answered in the same way.
-    SumsWithin(Within, Vec<(Slot, u64)>),
+    /// As [`MessagePart::Checksums`], of what was last of use within this time only. It is answered in the same way.
+    ChecksumsInRange(TimeRange, Vec<(Slot, u64)>),
 }
 
 /// A range of time, from its first moment to the one before the last, by the writer's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Within {
+pub struct TimeRange {
     pub from: u64,
     pub until: u64,
 }
 
-impl Within {
+impl TimeRange {
     pub fn contains(&self, at: Timestamp) -> bool {
         (self.from..self.until).contains(&at.0)
     }
@@ -202,7 +202,7 @@
     pub ack: Option<(LogId, u64)>,
     /// A checksum of the list of zones, and those of it that the writer hears, by their places.
     pub zones: u32,
-    pub hears: u64,
+    pub reachable_zones: u64,
 }
 
 impl Relay {
@@ -244,9 +244,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     pub from: PeerId,
-    pub life: Life,
+    pub boot_id: BootId,
     pub incarnation: u32,
     /// When it was written, by the writer's clock.
     pub stamp: u64,
-    pub notes: Vec<Note>,
+    pub parts: Vec<MessagePart>,
 }
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -4,61 +4,72 @@
 
 impl Peers {
     /// A question from the command line is answered whatever state this one is in, and makes nobody a member.
-    pub fn shown(&mut self, now: Timestamp, address: Address, message: &Message) -> bool {
-        let no = match message.notes[..] {
-            [Note::Show(no)] => no,
-            [Note::Leave(no, leaves)] => {
+    pub fn on_operator_request(
+        &mut self,
+        now: Timestamp,
+        address: Address,
+        message: &Message,
+    ) -> bool {
+        let inquiry_id = match message.parts[..] {
+            [MessagePart::StatusRequest(inquiry_id)] => inquiry_id,
+            [MessagePart::Leave(inquiry_id, leaves)] => {
                 if leaves {
                     self.leave(now);
                 } else {
                     self.join(now);
                 }
-                no
+                inquiry_id
             }
             _ => return false,
         };
-        let text = self.show(now);
-        self.answer(now, address, no, text);
+        let text = self.status_text(now);
+        self.send_operator_reply(now, address, inquiry_id, text);
         true
     }
 
     /// What the command line asked for.
-    pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
-        let message = self.message(now, vec![Note::Shown(no, text)]);
-        self.acts.push(Action::Send(address, message));
+    pub fn send_operator_reply(
+        &mut self,
+        now: Timestamp,
+        address: Address,
+        inquiry_id: InquiryId,
+        text: String,
+    ) {
+        let message = self.message(now, vec![MessagePart::OperatorReply(inquiry_id, text)]);
+        self.actions.push(Action::Send(address, message));
     }
 
     /// This one leaves in order.
     pub fn leave(&mut self, now: Timestamp) {
-        if !self.quiet() {
+        if !self.is_silent() {
             self.members.leave();
-            self.settle(now);
+            self.run_member_actions(now);
         }
     }
 
     /// One that left comes back, as one that was away.
     pub fn join(&mut self, now: Timestamp) {
-        if self.stand == Stands::Left {
+        if self.state == PeerState::Left {
             self.members.join();
-            self.members.back(now);
-            self.lack_all(now, Why::New);
-            self.settle(now);
+            self.members.on_pause_ended(now);
+            self.resync_all(now, ResyncReason::New);
+            self.run_member_actions(now);
         }
     }
 
     /// In words, for a person: a line for itself, and one for each that is not well.
-    pub fn show(&self, now: Timestamp) -> String {
+    pub fn status_text(&self, now: Timestamp) -> String {
         let (mut alive, mut rest) = (0, Vec::new());
         for (id, member) in self.members.all() {
             let update = member.update;
-            if update.standing == Standing::Alive && !member.one_way {
+            if update.status == MemberStatus::Alive && !member.one_way {
                 alive += 1;
             } else if rest.len() < 16 {
                 let [a, b, c, d] = update.address.ip;
                 let how = if member.one_way {
                     "reached by others only".into()
                 } else {
-                    format!("{:?}", update.standing)
+                    format!("{:?}", update.status)
                 };
                 rest.push(format!(
                     "{:016x} at {a}.{b}.{c}.{d}:{}: {how} for {:.1} s",
@@ -68,19 +79,20 @@
                 ));
             }
         }
-        who!(self, who);
+        view!(self, view);
         let mut text = format!(
             "{}: alive={alive} not_well={} lacking={} records={} commons={} place={} {:?}",
-            self.stand.word(),
+            self.state.as_str(),
             self.members.all().count() - alive,
-            self.sync.lacking(&who),
-            self.facts.records(),
-            self.facts.commons(),
-            self.place,
+            self.sync.out_of_sync_count(&view),
+            self.facts.record_count(),
+            self.facts.common_count(),
+            self.journal_position,
             self.counts
         );
         if let Some(relays) = &self.relays {
-            let ((groups, proving), (logged, elsewhere)) = (relays.proving(), relays.kept());
+            let ((groups, proving), (logged, elsewhere)) =
+                (relays.proving_groups(), relays.entry_counts());
             let partners = relays.partners();
             text.push_str(&format!(
                 "\nzone: groups={groups} proving={proving} partners={partners} logged={logged} elsewhere={elsewhere}"
@@ -94,9 +106,9 @@
     }
 
     /// A word of another subsystem to that one. It may be lost, as any message, and is where that one is not known.
-    pub fn beside(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
-        if !self.quiet() {
-            self.send_to(now, to, vec![Note::Beside(of, bytes)]);
+    pub fn send_to_subsystem(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
+        if !self.is_silent() {
+            self.send_to(now, to, vec![MessagePart::Subsystem(of, bytes)]);
         }
     }
 }
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -3,22 +3,22 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_peers::decide::Rules;
-use trailproxy_peers::decide::facts::{Claim, Fact, Place, Stage, Token};
-use trailproxy_peers::decide::messages::{AskNo, Message, Note};
+use trailproxy_peers::decide::PeersSettings;
+use trailproxy_peers::decide::facts::{Claim, ClaimLocation, Fact, Stage, Token};
+use trailproxy_peers::decide::messages::{InquiryId, Message, MessagePart};
 use world::*;
 
 /// Records put into a fleet, as a client of it would have them written.
 fn fill(world: &mut World, records: u64) {
-    let mut chance = fastrand::Rng::with_seed(3);
+    let mut rng = fastrand::Rng::with_seed(3);
     let facts: Vec<Fact> = (0..records)
         .map(|n| Fact::Record {
-            key: chance.u128(..),
+            key: rng.u128(..),
             claims: vec![Claim {
                 token: Token(100 + n),
                 at: world.now.0,
                 stage: Stage::Done,
-                place: Place::At(0, 0),
+                location: ClaimLocation::At(0, 0),
                 body: None,
             }],
         })
@@ -31,10 +31,10 @@
         for piece in facts.chunks(500) {
             let message = Message {
                 from: own.id,
-                life: own.life,
+                boot_id: own.boot_id,
                 incarnation: own.incarnation,
                 stamp: world.now.0,
-                notes: vec![Note::Put(AskNo(1), piece.to_vec())],
+                parts: vec![MessagePart::Store(InquiryId(1), piece.to_vec())],
             };
             world.inject(n, own.address, message);
         }
@@ -45,7 +45,14 @@
 #[ignore = "a measurement"]
 fn a_hundred_thousand_records_are_caught_up_with() {
     let keep = TimeSpan::from_secs(120);
-    let mut world = World::with(3, 1, Rules { keep, ..rules() });
+    let mut world = World::with(
+        3,
+        1,
+        PeersSettings {
+            record_retention: keep,
+            ..settings()
+        },
+    );
     world.run(TimeSpan::from_secs(130));
     fill(&mut world, 100_000);
     world.run(TimeSpan::from_secs(2));
@@ -57,7 +64,7 @@
     let records = world.nodes[2]
         .peers
         .as_ref()
-        .map(|peers| peers.facts().records());
+        .map(|peers| peers.facts().record_count());
     figure("catch_up_s", took.as_secs_f64());
     assert_eq!(records, Some(100_000));
 }
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Message, PeerId};
-use trailproxy_peers::decide::{Action, Peers, life};
+use trailproxy_peers::decide::{Action, Peers, new_boot_id};
 use trailproxy_shared_store::decide::records::{Folding, Verdict};
 use world::*;
 
@@ -146,18 +146,18 @@
     let mut world = World::new(n, seed);
     world.run(TimeSpan::from_secs(12));
     world.planted = planted;
-    let mut chance = fastrand::Rng::with_seed(seed ^ 5);
+    let mut rng = fastrand::Rng::with_seed(seed ^ 5);
     let mut ran = Ran::default();
-    let ask = |world: &mut World, chance: &mut fastrand::Rng, ran: &mut Ran, key: u64| {
+    let ask = |world: &mut World, rng: &mut fastrand::Rng, ran: &mut Ran, key: u64| {
         for again in 0..2 {
-            let node = chance.usize(0..n);
+            let node = rng.usize(0..n);
             let up = world.nodes[node].peers.is_some() && !world.nodes[node].paused;
             if up {
                 ran.asked += 1;
                 world.ask(node, key);
             }
             if again == 0 {
-                world.run(TimeSpan(chance.u64(0..120_000)));
+                world.run(TimeSpan(rng.u64(0..120_000)));
             }
         }
     };
@@ -168,22 +168,22 @@
         if key == 25 {
             world.purge(n - 1, 500 + seed);
         }
-        ask(&mut world, &mut chance, &mut ran, key);
+        ask(&mut world, &mut rng, &mut ran, key);
         if key == 12 {
             // Clients whose change was under way before come again.
-            (0..10).for_each(|key| ask(&mut world, &mut chance, &mut ran, key));
+            (0..10).for_each(|key| ask(&mut world, &mut rng, &mut ran, key));
         }
     }
     world.run(TimeSpan::from_secs(2));
     faults.iter().for_each(|(.., end)| end(&mut world));
     // Clients whose change was under way meanwhile come again in the very moment when it ends.
     for key in 12..40 {
-        let node = chance.usize(0..n);
+        let node = rng.usize(0..n);
         if world.nodes[node].peers.is_some() && !world.nodes[node].paused {
             ran.asked += 1;
             world.ask(node, key);
         }
-        world.run(TimeSpan(chance.u64(0..12_000)));
+        world.run(TimeSpan(rng.u64(0..12_000)));
     }
     let heals = world.until(TimeSpan::from_secs(20), |world| {
         world.agree() && world.differing() == 0
@@ -315,8 +315,8 @@
     }
     impl Small {
         fn act(&mut self, of: usize) {
-            for act in self.peers[of].take() {
-                match act {
+            for action in self.peers[of].take_actions() {
+                match action {
                     Action::Send(to, message) => {
                         self.flying.push((of, usize::from(to.ip[3]), message))
                     }
@@ -325,11 +325,11 @@
                         verdict: Verdict::Go,
                     } => {
                         self.went[of] = true;
-                        let bound = self.peers[of].earlier(id).is_some();
-                        self.granted[of] = self.peers[of].granted(id) && !bound;
+                        let bound = self.peers[of].earlier_attempt(id).is_some();
+                        self.granted[of] = self.peers[of].is_granted(id) && !bound;
                         if !bound {
                             let place = (ZoneId(of as u16), CellId(0));
-                            self.peers[of].hand_off(self.now, id, place);
+                            self.peers[of].on_attempt_sent(self.now, id, place);
                         }
                     }
                     _ => {}
@@ -341,7 +341,7 @@
             if !lost {
                 self.now = self.now + TimeSpan(100);
                 let address = self.peers[from].members().own().address;
-                self.peers[to].heard(self.now, address, message);
+                self.peers[to].on_message(self.now, address, message);
                 self.act(to);
             }
         }
@@ -350,17 +350,17 @@
         ip: [127, 0, 0, n],
         port: 1,
     };
-    let own = |n: u8| Own {
+    let own = |n: u8| OwnMember {
         id: PeerId::of_name(&format!("s{n}")),
         address: address(n),
-        life: life(DAWN, u64::from(n)),
+        boot_id: new_boot_id(DAWN, u64::from(n)),
         seeds: (0..3).map(address).collect(),
         topology: None,
     };
     let mut small = Small {
         now: DAWN,
         peers: (0..3)
-            .map(|n| Peers::new(DAWN, own(n), rules(), u64::from(n)))
+            .map(|n| Peers::new(DAWN, own(n), settings(), u64::from(n)))
             .collect(),
         flying: Vec::new(),
         granted: vec![false; 3],
@@ -379,7 +379,7 @@
     }
     let key = Folding::new("small").key(ClassId(0), "k");
     for n in 0..2 {
-        small.peers[n].come(small.now, RequestId(1), key, small.now + SECOND);
+        small.peers[n].on_request(small.now, RequestId(1), key, small.now + SECOND);
         small.act(n);
     }
     fn explore(small: &Small, depth: usize, seen: &mut (u64, u64)) {
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -6,10 +6,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
-use trailproxy_peers::decide::locality::{Distance, Locality, NearId, Topology};
-use trailproxy_peers::decide::members::Own;
-use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
-use trailproxy_peers::decide::{Action, Peers, Rules, Stands, life};
+use trailproxy_peers::decide::locality::{Distance, Locality, PeerZoneId, Topology};
+use trailproxy_peers::decide::members::OwnMember;
+use trailproxy_peers::decide::messages::{
+    Address, Completeness, Message, MessagePart, PeerId, Relay,
+};
+use trailproxy_peers::decide::{Action, PeerState, Peers, PeersSettings, new_boot_id};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
@@ -18,16 +20,16 @@
 pub const LIMIT: TimeSpan = TimeSpan::from_secs(2);
 pub const DAWN: Timestamp = Timestamp(1_700_000_000_000_000);
 
-pub fn rules() -> Rules {
-    Rules {
+pub fn settings() -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: false,
-        wait: WAIT,
-        keep: TimeSpan::from_secs(8),
-        purges_last: TimeSpan::from_secs(30),
+        refuse_unconfirmed: false,
+        max_wait: WAIT,
+        record_retention: TimeSpan::from_secs(8),
+        purge_retention: TimeSpan::from_secs(30),
     }
 }
 
@@ -115,8 +117,8 @@
     pub ways: BTreeMap<(usize, usize), Way>,
     pub seen: Seen,
     pub planted: Option<Planted>,
-    pub chance: fastrand::Rng,
-    rules: Rules,
+    pub rng: fastrand::Rng,
+    settings: PeersSettings,
     folding: Folding,
     flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
     by_address: BTreeMap<Address, usize>,
@@ -127,16 +129,16 @@
     pub weighs: bool,
     /// How far apart events of one node may be seen: timers are looked at so often.
     pub step: TimeSpan,
-    zones: Vec<NearId>,
+    zones: Vec<PeerZoneId>,
 }
 
 /// How long a message is on its way, without faults: from, and at the most.
 fn travel(distance: Distance) -> (TimeSpan, TimeSpan) {
     let (least, most) = match distance {
-        Distance::Site => (100, 400),
-        Distance::Zone => (700, 1_500),
-        Distance::Region => (5_000, 10_000),
-        Distance::BetweenRegions => (30_000, 80_000),
+        Distance::SameSite => (100, 400),
+        Distance::SameZone => (700, 1_500),
+        Distance::SameRegion => (5_000, 10_000),
+        Distance::OtherRegion => (30_000, 80_000),
     };
     (TimeSpan(least), TimeSpan(most))
 }
@@ -147,26 +149,26 @@
 }
 
 fn relays(message: &mut Message) -> impl Iterator<Item = &mut Relay> {
-    message.notes.iter_mut().filter_map(|note| match note {
-        Note::Relay(relay) => Some(relay),
+    message.parts.iter_mut().filter_map(|part| match part {
+        MessagePart::Relay(relay) => Some(relay),
         _ => None,
     })
 }
 
 impl World {
     pub fn new(n: usize, seed: u64) -> World {
-        World::with(n, seed, rules())
+        World::with(n, seed, settings())
     }
 
-    pub fn with(n: usize, seed: u64, rules: Rules) -> World {
+    pub fn with(n: usize, seed: u64, settings: PeersSettings) -> World {
         let mut world = World {
             now: DAWN,
             nodes: Vec::new(),
             ways: BTreeMap::new(),
             seen: Seen::default(),
             planted: None,
-            chance: fastrand::Rng::with_seed(seed),
-            rules,
+            rng: fastrand::Rng::with_seed(seed),
+            settings,
             folding: Folding::new("world"),
             flying: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
@@ -184,11 +186,11 @@
     pub fn placed(
         n: usize,
         seed: u64,
-        rules: Rules,
-        zones: Vec<NearId>,
+        settings: PeersSettings,
+        zones: Vec<PeerZoneId>,
         place: impl Fn(usize) -> Option<Locality>,
     ) -> World {
-        let mut world = World::with(0, seed, rules);
+        let mut world = World::with(0, seed, settings);
         world.by_address = (0..n).map(|n| (address(n), n)).collect();
         world.step = TimeSpan::from_millis(1);
         world.zones = zones;
@@ -233,19 +235,19 @@
     pub fn start(&mut self, node: usize) {
         let now = self.clock(node);
         let seeds = (0..3).map(address).collect();
-        let seed = self.chance.u64(..);
+        let seed = self.rng.u64(..);
         let zones = self.zones.clone();
         let of = &mut self.nodes[node];
         of.born += 1;
         let (id, address) = (of.id, of.address);
-        let own = Own {
+        let own = OwnMember {
             id,
             address,
-            life: life(now, seed),
+            boot_id: new_boot_id(now, seed),
             seeds,
             topology: of.locality.map(|locality| Topology::new(locality, zones)),
         };
-        of.peers = Some(Peers::new(now, own, self.rules.clone(), seed));
+        of.peers = Some(Peers::new(now, own, self.settings.clone(), seed));
         (of.paused, of.waiting) = (false, Vec::new());
         of.open.clear();
     }
@@ -270,7 +272,9 @@
             .collect();
         for id in ids {
             self.nodes[node].open.remove(&id);
-            self.with_peers(node, |peers, now| peers.ended(now, id, Came::NeverRan));
+            self.with_peers(node, |peers, now| {
+                peers.on_request_ended(now, id, Came::NeverRan)
+            });
         }
     }
 
@@ -297,7 +301,7 @@
             for (from, message) in held.into_iter().take(200) {
                 let now = self.clock(node);
                 if let Some(peers) = &mut self.nodes[node].peers {
-                    peers.heard(now, from, message);
+                    peers.on_message(now, from, message);
                 }
                 self.act(node);
             }
@@ -330,18 +334,21 @@
     fn spoil(&self, message: &mut Message) {
         match self.planted {
             Some(Planted::WholeTooEarly) => {
-                for note in &mut message.notes {
-                    match note {
-                        Note::Stood { sure, .. } => *sure = true,
-                        Note::Same { has, .. } | Note::Page { has, .. } => *has = Has::All,
+                for part in &mut message.parts {
+                    match part {
+                        MessagePart::ClaimStatus { sure, .. } => *sure = true,
+                        MessagePart::Same { completeness, .. }
+                        | MessagePart::Page { completeness, .. } => {
+                            *completeness = Completeness::Complete
+                        }
                         _ => {}
                     }
                 }
             }
             Some(Planted::IncarnationTwice) => {
                 message.incarnation = 0;
-                for note in &mut message.notes {
-                    if let Note::Updates(updates) = note {
+                for part in &mut message.parts {
+                    if let MessagePart::MemberUpdates(updates) = part {
                         updates
                             .iter_mut()
                             .filter(|update| update.id == message.from)
@@ -358,11 +365,11 @@
                 relays(message).for_each(|relay| relay.complete = true);
             }
             Some(Planted::HearsNobody) => {
-                relays(message).for_each(|relay| relay.hears = 0);
+                relays(message).for_each(|relay| relay.reachable_zones = 0);
             }
             Some(Planted::ForgetByCount) => {
-                for note in &mut message.notes {
-                    if let Note::Stood { claims, .. } = note {
+                for part in &mut message.parts {
+                    if let MessagePart::ClaimStatus { claims, .. } = part {
                         claims.truncate(0);
                     }
                 }
@@ -376,12 +383,12 @@
             let Some(peers) = &mut self.nodes[node].peers else {
                 return;
             };
-            let acts = peers.take();
-            if acts.is_empty() {
+            let actions = peers.take_actions();
+            if actions.is_empty() {
                 return;
             }
-            for act in acts {
-                match act {
+            for action in actions {
+                match action {
                     Action::Send(to, mut message) => {
                         self.spoil(&mut message);
                         if let Some(&to) = self.by_address.get(&to) {
@@ -392,16 +399,18 @@
                     Action::Purged { object, .. } => {
                         self.seen.purges.insert((node, object.map_or(0, |o| o.0)));
                     }
-                    Action::Hinted { host } => {
+                    Action::PeerBreakerOpened { host } => {
                         self.seen.hints.insert((node, host.0));
                     }
-                    Action::Restricted { host, .. } => {
+                    Action::HostRestricted { host, .. } => {
                         self.seen.restricted.insert((node, host.0), true);
                     }
-                    Action::Freed { host } => {
+                    Action::HostRestrictionLifted { host } => {
                         self.seen.restricted.insert((node, host.0), false);
                     }
-                    Action::Turned(_) | Action::Member(..) | Action::Beside(..) => {}
+                    Action::StateChanged(_)
+                    | Action::MemberStatusChanged(..)
+                    | Action::SubsystemMessage(..) => {}
                 }
             }
         }
@@ -413,7 +422,7 @@
             Some((from, to)) => travel(from.distance(to)),
             None => (TimeSpan(200), TimeSpan(500)),
         };
-        least + (most - least).mul_f64(self.chance.f64())
+        least + (most - least).mul_f64(self.rng.f64())
     }
 
     fn post(&mut self, from: usize, to: usize, message: Message) {
@@ -424,13 +433,13 @@
             self.seen.bytes += bytes.map_or(0, |bytes| bytes.len() as u64 + 28);
         }
         let way = self.ways.get(&(from, to)).copied().unwrap_or_default();
-        if way.cut || self.chance.f64() < way.lost {
+        if way.cut || self.rng.f64() < way.lost {
             return;
         }
-        let copies = 1 + usize::from(self.chance.f64() < way.doubled);
+        let copies = 1 + usize::from(self.rng.f64() < way.doubled);
         for _ in 0..copies {
             let usual = self.usual(from, to);
-            let slower = way.slower.mul_f64(-(1.0 - self.chance.f64()).ln());
+            let slower = way.slower.mul_f64(-(1.0 - self.rng.f64()).ln());
             self.next += 1;
             let at = self.now + usual + slower;
             self.flying
@@ -456,7 +465,7 @@
         let folded = self.folding.key(ClassId(0), &key.to_string());
         let eager = self.planted == Some(Planted::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
-            peers.come(now, id, folded, now + TimeSpan::from_secs(1));
+            peers.on_request(now, id, folded, now + TimeSpan::from_secs(1));
         }
         if eager {
             // It goes as if it had been alone, and says so afterwards.
@@ -481,11 +490,11 @@
         if let Verdict::Answer(_) = verdict {
             self.seen.answered += 1;
             of.open.remove(&id);
-            peers.ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
             return;
         }
         let place = (open.zone, CellId(open.zone.0));
-        let earlier = peers.earlier(id);
+        let earlier = peers.earlier_attempt(id);
         // As the decisions do it: repeats are dropped within a zone, for a while from the first hand-off.
         let may = earlier.is_none_or(|earlier| {
             let near = earlier.location.is_some_and(|(zone, _)| zone == place.0);
@@ -494,11 +503,11 @@
         if !may {
             self.seen.refused += 1;
             of.open.remove(&id);
-            peers.ended(now, id, Came::NeverRan);
+            peers.on_request_ended(now, id, Came::NeverRan);
             return;
         }
-        let granted = peers.granted(id);
-        peers.hand_off(now, id, place);
+        let granted = peers.is_granted(id);
+        peers.on_attempt_sent(now, id, place);
         open.ends_at = Some(at + runs);
         let (key, zone) = (open.key, open.zone);
         self.seen.sent.push(Sent {
@@ -523,14 +532,14 @@
             .collect();
         for id in over {
             of.open.remove(&id);
-            peers.ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
         }
     }
 
     pub fn purge(&mut self, node: usize, object: u64) {
         let (now, at) = (self.clock(node), self.now);
         if let Some(peers) = &mut self.nodes[node].peers {
-            peers.purged(now, Some(ObjectId(object)), GroupId(0), at);
+            peers.on_purge(now, Some(ObjectId(object)), GroupId(0), at);
         }
         self.act(node);
     }
@@ -546,7 +555,7 @@
 
     /// A message that nobody in the world wrote.
     pub fn inject(&mut self, to: usize, from: Address, message: Message) {
-        self.with_peers(to, |peers, now| peers.heard(now, from, message));
+        self.with_peers(to, |peers, now| peers.on_message(now, from, message));
     }
 
     /// Time goes on by this.
@@ -569,7 +578,7 @@
                 }
                 let now = self.clock(to);
                 if let Some(peers) = &mut self.nodes[to].peers {
-                    peers.heard(now, address, message);
+                    peers.on_message(now, address, message);
                     self.act(to);
                 }
             }
@@ -580,7 +589,7 @@
                     continue;
                 }
                 if let Some(peers) = &mut self.nodes[node].peers {
-                    if peers.next() <= now {
+                    if peers.next_deadline() <= now {
                         peers.advance(now);
                     }
                     self.act(node);
@@ -598,7 +607,7 @@
             let Some(peers) = &self.nodes[n].peers else {
                 return false;
             };
-            let mut known: BTreeSet<PeerId> = peers.members().there().map(|(id, _)| id).collect();
+            let mut known: BTreeSet<PeerId> = peers.members().present().map(|(id, _)| id).collect();
             known.insert(self.nodes[n].id);
             known == up
         })
@@ -611,7 +620,7 @@
         for n in up {
             let zone = self.nodes[n].locality.map(|locality| locality.zone);
             if let Some(peers) = &mut self.nodes[n].peers {
-                for (slot, sum) in peers.sums() {
+                for (slot, sum) in peers.slot_checksums() {
                     let zone = zone.filter(|_| !slot.is_common());
                     sums.entry((slot, zone)).or_default().insert(sum);
                 }
@@ -625,7 +634,7 @@
             self.nodes[n]
                 .peers
                 .as_ref()
-                .is_some_and(|peers| peers.stands() == Stands::Whole)
+                .is_some_and(|peers| peers.state() == PeerState::InSync)
         })
     }
 
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_peers::decide::Rules;
-use trailproxy_peers::decide::locality::{Locality, NearId};
-use trailproxy_peers::decide::relay::SETTLE;
+use trailproxy_peers::decide::PeersSettings;
+use trailproxy_peers::decide::locality::{Locality, PeerZoneId};
+use trailproxy_peers::decide::relay::RELAY_SETTLE_TIME;
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -16,16 +16,16 @@
 /// All that was claimed in a zone that is silent has run out.
 const UNTIL_LEFT_OUT: TimeSpan = TimeSpan::from_secs(13);
 /// A client that comes again in another zone does so no sooner.
-const ELSEWHERE: TimeSpan = TimeSpan(SETTLE.0 + 100_000);
+const ELSEWHERE: TimeSpan = TimeSpan(RELAY_SETTLE_TIME.0 + 100_000);
 const ZONES: usize = 6;
 
 fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
 
-fn zones() -> Vec<NearId> {
+fn zones() -> Vec<PeerZoneId> {
     (0..ZONES)
-        .map(|zone| NearId::of_name(&zone_name(zone)))
+        .map(|zone| PeerZoneId::of_name(&zone_name(zone)))
         .collect()
 }
 
@@ -36,10 +36,10 @@
     Locality::of_names(&site, &zone_name(zone), &region)
 }
 
-fn short() -> Rules {
-    Rules {
-        wait: SHORT_WAIT,
-        ..rules()
+fn short() -> PeersSettings {
+    PeersSettings {
+        max_wait: SHORT_WAIT,
+        ..settings()
     }
 }
 
@@ -143,7 +143,7 @@
     let apart = |node: usize| node % ZONES < 2;
     world.split(apart, true);
     // What the others may have claimed just before is unknown at first.
-    world.run(SETTLE + SECOND);
+    world.run(RELAY_SETTLE_TIME + SECOND);
     let (granted, _) = granted_at(&mut world, 0..18, 1_000);
     assert_eq!(granted, 0, "nobody knows yet what the others did last");
     world.run(UNTIL_LEFT_OUT);
@@ -251,7 +251,10 @@
     world.kill(0);
     world.start(0);
     world.run(SECOND + SECOND);
-    let proving = world.nodes[0].peers.as_ref().map(|peers| peers.proving());
+    let proving = world.nodes[0]
+        .peers
+        .as_ref()
+        .map(|peers| peers.proving_groups());
     let groups = proving.map_or(0, |(groups, _)| groups);
     assert!(groups > 0, "it knows where all are within two seconds");
     let mut partners = 0;
@@ -507,20 +510,20 @@
         let mut first = Vec::new();
         for _ in 0..6 {
             *next_key += 1;
-            let node = world.chance.usize(0..members);
+            let node = world.rng.usize(0..members);
             world.ask(node, *next_key);
             first.push((node, *next_key));
-            let pause = TimeSpan((world.chance.f64() * 20_000.0) as u64);
+            let pause = TimeSpan((world.rng.f64() * 20_000.0) as u64);
             world.run(pause);
         }
         for &(node, key) in first.iter().take(3) {
-            let same_zone = (node + ZONES * world.chance.usize(1..3)) % members;
+            let same_zone = (node + ZONES * world.rng.usize(1..3)) % members;
             world.ask(same_zone, key);
             world.run(TimeSpan::from_millis(3));
         }
         world.run(ELSEWHERE);
         for &(_, key) in &first {
-            let elsewhere = world.chance.usize(0..members);
+            let elsewhere = world.rng.usize(0..members);
             world.ask(elsewhere, key);
         }
         world.run(TimeSpan::from_millis(150));
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -12,9 +12,9 @@
 use tokio::time::Instant;
 use trailproxy::interface::{CrossingLimits, DispatcherSettings, Event, HostListKind};
 use trailproxy::units::Timestamp;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::PeerId;
-use trailproxy_peers::decide::{Peers, life};
+use trailproxy_peers::decide::{Peers, new_boot_id};
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::Sharing;
@@ -53,7 +53,7 @@
             let subsystems = &mut self.decisions.crossings;
             let member = (
                 self.name.as_str(),
-                life(now, *seed ^ u64::from(std::process::id())),
+                new_boot_id(now, *seed ^ u64::from(std::process::id())),
             );
             let section = config.budgets.as_deref();
             subsystems.apply_budgets_section(now, section, member, (settings, *seed), &self.log);
@@ -94,21 +94,21 @@
         };
         let config = &section.config;
         let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, settings.purge_propagation)?;
+        let rules = config.settings(longest, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
-                config.wrong("listen", &found, "a free address of this machine")
+                config.invalid_field("listen", &found, "a free address of this machine")
             })?;
         // Differs between any two processes.
         let seed = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
-        let own = Own {
+        let own = OwnMember {
             id: PeerId::of_name(&self.name),
             address: section.addresses.advertise,
-            life: life(now, seed),
+            boot_id: new_boot_id(now, seed),
             seeds: section.addresses.seeds.clone(),
             topology: section.topology.clone(),
         };
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -7,7 +7,7 @@
 use trailproxy_budgets::decide::following::Following;
 use trailproxy_budgets::decide::{HolderId, LifeId};
 use trailproxy_budgets::sheet::Sheet;
-use trailproxy_peers::decide::messages::{Life, PeerId};
+use trailproxy_peers::decide::messages::{BootId, PeerId};
 use trailproxy_zones::Zones;
 
 /// Budgets divided among the dispatchers.
@@ -22,7 +22,7 @@
     pub fn new(
         now: Timestamp,
         config: Sheet,
-        own: (PeerId, Life),
+        own: (PeerId, BootId),
         settings: &DispatcherSettings,
         seed: u64,
         log: Logger,
@@ -34,13 +34,13 @@
     }
 
     /// The identity under which this dispatcher takes part.
-    pub fn identity(&self) -> (PeerId, Life) {
+    pub fn identity(&self) -> (PeerId, BootId) {
         let (id, life) = self.following.own();
-        (PeerId(id.0), Life(life.0))
+        (PeerId(id.0), BootId(life.0))
     }
 
     /// Whether it runs with this section and this identity.
-    pub fn is_for(&self, config: &Sheet, own: (PeerId, Life)) -> bool {
+    pub fn is_for(&self, config: &Sheet, own: (PeerId, BootId)) -> bool {
         self.following.sheet == *config && self.identity() == own
     }
 
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -11,7 +11,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::BESIDE;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_peers::decide::messages::{Life, Note, PeerId};
+use trailproxy_peers::decide::messages::{BootId, MessagePart, PeerId};
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Act, Sharing};
@@ -96,8 +96,8 @@
         let Some(peers) = &mut self.peers else {
             return;
         };
-        match received.message.notes[..] {
-            [Note::ShowOf(no, BESIDE)] => {
+        match received.message.parts[..] {
+            [MessagePart::SubsystemStatusRequest(no, BESIDE)] => {
                 let shown = self
                     .budgets
                     .as_ref()
@@ -154,7 +154,7 @@
 
     /// The identity of this dispatcher among the others, if it can reach them. Through the store,
     /// the identity is kept for as long as this process runs.
-    fn identity(&self, name: &str, new_life: Life) -> Option<(PeerId, Life)> {
+    fn identity(&self, name: &str, new_boot_id: BootId) -> Option<(PeerId, BootId)> {
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
         }
@@ -165,7 +165,7 @@
             .as_ref()
             .map(BudgetsRuntime::identity)
             .filter(|own| own.0 == id);
-        by_store.then(|| known.unwrap_or((id, new_life)))
+        by_store.then(|| known.unwrap_or((id, new_boot_id)))
     }
 
     /// Applies the section about budgets. If the section and the identity are unchanged, the
@@ -174,11 +174,11 @@
         &mut self,
         now: Timestamp,
         config: Option<&BudgetsSheet>,
-        (name, new_life): (&str, Life),
+        (name, new_boot_id): (&str, BootId),
         (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.identity(name, new_life);
+        let own = self.identity(name, new_boot_id);
         let Some((config, own)) = config.zip(own) else {
             if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
