--- a/crates/shared-store/src/sheet.rs
+++ b/crates/shared-store/src/config.rs
@@ -6,7 +6,7 @@
 
 /// The section `store`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct StoreConfig {
     pub file: String,
     /// Line and column of the section, from 1.
     pub place: (usize, usize),
@@ -27,7 +27,7 @@
     pub words: bool,
 }
 
-impl Sheet {
+impl StoreConfig {
     /// The longest of all windows with an outer limit behind it, and the time after which no copy from before a purge is
     /// left, are the deployment's.
     pub fn rules(&self, longest_window: TimeSpan, purges_last: TimeSpan) -> Result<Rules, String> {
--- a/crates/shared-store/src/lib.rs
+++ b/crates/shared-store/src/lib.rs
@@ -4,6 +4,6 @@
 //! [`Timestamp`](trailproxy::units::Timestamp), what is to be done comes out. [`words`] puts its operations into the words
 //! of a Redis server and reads the answers. Neither opens a socket nor reads a clock.
 
+pub mod config;
 pub mod decide;
-pub mod sheet;
 pub mod words;
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -4,7 +4,7 @@
 use trailproxy_operator::decide::{Absent, Kind, Shape, Sheet as Script, may, must};
 use trailproxy_peers::config::{Config as PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
+use trailproxy_shared_store::config::StoreConfig;
 
 /// Sections of the operator's own file.
 pub const OPERATOR: &[Kind] = &[
@@ -52,9 +52,9 @@
 };
 
 /// What a checked script says; `None` where it has no section `store`, or that is not on.
-pub fn store_sheet(script: &Script) -> Option<StoreSheet> {
+pub fn store_sheet(script: &Script) -> Option<StoreConfig> {
     let of = script.one("store").filter(|of| of.flag("on"))?;
-    Some(StoreSheet {
+    Some(StoreConfig {
         file: script.file.clone(),
         place: (of.place.line, of.place.column),
         host: of.text("host").into(),
--- a/crates/trailproxy-cli/src/store.rs
+++ b/crates/trailproxy-cli/src/store.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use std::time::{Duration, Instant};
 use trailproxy_operator::read_file;
-use trailproxy_shared_store::sheet::Sheet;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::words::{DRAIN, SCRIPTS};
 
 #[derive(Subcommand)]
@@ -30,7 +30,7 @@
 const PINGS: u32 = 50;
 
 struct Line {
-    sheet: Sheet,
+    sheet: StoreConfig,
     connection: redis::Connection,
 }
 
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -16,8 +16,8 @@
 use trailproxy_peers::decide::{Peers, life};
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::Sharing;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
 use trailproxy_terms::Reports;
 use trailproxy_zones::decide::sheet::Sheet as ZonesSheet;
 use trailproxy_zones::{Rules, Zones};
@@ -129,7 +129,7 @@
     }
 
     /// What dispatchers share: another section begins anew, and whoever waited for the store goes on.
-    pub(super) fn store(&mut self, told: Option<Box<StoreSheet>>) {
+    pub(super) fn store(&mut self, told: Option<Box<StoreConfig>>) {
         let now = self.clock.moment(Instant::now());
         let Some((_, terms, seed)) = &self.accounts else {
             return;
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -14,7 +14,7 @@
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
 use trailproxy_peers::config::{Addresses, Config as PeersConfig};
 use trailproxy_peers::decide::locality::Topology;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_zones::Rules;
 use trailproxy_zones::decide::sheet::{Names, Sheet};
 
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Told {
     pub zones: Option<Box<(Sheet, Rules)>>,
-    pub store: Option<Box<StoreSheet>>,
+    pub store: Option<Box<StoreConfig>>,
     pub peers: Option<Box<PeersTold>>,
     pub budgets: Option<Box<BudgetsSheet>>,
 }
@@ -109,7 +109,7 @@
         let path = self.path.display();
         let unread = |e| format!("{path}: found no sections ({e})");
         let store = all.as_object_mut().and_then(|all| all.remove("store"));
-        let store: Option<Box<StoreSheet>> = match store {
+        let store: Option<Box<StoreConfig>> = match store {
             Some(store) => {
                 serde_json::from_value(store).map_err(|e| format!("{path}: section store: {e}"))?
             }
@@ -214,7 +214,7 @@
 impl PeersTold {
     fn of(
         config: PeersConfig,
-        store: Option<&StoreSheet>,
+        store: Option<&StoreConfig>,
         against: &Against,
     ) -> Result<PeersTold, String> {
         config.rules(against.longest_window, against.purges_last)?;
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::Reply;
-use trailproxy_shared_store::sheet::Sheet;
 use trailproxy_shared_store::words::{Request, SCRIPTS, Value, said};
 
 /// A server that takes longer to let one in is not there.
@@ -26,7 +26,12 @@
 }
 
 /// Carries until nobody asks any more.
-pub async fn carry(config: Sheet, queue: Queue, mut asked: mpsc::Receiver<ToStore>, log: Logger) {
+pub async fn carry(
+    config: StoreConfig,
+    queue: Queue,
+    mut asked: mpsc::Receiver<ToStore>,
+    log: Logger,
+) {
     // A connection that was left must not tell of its end as if it were the present one's.
     let present = Rc::new(Cell::new(0u64));
     let mut line: Option<Rc<Line>> = None;
@@ -79,7 +84,7 @@
     }
 }
 
-async fn connect(config: &Sheet) -> Result<(Line, String), String> {
+async fn connect(config: &StoreConfig) -> Result<(Line, String), String> {
     let password = match config.password_file.as_str() {
         "" => None,
         path => {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -10,12 +10,12 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_budgets::BESIDE;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::sheet::StoreConfig as BudgetsSheet;
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Act, Sharing};
-use trailproxy_shared_store::sheet::Sheet;
 use trailproxy_shared_store::words::{Under, request};
 use trailproxy_zones::Zones;
 
@@ -217,7 +217,7 @@
 
 /// Sharing as long as it is on, with the way to the store and what is held back for it.
 pub struct Shared {
-    pub config: Sheet,
+    pub config: StoreConfig,
     folding: Folding,
     sharing: Sharing,
     to: mpsc::Sender<ToStore>,
@@ -230,7 +230,7 @@
 
 impl Shared {
     pub fn new(
-        config: Sheet,
+        config: StoreConfig,
         sharing: Sharing,
         to: mpsc::Sender<ToStore>,
         dues: Vec<TimeSpan>,
