--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -10,7 +10,7 @@
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Act, OpId, Reply, Rules, Sharing};
-use trailproxy_shared_store::words::{Under, Value, request, said};
+use trailproxy_shared_store::scripts::{Under, Value, request, said};
 use trailproxy_standins::redis::{self, Redis};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(4);
--- a/crates/trailproxy-cli/src/store.rs
+++ b/crates/trailproxy-cli/src/store.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use trailproxy_operator::read_file;
 use trailproxy_shared_store::config::StoreConfig;
-use trailproxy_shared_store::words::{DRAIN, SCRIPTS};
+use trailproxy_shared_store::scripts::{DRAIN, SCRIPTS};
 
 #[derive(Subcommand)]
 pub enum Task {
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::Reply;
-use trailproxy_shared_store::words::{Request, SCRIPTS, Value, said};
+use trailproxy_shared_store::scripts::{Request, SCRIPTS, Value, said};
 
 /// A server that takes longer to let one in is not there.
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -16,7 +16,7 @@
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Act, Sharing};
-use trailproxy_shared_store::words::{Under, request};
+use trailproxy_shared_store::scripts::{Under, request};
 use trailproxy_zones::Zones;
 
 #[derive(Default)]
