--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -1,6 +1,6 @@
 //! What one dispatcher shares with the others through a store, and how it goes on without.
 //!
-//! [`Sharing`] is told what happens and answers with [`Act`]s. It holds an access back for as long as the store may take
+//! [`Sharing`] is told what happens and answers with [`Action`]s. It holds an access back for as long as the store may take
 //! for it, and for no longer; what the store says later still binds what has not gone out by then. Nothing that the store
 //! says, or does not say, lets an access do more than it could alone. It also carries words of other subsystems from one
 //! dispatcher to another, each of which may be lost, late or doubled.
@@ -40,7 +40,7 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Connect,
     /// The connection is of no use any more.
     Disconnect,
@@ -165,7 +165,7 @@
     next_op: u64,
     open_at: Timestamp,
     counts: Counts,
-    acts: Vec<Act>,
+    actions: Vec<Action>,
 }
 
 impl Sharing {
@@ -187,7 +187,7 @@
             next_op: 0,
             open_at: now,
             counts: Counts::default(),
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -222,11 +222,11 @@
         self.life.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ id.0
     }
 
-    /// A fingerprinted access came. It goes on with [`Act::Decided`], at once or soon.
+    /// A fingerprinted access came. It goes on with [`Action::Decided`], at once or soon.
     pub fn come(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         if !self.rules.records {
             let verdict = Verdict::Go;
-            return self.acts.push(Act::Decided { id, verdict });
+            return self.actions.push(Action::Decided { id, verdict });
         }
         let room = self.pending.len() < MOST_OUT;
         let wait = Some(self.rules.wait).filter(|_| self.trust.may_wait() && room);
@@ -339,8 +339,8 @@
 
     fn turned(&mut self, cause: Option<Cause>) {
         let trust = self.trust.state();
-        self.acts
-            .extend(cause.map(|cause| Act::Turned { trust, cause }));
+        self.actions
+            .extend(cause.map(|cause| Action::Turned { trust, cause }));
     }
 
     /// An operation ended.
@@ -400,7 +400,7 @@
             || said.count < pending.count
                 && !matches!(said.answer, Answer::TooLate | Answer::Opened { .. });
         if said.answer == Answer::Drained {
-            self.acts.push(Act::Disconnect);
+            self.actions.push(Action::Disconnect);
             return self.leave(now, Cause::Asked);
         }
         if forgot {
@@ -437,8 +437,8 @@
             (What::Fetch, Answer::Posted(words)) => {
                 self.counts.fetched += words.len() as u64;
                 let words = words.into_iter();
-                self.acts
-                    .extend(words.map(|(from, bytes)| Act::Posted { from, bytes }));
+                self.actions
+                    .extend(words.map(|(from, bytes)| Action::Posted { from, bytes }));
             }
             (What::News, Answer::News(words)) => {
                 // What was told while this was on its way has the same millisecond at worst.
@@ -469,9 +469,9 @@
             return;
         }
         self.counts.news += 1;
-        self.acts.push(match word {
-            Word::Purged { object, group } => Act::Purged { object, group, ago },
-            Word::Opened { host, .. } => Act::Hinted { host },
+        self.actions.push(match word {
+            Word::Purged { object, group } => Action::Purged { object, group, ago },
+            Word::Opened { host, .. } => Action::Hinted { host },
         });
     }
 
@@ -487,7 +487,7 @@
                 }
                 Step::Decided(id, verdict) => {
                     self.counts.answered += u64::from(matches!(verdict, Verdict::Answer(_)));
-                    self.acts.push(Act::Decided { id, verdict });
+                    self.actions.push(Action::Decided { id, verdict });
                 }
             }
         }
@@ -522,7 +522,7 @@
         let (clock, at) = self.epoch.clock;
         let not_after_ms = clock + (now + APPLY_WITHIN).since(at).0 / 1_000;
         let epoch = self.epoch.id;
-        self.acts.push(Act::Ask {
+        self.actions.push(Action::Ask {
             id,
             op,
             epoch,
@@ -553,10 +553,10 @@
     /// Time passes: what is due is done.
     pub fn advance(&mut self, now: Timestamp) {
         if self.trust.wants_connection(now) {
-            self.acts.push(Act::Connect);
+            self.actions.push(Action::Connect);
         }
         if self.trust.silent(now) {
-            self.acts.push(Act::Disconnect);
+            self.actions.push(Action::Disconnect);
             self.leave(now, Cause::Silent);
         }
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
@@ -631,8 +631,8 @@
     }
 
     /// What is to be done now.
-    pub fn take(&mut self) -> Vec<Act> {
-        std::mem::take(&mut self.acts)
+    pub fn take(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 }
 
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use trailproxy_shared_store::decide::ops::{BoxId, Op};
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 use trailproxy_shared_store::decide::trust::Trust;
-use trailproxy_shared_store::decide::{Act, OpId, Reply, Rules, Sharing};
+use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, Sharing};
 use trailproxy_shared_store::scripts::{Under, Value, request, said};
 use trailproxy_standins::redis::{self, Redis};
 
@@ -259,20 +259,20 @@
     pub fn pump(&mut self, nth: usize) {
         let (now, way) = (self.now, self.way);
         loop {
-            let acts = self.members[nth].sharing.take();
-            if acts.is_empty() {
+            let actions = self.members[nth].sharing.take();
+            if actions.is_empty() {
                 break;
             }
-            for act in acts {
+            for act in actions {
                 let member = &mut self.members[nth];
                 match act {
-                    Act::Connect => member.connecting = Some(now + TimeSpan::from_millis(1)),
-                    Act::Disconnect => {
+                    Action::Connect => member.connecting = Some(now + TimeSpan::from_millis(1)),
+                    Action::Disconnect => {
                         member.connected = false;
                         member.back.clear();
                         member.sharing.broken(now);
                     }
-                    Act::Ask {
+                    Action::Ask {
                         id,
                         op,
                         epoch,
@@ -290,19 +290,21 @@
                         });
                         *self.asked_in.entry(now.0 / 100_000).or_default() += 1;
                     }
-                    Act::Decided { id, verdict } => {
+                    Action::Decided { id, verdict } => {
                         let believed = member.sharing.claimed(id);
                         member.believed.insert(id, believed);
                         member.decided.entry(id).or_default().push((now, verdict));
                     }
-                    Act::Purged { object, ago, .. } => member.purges.push((now, object, ago)),
-                    Act::Hinted { host } => member.hints.push((now, host)),
-                    Act::Posted { from, bytes } => {
+                    Action::Purged { object, ago, .. } => member.purges.push((now, object, ago)),
+                    Action::Hinted { host } => member.hints.push((now, host)),
+                    Action::Posted { from, bytes } => {
                         if let Some(note) = trailproxy_budgets::read(&bytes) {
                             member.shares.heard(now, HolderId(from.0), note);
                         }
                     }
-                    Act::Turned { trust, cause } => member.turns.push((now, trust, cause.word())),
+                    Action::Turned { trust, cause } => {
+                        member.turns.push((now, trust, cause.word()))
+                    }
                 }
             }
         }
@@ -313,10 +315,10 @@
     fn words(&mut self, nth: usize) {
         let now = self.now;
         let member = &mut self.members[nth];
-        let acts = member.shares.take();
-        let said = !acts.is_empty();
-        for act in acts {
-            if let shares::Act::Send(to, note) = act {
+        let actions = member.shares.take();
+        let said = !actions.is_empty();
+        for act in actions {
+            if let shares::Action::Send(to, note) = act {
                 let (own, to) = (BoxId(nth as u64), BoxId(to.0));
                 let bytes = trailproxy_budgets::write(&note);
                 member.sharing.post(now, own, to, bytes);
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -15,7 +15,7 @@
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
-use trailproxy_shared_store::decide::{Act, Sharing};
+use trailproxy_shared_store::decide::{Action, Sharing};
 use trailproxy_shared_store::scripts::{Under, request};
 use trailproxy_zones::Zones;
 
@@ -319,9 +319,9 @@
     fn act(&mut self) {
         for act in self.sharing.take() {
             match act {
-                Act::Connect => drop(self.to.send(ToStore::Connect)),
-                Act::Disconnect => drop(self.to.send(ToStore::Disconnect)),
-                Act::Ask {
+                Action::Connect => drop(self.to.send(ToStore::Connect)),
+                Action::Disconnect => drop(self.to.send(ToStore::Disconnect)),
+                Action::Ask {
                     id,
                     op,
                     epoch,
@@ -337,8 +337,8 @@
                     let request = Box::new(request(&op, &under));
                     let _ = self.to.send(ToStore::Ask(id, request));
                 }
-                Act::Decided { id, verdict } => self.waiting.decided(id, verdict),
-                Act::Purged { object, group, ago } => {
+                Action::Decided { id, verdict } => self.waiting.decided(id, verdict),
+                Action::Purged { object, group, ago } => {
                     self.waiting.due(Due::Tell(Event::Purged {
                         object,
                         group,
@@ -346,11 +346,11 @@
                         stamp: None,
                     }));
                 }
-                Act::Hinted { host } => self
+                Action::Hinted { host } => self
                     .waiting
                     .due(Due::Tell(Event::PeerBreakerOpened { host })),
-                Act::Posted { from, bytes } => self.posted.push((from, bytes)),
-                Act::Turned { trust, cause } => {
+                Action::Posted { from, bytes } => self.posted.push((from, bytes)),
+                Action::Turned { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
                 }
             }
