--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -1,6 +1,6 @@
 //! What one dispatcher shares with the others through a store, and how it goes on without.
 //!
-//! [`Sharing`] is told what happens and answers with [`Action`]s. It holds an access back for as long as the store may take
+//! [`SharedState`] is told what happens and answers with [`Action`]s. It holds an access back for as long as the store may take
 //! for it, and for no longer; what the store says later still binds what has not gone out by then. Nothing that the store
 //! says, or does not say, lets an access do more than it could alone. It also carries words of other subsystems from one
 //! dispatcher to another, each of which may be lost, late or doubled.
@@ -148,7 +148,7 @@
 
 /// One dispatcher's part in the sharing.
 #[derive(Clone, Debug)]
-pub struct Sharing {
+pub struct SharedState {
     rules: Rules,
     /// Tells this process from every other one, also from its predecessor.
     life: u64,
@@ -168,11 +168,11 @@
     actions: Vec<Action>,
 }
 
-impl Sharing {
-    pub fn new(now: Timestamp, rules: Rules, seed: u64) -> Sharing {
+impl SharedState {
+    pub fn new(now: Timestamp, rules: Rules, seed: u64) -> SharedState {
         let mut chance = fastrand::Rng::with_seed(seed);
         let life = chance.u64(1..1 << 40);
-        Sharing {
+        SharedState {
             news: News::new(now, rules.purges_last),
             rules,
             life,
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use trailproxy_shared_store::decide::ops::{BoxId, Op};
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 use trailproxy_shared_store::decide::trust::Trust;
-use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, Sharing};
+use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
 use trailproxy_shared_store::scripts::{Under, Value, request, said};
 use trailproxy_standins::redis::{self, Redis};
 
@@ -54,7 +54,7 @@
 /// One dispatcher's end.
 #[derive(Clone)]
 pub struct Member {
-    pub sharing: Sharing,
+    pub sharing: SharedState,
     /// Its budgets, whose words go by the store.
     pub shares: Shares,
     pub connected: bool,
@@ -161,7 +161,7 @@
         shares.set(self.now, vec![named]);
         Member {
             shares,
-            sharing: Sharing::new(self.now, rules, seed),
+            sharing: SharedState::new(self.now, rules, seed),
             connected: false,
             half: 0,
             run: String::new(),
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -17,7 +17,7 @@
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::config::StoreConfig;
-use trailproxy_shared_store::decide::Sharing;
+use trailproxy_shared_store::decide::SharedState;
 use trailproxy_terms::Reports;
 use trailproxy_zones::decide::sheet::Sheet as ZonesSheet;
 use trailproxy_zones::{Rules, Zones};
@@ -156,7 +156,7 @@
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
                     let dues = terms.classes.iter().map(|track| track.target).collect();
                     let mut begun =
-                        Shared::new(*config, Sharing::new(now, rules, life), to, dues, log);
+                        Shared::new(*config, SharedState::new(now, rules, life), to, dues, log);
                     let (kind, entries) = (HostListKind::Full, self.pools.entries());
                     begun.heard(now, &Event::HostList { kind, entries });
                     *shared = Some(begun);
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -15,7 +15,7 @@
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
-use trailproxy_shared_store::decide::{Action, Sharing};
+use trailproxy_shared_store::decide::{Action, SharedState};
 use trailproxy_shared_store::scripts::{Under, request};
 use trailproxy_zones::Zones;
 
@@ -219,7 +219,7 @@
 pub struct Shared {
     pub config: StoreConfig,
     folding: Folding,
-    sharing: Sharing,
+    sharing: SharedState,
     to: mpsc::Sender<ToStore>,
     run: String,
     waiting: Waiting,
@@ -231,7 +231,7 @@
 impl Shared {
     pub fn new(
         config: StoreConfig,
-        sharing: Sharing,
+        sharing: SharedState,
         to: mpsc::Sender<ToStore>,
         dues: Vec<TimeSpan>,
         log: Logger,
