--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{HostEntry, PeerAttempt};
 use trailproxy::units::*;
-use trust::{Cause, Ending, Trust, Trusting};
+use trust::{Cause, Ending, Trust, TrustTracker};
 
 /// What is shared, each by itself, and the bounds that the operator sets.
 #[derive(Clone, Debug, PartialEq)]
@@ -153,7 +153,7 @@
     /// Tells this process from every other one, also from its predecessor.
     life: u64,
     chance: fastrand::Rng,
-    trust: Trusting,
+    trust: TrustTracker,
     records: Records,
     /// The own box, once words are expected, and when it is looked into next.
     own: Option<BoxId>,
@@ -177,7 +177,7 @@
             rules,
             life,
             chance,
-            trust: Trusting::new(now),
+            trust: TrustTracker::new(now),
             records: Records::default(),
             own: None,
             fetch_at: now,
--- a/crates/shared-store/src/decide/trust.rs
+++ b/crates/shared-store/src/decide/trust.rs
@@ -89,7 +89,7 @@
 
 /// One dispatcher's trust in the store.
 #[derive(Clone, Debug)]
-pub struct Trusting {
+pub struct TrustTracker {
     state: Trust,
     /// The last operations, the newest in the lowest bit: 1 is amiss.
     recent: u32,
@@ -107,9 +107,9 @@
     quiet_until: Timestamp,
 }
 
-impl Trusting {
-    pub fn new(now: Timestamp) -> Trusting {
-        Trusting {
+impl TrustTracker {
+    pub fn new(now: Timestamp) -> TrustTracker {
+        TrustTracker {
             state: Trust::Alone,
             recent: 0,
             seen: 0,
