--- a/crates/shared-store/src/decide/news.rs
+++ b/crates/shared-store/src/decide/announcements.rs
@@ -8,7 +8,7 @@
 
 /// One thing told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Word {
+pub enum Announcement {
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
@@ -29,19 +29,19 @@
 const MOST: usize = 8_192;
 
 #[derive(Clone, Debug)]
-pub struct News {
+pub struct Announcements {
     /// What is known already, with the latest moment at which it was said to have happened.
-    known: BTreeMap<Word, Timestamp>,
+    known: BTreeMap<Announcement, Timestamp>,
     /// What is to be told, and when.
-    telling: BTreeMap<Word, (Timestamp, Timestamp)>,
+    telling: BTreeMap<Announcement, (Timestamp, Timestamp)>,
     ask_at: Timestamp,
     purges_last: TimeSpan,
 }
 
-impl News {
+impl Announcements {
     /// `purges_last`: after that every copy from before a purge is gone.
-    pub fn new(now: Timestamp, purges_last: TimeSpan) -> News {
-        News {
+    pub fn new(now: Timestamp, purges_last: TimeSpan) -> Announcements {
+        Announcements {
             known: BTreeMap::new(),
             telling: BTreeMap::new(),
             ask_at: now,
@@ -49,10 +49,10 @@
         }
     }
 
-    fn lasts(&self, word: Word) -> TimeSpan {
+    fn lasts(&self, word: Announcement) -> TimeSpan {
         match word {
-            Word::Purged { .. } => self.purges_last,
-            Word::Opened { .. } => HINT_LASTS,
+            Announcement::Purged { .. } => self.purges_last,
+            Announcement::Opened { .. } => HINT_LASTS,
         }
     }
 
@@ -60,13 +60,13 @@
         self.known.len() + self.telling.len()
     }
 
-    fn learn(&mut self, now: Timestamp, word: Word, at: Timestamp) -> bool {
+    fn learn(&mut self, now: Timestamp, word: Announcement, at: Timestamp) -> bool {
         let news = self.known.get(&word).is_none_or(|&known| at > known + SAME);
         if news {
             if self.known.len() >= MOST {
                 let lasts = (HINT_LASTS, self.purges_last);
                 self.known.retain(|word, &mut at| {
-                    let of = matches!(word, Word::Opened { .. });
+                    let of = matches!(word, Announcement::Opened { .. });
                     now.since(at) < if of { lasts.0 } else { lasts.1 }
                 });
             }
@@ -79,18 +79,18 @@
     }
 
     /// It happened here at `at`; `drawn` is from 0 to 1.
-    pub fn happened(&mut self, now: Timestamp, word: Word, at: Timestamp, drawn: f64) {
+    pub fn happened(&mut self, now: Timestamp, word: Announcement, at: Timestamp, drawn: f64) {
         if self.learn(now, word, at) && self.telling.len() < MOST {
             let when = match word {
-                Word::Purged { .. } => now + TELL_WITHIN.mul_f64(drawn),
-                Word::Opened { .. } => now,
+                Announcement::Purged { .. } => now + TELL_WITHIN.mul_f64(drawn),
+                Announcement::Opened { .. } => now,
             };
             self.telling.insert(word, (when, at));
         }
     }
 
     /// The store says that it happened at `at`. `true`: that is news here.
-    pub fn told(&mut self, now: Timestamp, word: Word, at: Timestamp) -> bool {
+    pub fn told(&mut self, now: Timestamp, word: Announcement, at: Timestamp) -> bool {
         let at = at.min(now);
         if self
             .telling
@@ -117,9 +117,9 @@
     }
 
     /// What is to be told by now, with how long ago it happened. What got old while the store was away is dropped.
-    pub fn take(&mut self, now: Timestamp) -> Vec<(Word, TimeSpan)> {
+    pub fn take(&mut self, now: Timestamp) -> Vec<(Announcement, TimeSpan)> {
         let due = self.telling.iter().filter(|(_, (when, _))| now >= *when);
-        let due: Vec<(Word, Timestamp)> = due.map(|(&word, &(_, at))| (word, at)).collect();
+        let due: Vec<(Announcement, Timestamp)> = due.map(|(&word, &(_, at))| (word, at)).collect();
         self.telling.retain(|_, (when, _)| now < *when);
         let fresh = due.into_iter().map(|(word, at)| (word, now.since(at)));
         fresh
@@ -129,7 +129,7 @@
 
     /// The store is another: all that still counts is told to it again.
     pub fn tell_again(&mut self, now: Timestamp, chance: &mut fastrand::Rng) {
-        let known: Vec<(Word, Timestamp)> =
+        let known: Vec<(Announcement, Timestamp)> =
             self.known.iter().map(|(&word, &at)| (word, at)).collect();
         for (word, at) in known {
             if now.since(at) < self.lasts(word) {
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -5,12 +5,12 @@
 //! says, or does not say, lets an access do more than it could alone. It also carries words of other subsystems from one
 //! dispatcher to another, each of which may be lost, late or doubled.
 
-pub mod news;
+pub mod announcements;
 pub mod ops;
 pub mod records;
 pub mod trust;
 
-use news::{News, Word};
+use announcements::{Announcement, Announcements};
 use ops::{Answer, BoxId, Op, Said};
 use records::{Came, Key, Records, Step, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
@@ -131,7 +131,7 @@
     Open,
     Claim(RequestId),
     Fetch,
-    News,
+    ReadAnnouncements,
     Write,
 }
 
@@ -158,7 +158,7 @@
     /// The own box, once words are expected, and when it is looked into next.
     own: Option<BoxId>,
     fetch_at: Timestamp,
-    news: News,
+    news: Announcements,
     epoch: Epoch,
     pending: BTreeMap<OpId, Pending>,
     timed: BTreeSet<(Timestamp, OpId)>,
@@ -173,7 +173,7 @@
         let mut chance = fastrand::Rng::with_seed(seed);
         let life = chance.u64(1..1 << 40);
         SharedState {
-            news: News::new(now, rules.purges_last),
+            news: Announcements::new(now, rules.purges_last),
             rules,
             life,
             chance,
@@ -279,7 +279,7 @@
             let drawn = self.chance.f64();
             let at = Timestamp(now.0.saturating_sub(ago.0));
             self.news
-                .happened(now, Word::Purged { object, group }, at, drawn);
+                .happened(now, Announcement::Purged { object, group }, at, drawn);
         }
     }
 
@@ -440,7 +440,7 @@
                 self.actions
                     .extend(words.map(|(from, bytes)| Action::Posted { from, bytes }));
             }
-            (What::News, Answer::News(words)) => {
+            (What::ReadAnnouncements, Answer::Announcements(words)) => {
                 // What was told while this was on its way has the same millisecond at worst.
                 self.epoch.news_after = said.clock_ms.saturating_sub(1);
                 words
@@ -453,16 +453,16 @@
         self.epoch.count = self.epoch.count.max(said.count);
     }
 
-    fn told(&mut self, now: Timestamp, asked: Timestamp, word: Word, ago: TimeSpan) {
+    fn told(&mut self, now: Timestamp, asked: Timestamp, word: Announcement, ago: TimeSpan) {
         let wanted = match word {
-            Word::Purged { .. } => self.rules.purges,
-            Word::Opened { .. } => self.rules.hints,
+            Announcement::Purged { .. } => self.rules.purges,
+            Announcement::Opened { .. } => self.rules.hints,
         };
         // A purge is taken to be as late as it can have been, by whole milliseconds of the store's clock, so that no
         // copy from before it passes; a hint as early.
         let (ago, heard) = match word {
-            Word::Purged { .. } => (ago - TimeSpan::from_millis(1), now),
-            Word::Opened { .. } => (ago, asked),
+            Announcement::Purged { .. } => (ago - TimeSpan::from_millis(1), now),
+            Announcement::Opened { .. } => (ago, asked),
         };
         let at = Timestamp(heard.0.saturating_sub(ago.0));
         if !wanted || !self.news.told(now, word, at) {
@@ -470,8 +470,8 @@
         }
         self.counts.news += 1;
         self.actions.push(match word {
-            Word::Purged { object, group } => Action::Purged { object, group, ago },
-            Word::Opened { host, .. } => Action::Hinted { host },
+            Announcement::Purged { object, group } => Action::Purged { object, group, ago },
+            Announcement::Opened { host, .. } => Action::Hinted { host },
         });
     }
 
@@ -598,7 +598,10 @@
     fn tell(&mut self, now: Timestamp) {
         if self.rules.purges || self.rules.hints {
             for (word, ago) in self.news.take(now) {
-                let (same, keep) = (news::SAME, self.rules.purges_last + TimeSpan::from_secs(5));
+                let (same, keep) = (
+                    announcements::SAME,
+                    self.rules.purges_last + TimeSpan::from_secs(5),
+                );
                 self.counts.told += 1;
                 self.ask(
                     now,
@@ -616,7 +619,11 @@
         let drawn = self.chance.f64();
         if self.news.asks(now, drawn) {
             let after = self.epoch.news_after;
-            self.ask(now, What::News, Op::News { after });
+            self.ask(
+                now,
+                What::ReadAnnouncements,
+                Op::ReadAnnouncements { after },
+            );
         }
     }
 
@@ -636,8 +643,8 @@
     }
 }
 
-fn opened(entry: HostEntry) -> Word {
-    Word::Opened {
+fn opened(entry: HostEntry) -> Announcement {
+    Announcement::Opened {
         host: entry.host,
         started: entry.stamp.map_or(0, |at| at.0 / 1_000_000),
     }
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -1,6 +1,6 @@
 //! What is asked of the store and what it answers, in no server's words.
 
-use super::news::Word;
+use super::announcements::Announcement;
 use super::records::{Came, Key, Record};
 use trailproxy::units::*;
 
@@ -47,12 +47,12 @@
     /// All that was posted for this one.
     Fetch { own: BoxId },
     Tell {
-        word: Word,
+        word: Announcement,
         ago: TimeSpan,
         same: TimeSpan,
         keep: TimeSpan,
     },
-    News {
+    ReadAnnouncements {
         /// By the server's clock, in milliseconds.
         after: u64,
     },
@@ -69,7 +69,7 @@
     Found(Record),
     Posted(Vec<(BoxId, Vec<u8>)>),
     /// What was told, with how long ago it happened.
-    News(Vec<(Word, TimeSpan)>),
+    Announcements(Vec<(Announcement, TimeSpan)>),
     Taken,
     /// Its time was over: it did nothing and never will.
     TooLate,
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -4,7 +4,7 @@
 //! that its caller trusts and the time, by the server's clock, after which it must do nothing: what is applied long after
 //! its caller gave it up would be a claim, or an item, that nobody counts on.
 
-use crate::decide::news::Word;
+use crate::decide::announcements::Announcement;
 use crate::decide::ops::{Answer, BoxId, Op, Said};
 use crate::decide::records::{Came, Key, Record, Stand};
 use trailproxy::units::*;
@@ -177,30 +177,30 @@
     span.0.div_ceil(1_000)
 }
 
-fn word_text(word: Word) -> String {
+fn word_text(word: Announcement) -> String {
     match word {
-        Word::Purged { object, group } => match object {
+        Announcement::Purged { object, group } => match object {
             Some(object) => format!("o:{}", object.0),
             None => format!("g:{}", group.0),
         },
-        Word::Opened { host, started } => format!("b:{}:{started}", host.0),
+        Announcement::Opened { host, started } => format!("b:{}:{started}", host.0),
     }
 }
 
-fn read_word(text: &str) -> Option<Word> {
+fn read_word(text: &str) -> Option<Announcement> {
     let mut parts = text.split(':');
     let kind = parts.next()?;
     let mut number = || parts.next()?.parse::<u64>().ok();
     let word = match kind {
-        "o" => Word::Purged {
+        "o" => Announcement::Purged {
             object: Some(ObjectId(number()?)),
             group: GroupId::default(),
         },
-        "g" => Word::Purged {
+        "g" => Announcement::Purged {
             object: None,
             group: GroupId(u32::try_from(number()?).ok()?),
         },
-        "b" => Word::Opened {
+        "b" => Announcement::Opened {
             host: HostId(number()?),
             started: number()?,
         },
@@ -311,7 +311,7 @@
             args.extend(spans.map(|span| text(span.to_string())));
             TELL
         }
-        Op::News { after } => {
+        Op::ReadAnnouncements { after } => {
             keys.extend([key("news".into()), key("told".into())]);
             args.push(text(after.to_string()));
             NEWS
@@ -389,7 +389,7 @@
         ("news", words) if words.len() % 2 == 0 => {
             let word = |word: &[Value]| Some((read_word(word[0].text()?)?, span(&word[1])?));
             // A word of a newer version is passed over.
-            Answer::News(words.chunks_exact(2).filter_map(word).collect())
+            Answer::Announcements(words.chunks_exact(2).filter_map(word).collect())
         }
         ("taken", []) => Answer::Taken,
         ("late", []) => Answer::TooLate,
