--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -606,7 +606,7 @@
                 self.ask(
                     now,
                     What::Write,
-                    Op::Tell {
+                    Op::Announce {
                         word,
                         ago,
                         same,
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -46,7 +46,7 @@
     },
     /// All that was posted for this one.
     Fetch { own: BoxId },
-    Tell {
+    Announce {
         word: Announcement,
         ago: TimeSpan,
         same: TimeSpan,
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -298,7 +298,7 @@
             keys.push(mailbox(own));
             FETCH
         }
-        Op::Tell {
+        Op::Announce {
             word,
             ago,
             same,
