--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -11,7 +11,7 @@
 pub mod trust;
 
 use announcements::{Announcement, Announcements};
-use ops::{Answer, BoxId, Op, Said};
+use ops::{Answer, BoxId, Op, OpResult};
 use records::{Came, Key, Records, Step, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{HostEntry, PeerAttempt};
@@ -77,7 +77,7 @@
 /// How the store answered.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Said(Said),
+    Result(OpResult),
     /// It said that it can't.
     Refused,
     /// It is not known whether it was applied.
@@ -356,7 +356,7 @@
         self.timed.remove(&(pending.asked + waits, id));
         self.trust.heard(now, !self.pending.is_empty());
         let ending = match &reply {
-            Reply::Said(_) => Ending::InTime,
+            Reply::Result(_) => Ending::InTime,
             Reply::Refused => Ending::Refused,
             Reply::Lost => Ending::Late,
         };
@@ -373,7 +373,7 @@
             self.settle_trust(now, cause);
         }
         match reply {
-            Reply::Said(said) => self.said(now, &pending, said),
+            Reply::Result(said) => self.said(now, &pending, said),
             Reply::Refused | Reply::Lost => self.without(now, pending.what),
         }
     }
@@ -395,7 +395,7 @@
         }
     }
 
-    fn said(&mut self, now: Timestamp, pending: &Pending, said: Said) {
+    fn said(&mut self, now: Timestamp, pending: &Pending, said: OpResult) {
         let forgot = said.answer == Answer::OtherEpoch
             || said.count < pending.count
                 && !matches!(said.answer, Answer::TooLate | Answer::Opened { .. });
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -81,7 +81,7 @@
 
 /// An answer with what every one brings: the number of operations of this epoch, and the server's time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct OpResult {
     pub answer: Answer,
     pub count: u64,
     pub clock_ms: u64,
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -5,7 +5,7 @@
 //! its caller gave it up would be a claim, or an item, that nobody counts on.
 
 use crate::decide::announcements::Announcement;
-use crate::decide::ops::{Answer, BoxId, Op, Said};
+use crate::decide::ops::{Answer, BoxId, Op, OpResult};
 use crate::decide::records::{Came, Key, Record, Stand};
 use trailproxy::units::*;
 
@@ -338,7 +338,7 @@
 }
 
 /// Reads an answer; `None`: it is none of a script's.
-pub fn said(value: &Value) -> Option<Said> {
+pub fn said(value: &Value) -> Option<OpResult> {
     let Value::List(parts) = value else {
         return None;
     };
@@ -397,7 +397,7 @@
         ("drained", []) => Answer::Drained,
         _ => return None,
     };
-    Some(Said {
+    Some(OpResult {
         answer,
         count: count.number()?,
         clock_ms: clock.number()?,
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -371,7 +371,7 @@
         let reply = match value(reply).map(|value| said(&value)) {
             None => Reply::Refused,
             Some(None) => Reply::Lost,
-            Some(Some(said)) => Reply::Said(said),
+            Some(Some(said)) => Reply::Result(said),
         };
         if self.way.answers && self.members[nth].connected {
             let drawn = self.chance.f64();
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -144,7 +144,7 @@
     let answer: redis::RedisResult<redis::Value> = command.query_async(&mut connection).await;
     match answer {
         Ok(answer) => match value(answer).as_ref().and_then(said) {
-            Some(said) => (Reply::Said(said), false),
+            Some(said) => (Reply::Result(said), false),
             // No script answers so: whatever it is that listens there, it is not the store.
             None => (Reply::Lost, true),
         },
