--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -11,7 +11,7 @@
 pub mod trust;
 
 use announcements::{Announcement, Announcements};
-use ops::{Answer, BoxId, Op, OpResult};
+use ops::{Answer, MailboxId, Op, OpResult};
 use records::{Came, Key, Records, Step, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{HostEntry, PeerAttempt};
@@ -65,7 +65,7 @@
     },
     /// Another dispatcher's words of another subsystem.
     Posted {
-        from: BoxId,
+        from: MailboxId,
         bytes: Vec<u8>,
     },
     Turned {
@@ -156,7 +156,7 @@
     trust: TrustTracker,
     records: Records,
     /// The own box, once words are expected, and when it is looked into next.
-    own: Option<BoxId>,
+    own: Option<MailboxId>,
     fetch_at: Timestamp,
     news: Announcements,
     epoch: Epoch,
@@ -291,7 +291,7 @@
     }
 
     /// Words for another dispatcher; they may not arrive. From the first one on the own box is looked into.
-    pub fn post(&mut self, now: Timestamp, own: BoxId, to: BoxId, bytes: Vec<u8>) {
+    pub fn post(&mut self, now: Timestamp, own: MailboxId, to: MailboxId, bytes: Vec<u8>) {
         self.expects(own);
         if self.rules.words && self.trust.may_send(now) {
             self.counts.posted += 1;
@@ -307,7 +307,7 @@
     }
 
     /// Words are expected in this box.
-    pub fn expects(&mut self, own: BoxId) {
+    pub fn expects(&mut self, own: MailboxId) {
         self.own = Some(own).filter(|_| self.rules.words);
     }
 
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -6,7 +6,7 @@
 
 /// A dispatcher, as the others write to it: the same number in all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct BoxId(pub u64);
+pub struct MailboxId(pub u64);
 
 /// One operation, as the decisions word it.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,13 +39,13 @@
     },
     /// Another subsystem's words for one dispatcher, to be had until they are taken or have run out.
     Post {
-        to: BoxId,
-        from: BoxId,
+        to: MailboxId,
+        from: MailboxId,
         bytes: Vec<u8>,
         keep: TimeSpan,
     },
     /// All that was posted for this one.
-    Fetch { own: BoxId },
+    Fetch { own: MailboxId },
     Announce {
         word: Announcement,
         ago: TimeSpan,
@@ -67,7 +67,7 @@
     },
     Mine,
     Found(Record),
-    Posted(Vec<(BoxId, Vec<u8>)>),
+    Posted(Vec<(MailboxId, Vec<u8>)>),
     /// What was told, with how long ago it happened.
     Announcements(Vec<(Announcement, TimeSpan)>),
     Taken,
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -5,7 +5,7 @@
 //! its caller gave it up would be a claim, or an item, that nobody counts on.
 
 use crate::decide::announcements::Announcement;
-use crate::decide::ops::{Answer, BoxId, Op, OpResult};
+use crate::decide::ops::{Answer, MailboxId, Op, OpResult};
 use crate::decide::records::{Came, Key, Record, Stand};
 use trailproxy::units::*;
 
@@ -220,7 +220,7 @@
     ];
     let record = |of: &Key| key(format!("record:{:032x}", of.0));
     let place = |place: &(ZoneId, CellId)| (place.0.0.to_string(), place.1.0.to_string());
-    let mailbox = |of: &BoxId| key(format!("box:{:016x}", of.0));
+    let mailbox = |of: &MailboxId| key(format!("box:{:016x}", of.0));
     let script = match op {
         Op::Open { proposal, known } => {
             let (epoch, count) = (known.0.to_string(), known.1.to_string());
@@ -382,7 +382,7 @@
                 let mut parts = word.splitn(3, |&byte| byte == b':');
                 let (_, from, bytes) = (parts.next()?, parts.next()?, parts.next()?);
                 let from = std::str::from_utf8(from).ok()?.parse().ok()?;
-                Some((BoxId(from), bytes.to_vec()))
+                Some((MailboxId(from), bytes.to_vec()))
             };
             Answer::Posted(words.iter().filter_map(word).collect())
         }
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -6,7 +6,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::decide::shares::{self, Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
-use trailproxy_shared_store::decide::ops::{BoxId, Op};
+use trailproxy_shared_store::decide::ops::{MailboxId, Op};
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
@@ -319,7 +319,7 @@
         let said = !actions.is_empty();
         for act in actions {
             if let shares::Action::Send(to, note) = act {
-                let (own, to) = (BoxId(nth as u64), BoxId(to.0));
+                let (own, to) = (MailboxId(nth as u64), MailboxId(to.0));
                 let bytes = trailproxy_budgets::write(&note);
                 member.sharing.post(now, own, to, bytes);
             }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -13,7 +13,7 @@
 use trailproxy_budgets::sheet::StoreConfig as BudgetsSheet;
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
 use trailproxy_shared_store::config::StoreConfig;
-use trailproxy_shared_store::decide::ops::BoxId;
+use trailproxy_shared_store::decide::ops::MailboxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Action, SharedState};
 use trailproxy_shared_store::scripts::{Under, request};
@@ -190,7 +190,7 @@
             divided.following.again();
         }
         if let Some(shared) = self.shared.as_mut().filter(|_| self.peers.is_none()) {
-            shared.sharing.expects(BoxId(own.0.0));
+            shared.sharing.expects(MailboxId(own.0.0));
         }
         self.divide(now);
     }
@@ -224,7 +224,7 @@
     run: String,
     waiting: Waiting,
     /// Words of other subsystems, from whom.
-    posted: Vec<(BoxId, Vec<u8>)>,
+    posted: Vec<(MailboxId, Vec<u8>)>,
     log: Logger,
 }
 
@@ -251,7 +251,8 @@
     /// Words of another subsystem for another dispatcher; its number goes before them.
     fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, of: u8, bytes: &[u8]) {
         let bytes = [&[of], bytes].concat();
-        self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
+        self.sharing
+            .post(now, MailboxId(own.0), MailboxId(to.0), bytes);
         self.act();
     }
 
