--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -9,7 +9,7 @@
 use super::messages::{AskNo, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Key, Record, Stand};
+use trailproxy_shared_store::decide::records::{Came, Key, Record, RecordStatus};
 
 /// A claim of an access that is open here.
 #[derive(Clone, Debug)]
@@ -179,7 +179,7 @@
                 && claim.stage != Stage::Free
                 && Some(claim.token) != token
         };
-        let yields = matches!(&heard, Heard::Found(_, record) if record.stand == Stand::Claimed)
+        let yields = matches!(&heard, Heard::Found(_, record) if record.stand == RecordStatus::Claimed)
             && own.claim.place == Place::Untold
             && asking.claims.iter().any(earlier);
         if asking.open.is_empty() && now.since(asked) > FORGET {
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Record, Stand};
+use trailproxy_shared_store::decide::records::{Record, RecordStatus};
 
 /// A part of all that is held: every member keeps the common ones, and a few each of the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -296,10 +296,10 @@
     });
     let is = |stage| others.iter().any(|claim| claim.stage == stage);
     let stand = match (is(Stage::Done), is(Stage::Sent), is(Stage::Unknown)) {
-        (true, ..) => Stand::Done,
-        (_, true, _) => Stand::Sent,
-        (_, _, true) => Stand::Unknown,
-        _ => Stand::Claimed,
+        (true, ..) => RecordStatus::Done,
+        (_, true, _) => RecordStatus::Sent,
+        (_, _, true) => RecordStatus::Unknown,
+        _ => RecordStatus::Claimed,
     };
     let body = others.iter().find_map(|claim| claim.body.clone());
     Some(Record {
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -49,7 +49,7 @@
 
 /// How a record stands in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum RecordStatus {
     /// It may go out any moment, and where to is not told yet.
     Claimed,
     /// It went out.
@@ -62,7 +62,7 @@
 /// What the store knows of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    pub stand: Stand,
+    pub stand: RecordStatus,
     pub place: Option<(ZoneId, CellId)>,
     /// How long ago the first hand-off was claimed, by the store's clock.
     pub age: TimeSpan,
@@ -235,11 +235,11 @@
             return Vec::new();
         }
         match (record.stand, record.body) {
-            (Stand::Done, Some(body)) => {
+            (RecordStatus::Done, Some(body)) => {
                 own.phase = Phase::Gone;
                 vec![Step::Decided(id, Verdict::Answer(body))]
             }
-            (Stand::Claimed | Stand::Sent, _) if now < own.join_until => {
+            (RecordStatus::Claimed | RecordStatus::Sent, _) if now < own.join_until => {
                 let every = match own.phase {
                     Phase::Joining { every, .. } => every.mul_f64(2.0).min(JOIN_SLOWEST),
                     _ => JOIN_EVERY,
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -6,7 +6,7 @@
 
 use crate::decide::announcements::Announcement;
 use crate::decide::ops::{Answer, MailboxId, Op, OpResult};
-use crate::decide::records::{Came, Key, Record, Stand};
+use crate::decide::records::{Came, Key, Record, RecordStatus};
 use trailproxy::units::*;
 
 /// What a server answers, in no version's form.
@@ -354,10 +354,10 @@
         ("mine", []) => Answer::Mine,
         ("found", [stand, zone, cell, age, body]) => {
             let stand = match stand.text()? {
-                "claimed" => Stand::Claimed,
-                "sent" => Stand::Sent,
-                "done" => Stand::Done,
-                "unknown" => Stand::Unknown,
+                "claimed" => RecordStatus::Claimed,
+                "sent" => RecordStatus::Sent,
+                "done" => RecordStatus::Done,
+                "unknown" => RecordStatus::Unknown,
                 _ => return None,
             };
             let of = |value: &Value| u16::try_from(value.number()?).ok();
