--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -8,7 +8,7 @@
 use crate::layout::{Layout, Proximity};
 use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Verdict};
 
 /// How long an upstream takes.
 const UPSTREAM_TAKES: TimeSpan = TimeSpan::from_millis(60);
@@ -181,8 +181,8 @@
         if !goes {
             of.open.remove(&id);
             let came = match verdict {
-                Verdict::Answer(_) => Came::Done(Some(ANSWER.to_vec())),
-                Verdict::Go => Came::NeverRan,
+                Verdict::Answer(_) => Completion::Done(Some(ANSWER.to_vec())),
+                Verdict::Go => Completion::NeverRan,
             };
             return peers.ended(now, id, came);
         }
@@ -206,7 +206,7 @@
             return;
         }
         let now = self.now;
-        let came = Came::Done(Some(ANSWER.to_vec()));
+        let came = Completion::Done(Some(ANSWER.to_vec()));
         self.with_peers(member, |peers| peers.ended(now, request, came));
     }
 
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -9,7 +9,7 @@
 use super::messages::{AskNo, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Key, Record, RecordStatus};
+use trailproxy_shared_store::decide::records::{Completion, Key, Record, RecordStatus};
 
 /// A claim of an access that is open here.
 #[derive(Clone, Debug)]
@@ -250,7 +250,7 @@
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         let Some(own) = self.own.remove(&id).filter(|own| !own.yielded) else {
             return;
         };
@@ -258,8 +258,8 @@
         // What was answered from another's record is no run of this one's.
         let ran = claim.place != Place::Untold;
         (claim.stage, claim.body) = match came {
-            Came::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
-            Came::Unknown if ran => (Stage::Unknown, None),
+            Completion::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
+            Completion::Unknown if ran => (Stage::Unknown, None),
             _ => (Stage::Free, None),
         };
         let key = own.key.0;
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
 use trailproxy_peers::decide::{Action, Peers, Rules, Stands, life};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Folding, Verdict};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
 pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
@@ -270,7 +270,9 @@
             .collect();
         for id in ids {
             self.nodes[node].open.remove(&id);
-            self.with_peers(node, |peers, now| peers.ended(now, id, Came::NeverRan));
+            self.with_peers(node, |peers, now| {
+                peers.ended(now, id, Completion::NeverRan)
+            });
         }
     }
 
@@ -481,7 +483,7 @@
         if let Verdict::Answer(_) = verdict {
             self.seen.answered += 1;
             of.open.remove(&id);
-            peers.ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.ended(now, id, Completion::Done(Some(b"ok".to_vec())));
             return;
         }
         let place = (open.zone, CellId(open.zone.0));
@@ -494,7 +496,7 @@
         if !may {
             self.seen.refused += 1;
             of.open.remove(&id);
-            peers.ended(now, id, Came::NeverRan);
+            peers.ended(now, id, Completion::NeverRan);
             return;
         }
         let granted = peers.granted(id);
@@ -523,7 +525,7 @@
             .collect();
         for id in over {
             of.open.remove(&id);
-            peers.ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.ended(now, id, Completion::Done(Some(b"ok".to_vec())));
         }
     }
 
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -12,7 +12,7 @@
 
 use announcements::{Announcement, Announcements};
 use ops::{Answer, MailboxId, Op, OpResult};
-use records::{Came, Key, Records, Step, Verdict};
+use records::{Completion, Key, Records, Step, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{HostEntry, PeerAttempt};
 use trailproxy::units::*;
@@ -252,7 +252,7 @@
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         if let Some((key, place)) = self.records.ended(id, &came) {
             let (token, keep) = (self.token(id), self.rules.keep);
             let op = Op::Ended {
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -1,7 +1,7 @@
 //! What is asked of the store and what it answers, in no server's words.
 
 use super::announcements::Announcement;
-use super::records::{Came, Key, Record};
+use super::records::{Completion, Key, Record};
 use trailproxy::units::*;
 
 /// A dispatcher, as the others write to it: the same number in all of them.
@@ -33,7 +33,7 @@
     Ended {
         key: Key,
         token: u64,
-        came: Came,
+        came: Completion,
         place: Option<(ZoneId, CellId)>,
         keep: TimeSpan,
     },
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -72,7 +72,7 @@
 
 /// What came of an access in the end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Came {
+pub enum Completion {
     /// With the answer, where it is small enough.
     Done(Option<Vec<u8>>),
     /// It is proved that none of its hand-offs ran.
@@ -281,10 +281,14 @@
     }
 
     /// It has its final answer. `Some`: the store is to know how it ended; with where it went first.
-    pub fn ended(&mut self, id: RequestId, came: &Came) -> Option<(Key, Option<(ZoneId, CellId)>)> {
+    pub fn ended(
+        &mut self,
+        id: RequestId,
+        came: &Completion,
+    ) -> Option<(Key, Option<(ZoneId, CellId)>)> {
         let own = self.own.remove(&id)?;
         // What another sent first is that one's to end, unless this one found out that it is done.
-        let others = own.earlier.is_some() && !matches!(came, Came::Done(_));
+        let others = own.earlier.is_some() && !matches!(came, Completion::Done(_));
         (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.location))))
     }
 
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -6,7 +6,7 @@
 
 use crate::decide::announcements::Announcement;
 use crate::decide::ops::{Answer, MailboxId, Op, OpResult};
-use crate::decide::records::{Came, Key, Record, RecordStatus};
+use crate::decide::records::{Completion, Key, Record, RecordStatus};
 use trailproxy::units::*;
 
 /// What a server answers, in no version's form.
@@ -266,9 +266,9 @@
             keys.push(record(key));
             let (zone, cell) = at.as_ref().map(place).unwrap_or_default();
             let (how, body) = match came {
-                Came::Done(body) => ("done", body.clone()),
-                Came::NeverRan => ("free", None),
-                Came::Unknown => ("unknown", None),
+                Completion::Done(body) => ("done", body.clone()),
+                Completion::NeverRan => ("free", None),
+                Completion::Unknown => ("unknown", None),
             };
             let kept = if body.is_some() { "1" } else { "0" };
             let words = [
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -4,7 +4,7 @@
 
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Verdict};
 use trailproxy_shared_store::decide::trust::Trust;
 use world::*;
 
@@ -20,8 +20,8 @@
     world
 }
 
-fn done(body: &[u8]) -> Came {
-    Came::Done(Some(body.to_vec()))
+fn done(body: &[u8]) -> Completion {
+    Completion::Done(Some(body.to_vec()))
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let mut world = pair(6);
     let first = world.come(0, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.ended(0, first, Came::NeverRan);
+    world.ended(0, first, Completion::NeverRan);
     world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
@@ -423,7 +423,7 @@
     world.way.paused = true;
     for nth in 0..5_000 {
         let id = world.come(0, &format!("key-{nth}"), LEFT);
-        world.ended(0, id, Came::Unknown);
+        world.ended(0, id, Completion::Unknown);
     }
     let (records, pending, _) = world.members[0].sharing.kept();
     assert_eq!(records, 0);
--- a/crates/shared-store/tests/sweep.rs
+++ b/crates/shared-store/tests/sweep.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{Effect, RepeatGroup};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Verdict};
 use trailproxy_standins::redis::Mistake;
 use world::*;
 
@@ -194,7 +194,7 @@
         }
         let over = |one: &Open| one.ends.is_some_and(|ends| ends <= now);
         for one in open.iter().filter(|one| over(one)) {
-            world.ended(one.nth, one.id, Came::Done(Some(b"ok".to_vec())));
+            world.ended(one.nth, one.id, Completion::Done(Some(b"ok".to_vec())));
         }
         open.retain(|one| !over(one));
     }
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use trailproxy_budgets::decide::shares::{self, Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
 use trailproxy_shared_store::decide::ops::{MailboxId, Op};
-use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Folding, Verdict};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
 use trailproxy_shared_store::scripts::{Under, Value, request, said};
@@ -240,7 +240,7 @@
         self.pump(nth);
     }
 
-    pub fn ended(&mut self, nth: usize, id: RequestId, came: Came) {
+    pub fn ended(&mut self, nth: usize, id: RequestId, came: Completion) {
         self.members[nth].sharing.ended(self.now, id, came);
         self.pump(nth);
     }
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -12,7 +12,7 @@
 use trailproxy_peers::decide::facts::Listed;
 use trailproxy_peers::decide::messages::{Address, AskNo, Life, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
-use trailproxy_shared_store::decide::records::{Came, Folding};
+use trailproxy_shared_store::decide::records::{Completion, Folding};
 
 pub struct Peered {
     /// The section that it runs by.
@@ -63,7 +63,7 @@
         }
     }
 
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.waiting.forget(id);
         self.peers.ended(now, id, came);
         self.act();
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -14,7 +14,7 @@
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::MailboxId;
-use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
+use trailproxy_shared_store::decide::records::{Completion, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Action, SharedState};
 use trailproxy_shared_store::scripts::{Under, request};
 use trailproxy_zones::Zones;
@@ -57,7 +57,7 @@
     }
 
     /// A request with a key has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: &Completion) {
         self.shared
             .iter_mut()
             .for_each(|shared| shared.ended(now, id, came.clone()));
@@ -272,7 +272,7 @@
     }
 
     /// It has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.waiting.forget(id);
         self.sharing.ended(now, id, came);
         self.act();
@@ -371,11 +371,11 @@
 }
 
 /// What came of a request, by what became of its attempts.
-pub fn came(done: Option<&[u8]>, ran: bool) -> Came {
+pub fn came(done: Option<&[u8]>, ran: bool) -> Completion {
     match done {
-        Some(body) => Came::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
-        None if ran => Came::Unknown,
-        None => Came::NeverRan,
+        Some(body) => Completion::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
+        None if ran => Completion::Unknown,
+        None => Completion::NeverRan,
     }
 }
 
