--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -8,7 +8,7 @@
 use crate::layout::{Layout, Proximity};
 use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Completion, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, RecordDecision};
 
 /// How long an upstream takes.
 const UPSTREAM_TAKES: TimeSpan = TimeSpan::from_millis(60);
@@ -159,7 +159,7 @@
     }
 
     /// A member's core lets a request go on.
-    pub(super) fn decided(&mut self, member: usize, id: RequestId, verdict: Verdict) {
+    pub(super) fn decided(&mut self, member: usize, id: RequestId, verdict: RecordDecision) {
         let zone = self.layout.members[member].zone;
         let now = self.now;
         let of = &mut self.members[member];
@@ -174,15 +174,15 @@
         let granted = peers.granted(id);
         let place = (ZoneId(zone as u16), CellId(zone as u16));
         let (outcome, goes) = match verdict {
-            Verdict::Answer(_) => (Outcome::Found, false),
-            Verdict::Go => judge(now, place.0, earlier, granted),
+            RecordDecision::Answer(_) => (Outcome::Found, false),
+            RecordDecision::Proceed => judge(now, place.0, earlier, granted),
         };
         self.requests.decided(open.origin, outcome, waited);
         if !goes {
             of.open.remove(&id);
             let came = match verdict {
-                Verdict::Answer(_) => Completion::Done(Some(ANSWER.to_vec())),
-                Verdict::Go => Completion::NeverRan,
+                RecordDecision::Answer(_) => Completion::Done(Some(ANSWER.to_vec())),
+                RecordDecision::Proceed => Completion::NeverRan,
             };
             return peers.ended(now, id, came);
         }
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -48,7 +48,7 @@
 use sync::{PIECE, Sync, Who, Why};
 use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Completion, Key, Records, Step, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Key, RecordDecision, Records, Step};
 
 /// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
 pub const APART: TimeSpan = TimeSpan::from_millis(750);
@@ -121,7 +121,7 @@
     /// An access that came goes on now.
     Decided {
         id: RequestId,
-        verdict: Verdict,
+        verdict: RecordDecision,
     },
     Purged {
         object: Option<ObjectId>,
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -6,7 +6,7 @@
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers, life};
-use trailproxy_shared_store::decide::records::{Folding, Verdict};
+use trailproxy_shared_store::decide::records::{Folding, RecordDecision};
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -322,7 +322,7 @@
                     }
                     Action::Decided {
                         id,
-                        verdict: Verdict::Go,
+                        verdict: RecordDecision::Proceed,
                     } => {
                         self.went[of] = true;
                         let bound = self.peers[of].earlier(id).is_some();
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
 use trailproxy_peers::decide::{Action, Peers, Rules, Stands, life};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::{Completion, Folding, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Folding, RecordDecision};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
 pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
@@ -462,14 +462,14 @@
         }
         if eager {
             // It goes as if it had been alone, and says so afterwards.
-            self.decided(node, id, Verdict::Go);
+            self.decided(node, id, RecordDecision::Proceed);
             let sent = self.seen.sent.last_mut();
             sent.into_iter().for_each(|sent| sent.granted = true);
         }
         self.act(node);
     }
 
-    fn decided(&mut self, node: usize, id: RequestId, verdict: Verdict) {
+    fn decided(&mut self, node: usize, id: RequestId, verdict: RecordDecision) {
         let now = self.clock(node);
         let (at, runs) = (self.now, self.runs);
         let of = &mut self.nodes[node];
@@ -480,7 +480,7 @@
             self.seen.held.push(at.since(open.come));
         }
         let Some(peers) = &mut of.peers else { return };
-        if let Verdict::Answer(_) = verdict {
+        if let RecordDecision::Answer(_) = verdict {
             self.seen.answered += 1;
             of.open.remove(&id);
             peers.ended(now, id, Completion::Done(Some(b"ok".to_vec())));
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -12,7 +12,7 @@
 
 use announcements::{Announcement, Announcements};
 use ops::{Answer, MailboxId, Op, OpResult};
-use records::{Completion, Key, Records, Step, Verdict};
+use records::{Completion, Key, RecordDecision, Records, Step};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{HostEntry, PeerAttempt};
 use trailproxy::units::*;
@@ -53,7 +53,7 @@
     /// An access that came goes on now.
     Decided {
         id: RequestId,
-        verdict: Verdict,
+        verdict: RecordDecision,
     },
     Purged {
         object: Option<ObjectId>,
@@ -225,7 +225,7 @@
     /// A fingerprinted access came. It goes on with [`Action::Decided`], at once or soon.
     pub fn come(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         if !self.rules.records {
-            let verdict = Verdict::Go;
+            let verdict = RecordDecision::Proceed;
             return self.actions.push(Action::Decided { id, verdict });
         }
         let room = self.pending.len() < MOST_OUT;
@@ -486,7 +486,7 @@
                     }
                 }
                 Step::Decided(id, verdict) => {
-                    self.counts.answered += u64::from(matches!(verdict, Verdict::Answer(_)));
+                    self.counts.answered += u64::from(matches!(verdict, RecordDecision::Answer(_)));
                     self.actions.push(Action::Decided { id, verdict });
                 }
             }
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -82,9 +82,9 @@
 
 /// What an access that waited for the store does now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum RecordDecision {
     /// It goes the ordinary way, bound by what is known of it.
-    Go,
+    Proceed,
     /// It has been done: this is the answer.
     Answer(Vec<u8>),
 }
@@ -135,7 +135,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     Claim(RequestId, Key),
-    Decided(RequestId, Verdict),
+    Decided(RequestId, RecordDecision),
 }
 
 impl Records {
@@ -191,7 +191,7 @@
         }
         let mut steps = vec![Step::Claim(id, key)];
         if !waits {
-            steps.push(Step::Decided(id, Verdict::Go));
+            steps.push(Step::Decided(id, RecordDecision::Proceed));
         }
         steps
     }
@@ -237,7 +237,7 @@
         match (record.stand, record.body) {
             (RecordStatus::Done, Some(body)) => {
                 own.phase = Phase::Gone;
-                vec![Step::Decided(id, Verdict::Answer(body))]
+                vec![Step::Decided(id, RecordDecision::Answer(body))]
             }
             (RecordStatus::Claimed | RecordStatus::Sent, _) if now < own.join_until => {
                 let every = match own.phase {
@@ -266,7 +266,7 @@
         match self.own.get_mut(&id).filter(waits) {
             Some(own) => {
                 own.phase = Phase::Gone;
-                vec![Step::Decided(id, Verdict::Go)]
+                vec![Step::Decided(id, RecordDecision::Proceed)]
             }
             None => Vec::new(),
         }
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -4,7 +4,7 @@
 
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Completion, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
 use world::*;
 
@@ -38,7 +38,7 @@
     let mut world = pair(2);
     let first = world.come(0, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
-    assert_eq!(world.verdict(0, first), Some(&Verdict::Go));
+    assert_eq!(world.verdict(0, first), Some(&RecordDecision::Proceed));
     world.sent(0, first, 0);
     world.ended(0, first, done(b"accepted"));
     world.run(TimeSpan::from_millis(2));
@@ -46,7 +46,7 @@
     world.run(TimeSpan::from_millis(2));
     assert_eq!(
         world.verdict(1, again),
-        Some(&Verdict::Answer(b"accepted".to_vec()))
+        Some(&RecordDecision::Answer(b"accepted".to_vec()))
     );
 }
 
@@ -64,7 +64,7 @@
     world.run(TimeSpan::from_millis(200));
     assert_eq!(
         world.verdict(1, again),
-        Some(&Verdict::Answer(b"accepted".to_vec()))
+        Some(&RecordDecision::Answer(b"accepted".to_vec()))
     );
 }
 
@@ -80,7 +80,7 @@
     world.run(TimeSpan::from_millis(260));
     assert_eq!(
         world.verdict(1, again),
-        Some(&Verdict::Go),
+        Some(&RecordDecision::Proceed),
         "after a quarter of its time"
     );
     let earlier = world.members[1]
@@ -115,7 +115,7 @@
     world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
-    assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
+    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
     assert_eq!(world.members[1].sharing.earlier(again), None);
 }
 
@@ -127,7 +127,7 @@
     world.run(TimeSpan::from_millis(6));
     assert_eq!(
         world.verdict(0, first),
-        Some(&Verdict::Go),
+        Some(&RecordDecision::Proceed),
         "it goes without, in time"
     );
     let went = world.members[0].decided[&first][0].0;
@@ -155,7 +155,7 @@
     world.way.back = TimeSpan::from_millis(30);
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(60));
-    assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
+    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
     let earlier = world.members[1].sharing.earlier(again);
     assert!(earlier.is_some(), "its next hand-off is bound by it");
 }
@@ -187,7 +187,7 @@
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(10));
     // It goes the way it would alone; and nobody waits for a store that may have forgotten.
-    assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
+    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
     assert_eq!(world.trust(1), Trust::Returning);
     assert!(
         world.members[1]
@@ -303,7 +303,10 @@
     assert_eq!([0, 1].map(|nth| world.trust(nth)), [Trust::Alone; 2]);
     let come = world.now;
     let id = world.come(0, "order-1", LEFT);
-    assert_eq!(world.members[0].decided[&id][0], (come, Verdict::Go));
+    assert_eq!(
+        world.members[0].decided[&id][0],
+        (come, RecordDecision::Proceed)
+    );
 }
 
 #[test]
@@ -438,7 +441,7 @@
     for nth in 0..4 {
         let id = world.come(0, &format!("key-{nth}"), LEFT);
         world.run(TimeSpan::from_millis(2));
-        assert_eq!(world.verdict(0, id), Some(&Verdict::Go));
+        assert_eq!(world.verdict(0, id), Some(&RecordDecision::Proceed));
     }
     assert_eq!(world.trust(0), Trust::Doubtful);
     assert!(
@@ -466,6 +469,6 @@
     world.members[0]
         .sharing
         .purged(now, None, GroupId(1), TimeSpan::ZERO);
-    assert_eq!(world.verdict(0, id), Some(&Verdict::Go));
+    assert_eq!(world.verdict(0, id), Some(&RecordDecision::Proceed));
     assert_eq!(world.members[0].sharing.counts().asked, before);
 }
--- a/crates/shared-store/tests/sweep.rs
+++ b/crates/shared-store/tests/sweep.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{Effect, RepeatGroup};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Completion, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, RecordDecision};
 use trailproxy_standins::redis::Mistake;
 use world::*;
 
@@ -177,9 +177,9 @@
                     && now < earlier.first_sent + window
             });
             one.ends = Some(match verdict {
-                Verdict::Answer(_) => now,
-                Verdict::Go if !covered => now,
-                Verdict::Go => {
+                RecordDecision::Answer(_) => now,
+                RecordDecision::Proceed if !covered => now,
+                RecordDecision::Proceed => {
                     world.sent(one.nth, one.id, cell);
                     if world.members[one.nth].believed[&one.id] {
                         tally
@@ -274,7 +274,7 @@
     /// Sends whatever has been decided, as the module would.
     fn send(&mut self) {
         for (nth, id, sent) in &mut self.open {
-            let go = self.world.verdict(*nth, *id) == Some(&Verdict::Go);
+            let go = self.world.verdict(*nth, *id) == Some(&RecordDecision::Proceed);
             if go && !*sent {
                 *sent = true;
                 let earlier = self.world.members[*nth].sharing.earlier(*id);
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use trailproxy_budgets::decide::shares::{self, Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
 use trailproxy_shared_store::decide::ops::{MailboxId, Op};
-use trailproxy_shared_store::decide::records::{Completion, Folding, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, Folding, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
 use trailproxy_shared_store::scripts::{Under, Value, request, said};
@@ -65,7 +65,7 @@
     back: VecDeque<(Timestamp, OpId, Reply)>,
     connecting: Option<Timestamp>,
     /// Accesses that were decided, how, and how often.
-    pub decided: BTreeMap<RequestId, Vec<(Timestamp, Verdict)>>,
+    pub decided: BTreeMap<RequestId, Vec<(Timestamp, RecordDecision)>>,
     pub turns: Vec<(Timestamp, Trust, &'static str)>,
     pub purges: Vec<(Timestamp, Option<ObjectId>, TimeSpan)>,
     pub hints: Vec<(Timestamp, HostId)>,
@@ -246,7 +246,7 @@
     }
 
     /// How one access was decided, if it was.
-    pub fn verdict(&self, nth: usize, id: RequestId) -> Option<&Verdict> {
+    pub fn verdict(&self, nth: usize, id: RequestId) -> Option<&RecordDecision> {
         let all = self.members[nth].decided.get(&id)?;
         assert_eq!(all.len(), 1, "one verdict for one access");
         Some(&all[0].1)
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::Verdict;
+use trailproxy_shared_store::decide::records::RecordDecision;
 
 /// What the one task has to do for the parts beside the decisions.
 pub enum Due {
@@ -46,13 +46,13 @@
         self.held.remove(&id);
     }
 
-    pub fn decided(&mut self, id: RequestId, verdict: Verdict) {
+    pub fn decided(&mut self, id: RequestId, verdict: RecordDecision) {
         let Some(arrival) = self.held.remove(&id) else {
             return;
         };
         self.out.push_back(match verdict {
-            Verdict::Go => Due::Arrived(arrival),
-            Verdict::Answer(body) => Due::Answered(id, body),
+            RecordDecision::Proceed => Due::Arrived(arrival),
+            RecordDecision::Answer(body) => Due::Answered(id, body),
         });
     }
 
