--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -28,7 +28,7 @@
 use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
 use trailproxy_peers::decide::{Action, Peers, Stands};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::Folding;
+use trailproxy_shared_store::decide::records::KeyHasher;
 
 /// When virtual time begins.
 const START: Timestamp = Timestamp(1_700_000_000_000_000);
@@ -78,7 +78,7 @@
     voters: Vec<String>,
     by_address: Arc<HashMap<Address, usize>>,
     seal: Seal,
-    folding: Folding,
+    key_hasher: KeyHasher,
     next_request: u64,
     budgets_on: bool,
 }
@@ -106,7 +106,7 @@
             voters: voters.collect(),
             by_address: Arc::new(addresses.collect()),
             seal: Seal::new("capacity", b""),
-            folding: Folding::new("capacity"),
+            key_hasher: KeyHasher::new("capacity"),
             next_request: 0,
             budgets_on: false,
             random,
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -6,7 +6,7 @@
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers, life};
-use trailproxy_shared_store::decide::records::{Folding, RecordDecision};
+use trailproxy_shared_store::decide::records::{KeyHasher, RecordDecision};
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -377,7 +377,7 @@
             small.deliver(0, false);
         }
     }
-    let key = Folding::new("small").key(ClassId(0), "k");
+    let key = KeyHasher::new("small").key(ClassId(0), "k");
     for n in 0..2 {
         small.peers[n].come(small.now, RequestId(1), key, small.now + SECOND);
         small.act(n);
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -11,7 +11,7 @@
 use trailproxy_peers::decide::messages::{Address, Has, Message, Note, PeerId, Relay};
 use trailproxy_peers::decide::{Action, Peers, Rules, Stands, life};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::{Completion, Folding, RecordDecision};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
 pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
@@ -117,7 +117,7 @@
     pub planted: Option<Planted>,
     pub chance: fastrand::Rng,
     rules: Rules,
-    folding: Folding,
+    key_hasher: KeyHasher,
     flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
     by_address: BTreeMap<Address, usize>,
     next: u64,
@@ -167,7 +167,7 @@
             planted: None,
             chance: fastrand::Rng::with_seed(seed),
             rules,
-            folding: Folding::new("world"),
+            key_hasher: KeyHasher::new("world"),
             flying: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
             next: 0,
@@ -455,7 +455,7 @@
             ends_at: None,
         };
         self.nodes[node].open.insert(id, open);
-        let folded = self.folding.key(ClassId(0), &key.to_string());
+        let folded = self.key_hasher.key(ClassId(0), &key.to_string());
         let eager = self.planted == Some(Planted::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
             peers.come(now, id, folded, now + TimeSpan::from_secs(1));
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -15,12 +15,12 @@
 
 /// Folds clients' keys the same way in all dispatchers of one installation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Folding([u8; 32]);
+pub struct KeyHasher([u8; 32]);
 
-impl Folding {
+impl KeyHasher {
     /// `installation` is the same wherever records are to be found again, and another for others.
-    pub fn new(installation: &str) -> Folding {
-        Folding(blake3::derive_key(
+    pub fn new(installation: &str) -> KeyHasher {
+        KeyHasher(blake3::derive_key(
             "trailproxy records of keyed accesses, 1",
             installation.as_bytes(),
         ))
@@ -30,9 +30,9 @@
     ///
     /// ```
     /// use trailproxy::units::ClassId;
-    /// use trailproxy_shared_store::decide::records::Folding;
-    /// let (here, there) = (Folding::new("a/"), Folding::new("b/"));
-    /// assert_eq!(here.key(ClassId(1), "m"), Folding::new("a/").key(ClassId(1), "m"));
+    /// use trailproxy_shared_store::decide::records::KeyHasher;
+    /// let (here, there) = (KeyHasher::new("a/"), KeyHasher::new("b/"));
+    /// assert_eq!(here.key(ClassId(1), "m"), KeyHasher::new("a/").key(ClassId(1), "m"));
     /// assert_ne!(here.key(ClassId(1), "m"), here.key(ClassId(2), "m"));
     /// assert_ne!(here.key(ClassId(1), "m"), there.key(ClassId(1), "m"));
     /// ```
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -7,7 +7,7 @@
 use trailproxy_budgets::decide::shares::{self, Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
 use trailproxy_shared_store::decide::ops::{MailboxId, Op};
-use trailproxy_shared_store::decide::records::{Completion, Folding, RecordDecision};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
 use trailproxy_shared_store::scripts::{Under, Value, request, said};
@@ -228,7 +228,7 @@
         self.next_access += 1;
         let id = RequestId(self.next_access);
         let due = self.now + left;
-        let key = Folding::new("t").key(ClassId(1), mark);
+        let key = KeyHasher::new("t").key(ClassId(1), mark);
         self.members[nth].sharing.come(self.now, id, key, due);
         self.pump(nth);
         id
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -12,12 +12,12 @@
 use trailproxy_peers::decide::facts::Listed;
 use trailproxy_peers::decide::messages::{Address, AskNo, Life, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
-use trailproxy_shared_store::decide::records::{Completion, Folding};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher};
 
 pub struct Peered {
     /// The section that it runs by.
     pub told: PeersTold,
-    folding: Folding,
+    key_hasher: KeyHasher,
     peers: Peers,
     pub socket: Rc<UdpSocket>,
     to: mpsc::Sender<ToPeers>,
@@ -37,7 +37,7 @@
         log: Logger,
     ) -> Peered {
         Peered {
-            folding: Folding::new(&told.config.fleet),
+            key_hasher: KeyHasher::new(&told.config.fleet),
             told,
             peers,
             socket,
@@ -51,7 +51,7 @@
     /// A request with a key comes: it waits for the others for as long as that may take.
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
-        let key = self.folding.key(arrival.class, mark);
+        let key = self.key_hasher.key(arrival.class, mark);
         self.peers.come(now, arrival.id, key, due);
         self.act();
     }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -14,7 +14,7 @@
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::MailboxId;
-use trailproxy_shared_store::decide::records::{Completion, Folding, MOST_BODY};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MOST_BODY};
 use trailproxy_shared_store::decide::{Action, SharedState};
 use trailproxy_shared_store::scripts::{Under, request};
 use trailproxy_zones::Zones;
@@ -218,7 +218,7 @@
 /// Sharing as long as it is on, with the way to the store and what is held back for it.
 pub struct Shared {
     pub config: StoreConfig,
-    folding: Folding,
+    key_hasher: KeyHasher,
     sharing: SharedState,
     to: mpsc::Sender<ToStore>,
     run: String,
@@ -237,7 +237,7 @@
         log: Logger,
     ) -> Shared {
         Shared {
-            folding: Folding::new(&config.prefix),
+            key_hasher: KeyHasher::new(&config.prefix),
             config,
             sharing,
             to,
@@ -259,7 +259,7 @@
     /// A request comes: one with a key waits for the store for as long as that may take.
     pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
         let due = self.waiting.hold(now, arrival);
-        let key = self.folding.key(arrival.class, mark);
+        let key = self.key_hasher.key(arrival.class, mark);
         self.sharing.come(now, arrival.id, key, due);
         self.act();
     }
