--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -48,7 +48,9 @@
 use sync::{PIECE, Sync, Who, Why};
 use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Completion, Key, RecordDecision, Records, Step};
+use trailproxy_shared_store::decide::records::{
+    Completion, Key, RecordDecision, RecordStep, Records,
+};
 
 /// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
 pub const APART: TimeSpan = TimeSpan::from_millis(750);
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -12,7 +12,7 @@
 
 use announcements::{Announcement, Announcements};
 use ops::{Answer, MailboxId, Op, OpResult};
-use records::{Completion, Key, RecordDecision, Records, Step};
+use records::{Completion, Key, RecordDecision, RecordStep, Records};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::interface::{HostEntry, PeerAttempt};
 use trailproxy::units::*;
@@ -475,17 +475,17 @@
         });
     }
 
-    fn follow(&mut self, now: Timestamp, steps: Vec<Step>) {
+    fn follow(&mut self, now: Timestamp, steps: Vec<RecordStep>) {
         for step in steps {
             match step {
-                Step::Claim(id, key) => {
+                RecordStep::Claim(id, key) => {
                     let (token, keep) = (self.token(id), self.rules.keep);
                     if !self.ask(now, What::Claim(id), Op::Claim { key, token, keep }) {
                         let go = self.records.go(id);
                         self.follow(now, go);
                     }
                 }
-                Step::Decided(id, verdict) => {
+                RecordStep::Decided(id, verdict) => {
                     self.counts.answered += u64::from(matches!(verdict, RecordDecision::Answer(_)));
                     self.actions.push(Action::Decided { id, verdict });
                 }
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -133,7 +133,7 @@
 
 /// What to do about an access.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum RecordStep {
     Claim(RequestId, Key),
     Decided(RequestId, RecordDecision),
 }
@@ -172,7 +172,7 @@
         key: Key,
         due: Timestamp,
         wait: Option<TimeSpan>,
-    ) -> Vec<Step> {
+    ) -> Vec<RecordStep> {
         let left = due.since(now);
         let until = now + wait.map_or(TimeSpan::ZERO, |most| most.min(left.mul_f64(WAIT_PART)));
         let waits = until > now;
@@ -189,15 +189,15 @@
         if waits {
             self.timed.insert((until, id));
         }
-        let mut steps = vec![Step::Claim(id, key)];
+        let mut steps = vec![RecordStep::Claim(id, key)];
         if !waits {
-            steps.push(Step::Decided(id, RecordDecision::Proceed));
+            steps.push(RecordStep::Decided(id, RecordDecision::Proceed));
         }
         steps
     }
 
     /// The claim stands: no other has this key.
-    pub fn mine(&mut self, id: RequestId) -> Vec<Step> {
+    pub fn mine(&mut self, id: RequestId) -> Vec<RecordStep> {
         let Some(own) = self.own.get_mut(&id) else {
             return Vec::new();
         };
@@ -219,7 +219,7 @@
         asked: Timestamp,
         id: RequestId,
         record: Record,
-    ) -> Vec<Step> {
+    ) -> Vec<RecordStep> {
         let Some(own) = self.own.get_mut(&id) else {
             return Vec::new();
         };
@@ -237,7 +237,7 @@
         match (record.stand, record.body) {
             (RecordStatus::Done, Some(body)) => {
                 own.phase = Phase::Gone;
-                vec![Step::Decided(id, RecordDecision::Answer(body))]
+                vec![RecordStep::Decided(id, RecordDecision::Answer(body))]
             }
             (RecordStatus::Claimed | RecordStatus::Sent, _) if now < own.join_until => {
                 let every = match own.phase {
@@ -254,19 +254,19 @@
     }
 
     /// Whoever waits goes on without the store.
-    pub fn leave(&mut self) -> Vec<Step> {
+    pub fn leave(&mut self) -> Vec<RecordStep> {
         let waiting = self.own.iter().filter(|(_, own)| own.phase != Phase::Gone);
         let waiting: Vec<RequestId> = waiting.map(|(&id, _)| id).collect();
         waiting.into_iter().flat_map(|id| self.go(id)).collect()
     }
 
     /// One whose question can't be answered goes on without.
-    pub fn go(&mut self, id: RequestId) -> Vec<Step> {
+    pub fn go(&mut self, id: RequestId) -> Vec<RecordStep> {
         let waits = |own: &&mut Own| own.phase != Phase::Gone;
         match self.own.get_mut(&id).filter(waits) {
             Some(own) => {
                 own.phase = Phase::Gone;
-                vec![Step::Decided(id, RecordDecision::Proceed)]
+                vec![RecordStep::Decided(id, RecordDecision::Proceed)]
             }
             None => Vec::new(),
         }
@@ -297,7 +297,7 @@
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Timestamp) -> Vec<Step> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<RecordStep> {
         let mut steps = Vec::new();
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
             self.timed.remove(&(at, id));
@@ -310,7 +310,7 @@
                     if now >= own.join_until {
                         steps.extend(self.go(id));
                     } else {
-                        steps.push(Step::Claim(id, own.key));
+                        steps.push(RecordStep::Claim(id, own.key));
                         // Without an answer it goes when the time to join is over.
                         self.timed.insert((own.join_until, id));
                     }
