--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -163,7 +163,7 @@
 
 /// Where all of it stands in the store, and under which epoch it is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Under<'a> {
+pub struct ScriptContext<'a> {
     /// Before every key, so that several installations can share a server.
     pub prefix: &'a str,
     /// One history of one server process, as that names itself.
@@ -210,7 +210,7 @@
 }
 
 /// An operation as a script with its keys and arguments.
-pub fn request(op: &Op, under: &Under) -> Request {
+pub fn request(op: &Op, under: &ScriptContext) -> Request {
     let key = |rest: String| format!("{}{rest}", under.prefix);
     let mut keys = vec![key("epoch".into())];
     let text = |text: String| text.into_bytes();
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -10,7 +10,7 @@
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
-use trailproxy_shared_store::scripts::{Under, Value, request, said};
+use trailproxy_shared_store::scripts::{ScriptContext, Value, request, said};
 use trailproxy_standins::redis::{self, Redis};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(4);
@@ -359,7 +359,7 @@
 
     fn apply_one(&mut self, nth: usize, asked: Asked) {
         let half = self.members[nth].half;
-        let under = Under {
+        let under = ScriptContext {
             prefix: "t:",
             run: &asked.run,
             epoch: asked.epoch,
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -16,7 +16,7 @@
 use trailproxy_shared_store::decide::ops::MailboxId;
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MOST_BODY};
 use trailproxy_shared_store::decide::{Action, SharedState};
-use trailproxy_shared_store::scripts::{Under, request};
+use trailproxy_shared_store::scripts::{ScriptContext, request};
 use trailproxy_zones::Zones;
 
 #[derive(Default)]
@@ -329,7 +329,7 @@
                     not_after_ms,
                 } => {
                     let (prefix, run) = (self.config.prefix.as_str(), self.run.as_str());
-                    let under = Under {
+                    let under = ScriptContext {
                         prefix,
                         run,
                         epoch,
