--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -99,7 +99,7 @@
 /// By how much the clocks of two stores, of which one takes the other's place, may differ.
 pub const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(500);
 /// Longer answers are not kept.
-pub const MOST_BODY: usize = 512;
+pub const MAX_BODY_BYTES: usize = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -14,7 +14,7 @@
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::MailboxId;
-use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MOST_BODY};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MAX_BODY_BYTES};
 use trailproxy_shared_store::decide::{Action, SharedState};
 use trailproxy_shared_store::scripts::{ScriptContext, request};
 use trailproxy_zones::Zones;
@@ -373,7 +373,9 @@
 /// What came of a request, by what became of its attempts.
 pub fn came(done: Option<&[u8]>, ran: bool) -> Completion {
     match done {
-        Some(body) => Completion::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
+        Some(body) => {
+            Completion::Done(Some(body.to_vec()).filter(|body| body.len() <= MAX_BODY_BYTES))
+        }
         None if ran => Completion::Unknown,
         None => Completion::NeverRan,
     }
