--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -153,7 +153,7 @@
             attempted: false,
         };
         self.members[member].open.insert(id, open);
-        let folded = self.folding.key(ClassId(0), &key.to_string());
+        let folded = self.key_hasher.key(ClassId(0), &key.to_string());
         let due = now + self.settings.demand.limit;
         self.with_peers(member, |peers| peers.come(now, id, folded, due));
     }
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -11,7 +11,7 @@
     pub fn come(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         self.wake(now);
         if !self.rules.records || self.quiet() {
-            let verdict = Verdict::Go;
+            let verdict = RecordDecision::Proceed;
             return self.acts.push(Action::Decided { id, verdict });
         }
         let slot = FactId::Record(key.0).slot();
@@ -38,7 +38,7 @@
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.records.ended(id, &came);
         self.claims.ended(now, id, came);
         self.tell_owed(now);
@@ -67,12 +67,12 @@
         Token(self.chance.u64(16..))
     }
 
-    pub(super) fn follow(&mut self, now: Timestamp, steps: Vec<Step>) {
+    pub(super) fn follow(&mut self, now: Timestamp, steps: Vec<RecordStep>) {
         for step in steps {
             match step {
-                Step::Claim(id, key) => self.claim(now, id, key),
-                Step::Decided(id, verdict) => {
-                    self.counts.answered += u64::from(matches!(verdict, Verdict::Answer(_)));
+                RecordStep::Claim(id, key) => self.claim(now, id, key),
+                RecordStep::Decided(id, verdict) => {
+                    self.counts.answered += u64::from(matches!(verdict, RecordDecision::Answer(_)));
                     self.acts.push(Action::Decided { id, verdict });
                 }
             }
