--- a/crates/budgets/src/sheet.rs
+++ b/crates/budgets/src/config.rs
@@ -6,7 +6,7 @@
 
 /// The section `budgets`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct BudgetsConfig {
     pub file: String,
     /// Line and column of the section, from 1.
     pub place: (usize, usize),
@@ -23,7 +23,7 @@
 /// Voters at most: each is asked by all.
 pub const MOST_VOTERS: usize = 9;
 
-impl Sheet {
+impl BudgetsConfig {
     /// The message of a field that does not fit.
     pub fn wrong(&self, field: &str, found: &str, accepted: &str) -> String {
         let (line, column) = self.place;
--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -3,7 +3,7 @@
 use super::needs::Traffic;
 use super::shares::{Act, Named, Note, Shares};
 use super::{BudgetId, HolderId, LifeId};
-use crate::sheet::Sheet;
+use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
 use trailproxy::interface::*;
 use trailproxy::units::*;
@@ -21,7 +21,7 @@
 
 /// One dispatcher's budgets with who follows them.
 pub struct Following {
-    pub sheet: Sheet,
+    pub sheet: BudgetsConfig,
     own: (HolderId, LifeId),
     shares: Shares,
     followers: BTreeMap<BudgetId, Follower>,
@@ -48,7 +48,7 @@
 impl Following {
     pub fn new(
         now: Timestamp,
-        sheet: Sheet,
+        sheet: BudgetsConfig,
         own: (HolderId, LifeId),
         terms: &DispatcherSettings,
         seed: u64,
@@ -83,7 +83,7 @@
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, sheet: &Sheet, own: (HolderId, LifeId)) -> bool {
+    pub fn is(&self, sheet: &BudgetsConfig, own: (HolderId, LifeId)) -> bool {
         self.sheet == *sheet && self.own == own
     }
 
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,11 +1,11 @@
 //! Budgets of the whole fleet: what all dispatchers together may do, divided among them by need and divided anew.
 //!
 //! [`decide::voter::Voter`] and [`decide::holder::Holder`] are the two sides, [`decide::shares::Shares`] all of one
-//! dispatcher's budgets, without I/O and without a clock; [`sheet`] is what the operator's file says. `docs/budgets.md` is
+//! dispatcher's budgets, without I/O and without a clock; [`config`] is what the operator's file says. `docs/budgets.md` is
 //! the operators' page, `docs/budgets-design.md` has the ways weighed.
 
+pub mod config;
 pub mod decide;
-pub mod sheet;
 
 use decide::shares::Note;
 
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -2,10 +2,10 @@
 
 use std::collections::VecDeque;
 use trailproxy::units::*;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::needs::Traffic;
 use trailproxy_budgets::decide::shares::{Act, Named, Note, Shares};
 use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
-use trailproxy_budgets::sheet::Sheet;
 
 const LINK: &str = "1/link";
 
@@ -302,7 +302,7 @@
 
 #[test]
 fn a_section_with_wrong_voters_is_refused_by_place_and_field() {
-    let sheet = |voters: &[&str]| Sheet {
+    let sheet = |voters: &[&str]| BudgetsConfig {
         file: "f.star".into(),
         place: (3, 1),
         voters: voters.iter().map(|name| (*name).to_owned()).collect(),
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -2,9 +2,9 @@
 
 use crate::layout::Layout;
 use trailproxy::units::{TimeSpan, Timestamp};
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::shares::{Named, Shares};
 use trailproxy_budgets::decide::{BudgetId, HolderId, LifeId};
-use trailproxy_budgets::sheet::Sheet;
 
 /// How often needs are told and parts are summed up.
 pub const EVERY: TimeSpan = TimeSpan::from_millis(100);
@@ -20,8 +20,8 @@
 const ROUNDING: f64 = 1e-9;
 
 /// The settings that all members have.
-pub fn sheet(voters: Vec<String>) -> Sheet {
-    Sheet {
+pub fn sheet(voters: Vec<String>) -> BudgetsConfig {
+    BudgetsConfig {
         file: "fleet".into(),
         place: (1, 1),
         voters,
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -7,9 +7,9 @@
 use crate::tally::Cause;
 use trailproxy::interface::{Action, Ending, Event, HostListKind};
 use trailproxy::units::RequestId;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::following::Following;
 use trailproxy_budgets::decide::{HolderId, LifeId};
-use trailproxy_budgets::sheet::Sheet;
 use trailproxy_standins::fleet::Ticket;
 
 impl World<'_> {
@@ -50,7 +50,7 @@
         let Some(divided) = &self.scenario.divided else {
             return;
         };
-        let sheet = Sheet {
+        let sheet = BudgetsConfig {
             file: "model".into(),
             place: (1, 1),
             voters: (0..divided.voters.min(self.seats.len()))
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,6 +1,6 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_operator::decide::{Absent, Kind, Shape, Sheet as Script, may, must};
 use trailproxy_peers::config::{Config as PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
@@ -163,9 +163,9 @@
 };
 
 /// What a checked script says; `None` where it has no section `budgets`, or that is not on.
-pub fn budgets_sheet(script: &Script) -> Option<BudgetsSheet> {
+pub fn budgets_sheet(script: &Script) -> Option<BudgetsConfig> {
     let of = script.one("budgets").filter(|of| of.flag("on"))?;
-    Some(BudgetsSheet {
+    Some(BudgetsConfig {
         file: script.file.clone(),
         place: (of.place.line, of.place.column),
         voters: of.names("voters").into_iter().map(str::to_owned).collect(),
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -3,9 +3,9 @@
 use slog::{Logger, info, warn};
 use trailproxy::interface::*;
 use trailproxy::units::*;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::following::Following;
 use trailproxy_budgets::decide::{HolderId, LifeId};
-use trailproxy_budgets::sheet::Sheet;
 use trailproxy_peers::decide::messages::{Life, PeerId};
 use trailproxy_zones::Zones;
 
@@ -17,7 +17,7 @@
 impl Divided {
     pub fn new(
         now: Timestamp,
-        config: Sheet,
+        config: BudgetsConfig,
         own: (PeerId, Life),
         terms: &DispatcherSettings,
         seed: u64,
@@ -35,7 +35,7 @@
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, config: &Sheet, own: (PeerId, Life)) -> bool {
+    pub fn is(&self, config: &BudgetsConfig, own: (PeerId, Life)) -> bool {
         self.following.sheet == *config && self.own() == own
     }
 
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 use trailproxy::interface::{DispatcherSettings, Effect};
 use trailproxy::units::TimeSpan;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_peers::config::{Addresses, Config as PeersConfig};
 use trailproxy_peers::decide::locality::Topology;
 use trailproxy_shared_store::config::StoreConfig;
@@ -38,7 +38,7 @@
     pub zones: Option<Box<(Sheet, Rules)>>,
     pub store: Option<Box<StoreConfig>>,
     pub peers: Option<Box<PeersTold>>,
-    pub budgets: Option<Box<BudgetsSheet>>,
+    pub budgets: Option<Box<BudgetsConfig>>,
 }
 
 /// The section `peers`, with what it comes to here.
@@ -130,7 +130,7 @@
             None => None,
         };
         let budgets = all.as_object_mut().and_then(|all| all.remove("budgets"));
-        let budgets: Option<Box<BudgetsSheet>> = match budgets {
+        let budgets: Option<Box<BudgetsConfig>> = match budgets {
             Some(budgets) => serde_json::from_value(budgets)
                 .map_err(|e| format!("{path}: section budgets: {e}"))?,
             None => None,
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -10,7 +10,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_budgets::BESIDE;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::ops::MailboxId;
@@ -160,7 +160,7 @@
     pub fn budgets(
         &mut self,
         now: Timestamp,
-        config: Option<&BudgetsSheet>,
+        config: Option<&BudgetsConfig>,
         (name, fresh): (&str, Life),
         (terms, seed): (&DispatcherSettings, u64),
         log: &Logger,
