--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -1,7 +1,7 @@
 //! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
 
 use super::needs::Traffic;
-use super::shares::{Act, Named, Note, Shares};
+use super::shares::{Action, Named, Note, Shares};
 use super::{BudgetId, HolderId, LifeId};
 use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
@@ -171,8 +171,8 @@
         let among = |part: f64| Some(1.0 / part.max(1e-9));
         for act in self.shares.take() {
             match act {
-                Act::Send(to, note) => self.messages.push((to, note)),
-                Act::Part(id, part) => match self.followers.get(&id) {
+                Action::Send(to, note) => self.messages.push((to, note)),
+                Action::Part(id, part) => match self.followers.get(&id) {
                     Some(Follower::Crossing(name)) => {
                         zones
                             .iter_mut()
@@ -182,7 +182,7 @@
                     Some(Follower::ColdParents) => self.cold.1 = among(part.part),
                     None => {}
                 },
-                Act::Differs { name, own, other } => {
+                Action::Differs { name, own, other } => {
                     self.differs.push(Differs { name, own, other });
                 }
             }
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -44,7 +44,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     Send(HolderId, Note),
     /// The part of this budget is another now.
     Part(BudgetId, Part),
@@ -86,7 +86,7 @@
     voters: Vec<HolderId>,
     budgets: BTreeMap<BudgetId, One>,
     chance: fastrand::Rng,
-    acts: Vec<Act>,
+    actions: Vec<Action>,
 }
 
 impl One {
@@ -125,7 +125,7 @@
             voters,
             budgets: BTreeMap::new(),
             chance: fastrand::Rng::with_seed(seed),
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
@@ -236,7 +236,7 @@
         if let Some(one) = self.budgets.get_mut(&stated.budget)
             && !std::mem::replace(&mut one.differs, true)
         {
-            self.acts.push(Act::Differs {
+            self.actions.push(Action::Differs {
                 name: one.named.name.clone(),
                 own: one.named.whole,
                 other: stated.whole,
@@ -248,7 +248,7 @@
         if to == self.own {
             self.heard(now, to, note);
         } else {
-            self.acts.push(Act::Send(to, note));
+            self.actions.push(Action::Send(to, note));
         }
     }
 
@@ -292,14 +292,14 @@
             let part = one.part(now);
             if one.told != Some(part) {
                 one.told = Some(part);
-                self.acts.push(Act::Part(id, part));
+                self.actions.push(Action::Part(id, part));
             }
         }
     }
 
     /// What is to be done now.
-    pub fn take(&mut self) -> Vec<Act> {
-        std::mem::take(&mut self.acts)
+    pub fn take(&mut self) -> Vec<Action> {
+        std::mem::take(&mut self.actions)
     }
 
     /// A line for each budget, for a person.
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -4,7 +4,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::needs::Traffic;
-use trailproxy_budgets::decide::shares::{Act, Named, Note, Shares};
+use trailproxy_budgets::decide::shares::{Action, Named, Note, Shares};
 use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
 
 const LINK: &str = "1/link";
@@ -96,14 +96,14 @@
     fn act(&mut self, nth: usize) {
         for act in self.all[nth].as_mut().map(Shares::take).unwrap_or_default() {
             match act {
-                Act::Send(to, note) => {
+                Action::Send(to, note) => {
                     let to = to.0 as usize;
                     if !self.cut[nth] && !self.cut[to] {
                         self.flying.push_back((to, HolderId(nth as u64), note));
                     }
                 }
-                Act::Differs { name, .. } => self.differs.push((nth, name)),
-                Act::Part(..) => {}
+                Action::Differs { name, .. } => self.differs.push((nth, name)),
+                Action::Part(..) => {}
             }
         }
     }
@@ -327,7 +327,7 @@
     shares.set(Timestamp(0), vec![named(LINK, 5.0, 2)]);
     shares.advance(Timestamp(1_000_000));
     let sent = shares.take().into_iter().find_map(|act| match act {
-        Act::Send(_, note) => Some(note),
+        Action::Send(_, note) => Some(note),
         _ => None,
     });
     let note = sent.expect("a question");
