--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -2,7 +2,7 @@
 
 use super::needs::Traffic;
 use super::shares::{Action, Named, Note, Shares};
-use super::{BudgetId, HolderId, LifeId};
+use super::{BootId, BudgetId, HolderId};
 use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
 use trailproxy::interface::*;
@@ -22,7 +22,7 @@
 /// One dispatcher's budgets with who follows them.
 pub struct Following {
     pub sheet: BudgetsConfig,
-    own: (HolderId, LifeId),
+    own: (HolderId, BootId),
     shares: Shares,
     followers: BTreeMap<BudgetId, Follower>,
     zone: ZoneId,
@@ -49,7 +49,7 @@
     pub fn new(
         now: Timestamp,
         sheet: BudgetsConfig,
-        own: (HolderId, LifeId),
+        own: (HolderId, BootId),
         terms: &DispatcherSettings,
         seed: u64,
     ) -> Following {
@@ -78,12 +78,12 @@
         }
     }
 
-    pub fn own(&self) -> (HolderId, LifeId) {
+    pub fn own(&self) -> (HolderId, BootId) {
         self.own
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, sheet: &BudgetsConfig, own: (HolderId, LifeId)) -> bool {
+    pub fn is(&self, sheet: &BudgetsConfig, own: (HolderId, BootId)) -> bool {
         self.sheet == *sheet && self.own == own
     }
 
--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -1,6 +1,6 @@
 //! What one dispatcher may use of a budget, and what it asks for.
 
-use super::{Ask, AskNo, Division, HolderId, LifeId, TicketId, VoterId, Word};
+use super::{Ask, AskNo, BootId, Division, HolderId, TicketId, VoterId, Word};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -25,7 +25,7 @@
 pub struct Holder {
     division: Division,
     id: HolderId,
-    life: LifeId,
+    life: BootId,
     words: BTreeMap<TicketId, Words>,
     /// When each question went out, by voter: a word counts from then.
     asked: BTreeMap<(VoterId, AskNo), Timestamp>,
@@ -49,7 +49,7 @@
         now: Timestamp,
         division: Division,
         id: HolderId,
-        life: LifeId,
+        life: BootId,
         seed: u64,
     ) -> Holder {
         Holder {
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -28,7 +28,7 @@
 
 /// One process of a dispatcher: what a former one held is not this one's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LifeId(pub u64);
+pub struct BootId(pub u64);
 
 /// A budget, by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -123,7 +123,7 @@
 pub struct Ask {
     pub no: AskNo,
     pub holder: HolderId,
-    pub life: LifeId,
+    pub life: BootId,
     /// Held tickets, whose words are to go on, then further ones that are wanted.
     pub renew: Vec<TicketId>,
     pub want: Vec<TicketId>,
@@ -142,7 +142,7 @@
 pub struct Word {
     pub no: AskNo,
     /// Whom it is for: a process that took another's place must not take its words.
-    pub life: LifeId,
+    pub life: BootId,
     /// These are the holder's, as far as this voter goes.
     pub given: Vec<TicketId>,
     /// Nobody's, as far as this voter goes: some of them.
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -6,7 +6,7 @@
 
 use super::holder::Holder;
 use super::voter::Voter;
-use super::{Ask, BudgetId, Division, HolderId, LifeId, VoterId, Word};
+use super::{Ask, BootId, BudgetId, Division, HolderId, VoterId, Word};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 pub struct Shares {
     own: HolderId,
-    life: LifeId,
+    life: BootId,
     voters: Vec<HolderId>,
     budgets: BTreeMap<BudgetId, One>,
     chance: fastrand::Rng,
@@ -118,7 +118,7 @@
 
 impl Shares {
     /// `voters`: the same ones in the same order with all dispatchers; the own name may be among them.
-    pub fn new(own: HolderId, life: LifeId, voters: Vec<HolderId>, seed: u64) -> Shares {
+    pub fn new(own: HolderId, life: BootId, voters: Vec<HolderId>, seed: u64) -> Shares {
         Shares {
             own,
             life,
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -3,7 +3,7 @@
 //! A voter has no memory but its own. One that starts may have given its word before, and keeps silent until every word
 //! that it could have given has run out.
 
-use super::{Ask, AskNo, Division, HolderId, LifeId, TicketId, Word};
+use super::{Ask, AskNo, BootId, Division, HolderId, TicketId, Word};
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -14,7 +14,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Given {
-    to: (HolderId, LifeId),
+    to: (HolderId, BootId),
     /// The last question that it was given to: what was said before that gives nothing back.
     no: AskNo,
     until: Timestamp,
@@ -119,7 +119,7 @@
             self.given.remove(&ticket);
         } else if let Some(given) = self.given.get_mut(&ticket) {
             // Nobody's, and not to be had before then.
-            given.to = (HolderId(u64::MAX), LifeId(u64::MAX));
+            given.to = (HolderId(u64::MAX), BootId(u64::MAX));
             given.until = given.until.min(until);
         }
     }
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -7,7 +7,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::decide::holder::Holder;
 use trailproxy_budgets::decide::voter::Voter;
-use trailproxy_budgets::decide::{Division, HolderId, LifeId, VoterId};
+use trailproxy_budgets::decide::{BootId, Division, HolderId, VoterId};
 use world::*;
 
 #[test]
@@ -223,7 +223,7 @@
         guard: TimeSpan::ZERO,
     };
     let holder = |nth: u64, life: u64, now| {
-        let mut holder = Holder::new(now, division, HolderId(nth), LifeId(life), life);
+        let mut holder = Holder::new(now, division, HolderId(nth), BootId(life), life);
         holder.needs(now, 1.0, 0.0);
         holder
     };
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -4,7 +4,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::decide::holder::Holder;
 use trailproxy_budgets::decide::voter::Voter;
-use trailproxy_budgets::decide::{Ask, AskNo, Division, HolderId, LifeId, TicketId, VoterId, Word};
+use trailproxy_budgets::decide::{Ask, AskNo, BootId, Division, HolderId, TicketId, VoterId, Word};
 
 pub const DAWN: Timestamp = Timestamp(1_000_000_000);
 
@@ -48,7 +48,7 @@
     pub works: Vec<(usize, Timestamp)>,
     pub most_works: usize,
     pub planted: Option<Planted>,
-    pub lives: Vec<LifeId>,
+    pub lives: Vec<BootId>,
 }
 
 /// Mistakes put in on purpose.
@@ -94,7 +94,7 @@
             works: Vec::new(),
             most_works: 0,
             planted: None,
-            lives: vec![LifeId(0); holders],
+            lives: vec![BootId(0); holders],
         };
         (0..5).for_each(|n| world.start_voter(n));
         (0..holders).for_each(|n| world.start(n));
@@ -124,7 +124,7 @@
     pub fn start(&mut self, nth: usize) {
         self.next += 1;
         let (now, seed) = (self.clock(nth), self.chance.u64(..));
-        let (id, life) = (HolderId(nth as u64), LifeId(self.next));
+        let (id, life) = (HolderId(nth as u64), BootId(self.next));
         self.lives[nth] = life;
         let mut division = self.division;
         if self.planted == Some(Planted::NoDrift) {
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -4,7 +4,7 @@
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::shares::{Named, Shares};
-use trailproxy_budgets::decide::{BudgetId, HolderId, LifeId};
+use trailproxy_budgets::decide::{BootId, BudgetId, HolderId};
 
 /// How often needs are told and parts are summed up.
 pub const EVERY: TimeSpan = TimeSpan::from_millis(100);
@@ -40,7 +40,7 @@
 /// One member's side of all budgets.
 pub fn shares(
     now: Timestamp,
-    own: (HolderId, LifeId),
+    own: (HolderId, BootId),
     voters: &[String],
     seats: usize,
     seed: u64,
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use trailproxy::units::{RequestId, Timestamp};
 use trailproxy_budgets::decide::shares::Shares;
-use trailproxy_budgets::decide::{HolderId, LifeId};
+use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
 use trailproxy_peers::decide::members::Own;
 use trailproxy_peers::decide::messages::{Address, PeerId};
@@ -106,7 +106,7 @@
     pub fn start_budgets(&mut self, now: Timestamp, voters: &[String], seats: usize, seed: u64) {
         let Some(peers) = &self.peers else { return };
         let own = peers.members().own();
-        let own = (HolderId(own.id.0), LifeId(own.life.0));
+        let own = (HolderId(own.id.0), BootId(own.life.0));
         self.shares = Some(budgets::shares(now, own, voters, seats, seed));
     }
 }
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -9,7 +9,7 @@
 use trailproxy::units::RequestId;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::following::Following;
-use trailproxy_budgets::decide::{HolderId, LifeId};
+use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_standins::fleet::Ticket;
 
 impl World<'_> {
@@ -60,7 +60,7 @@
             lasts_s: 2.0,
             cold: divided.cold,
         };
-        let (now, life) = (self.now, LifeId(u64::from(self.seats[seat].life) + 1));
+        let (now, life) = (self.now, BootId(u64::from(self.seats[seat].life) + 1));
         let own = (HolderId::of_name(&name(seat)), life);
         let terms = self.scenario.terms(self.seats[seat].zone);
         let mut following = Following::new(now, sheet, own, &terms, seed);
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::units::*;
 use trailproxy_budgets::decide::shares::{self, Named, Shares};
-use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
+use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 use trailproxy_shared_store::decide::ops::{MailboxId, Op};
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
@@ -152,7 +152,7 @@
         };
         let (name, whole) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
-        let mut shares = Shares::new(HolderId(nth as u64), LifeId(seed), voters, seed);
+        let mut shares = Shares::new(HolderId(nth as u64), BootId(seed), voters, seed);
         let named = Named {
             name,
             whole,
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -5,7 +5,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::following::Following;
-use trailproxy_budgets::decide::{HolderId, LifeId};
+use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_peers::decide::messages::{Life, PeerId};
 use trailproxy_zones::Zones;
 
@@ -24,7 +24,7 @@
         log: Logger,
     ) -> Divided {
         info!(log, "budgets are on"; "file" => &config.file, "voters" => config.voters.len());
-        let own = (HolderId(own.0.0), LifeId(own.1.0));
+        let own = (HolderId(own.0.0), BootId(own.1.0));
         let following = Following::new(now, config, own, terms, seed);
         Divided { following, log }
     }
