--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -1,6 +1,6 @@
 //! What one dispatcher may use of a budget, and what it asks for.
 
-use super::{Ask, AskNo, BootId, Division, HolderId, TicketId, VoterId, Word};
+use super::{BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId, VoterId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -28,10 +28,10 @@
     life: BootId,
     words: BTreeMap<TicketId, Words>,
     /// When each question went out, by voter: a word counts from then.
-    asked: BTreeMap<(VoterId, AskNo), Timestamp>,
+    asked: BTreeMap<(VoterId, RequestNo), Timestamp>,
     free: BTreeMap<TicketId, BTreeSet<VoterId>>,
     /// Given back with this question: what was asked before it says nothing of the ticket any more.
-    dropped: BTreeMap<TicketId, AskNo>,
+    dropped: BTreeMap<TicketId, RequestNo>,
     fair: BTreeMap<VoterId, u16>,
     /// When each voter last answered.
     heard: BTreeMap<VoterId, Timestamp>,
@@ -173,7 +173,7 @@
     }
 
     /// What is due by now: a question for each voter.
-    pub fn advance(&mut self, now: Timestamp) -> Vec<(VoterId, Ask)> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<(VoterId, LeaseRequest)> {
         if now < self.ask_at {
             return Vec::new();
         }
@@ -195,12 +195,12 @@
         let want = self.picks(lacks.min(MOST_WANTED));
         self.free.clear();
         self.next += 1;
-        let no = AskNo(self.next);
+        let no = RequestNo(self.next);
         let oldest = self.asked.keys().map(|&(_, no)| no).min();
         self.dropped
             .retain(|_, dropped| oldest.is_some_and(|oldest| oldest < *dropped));
         self.dropped.extend(give.iter().map(|&ticket| (ticket, no)));
-        let ask = Ask {
+        let ask = LeaseRequest {
             no,
             holder: self.id,
             life: self.life,
@@ -221,12 +221,12 @@
     }
 
     /// It ends in order: all that it holds is given back.
-    pub fn leave(&mut self, now: Timestamp) -> Vec<(VoterId, Ask)> {
+    pub fn leave(&mut self, now: Timestamp) -> Vec<(VoterId, LeaseRequest)> {
         self.lately.clear();
         let give: Vec<TicketId> = std::mem::take(&mut self.words).into_keys().collect();
         self.next += 1;
-        let ask = Ask {
-            no: AskNo(self.next),
+        let ask = LeaseRequest {
+            no: RequestNo(self.next),
             holder: self.id,
             life: self.life,
             renew: Vec::new(),
@@ -299,7 +299,7 @@
     }
 
     /// A voter answers.
-    pub fn told(&mut self, now: Timestamp, voter: VoterId, word: &Word) {
+    pub fn told(&mut self, now: Timestamp, voter: VoterId, word: &LeaseGrant) {
         let ours = Some(voter).filter(|_| word.life == self.life);
         let Some(asked) = ours.and_then(|voter| self.asked.remove(&(voter, word.no))) else {
             return;
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -53,7 +53,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct AskNo(pub u64);
+pub struct RequestNo(pub u64);
 
 /// How a budget is divided; the same in all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -120,8 +120,8 @@
 
 /// From a holder to a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
-    pub no: AskNo,
+pub struct LeaseRequest {
+    pub no: RequestNo,
     pub holder: HolderId,
     pub life: BootId,
     /// Held tickets, whose words are to go on, then further ones that are wanted.
@@ -139,8 +139,8 @@
 
 /// From a voter to a holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
-    pub no: AskNo,
+pub struct LeaseGrant {
+    pub no: RequestNo,
     /// Whom it is for: a process that took another's place must not take its words.
     pub life: BootId,
     /// These are the holder's, as far as this voter goes.
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -6,7 +6,7 @@
 
 use super::holder::Holder;
 use super::voter::Voter;
-use super::{Ask, BootId, BudgetId, Division, HolderId, VoterId, Word};
+use super::{BootId, BudgetId, Division, HolderId, LeaseGrant, LeaseRequest, VoterId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
@@ -30,8 +30,8 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Note {
-    Ask(Stated, Ask),
-    Word(Stated, Word),
+    Request(Stated, LeaseRequest),
+    Grant(Stated, LeaseGrant),
 }
 
 /// One budget, as the operator's file has it here.
@@ -185,7 +185,7 @@
     /// A note from another, or from this one's own voter or holder.
     pub fn heard(&mut self, now: Timestamp, from: HolderId, note: Note) {
         let stated = match &note {
-            Note::Ask(stated, _) | Note::Word(stated, _) => *stated,
+            Note::Request(stated, _) | Note::Grant(stated, _) => *stated,
         };
         let Some(one) = self.budgets.get_mut(&stated.budget) else {
             return;
@@ -195,8 +195,8 @@
             return self.differs(stated);
         }
         let wholes = match &note {
-            Note::Ask(..) => &mut one.asked,
-            Note::Word(..) => &mut one.answered,
+            Note::Request(..) => &mut one.asked,
+            Note::Grant(..) => &mut one.answered,
         };
         if stated.whole.is_finite() && stated.whole >= 0.0 {
             wholes.retain(|_, (_, at)| now.since(*at) < STATED_FOR);
@@ -205,16 +205,16 @@
             }
         }
         match note {
-            Note::Ask(_, ask) if ask.holder == from => {
+            Note::Request(_, ask) if ask.holder == from => {
                 let word = one.voter.as_mut().and_then(|voter| voter.asked(now, &ask));
                 if let Some(word) = word {
                     let whole = least(&one.asked, now, one.named.whole);
-                    let note = Note::Word(one.stated(whole), word);
+                    let note = Note::Grant(one.stated(whole), word);
                     self.send(now, from, note);
                 }
             }
-            Note::Ask(..) => {}
-            Note::Word(_, word) => {
+            Note::Request(..) => {}
+            Note::Grant(_, word) => {
                 let voter = self.voters.iter().position(|&voter| voter == from);
                 if let Some(nth) = voter {
                     one.holder.told(now, VoterId(nth as u8), &word);
@@ -266,11 +266,11 @@
         self.ask(now, asks);
     }
 
-    fn ask(&mut self, now: Timestamp, asks: Vec<(Stated, Vec<(VoterId, Ask)>)>) {
+    fn ask(&mut self, now: Timestamp, asks: Vec<(Stated, Vec<(VoterId, LeaseRequest)>)>) {
         for (stated, asks) in asks {
             for (voter, ask) in asks {
                 if let Some(&to) = self.voters.get(usize::from(voter.0)) {
-                    self.send(now, to, Note::Ask(stated, ask));
+                    self.send(now, to, Note::Request(stated, ask));
                 }
             }
         }
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -3,7 +3,7 @@
 //! A voter has no memory but its own. One that starts may have given its word before, and keeps silent until every word
 //! that it could have given has run out.
 
-use super::{Ask, AskNo, BootId, Division, HolderId, TicketId, Word};
+use super::{BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId};
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
 
@@ -16,7 +16,7 @@
 struct Given {
     to: (HolderId, BootId),
     /// The last question that it was given to: what was said before that gives nothing back.
-    no: AskNo,
+    no: RequestNo,
     until: Timestamp,
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// `None`: it can't give its word yet.
-    pub fn asked(&mut self, now: Timestamp, ask: &Ask) -> Option<Word> {
+    pub fn asked(&mut self, now: Timestamp, ask: &LeaseRequest) -> Option<LeaseGrant> {
         if now < self.silent_until {
             return None;
         }
@@ -103,7 +103,7 @@
                 given.push(ticket);
             }
         }
-        Some(Word {
+        Some(LeaseGrant {
             no: ask.no,
             life: ask.life,
             given,
@@ -125,7 +125,7 @@
     }
 
     /// From a place on that is the same for one question at all voters, and another for each asker.
-    fn free(&self, ask: &Ask) -> Vec<TicketId> {
+    fn free(&self, ask: &LeaseRequest) -> Vec<TicketId> {
         let tickets = u64::from(self.division.tickets.max(1));
         let from = ask
             .holder
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -194,12 +194,12 @@
     impl Small {
         fn deliver(&mut self, nth: usize) {
             match self.flying.remove(nth) {
-                Letter::Ask(holder, voter, ask) => {
+                Letter::Request(holder, voter, ask) => {
                     if let Some(word) = self.voters[voter].asked(self.now, &ask) {
-                        self.flying.push(Letter::Word(holder, voter, word));
+                        self.flying.push(Letter::Grant(holder, voter, word));
                     }
                 }
-                Letter::Word(holder, voter, word) => {
+                Letter::Grant(holder, voter, word) => {
                     self.holders[holder].told(self.now, VoterId(voter as u8), &word);
                 }
             }
@@ -209,7 +209,7 @@
             for nth in 0..2 {
                 for (voter, ask) in self.holders[nth].advance(self.now) {
                     self.flying
-                        .push(Letter::Ask(nth, usize::from(voter.0), ask));
+                        .push(Letter::Request(nth, usize::from(voter.0), ask));
                 }
             }
         }
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -4,7 +4,9 @@
 use trailproxy::units::*;
 use trailproxy_budgets::decide::holder::Holder;
 use trailproxy_budgets::decide::voter::Voter;
-use trailproxy_budgets::decide::{Ask, AskNo, BootId, Division, HolderId, TicketId, VoterId, Word};
+use trailproxy_budgets::decide::{
+    BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId, VoterId,
+};
 
 pub const DAWN: Timestamp = Timestamp(1_000_000_000);
 
@@ -21,8 +23,8 @@
 
 #[derive(Clone)]
 pub enum Letter {
-    Ask(usize, usize, Ask),
-    Word(usize, usize, Word),
+    Request(usize, usize, LeaseRequest),
+    Grant(usize, usize, LeaseGrant),
 }
 
 pub struct World {
@@ -175,16 +177,16 @@
                 .filter(|entry| entry.key().0 <= self.now)
             {
                 match entry.remove() {
-                    Letter::Ask(holder, voter, ask) => {
+                    Letter::Request(holder, voter, ask) => {
                         let now = self.voter_clock(voter);
                         let word = self.voters[voter]
                             .as_mut()
                             .and_then(|voter| voter.asked(now, &ask));
                         if let Some(word) = word {
-                            self.post(holder, Letter::Word(holder, voter, word));
+                            self.post(holder, Letter::Grant(holder, voter, word));
                         }
                     }
-                    Letter::Word(nth, voter, word) => {
+                    Letter::Grant(nth, voter, word) => {
                         let now = self.clock(nth);
                         if let Some(holder) =
                             self.holders[nth].as_mut().filter(|_| !self.paused[nth])
@@ -205,7 +207,7 @@
                     _ => now,
                 };
                 for (voter, ask) in holder.advance(asked) {
-                    self.post(nth, Letter::Ask(nth, usize::from(voter.0), ask));
+                    self.post(nth, Letter::Request(nth, usize::from(voter.0), ask));
                 }
             }
             self.forget();
@@ -228,8 +230,8 @@
         if let Some((ticket, holder)) = given
             && let Some(life) = self.lives.get(holder.0 as usize)
         {
-            let forged = Ask {
-                no: AskNo(u64::MAX),
+            let forged = LeaseRequest {
+                no: RequestNo(u64::MAX),
                 holder,
                 life: *life,
                 renew: Vec::new(),
