--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -1,7 +1,7 @@
 //! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
 
 use super::needs::Traffic;
-use super::shares::{Action, Named, Note, Shares};
+use super::shares::{Action, BudgetMessage, Named, Shares};
 use super::{BootId, BudgetId, HolderId};
 use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
     seats: (u32, u32),
     traffic: Traffic,
     look_at: Timestamp,
-    messages: Vec<(HolderId, Note)>,
+    messages: Vec<(HolderId, BudgetMessage)>,
     differs: Vec<Differs>,
     /// Among how many work for cold caches and parents is divided, where that is another than was told.
     cold: (Option<f64>, Option<f64>),
@@ -123,7 +123,7 @@
         self.shares.set(now, named);
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: Note) {
+    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
         self.shares.heard(now, from, note);
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// Words to go out.
-    pub fn messages(&mut self) -> Vec<(HolderId, Note)> {
+    pub fn messages(&mut self) -> Vec<(HolderId, BudgetMessage)> {
         std::mem::take(&mut self.messages)
     }
 
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
+pub enum BudgetMessage {
     Request(Stated, LeaseRequest),
     Grant(Stated, LeaseGrant),
 }
@@ -45,7 +45,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Send(HolderId, Note),
+    Send(HolderId, BudgetMessage),
     /// The part of this budget is another now.
     Part(BudgetId, Part),
     /// Another dispatcher's file has another whole or division for it.
@@ -183,9 +183,9 @@
     }
 
     /// A note from another, or from this one's own voter or holder.
-    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: Note) {
+    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
         let stated = match &note {
-            Note::Request(stated, _) | Note::Grant(stated, _) => *stated,
+            BudgetMessage::Request(stated, _) | BudgetMessage::Grant(stated, _) => *stated,
         };
         let Some(one) = self.budgets.get_mut(&stated.budget) else {
             return;
@@ -195,8 +195,8 @@
             return self.differs(stated);
         }
         let wholes = match &note {
-            Note::Request(..) => &mut one.asked,
-            Note::Grant(..) => &mut one.answered,
+            BudgetMessage::Request(..) => &mut one.asked,
+            BudgetMessage::Grant(..) => &mut one.answered,
         };
         if stated.whole.is_finite() && stated.whole >= 0.0 {
             wholes.retain(|_, (_, at)| now.since(*at) < STATED_FOR);
@@ -205,16 +205,16 @@
             }
         }
         match note {
-            Note::Request(_, ask) if ask.holder == from => {
+            BudgetMessage::Request(_, ask) if ask.holder == from => {
                 let word = one.voter.as_mut().and_then(|voter| voter.asked(now, &ask));
                 if let Some(word) = word {
                     let whole = least(&one.asked, now, one.named.whole);
-                    let note = Note::Grant(one.stated(whole), word);
+                    let note = BudgetMessage::Grant(one.stated(whole), word);
                     self.send(now, from, note);
                 }
             }
-            Note::Request(..) => {}
-            Note::Grant(_, word) => {
+            BudgetMessage::Request(..) => {}
+            BudgetMessage::Grant(_, word) => {
                 let voter = self.voters.iter().position(|&voter| voter == from);
                 if let Some(nth) = voter {
                     one.holder.told(now, VoterId(nth as u8), &word);
@@ -244,7 +244,7 @@
         }
     }
 
-    fn send(&mut self, now: Timestamp, to: HolderId, note: Note) {
+    fn send(&mut self, now: Timestamp, to: HolderId, note: BudgetMessage) {
         if to == self.own {
             self.heard(now, to, note);
         } else {
@@ -270,7 +270,7 @@
         for (stated, asks) in asks {
             for (voter, ask) in asks {
                 if let Some(&to) = self.voters.get(usize::from(voter.0)) {
-                    self.send(now, to, Note::Request(stated, ask));
+                    self.send(now, to, BudgetMessage::Request(stated, ask));
                 }
             }
         }
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -7,18 +7,18 @@
 pub mod config;
 pub mod decide;
 
-use decide::shares::Note;
+use decide::shares::BudgetMessage;
 
 /// The number of this subsystem's words among those of the dispatchers.
 pub const BESIDE: u8 = 1;
 
 /// A word as it goes to another dispatcher.
-pub fn write(note: &Note) -> Vec<u8> {
+pub fn write(note: &BudgetMessage) -> Vec<u8> {
     // Its parts are numbers and lists of numbers: nothing that can't be written.
     postcard::to_allocvec(note).unwrap_or_default()
 }
 
 /// `None`: no word of this version.
-pub fn read(bytes: &[u8]) -> Option<Note> {
+pub fn read(bytes: &[u8]) -> Option<BudgetMessage> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -4,7 +4,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::needs::Traffic;
-use trailproxy_budgets::decide::shares::{Action, Named, Note, Shares};
+use trailproxy_budgets::decide::shares::{Action, BudgetMessage, Named, Shares};
 use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 
 const LINK: &str = "1/link";
@@ -33,7 +33,7 @@
     cut: Vec<bool>,
     needs: Vec<f64>,
     first: Vec<f64>,
-    flying: VecDeque<(usize, HolderId, Note)>,
+    flying: VecDeque<(usize, HolderId, BudgetMessage)>,
     differs: Vec<(usize, String)>,
     life: u64,
 }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -27,7 +27,7 @@
 };
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::following::Following;
-use trailproxy_budgets::decide::shares::Note as Words;
+use trailproxy_budgets::decide::shares::BudgetMessage;
 use trailproxy_standins::fleet::{Answer, Fleet, Pull, Ticket};
 use trailproxy_standins::shape::DAWN;
 use trailproxy_zones::decide::rise::Rise;
@@ -93,7 +93,7 @@
     Truth,
     Tick,
     /// Words about budgets reach a dispatcher, from another; each looks after its own.
-    Word(usize, HolderId, Words),
+    Word(usize, HolderId, BudgetMessage),
     Divide(usize, u32),
     /// Accounts are brought up to now, and links read.
     Pass,
