--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -1,7 +1,7 @@
 //! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
 
 use super::needs::Traffic;
-use super::shares::{Action, BudgetMessage, Named, Shares};
+use super::shares::{Action, BudgetMessage, NamedBudget, Shares};
 use super::{BootId, BudgetId, HolderId};
 use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
         let mut add = |name: String, whole: f64, seats: u32, follower: Follower| {
             let division = self.sheet.division(seats);
             self.followers.insert(BudgetId::of_name(&name), follower);
-            named.push(Named {
+            named.push(NamedBudget {
                 name,
                 whole,
                 division,
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -19,7 +19,7 @@
 
 /// What is said of a budget beside the question or its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stated {
+pub struct BudgetStatement {
     pub budget: BudgetId,
     /// Of the division: between two that differ no word counts.
     pub sum: u32,
@@ -30,13 +30,13 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum BudgetMessage {
-    Request(Stated, LeaseRequest),
-    Grant(Stated, LeaseGrant),
+    Request(BudgetStatement, LeaseRequest),
+    Grant(BudgetStatement, LeaseGrant),
 }
 
 /// One budget, as the operator's file has it here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Named {
+pub struct NamedBudget {
     pub name: String,
     /// In the unit of whoever follows it.
     pub whole: f64,
@@ -66,8 +66,8 @@
 }
 
 #[derive(Clone, Debug)]
-struct One {
-    named: Named,
+struct BudgetState {
+    named: NamedBudget,
     holder: Holder,
     voter: Option<Voter>,
     /// Wholes that others asked with, and that voters answered with, by whom, and when that was heard.
@@ -84,14 +84,14 @@
     own: HolderId,
     life: BootId,
     voters: Vec<HolderId>,
-    budgets: BTreeMap<BudgetId, One>,
+    budgets: BTreeMap<BudgetId, BudgetState>,
     chance: fastrand::Rng,
     actions: Vec<Action>,
 }
 
-impl One {
-    fn stated(&self, whole: f64) -> Stated {
-        Stated {
+impl BudgetState {
+    fn stated(&self, whole: f64) -> BudgetStatement {
+        BudgetStatement {
             budget: BudgetId::of_name(&self.named.name),
             sum: self.named.division.sum(),
             whole,
@@ -131,18 +131,18 @@
 
     /// These are the budgets now. One with the name and the division of one before goes on, with another whole or not; any
     /// other begins anew, and as a voter keeps silent for as long as a former one's word may hold.
-    pub fn set(&mut self, now: Timestamp, all: Vec<Named>) {
+    pub fn set(&mut self, now: Timestamp, all: Vec<NamedBudget>) {
         let mut before = std::mem::take(&mut self.budgets);
         for named in all.into_iter().take(MOST) {
             let id = BudgetId::of_name(&named.name);
             let kept = before.remove(&id);
             let same = kept.filter(|one| one.named.division == named.division);
             let one = match same {
-                Some(one) => One { named, ..one },
+                Some(one) => BudgetState { named, ..one },
                 None => {
                     let seed = self.chance.u64(..);
                     let votes = self.voters.contains(&self.own);
-                    One {
+                    BudgetState {
                         holder: Holder::new(now, named.division, self.own, self.life, seed),
                         voter: votes.then(|| Voter::new(now, named.division)),
                         named,
@@ -173,7 +173,7 @@
         }
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (BudgetId, &Named)> {
+    pub fn all(&self) -> impl Iterator<Item = (BudgetId, &NamedBudget)> {
         self.budgets.iter().map(|(&id, one)| (id, &one.named))
     }
 
@@ -232,7 +232,7 @@
     }
 
     /// Said once, and again when it was the same between.
-    fn differs(&mut self, stated: Stated) {
+    fn differs(&mut self, stated: BudgetStatement) {
         if let Some(one) = self.budgets.get_mut(&stated.budget)
             && !std::mem::replace(&mut one.differs, true)
         {
@@ -261,12 +261,12 @@
 
     /// It ends in order: others need not wait for its words to run out.
     pub fn leave(&mut self, now: Timestamp) {
-        let asked = |one: &mut One| (one.stated(one.named.whole), one.holder.leave(now));
+        let asked = |one: &mut BudgetState| (one.stated(one.named.whole), one.holder.leave(now));
         let asks: Vec<_> = self.budgets.values_mut().map(asked).collect();
         self.ask(now, asks);
     }
 
-    fn ask(&mut self, now: Timestamp, asks: Vec<(Stated, Vec<(VoterId, LeaseRequest)>)>) {
+    fn ask(&mut self, now: Timestamp, asks: Vec<(BudgetStatement, Vec<(VoterId, LeaseRequest)>)>) {
         for (stated, asks) in asks {
             for (voter, ask) in asks {
                 if let Some(&to) = self.voters.get(usize::from(voter.0)) {
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -4,12 +4,12 @@
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::needs::Traffic;
-use trailproxy_budgets::decide::shares::{Action, BudgetMessage, Named, Shares};
+use trailproxy_budgets::decide::shares::{Action, BudgetMessage, NamedBudget, Shares};
 use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 
 const LINK: &str = "1/link";
 
-fn named(name: &str, whole: f64, seats: u32) -> Named {
+fn named(name: &str, whole: f64, seats: u32) -> NamedBudget {
     let division = Division {
         seats,
         floors: 0.25,
@@ -19,7 +19,7 @@
         guard: TimeSpan::ZERO,
     };
     let name = name.into();
-    Named {
+    NamedBudget {
         name,
         whole,
         division,
@@ -55,7 +55,7 @@
         fleet
     }
 
-    fn start(&mut self, nth: usize, budgets: Vec<Named>) {
+    fn start(&mut self, nth: usize, budgets: Vec<NamedBudget>) {
         self.life += 1;
         let voters = (0..3).map(HolderId).collect();
         let own = HolderId(nth as u64);
@@ -64,7 +64,7 @@
         self.all[nth] = Some(shares);
     }
 
-    fn set(&mut self, nth: usize, budgets: Vec<Named>) {
+    fn set(&mut self, nth: usize, budgets: Vec<NamedBudget>) {
         let now = self.now;
         self.all[nth]
             .iter_mut()
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -3,7 +3,7 @@
 use crate::layout::Layout;
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::config::BudgetsConfig;
-use trailproxy_budgets::decide::shares::{Named, Shares};
+use trailproxy_budgets::decide::shares::{NamedBudget, Shares};
 use trailproxy_budgets::decide::{BootId, BudgetId, HolderId};
 
 /// How often needs are told and parts are summed up.
@@ -49,7 +49,7 @@
     let division = sheet.division(seats as u32);
     let holders = voters.iter().map(|name| HolderId::of_name(name)).collect();
     let mut shares = Shares::new(own.0, own.1, holders, seed);
-    let named = |&(name, _): &(&str, f64)| Named {
+    let named = |&(name, _): &(&str, f64)| NamedBudget {
         name: name.into(),
         whole: WHOLE,
         division,
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::units::*;
-use trailproxy_budgets::decide::shares::{self, Named, Shares};
+use trailproxy_budgets::decide::shares::{self, NamedBudget, Shares};
 use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 use trailproxy_shared_store::decide::ops::{MailboxId, Op};
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
@@ -153,7 +153,7 @@
         let (name, whole) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
         let mut shares = Shares::new(HolderId(nth as u64), BootId(seed), voters, seed);
-        let named = Named {
+        let named = NamedBudget {
             name,
             whole,
             division,
