--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/following.rs
@@ -1,7 +1,7 @@
 //! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
 
 use super::needs::Traffic;
-use super::shares::{Action, BudgetMessage, NamedBudget, Shares};
+use super::shares::{Action, BudgetMessage, BudgetShares, NamedBudget};
 use super::{BootId, BudgetId, HolderId};
 use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 pub struct Following {
     pub sheet: BudgetsConfig,
     own: (HolderId, BootId),
-    shares: Shares,
+    shares: BudgetShares,
     followers: BTreeMap<BudgetId, Follower>,
     zone: ZoneId,
     /// Dispatchers of the own zone, and of all.
@@ -61,7 +61,7 @@
             .copied();
         Following {
             own,
-            shares: Shares::new(own.0, own.1, voters, seed),
+            shares: BudgetShares::new(own.0, own.1, voters, seed),
             sheet,
             followers: BTreeMap::new(),
             zone: terms.zone,
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -80,7 +80,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct BudgetShares {
     own: HolderId,
     life: BootId,
     voters: Vec<HolderId>,
@@ -116,10 +116,10 @@
     }
 }
 
-impl Shares {
+impl BudgetShares {
     /// `voters`: the same ones in the same order with all dispatchers; the own name may be among them.
-    pub fn new(own: HolderId, life: BootId, voters: Vec<HolderId>, seed: u64) -> Shares {
-        Shares {
+    pub fn new(own: HolderId, life: BootId, voters: Vec<HolderId>, seed: u64) -> BudgetShares {
+        BudgetShares {
             own,
             life,
             voters,
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -4,7 +4,7 @@
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_budgets::decide::needs::Traffic;
-use trailproxy_budgets::decide::shares::{Action, BudgetMessage, NamedBudget, Shares};
+use trailproxy_budgets::decide::shares::{Action, BudgetMessage, BudgetShares, NamedBudget};
 use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 
 const LINK: &str = "1/link";
@@ -29,7 +29,7 @@
 /// Dispatchers of which the first three vote, with ways that can be cut.
 struct Fleet {
     now: Timestamp,
-    all: Vec<Option<Shares>>,
+    all: Vec<Option<BudgetShares>>,
     cut: Vec<bool>,
     needs: Vec<f64>,
     first: Vec<f64>,
@@ -59,7 +59,7 @@
         self.life += 1;
         let voters = (0..3).map(HolderId).collect();
         let own = HolderId(nth as u64);
-        let mut shares = Shares::new(own, BootId(self.life), voters, self.life);
+        let mut shares = BudgetShares::new(own, BootId(self.life), voters, self.life);
         shares.set(self.now, budgets);
         self.all[nth] = Some(shares);
     }
@@ -94,7 +94,11 @@
     }
 
     fn act(&mut self, nth: usize) {
-        for act in self.all[nth].as_mut().map(Shares::take).unwrap_or_default() {
+        for act in self.all[nth]
+            .as_mut()
+            .map(BudgetShares::take)
+            .unwrap_or_default()
+        {
             match act {
                 Action::Send(to, note) => {
                     let to = to.0 as usize;
@@ -236,7 +240,7 @@
     let voters: Vec<HolderId> = (2..5).map(HolderId).collect();
     for nth in 2..5 {
         let own = HolderId(nth as u64);
-        let mut shares = Shares::new(own, BootId(90 + nth as u64), voters.clone(), 5);
+        let mut shares = BudgetShares::new(own, BootId(90 + nth as u64), voters.clone(), 5);
         shares.set(fleet.now, vec![named(LINK, 100.0, 5)]);
         fleet.all[nth] = Some(shares);
     }
@@ -323,7 +327,7 @@
 
 #[test]
 fn a_word_is_read_as_written_and_what_is_none_is_not() {
-    let mut shares = Shares::new(HolderId(7), BootId(1), vec![HolderId(1)], 3);
+    let mut shares = BudgetShares::new(HolderId(7), BootId(1), vec![HolderId(1)], 3);
     shares.set(Timestamp(0), vec![named(LINK, 5.0, 2)]);
     shares.advance(Timestamp(1_000_000));
     let sent = shares.take().into_iter().find_map(|act| match act {
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -3,7 +3,7 @@
 use crate::layout::Layout;
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::config::BudgetsConfig;
-use trailproxy_budgets::decide::shares::{NamedBudget, Shares};
+use trailproxy_budgets::decide::shares::{BudgetShares, NamedBudget};
 use trailproxy_budgets::decide::{BootId, BudgetId, HolderId};
 
 /// How often needs are told and parts are summed up.
@@ -44,11 +44,11 @@
     voters: &[String],
     seats: usize,
     seed: u64,
-) -> Shares {
+) -> BudgetShares {
     let sheet = sheet(voters.to_vec());
     let division = sheet.division(seats as u32);
     let holders = voters.iter().map(|name| HolderId::of_name(name)).collect();
-    let mut shares = Shares::new(own.0, own.1, holders, seed);
+    let mut shares = BudgetShares::new(own.0, own.1, holders, seed);
     let named = |&(name, _): &(&str, f64)| NamedBudget {
         name: name.into(),
         whole: WHOLE,
@@ -59,7 +59,7 @@
 }
 
 /// Tells what a member needs now: uneven by its load, and swinging with its site.
-pub fn tell_needs(shares: &mut Shares, now: Timestamp, layout: &Layout, member: usize) {
+pub fn tell_needs(shares: &mut BudgetShares, now: Timestamp, layout: &Layout, member: usize) {
     let location = &layout.members[member];
     let phase = now.0 as f64 / SWING.0 as f64 + location.site as f64 / 7.0;
     let swing = 1.0 + 0.5 * (phase * std::f64::consts::TAU).sin();
@@ -70,7 +70,7 @@
 }
 
 /// Budgets of which all these members together may use more than the whole.
-pub fn overruns<'a>(now: Timestamp, all: impl Iterator<Item = &'a Shares> + Clone) -> u64 {
+pub fn overruns<'a>(now: Timestamp, all: impl Iterator<Item = &'a BudgetShares> + Clone) -> u64 {
     let overrun = |name: &str| {
         let id = BudgetId::of_name(name);
         let parts = all.clone().filter_map(|shares| shares.part(now, id));
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trailproxy::units::{RequestId, Timestamp};
-use trailproxy_budgets::decide::shares::Shares;
+use trailproxy_budgets::decide::shares::BudgetShares;
 use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_peers::decide::locality::{Locality, NearId, RegionId, SiteId, Topology};
 use trailproxy_peers::decide::members::Own;
@@ -70,7 +70,7 @@
 #[derive(Clone)]
 pub struct Member {
     pub peers: Option<Peers>,
-    pub shares: Option<Shares>,
+    pub shares: Option<BudgetShares>,
     pub open: BTreeMap<RequestId, Open>,
     pub traffic: MemberTraffic,
     /// Time that the cores took.
@@ -98,7 +98,7 @@
     /// When its cores want to be woken.
     pub fn next(&self) -> Option<Timestamp> {
         let peers = self.peers.as_ref()?.next();
-        let shares = self.shares.as_ref().and_then(Shares::next);
+        let shares = self.shares.as_ref().and_then(BudgetShares::next);
         Some(shares.map_or(peers, |shares| shares.min(peers)))
     }
 
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::units::*;
-use trailproxy_budgets::decide::shares::{self, NamedBudget, Shares};
+use trailproxy_budgets::decide::shares::{self, BudgetShares, NamedBudget};
 use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 use trailproxy_shared_store::decide::ops::{MailboxId, Op};
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
@@ -56,7 +56,7 @@
 pub struct Member {
     pub sharing: SharedState,
     /// Its budgets, whose words go by the store.
-    pub shares: Shares,
+    pub shares: BudgetShares,
     pub connected: bool,
     /// Which half of a split store it reaches.
     pub half: usize,
@@ -152,7 +152,7 @@
         };
         let (name, whole) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
-        let mut shares = Shares::new(HolderId(nth as u64), BootId(seed), voters, seed);
+        let mut shares = BudgetShares::new(HolderId(nth as u64), BootId(seed), voters, seed);
         let named = NamedBudget {
             name,
             whole,
