--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -20,7 +20,7 @@
 }
 
 /// One dispatcher's budgets with who follows them.
-pub struct Following {
+pub struct BudgetFollower {
     pub sheet: BudgetsConfig,
     own: (HolderId, BootId),
     shares: BudgetShares,
@@ -45,21 +45,21 @@
     pub other: f64,
 }
 
-impl Following {
+impl BudgetFollower {
     pub fn new(
         now: Timestamp,
         sheet: BudgetsConfig,
         own: (HolderId, BootId),
         terms: &DispatcherSettings,
         seed: u64,
-    ) -> Following {
+    ) -> BudgetFollower {
         let voters = sheet.voters.iter();
         let voters = voters.map(|name| HolderId::of_name(name)).collect();
         let seats = terms
             .dispatchers_by_zone
             .get(usize::from(terms.zone.0))
             .copied();
-        Following {
+        BudgetFollower {
             own,
             shares: BudgetShares::new(own.0, own.1, voters, seed),
             sheet,
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -6,7 +6,7 @@
 //! from when it asked, before the voter, who counts from when it answered, and a little longer. So whatever is lost, late,
 //! paused or cut, two never use one ticket, and floors and tickets together never are more than the whole.
 
-pub mod following;
+pub mod follower;
 pub mod holder;
 pub mod needs;
 pub mod shares;
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -9,7 +9,7 @@
 use trailproxy::policy::permits;
 use trailproxy::policy::refusals::GiveUpReason;
 use trailproxy::units::*;
-use trailproxy_budgets::decide::following::Following;
+use trailproxy_budgets::decide::follower::BudgetFollower;
 use trailproxy_zones::{Rules, Zones};
 
 /// Who decides at a dispatcher.
@@ -25,7 +25,7 @@
         None
     }
     /// What its budgets come to now, where they are divided.
-    fn set_slow_start_shares(&mut self, _now: Timestamp, _following: &mut Following) {}
+    fn set_slow_start_shares(&mut self, _now: Timestamp, _following: &mut BudgetFollower) {}
 }
 
 impl Decider for Dispatcher<Option<Zones>> {
@@ -45,7 +45,7 @@
         self.crossings.as_mut()
     }
 
-    fn set_slow_start_shares(&mut self, now: Timestamp, following: &mut Following) {
+    fn set_slow_start_shares(&mut self, now: Timestamp, following: &mut BudgetFollower) {
         following.advance(now, &mut self.crossings);
         if let Some((caches, parents)) = following.cold() {
             Dispatcher::set_slow_start_shares(self, now, caches, parents);
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -8,7 +8,7 @@
 use trailproxy::interface::{Action, Ending, Event, HostListKind};
 use trailproxy::units::RequestId;
 use trailproxy_budgets::config::BudgetsConfig;
-use trailproxy_budgets::decide::following::Following;
+use trailproxy_budgets::decide::follower::BudgetFollower;
 use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_standins::fleet::Ticket;
 
@@ -63,7 +63,7 @@
         let (now, life) = (self.now, BootId(u64::from(self.seats[seat].life) + 1));
         let own = (HolderId::of_name(&name(seat)), life);
         let terms = self.scenario.terms(self.seats[seat].zone);
-        let mut following = Following::new(now, sheet, own, &terms, seed);
+        let mut following = BudgetFollower::new(now, sheet, own, &terms, seed);
         let decider = self.seats[seat].decider.as_mut();
         following.set(now, decider.and_then(|decider| decider.zones()).as_deref());
         self.seats[seat].following = Some(following);
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -26,7 +26,7 @@
     AttemptNo, ClassId, GroupId, ObjectId, RequestId, TimeSpan, TimerId, Timestamp, ZoneId,
 };
 use trailproxy_budgets::decide::HolderId;
-use trailproxy_budgets::decide::following::Following;
+use trailproxy_budgets::decide::follower::BudgetFollower;
 use trailproxy_budgets::decide::shares::BudgetMessage;
 use trailproxy_standins::fleet::{Answer, Fleet, Pull, Ticket};
 use trailproxy_standins::shape::DAWN;
@@ -141,7 +141,7 @@
     zone: ZoneId,
     life: u32,
     decider: Option<Box<dyn Decider>>,
-    following: Option<Following>,
+    following: Option<BudgetFollower>,
 }
 
 struct World<'a> {
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -4,13 +4,13 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
-use trailproxy_budgets::decide::following::Following;
+use trailproxy_budgets::decide::follower::BudgetFollower;
 use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_peers::decide::messages::{Life, PeerId};
 use trailproxy_zones::Zones;
 
 pub struct Divided {
-    pub following: Following,
+    pub following: BudgetFollower,
     log: Logger,
 }
 
@@ -25,7 +25,7 @@
     ) -> Divided {
         info!(log, "budgets are on"; "file" => &config.file, "voters" => config.voters.len());
         let own = (HolderId(own.0.0), BootId(own.1.0));
-        let following = Following::new(now, config, own, terms, seed);
+        let following = BudgetFollower::new(now, config, own, terms, seed);
         Divided { following, log }
     }
 
