--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -22,7 +22,7 @@
 type Words = BTreeMap<VoterId, Timestamp>;
 
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct LeaseHolder {
     division: Division,
     id: HolderId,
     life: BootId,
@@ -44,15 +44,15 @@
     chance: fastrand::Rng,
 }
 
-impl Holder {
+impl LeaseHolder {
     pub fn new(
         now: Timestamp,
         division: Division,
         id: HolderId,
         life: BootId,
         seed: u64,
-    ) -> Holder {
-        Holder {
+    ) -> LeaseHolder {
+        LeaseHolder {
             division,
             id,
             life,
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -4,8 +4,8 @@
 //! of whatever whole is the smallest that is heard of: a lower one holds for all that reach a voter within a round of
 //! questions and half a second of old answers, and nobody's part is ever of more than its own file says.
 
-use super::holder::Holder;
-use super::voter::Voter;
+use super::holder::LeaseHolder;
+use super::voter::LeaseVoter;
 use super::{BootId, BudgetId, Division, HolderId, LeaseGrant, LeaseRequest, VoterId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -68,8 +68,8 @@
 #[derive(Clone, Debug)]
 struct BudgetState {
     named: NamedBudget,
-    holder: Holder,
-    voter: Option<Voter>,
+    holder: LeaseHolder,
+    voter: Option<LeaseVoter>,
     /// Wholes that others asked with, and that voters answered with, by whom, and when that was heard.
     asked: Wholes,
     answered: Wholes,
@@ -143,8 +143,8 @@
                     let seed = self.chance.u64(..);
                     let votes = self.voters.contains(&self.own);
                     BudgetState {
-                        holder: Holder::new(now, named.division, self.own, self.life, seed),
-                        voter: votes.then(|| Voter::new(now, named.division)),
+                        holder: LeaseHolder::new(now, named.division, self.own, self.life, seed),
+                        voter: votes.then(|| LeaseVoter::new(now, named.division)),
                         named,
                         asked: Wholes::new(),
                         answered: Wholes::new(),
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Voter {
+pub struct LeaseVoter {
     division: Division,
     silent_until: Timestamp,
     given: BTreeMap<TicketId, Given>,
@@ -40,10 +40,10 @@
 /// More holders are not kept in mind; they are served, and not counted on.
 const MOST_HOLDERS: usize = 1_024;
 
-impl Voter {
+impl LeaseVoter {
     /// A voter that remembers nothing.
-    pub fn new(now: Timestamp, division: Division) -> Voter {
-        Voter {
+    pub fn new(now: Timestamp, division: Division) -> LeaseVoter {
+        LeaseVoter {
             silent_until: now + division.with_voter(),
             division,
             given: BTreeMap::new(),
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,6 +1,6 @@
 //! Budgets of the whole fleet: what all dispatchers together may do, divided among them by need and divided anew.
 //!
-//! [`decide::voter::Voter`] and [`decide::holder::Holder`] are the two sides, [`decide::shares::BudgetShares`] all of one
+//! [`decide::voter::LeaseVoter`] and [`decide::holder::LeaseHolder`] are the two sides, [`decide::shares::BudgetShares`] all of one
 //! dispatcher's budgets, without I/O and without a clock; [`config`] is what the operator's file says. `docs/budgets.md` is
 //! the operators' page, `docs/budgets-design.md` has the ways weighed.
 
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -5,8 +5,8 @@
 mod world;
 
 use trailproxy::units::*;
-use trailproxy_budgets::decide::holder::Holder;
-use trailproxy_budgets::decide::voter::Voter;
+use trailproxy_budgets::decide::holder::LeaseHolder;
+use trailproxy_budgets::decide::voter::LeaseVoter;
 use trailproxy_budgets::decide::{BootId, Division, HolderId, VoterId};
 use world::*;
 
@@ -186,8 +186,8 @@
     struct Small {
         now: Timestamp,
         division: Division,
-        voters: Vec<Voter>,
-        holders: Vec<Holder>,
+        voters: Vec<LeaseVoter>,
+        holders: Vec<LeaseHolder>,
         flying: Vec<Letter>,
         restarts: u64,
     }
@@ -223,7 +223,7 @@
         guard: TimeSpan::ZERO,
     };
     let holder = |nth: u64, life: u64, now| {
-        let mut holder = Holder::new(now, division, HolderId(nth), BootId(life), life);
+        let mut holder = LeaseHolder::new(now, division, HolderId(nth), BootId(life), life);
         holder.needs(now, 1.0, 0.0);
         holder
     };
@@ -231,7 +231,7 @@
         now: DAWN,
         division,
         voters: (0..3)
-            .map(|_| Voter::new(DAWN - TimeSpan::from_secs(9), division))
+            .map(|_| LeaseVoter::new(DAWN - TimeSpan::from_secs(9), division))
             .collect(),
         holders: (0..2).map(|nth| holder(nth, nth + 1, DAWN)).collect(),
         flying: Vec::new(),
@@ -242,7 +242,7 @@
         small: &Small,
         depth: usize,
         seen: &mut (u64, u64),
-        holder: &dyn Fn(u64, u64, Timestamp) -> Holder,
+        holder: &dyn Fn(u64, u64, Timestamp) -> LeaseHolder,
     ) {
         seen.0 += 1;
         let users = small
@@ -273,7 +273,7 @@
         if small.restarts < 2 {
             let mut next = small.clone();
             next.restarts += 1;
-            next.voters[small.restarts as usize] = Voter::new(small.now, small.division);
+            next.voters[small.restarts as usize] = LeaseVoter::new(small.now, small.division);
             explore(&next, depth - 1, seen, holder);
             let mut next = small.clone();
             next.restarts += 1;
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 use trailproxy::units::*;
-use trailproxy_budgets::decide::holder::Holder;
-use trailproxy_budgets::decide::voter::Voter;
+use trailproxy_budgets::decide::holder::LeaseHolder;
+use trailproxy_budgets::decide::voter::LeaseVoter;
 use trailproxy_budgets::decide::{
     BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId, VoterId,
 };
@@ -30,8 +30,8 @@
 pub struct World {
     pub now: Timestamp,
     pub division: Division,
-    pub voters: Vec<Option<Voter>>,
-    pub holders: Vec<Option<Holder>>,
+    pub voters: Vec<Option<LeaseVoter>>,
+    pub holders: Vec<Option<LeaseHolder>>,
     /// Clocks: faster by this part, and ahead.
     pub clocks: Vec<(f64, u64)>,
     pub paused: Vec<bool>,
@@ -120,7 +120,7 @@
             Some(Planted::Forgetful) => now - TimeSpan::from_secs(60),
             _ => now,
         };
-        self.voters[nth] = Some(Voter::new(born, self.division));
+        self.voters[nth] = Some(LeaseVoter::new(born, self.division));
     }
 
     pub fn start(&mut self, nth: usize) {
@@ -132,7 +132,7 @@
         if self.planted == Some(Planted::NoDrift) {
             division.lasts = division.lasts.mul_f64(1.06);
         }
-        self.holders[nth] = Some(Holder::new(now, division, id, life, seed));
+        self.holders[nth] = Some(LeaseHolder::new(now, division, id, life, seed));
         self.paused[nth] = false;
     }
 
