--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -31,7 +31,7 @@
     traffic: Traffic,
     look_at: Timestamp,
     messages: Vec<(HolderId, BudgetMessage)>,
-    differs: Vec<Differs>,
+    differs: Vec<Mismatch>,
     /// Among how many work for cold caches and parents is divided, where that is another than was told.
     cold: (Option<f64>, Option<f64>),
     cold_told: bool,
@@ -39,7 +39,7 @@
 
 /// Another dispatcher's file has another whole or division for a budget.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Differs {
+pub struct Mismatch {
     pub name: String,
     pub own: f64,
     pub other: f64,
@@ -182,8 +182,8 @@
                     Some(Follower::ColdParents) => self.cold.1 = among(part.part),
                     None => {}
                 },
-                Action::Differs { name, own, other } => {
-                    self.differs.push(Differs { name, own, other });
+                Action::Mismatch { name, own, other } => {
+                    self.differs.push(Mismatch { name, own, other });
                 }
             }
         }
@@ -196,7 +196,7 @@
     }
 
     /// Files that differ, each told once while it lasts.
-    pub fn differs(&mut self) -> Vec<Differs> {
+    pub fn differs(&mut self) -> Vec<Mismatch> {
         std::mem::take(&mut self.differs)
     }
 
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -49,7 +49,7 @@
     /// The part of this budget is another now.
     Part(BudgetId, Part),
     /// Another dispatcher's file has another whole or division for it.
-    Differs {
+    Mismatch {
         name: String,
         own: f64,
         other: f64,
@@ -236,7 +236,7 @@
         if let Some(one) = self.budgets.get_mut(&stated.budget)
             && !std::mem::replace(&mut one.differs, true)
         {
-            self.actions.push(Action::Differs {
+            self.actions.push(Action::Mismatch {
                 name: one.named.name.clone(),
                 own: one.named.whole,
                 other: stated.whole,
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -106,7 +106,7 @@
                         self.flying.push_back((to, HolderId(nth as u64), note));
                     }
                 }
-                Action::Differs { name, .. } => self.differs.push((nth, name)),
+                Action::Mismatch { name, .. } => self.differs.push((nth, name)),
                 Action::Part(..) => {}
             }
         }
