--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -10,7 +10,7 @@
 use decide::shares::BudgetMessage;
 
 /// The number of this subsystem's words among those of the dispatchers.
-pub const BESIDE: u8 = 1;
+pub const SUBSYSTEM_ID: u8 = 1;
 
 /// A word as it goes to another dispatcher.
 pub fn write(note: &BudgetMessage) -> Vec<u8> {
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -407,7 +407,7 @@
 
     /// A message of the budgets that came beside others.
     fn beside(&mut self, member: usize, from: PeerId, of: u8, bytes: &[u8]) {
-        if of != trailproxy_budgets::BESIDE {
+        if of != trailproxy_budgets::SUBSYSTEM_ID {
             return;
         }
         let now = self.now;
@@ -428,7 +428,7 @@
         for act in shares.take() {
             if let Action::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
-                peers.beside(now, PeerId(to.0), trailproxy_budgets::BESIDE, bytes);
+                peers.beside(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
             }
         }
     }
--- a/crates/trailproxy-cli/src/budgets.rs
+++ b/crates/trailproxy-cli/src/budgets.rs
@@ -5,7 +5,7 @@
 use crate::sections::{budgets_sheet, kinds};
 use clap::Subcommand;
 use std::net::SocketAddrV4;
-use trailproxy_budgets::BESIDE;
+use trailproxy_budgets::SUBSYSTEM_ID;
 use trailproxy_operator::read_file;
 use trailproxy_peers::decide::messages::{AskNo, Note};
 
@@ -48,7 +48,7 @@
     let sheet =
         budgets_sheet(&script).ok_or(format!("{file} has no section budgets that is on"))?;
     sheet.check()?;
-    let note: fn(AskNo) -> Note = |no| Note::ShowOf(no, BESIDE);
+    let note: fn(AskNo) -> Note = |no| Note::ShowOf(no, SUBSYSTEM_ID);
     said(file, at, note, of)
 }
 
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -9,7 +9,7 @@
 use slog::{Logger, info};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_budgets::BESIDE;
+use trailproxy_budgets::SUBSYSTEM_ID;
 use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_peers::decide::messages::{Life, Note, PeerId};
 use trailproxy_shared_store::config::StoreConfig;
@@ -89,7 +89,7 @@
             return;
         };
         match told.message.notes[..] {
-            [Note::ShowOf(no, BESIDE)] => {
+            [Note::ShowOf(no, SUBSYSTEM_ID)] => {
                 let shown = self
                     .divided
                     .as_ref()
@@ -111,11 +111,11 @@
         let Some(divided) = &mut self.divided else {
             return;
         };
-        for (from, _, bytes) in words.iter().filter(|word| word.1 == BESIDE) {
+        for (from, _, bytes) in words.iter().filter(|word| word.1 == SUBSYSTEM_ID) {
             divided.heard(now, *from, bytes);
         }
         for (from, bytes) in posted.into_iter().flatten() {
-            if let Some((&BESIDE, bytes)) = bytes.split_first() {
+            if let Some((&SUBSYSTEM_ID, bytes)) = bytes.split_first() {
                 divided.heard(now, PeerId(from.0), bytes);
             }
         }
@@ -131,8 +131,8 @@
         let (own, messages) = (divided.own().0, divided.messages());
         for (to, bytes) in messages {
             match (&mut self.peers, &mut self.shared) {
-                (Some(peers), _) => peers.send(now, to, BESIDE, bytes),
-                (None, Some(shared)) => shared.post(now, own, to, BESIDE, &bytes),
+                (Some(peers), _) => peers.send(now, to, SUBSYSTEM_ID, bytes),
+                (None, Some(shared)) => shared.post(now, own, to, SUBSYSTEM_ID, &bytes),
                 (None, None) => {}
             }
         }
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -273,7 +273,7 @@
             life: Life(0),
             incarnation: 0,
             stamp: unix_ms() * 1_000,
-            notes: vec![Note::ShowOf(AskNo(7), trailproxy_budgets::BESIDE)],
+            notes: vec![Note::ShowOf(AskNo(7), trailproxy_budgets::SUBSYSTEM_ID)],
         };
         let bytes = seal.write(&message).expect("short");
         socket.send_to(&bytes, at).expect("sent");
