--- a/crates/budgets/src/config.rs
+++ b/crates/budgets/src/config.rs
@@ -21,7 +21,7 @@
 }
 
 /// Voters at most: each is asked by all.
-pub const MOST_VOTERS: usize = 9;
+pub const MAX_VOTERS: usize = 9;
 
 impl BudgetsConfig {
     /// The message of a field that does not fit.
@@ -38,7 +38,7 @@
         names.sort();
         names.dedup();
         let n = self.voters.len();
-        if names.len() != n || !(1..=MOST_VOTERS).contains(&n) || n.is_multiple_of(2) {
+        if names.len() != n || !(1..=MAX_VOTERS).contains(&n) || n.is_multiple_of(2) {
             let found = format!("{:?}", self.voters);
             let accepted = "1, 3, 5, 7 or 9 different names of dispatchers";
             return Err(self.wrong("voters", &found, accepted));
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -15,7 +15,7 @@
 /// Another's whole counts for so long after it was last heard of.
 const STATED_FOR: TimeSpan = TimeSpan::from_secs(2);
 /// Budgets at once; more keep equal shares.
-pub const MOST: usize = 64;
+pub const MAX_BUDGETS: usize = 64;
 
 /// What is said of a budget beside the question or its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -133,7 +133,7 @@
     /// other begins anew, and as a voter keeps silent for as long as a former one's word may hold.
     pub fn set(&mut self, now: Timestamp, all: Vec<NamedBudget>) {
         let mut before = std::mem::take(&mut self.budgets);
-        for named in all.into_iter().take(MOST) {
+        for named in all.into_iter().take(MAX_BUDGETS) {
             let id = BudgetId::of_name(&named.name);
             let kept = before.remove(&id);
             let same = kept.filter(|one| one.named.division == named.division);
