--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -24,7 +24,7 @@
 use std::time::Instant;
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
-use trailproxy_budgets::decide::shares::Action;
+use trailproxy_budgets::decide::shares::Action as BudgetAction;
 use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
 use trailproxy_peers::decide::{Action, Peers, Stands};
 use trailproxy_peers::wire::Seal;
@@ -426,7 +426,7 @@
             return;
         };
         for act in shares.take() {
-            if let Action::Send(to, note) = act {
+            if let BudgetAction::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
                 peers.beside(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
             }
