--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -9,7 +9,7 @@
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
 use trailproxy_zones::Rules;
-use trailproxy_zones::decide::sheet::Names;
+use trailproxy_zones::decide::config::Names;
 
 const SECONDS: Takes = Takes::Number(0.0, 100_000.0);
 const MILLIS: Takes = Takes::Number(0.0, 10_000_000.0);
@@ -308,7 +308,7 @@
     /// Traffic between zones is accounted for, and kept within these limits.
     pub zones: Option<Rules>,
     /// The same in names, for a dispatcher on sockets.
-    pub zones_sheet: Option<trailproxy_zones::decide::sheet::Sheet>,
+    pub zones_sheet: Option<trailproxy_zones::decide::config::ZonesConfig>,
 }
 
 fn millis(section: &Section, field: &str) -> TimeSpan {
@@ -520,7 +520,7 @@
             zones: None,
             divided: sheet.one("divided").map(Divided::of),
             whole_bodies: fleet.flag("whole_bodies"),
-            zones_sheet: trailproxy_zones_tools::sections::sheet(sheet),
+            zones_sheet: trailproxy_zones_tools::sections::zones_config(sheet),
         };
         let names = scenario.names();
         let told = scenario
--- a/crates/trailproxy-cli/src/main.rs
+++ b/crates/trailproxy-cli/src/main.rs
@@ -96,7 +96,7 @@
         Some(_) => scenario::Scenario::load(file).map(|_| ()),
         None => read_file(file, sections::OPERATOR).map(|_| ()),
     };
-    let zones = trailproxy_zones_tools::sections::sheet(&sheet);
+    let zones = trailproxy_zones_tools::sections::zones_config(&sheet);
     if let Some(Err(unfit)) = zones.map(|zones| zones.check()) {
         return End::Refused(unfit.to_string());
     }
--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -15,8 +15,8 @@
 use trailproxy_lab::loopback;
 use trailproxy_lab::report::{self, Line};
 use trailproxy_operator::read_file;
+use trailproxy_zones::decide::config::Names;
 use trailproxy_zones::decide::merge::{Merged, merge};
-use trailproxy_zones::decide::sheet::Names;
 use trailproxy_zones_tools::decide::plan::{self, Demand, Promise};
 use trailproxy_zones_tools::log::of_log;
 use trailproxy_zones_tools::sections as zones_sections;
@@ -106,7 +106,7 @@
 
 fn sheet(file: &str, config: Option<&str>) -> Result<End, String> {
     let script = read_file(file, &kinds()).map_err(|wrong| wrong.to_string())?;
-    let sheet = zones_sections::sheet(&script);
+    let sheet = zones_sections::zones_config(&script);
     if let Some(sheet) = &sheet {
         sheet.check().map_err(|unfit| unfit.to_string())?;
         if let Some(config) = config {
--- a/crates/trailproxyd/src/accounts.rs
+++ b/crates/trailproxyd/src/accounts.rs
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 use trailproxy::units::Timestamp;
 use trailproxy_zones::Zones;
-use trailproxy_zones::decide::sheet::{Names, Sheet};
+use trailproxy_zones::decide::config::{Names, ZonesConfig};
 use trailproxy_zones::report::Report;
 
 /// How often the account is brought up to now: rises are told in half seconds.
@@ -51,7 +51,7 @@
     }
 
     /// Follows what the operator's file says now.
-    pub fn follow(&mut self, config: &Sheet) {
+    pub fn follow(&mut self, config: &ZonesConfig) {
         self.report_every = Duration::from_secs_f64(config.report_s.clamp(0.5, 3_600.0));
         self.report_at = self.report_at.min(Instant::now() + self.report_every);
         let named =
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -19,7 +19,7 @@
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::SharedState;
 use trailproxy_terms::Reports;
-use trailproxy_zones::decide::sheet::Sheet as ZonesSheet;
+use trailproxy_zones::decide::config::ZonesConfig;
 use trailproxy_zones::{Rules, Zones};
 
 impl Dispatch {
@@ -172,7 +172,7 @@
     }
 
     /// What the operator's file says of traffic between zones: counts and what is open are kept.
-    pub(super) fn zones(&mut self, told: Option<Box<(ZonesSheet, Rules)>>) {
+    pub(super) fn zones(&mut self, told: Option<Box<(ZonesConfig, Rules)>>) {
         let now = self.clock.moment(Instant::now());
         let Some((accounts, terms, seed)) = &mut self.accounts else {
             return;
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -16,7 +16,7 @@
 use trailproxy_peers::decide::locality::Topology;
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_zones::Rules;
-use trailproxy_zones::decide::sheet::{Names, Sheet};
+use trailproxy_zones::decide::config::{Names, ZonesConfig};
 
 /// A reader that says nothing for so long is ended.
 const WITHIN: Duration = Duration::from_secs(3);
@@ -35,7 +35,7 @@
 /// What the file says of each subsystem: nothing where it is off.
 #[derive(Default)]
 pub struct Told {
-    pub zones: Option<Box<(Sheet, Rules)>>,
+    pub zones: Option<Box<(ZonesConfig, Rules)>>,
     pub store: Option<Box<StoreConfig>>,
     pub peers: Option<Box<PeersTold>>,
     pub budgets: Option<Box<BudgetsConfig>>,
@@ -143,7 +143,7 @@
             }
         }
         let empty = all.as_object().is_some_and(|all| all.is_empty());
-        let config: Option<Sheet> = match empty {
+        let config: Option<ZonesConfig> = match empty {
             true => None,
             false => serde_json::from_value(all).map_err(unread)?,
         };
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -33,7 +33,7 @@
         mut terminate,
         mut interrupt,
     } = signals;
-    let names = trailproxy_zones::decide::sheet::Names {
+    let names = trailproxy_zones::decide::config::Names {
         zones: start.bounds.zone_names.clone(),
         tracks: start.bounds.track_names.clone(),
     };
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,8 +1,8 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
 use trailproxy_operator::decide::{Absent, Kind, Section, Shape, Sheet as Script, may, must};
+use trailproxy_zones::decide::config::{CrossingConfig, Positions, ZonesConfig};
 use trailproxy_zones::decide::rise::Alarm;
-use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
 
 const KB: Shape = Shape::Number(0.0, 1e9);
 
@@ -48,24 +48,24 @@
     },
 ];
 
-fn places(section: &Section) -> Places {
+fn places(section: &Section) -> Positions {
     let of = |(name, field): (&String, &trailproxy_operator::Field)| {
         (name.clone(), (field.place.line, field.place.column))
     };
-    let mut places: Places = section.fields.iter().map(of).collect();
+    let mut places: Positions = section.fields.iter().map(of).collect();
     places.insert(String::new(), (section.place.line, section.place.column));
     places
 }
 
 /// What a checked script says; `None` where it has no section `zones`, or that is not on.
-pub fn sheet(script: &Script) -> Option<Sheet> {
+pub fn zones_config(script: &Script) -> Option<ZonesConfig> {
     let head = script.one("zones").filter(|head| head.flag("on"))?;
     let alarm = Alarm {
         at: head.number("alarm_at"),
         slack: head.number("alarm_slack"),
         ..Alarm::default()
     };
-    let crossing = |section: &Section| CrossingSheet {
+    let crossing = |section: &Section| CrossingConfig {
         name: section.text("name").into(),
         out_of: section.text("out_of").into(),
         into: section.text("into").into(),
@@ -77,7 +77,7 @@
         most_kb_per_s: section.number("most_kb_per_s"),
         places: places(section),
     };
-    Some(Sheet {
+    Some(ZonesConfig {
         file: script.file.clone(),
         on: true,
         report_s: head.number("report_s"),
--- a/crates/zones-tools/tests/sheet.rs
+++ b/crates/zones-tools/tests/sheet.rs
@@ -2,8 +2,8 @@
 
 use trailproxy::units::*;
 use trailproxy_operator::{Bounds, read};
-use trailproxy_zones::decide::sheet::{Names, Sheet};
-use trailproxy_zones_tools::sections::{KINDS, sheet};
+use trailproxy_zones::decide::config::{Names, ZonesConfig};
+use trailproxy_zones_tools::sections::{KINDS, zones_config};
 
 fn names() -> Names {
     let owned = |all: &[&str]| all.iter().map(|&name| name.to_owned()).collect();
@@ -13,10 +13,10 @@
     }
 }
 
-fn script(text: &str) -> Sheet {
+fn script(text: &str) -> ZonesConfig {
     let script =
         read("operator.star", text.into(), KINDS, Bounds::default()).expect("a script that fits");
-    sheet(&script).expect("a section that is on")
+    zones_config(&script).expect("a section that is on")
 }
 
 fn complaint(text: &str) -> String {
@@ -33,7 +33,7 @@
          crossing(name = \"link\", into = \"depot\", kb_per_s = 1000, burst_kb = 250, reserve_kb_per_s = 100)\n",
     );
     let json = serde_json::to_string(&told).expect("JSON");
-    let again: Sheet = serde_json::from_str(&json).expect("a sheet");
+    let again: ZonesConfig = serde_json::from_str(&json).expect("a sheet");
     assert_eq!(again, told);
     let rules = again.resolve(&names()).expect("rules");
     assert_eq!(rules.first, vec![ClassId(0)]);
--- a/crates/zones/src/decide/sheet.rs
+++ b/crates/zones/src/decide/config.rs
@@ -1,7 +1,7 @@
 //! What the operator's file says of traffic between zones, in names, and what must hold of it.
 //!
 //! The script is read by the command line, which hands it on as JSON; whoever knows the zones and tracks turns the
-//! names into ids with [`Sheet::resolve`]. Each complaint names file, line, column, section and field.
+//! names into ids with [`ZonesConfig::resolve`]. Each complaint names file, line, column, section and field.
 
 use super::Rules;
 use super::budget::Limit;
@@ -12,10 +12,10 @@
 use trailproxy::units::*;
 
 /// Line and column of each field, from 1; of the section itself under the empty name.
-pub type Places = BTreeMap<String, (usize, usize)>;
+pub type Positions = BTreeMap<String, (usize, usize)>;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct ZonesConfig {
     pub file: String,
     pub on: bool,
     pub report_s: f64,
@@ -24,12 +24,12 @@
     /// A file that Prometheus text is written to; empty: none.
     pub metrics: String,
     pub alarm: Option<Alarm>,
-    pub places: Places,
-    pub crossings: Vec<CrossingSheet>,
+    pub places: Positions,
+    pub crossings: Vec<CrossingConfig>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct CrossingSheet {
+pub struct CrossingConfig {
     pub name: String,
     /// Empty: from all other zones together.
     pub out_of: String,
@@ -41,12 +41,12 @@
     pub largest_kb: f64,
     pub least_kb_per_s: f64,
     pub most_kb_per_s: f64,
-    pub places: Places,
+    pub places: Positions,
 }
 
 /// What does not fit.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unfit {
+pub struct ConfigError {
     pub file: String,
     pub place: (usize, usize),
     pub section: &'static str,
@@ -55,7 +55,7 @@
     pub wanted: String,
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (line, column) = self.place;
         write!(
@@ -67,7 +67,7 @@
     }
 }
 
-impl std::error::Error for Unfit {}
+impl std::error::Error for ConfigError {}
 
 /// The zones and tracks that there are, each at the place of its id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -76,14 +76,14 @@
     pub tracks: Vec<String>,
 }
 
-impl Sheet {
+impl ZonesConfig {
     fn unfit(
         &self,
-        places: &Places,
+        places: &Positions,
         at: (&'static str, &'static str),
         found: String,
         wanted: String,
-    ) -> Unfit {
+    ) -> ConfigError {
         let place = places
             .get(at.1)
             .or(places.get(""))
@@ -91,7 +91,7 @@
             .unwrap_or((1, 1));
         let file = self.file.clone();
         let (section, field) = at;
-        Unfit {
+        ConfigError {
             file,
             place,
             section,
@@ -102,7 +102,7 @@
     }
 
     /// What must hold whatever zones and tracks there are.
-    pub fn check(&self) -> Result<(), Unfit> {
+    pub fn check(&self) -> Result<(), ConfigError> {
         for crossing in &self.crossings {
             let wrong = |field: &'static str, found: f64, wanted: String| {
                 Err(self.unfit(
@@ -144,10 +144,10 @@
     }
 
     /// The rules, with names as ids.
-    pub fn resolve(&self, names: &Names) -> Result<Rules, Unfit> {
+    pub fn resolve(&self, names: &Names) -> Result<Rules, ConfigError> {
         self.check()?;
         let among = |all: &[String], name: &str| all.iter().position(|known| known == name);
-        let zone = |crossing: &CrossingSheet, field: &'static str, name: &str| {
+        let zone = |crossing: &CrossingConfig, field: &'static str, name: &str| {
             among(&names.zones, name)
                 .map(|nth| ZoneId(nth as u16))
                 .ok_or_else(|| {
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -2,10 +2,10 @@
 
 pub mod account;
 pub mod budget;
+pub mod config;
 pub mod memory;
 pub mod merge;
 pub mod rise;
-pub mod sheet;
 
 use account::{Account, Cause, Key, Moved};
 use budget::{Budget, Class, Learner, Limit, Part as Divided};
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::Zones;
 use crate::decide::account::Cause;
-use crate::decide::sheet::Names;
+use crate::decide::config::Names;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::{ClassId, TimeSpan, Timestamp, ZoneId};
