--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -48,7 +48,7 @@
 
 /// One hand-off that may cross and is not over.
 #[derive(Debug)]
-struct Flying {
+struct InFlightCrossing {
     crossing: Crossing,
     why: Why,
     expected: f64,
@@ -58,7 +58,7 @@
     left: bool,
 }
 
-struct OfTrack {
+struct ClassInfo {
     class: Class,
     written: bool,
     fresh: Option<TimeSpan>,
@@ -71,14 +71,14 @@
     dispatchers: u32,
     notes: NoteLevel,
     flow_kb_per_s: f64,
-    tracks: Vec<OfTrack>,
+    tracks: Vec<ClassInfo>,
     rules: Rules,
     chance: fastrand::Rng,
     budgets: Vec<Budget>,
     learners: Vec<Learner>,
     account: Account,
     memory: Memory,
-    flying: BTreeMap<(RequestId, AttemptNo), Flying>,
+    in_flight: BTreeMap<(RequestId, AttemptNo), InFlightCrossing>,
     /// The share of accesses that crossed, by track and cause.
     crossed: Vec<[f64; Cause::ALL.len()]>,
     watches: BTreeMap<(ZoneId, ZoneId), Watch>,
@@ -104,7 +104,7 @@
 impl Zones {
     /// `terms` as the decisions have them; the seed draws this dispatcher's points in its budgets.
     pub fn new(terms: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
-        let of_track = |track: &ClassSettings| OfTrack {
+        let class_info = |track: &ClassSettings| ClassInfo {
             class: class_of(track),
             written: track.is_write,
             fresh: track.fresh_for,
@@ -115,13 +115,13 @@
             dispatchers: terms.dispatchers,
             notes: terms.note_level,
             flow_kb_per_s: terms.stream_kb_per_s,
-            tracks: terms.classes.iter().map(of_track).collect(),
+            tracks: terms.classes.iter().map(class_info).collect(),
             chance: fastrand::Rng::with_seed(seed),
             budgets: Vec::new(),
             learners: Vec::new(),
             account: Account::default(),
             memory: Memory::new(terms.parent_kind, terms.origin_kind),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             crossed: vec![Cause::ALL.map(first_guess); terms.classes.len()],
             watches: BTreeMap::new(),
             told: Vec::new(),
@@ -179,12 +179,12 @@
             let name = before.get(nth)?.as_deref()?;
             rules.limits.iter().position(|limit| limit.name == name)
         };
-        for flying in self.flying.values_mut() {
-            let moved = flying
+        for in_flight in self.in_flight.values_mut() {
+            let moved = in_flight
                 .charged
                 .iter()
                 .filter_map(|&(nth, from)| Some((place(nth)?, from)));
-            flying.charged = moved.collect();
+            in_flight.charged = moved.collect();
         }
         self.learners = rules.limits.iter().map(|_| Learner::default()).collect();
         self.rules = rules;
@@ -228,12 +228,15 @@
 
     /// KB expected of what is under way.
     pub fn under_way_kb(&self) -> f64 {
-        self.flying.values().map(|flying| flying.expected).sum()
+        self.in_flight
+            .values()
+            .map(|in_flight| in_flight.expected)
+            .sum()
     }
 
     /// What it keeps, for a check that nothing grows: hand-offs, objects, purges and hosts.
     pub fn kept(&self) -> (usize, usize) {
-        (self.flying.len(), self.memory.kept())
+        (self.in_flight.len(), self.memory.kept())
     }
 
     /// Lets time pass, and takes what is to be told.
@@ -347,48 +350,48 @@
     }
 
     /// What came of a hand-off that might cross: KB that crossed, as far as it is told or can be inferred.
-    fn came(&self, outcome: &Outcome, flying: &Flying) -> (f64, bool) {
-        let told = flying.crossing.kb.max(0.0);
+    fn came(&self, outcome: &Outcome, in_flight: &InFlightCrossing) -> (f64, bool) {
+        let told = in_flight.crossing.kb.max(0.0);
         let kb = outcome.received_kb.unwrap_or(told);
-        let sure = flying.why.cause == Cause::Straight;
+        let sure = in_flight.why.cause == Cause::Straight;
         let alone = TimeSpan::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
         match (outcome.ending, outcome.note) {
             // Of what is written, the request crosses and not its answer.
-            (Ending::Done, _) if flying.why.cause == Cause::Written => (told, true),
+            (Ending::Done, _) if in_flight.why.cause == Cause::Written => (told, true),
             (Ending::Done, _) if sure => (kb, true),
             (Ending::Done, Note::Hit | Note::Stale | Note::Joined) => (0.0, true),
             (Ending::Done, Note::Filled | Note::FilledByOrigin) => (kb, true),
-            (Ending::Done, _) if flying.joined => (0.0, false),
+            (Ending::Done, _) if in_flight.joined => (0.0, false),
             // Where hits are told, what is not one was filled.
             (Ending::Done, _) if self.notes != NoteLevel::None => (kb, true),
             (Ending::Done, _) => (if outcome.elapsed > alone { kb } else { 0.0 }, false),
             // It may go on behind: what was expected of it stays booked.
             (Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled, _) => {
-                (flying.expected, false)
+                (in_flight.expected, false)
             }
             _ => (0.0, false),
         }
     }
 
     fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
-        let Some(flying) = self.flying.remove(&(outcome.id, outcome.attempt)) else {
+        let Some(in_flight) = self.in_flight.remove(&(outcome.id, outcome.attempt)) else {
             return;
         };
-        let crossing = flying.crossing;
-        let (kb, certain) = self.came(outcome, &flying);
+        let crossing = in_flight.crossing;
+        let (kb, certain) = self.came(outcome, &in_flight);
         let done = outcome.ending == Ending::Done;
-        for &(nth, from) in &flying.charged {
-            self.budgets[nth].correct(from, kb - flying.expected);
+        for &(nth, from) in &in_flight.charged {
+            self.budgets[nth].correct(from, kb - in_flight.expected);
         }
-        let (track, cause) = (usize::from(crossing.arrival.class.0), flying.why.cause);
-        if certain && done && !flying.joined {
+        let (track, cause) = (usize::from(crossing.arrival.class.0), in_flight.why.cause);
+        if certain && done && !in_flight.joined {
             let share = &mut self.crossed[track][cause as usize];
             let now = if kb > 0.0 { 1.0 } else { 0.0 };
             *share += (now - *share) * GAIN;
         }
         let filled = done && kb > 0.0;
         // The watch saw what was expected when it went out.
-        self.watch(&crossing, kb - flying.expected, flying.why);
+        self.watch(&crossing, kb - in_flight.expected, in_flight.why);
         let way = (
             crossing.host,
             crossing.arrival.object,
@@ -397,14 +400,14 @@
         // A hit where a refill was expected says that another dispatcher's came first.
         let anew = filled || matches!(cause, Cause::Purge | Cause::HostLost);
         self.memory
-            .ended(now, way, outcome.ending, anew, !flying.joined);
+            .ended(now, way, outcome.ending, anew, !in_flight.joined);
         if kb <= 0.0 {
             return;
         }
-        let wasted = !done || flying.left;
+        let wasted = !done || in_flight.left;
         let begun = outcome
             .first_byte_latency
-            .map_or(flying.sent, |waited| flying.sent + waited);
+            .map_or(in_flight.sent, |waited| in_flight.sent + waited);
         let key = Key {
             from: crossing.from,
             to: crossing.to,
@@ -454,9 +457,9 @@
             Event::Outcome(outcome) => self.outcome(now, outcome),
             Event::ClientGone { id } => {
                 let all = (*id, AttemptNo(0))..=(*id, AttemptNo(u8::MAX));
-                self.flying
+                self.in_flight
                     .range_mut(all)
-                    .for_each(|(_, flying)| flying.left = true);
+                    .for_each(|(_, in_flight)| in_flight.left = true);
             }
             Event::Arrived(_)
             | Event::ResponseStarted { .. }
@@ -527,7 +530,7 @@
             );
             self.memory.sent(now, way, !joined);
         }
-        let flying = Flying {
+        let in_flight = InFlightCrossing {
             crossing: *crossing,
             why,
             expected,
@@ -537,8 +540,8 @@
             left: false,
         };
         self.watch(crossing, expected, why);
-        self.flying
-            .insert((crossing.arrival.id, crossing.attempt), flying);
+        self.in_flight
+            .insert((crossing.arrival.id, crossing.attempt), in_flight);
     }
 
     fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -700,8 +700,8 @@
             desk.zones.advance(at(n * 10));
         }
     }
-    let (flying, kept) = desk.zones.kept();
-    assert_eq!(flying, 0);
+    let (in_flight, kept) = desk.zones.kept();
+    assert_eq!(in_flight, 0);
     assert!(kept < 46_000, "{kept}");
 }
 
