--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -32,7 +32,7 @@
 }
 
 /// A part of an object at a cache.
-pub type Way = (HostId, ObjectId, u32);
+pub type CachedPart = (HostId, ObjectId, u32);
 
 #[derive(Clone, Copy, Debug)]
 struct Seen {
@@ -61,7 +61,7 @@
     hosts: BTreeMap<HostId, Known>,
     purges: BTreeMap<(GroupId, Option<ObjectId>), Timestamp>,
     purge_order: VecDeque<(Timestamp, (GroupId, Option<ObjectId>))>,
-    filling: BTreeSet<Way>,
+    filling: BTreeSet<CachedPart>,
 }
 
 impl Memory {
@@ -191,18 +191,25 @@
         })
     }
 
-    pub fn filling(&self, way: Way) -> bool {
+    pub fn filling(&self, way: CachedPart) -> bool {
         self.filling.contains(&way)
     }
 
     /// It goes out; `fills`: it is the own hand-off that others join.
-    pub fn sent(&mut self, _now: Timestamp, way: Way, fills: bool) {
+    pub fn sent(&mut self, _now: Timestamp, way: CachedPart, fills: bool) {
         if fills {
             self.filling.insert(way);
         }
     }
 
-    pub fn ended(&mut self, now: Timestamp, way: Way, ending: Ending, filled: bool, filler: bool) {
+    pub fn ended(
+        &mut self,
+        now: Timestamp,
+        way: CachedPart,
+        ending: Ending,
+        filled: bool,
+        filler: bool,
+    ) {
         if filler {
             self.filling.remove(&way);
         }
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -24,7 +24,7 @@
 
 /// What crossed lately on one way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Way {
+pub struct Route {
     pub from: String,
     pub to: String,
     pub kb_1s: f64,
@@ -53,7 +53,7 @@
     pub life: u64,
     pub at_us: u64,
     pub lines: Vec<Line>,
-    pub ways: Vec<Way>,
+    pub ways: Vec<Route>,
     pub budgets: Vec<BudgetLine>,
     pub turned_away: Vec<Refusals>,
     pub under_way_kb: f64,
@@ -88,7 +88,7 @@
                 ways.entry((key.from, key.to)).or_default()[nth] += sum.kb;
             }
         }
-        let way = |((from, to), kb): ((ZoneId, ZoneId), [f64; 3])| Way {
+        let way = |((from, to), kb): ((ZoneId, ZoneId), [f64; 3])| Route {
             from: zone(from),
             to: zone(to),
             kb_1s: short(kb[0]),
