--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -374,7 +374,7 @@
 /// Finds the rate of a link by how quick its fills are: more while all are quick and some were turned away, less at
 /// once when they slow down. It follows the dispatcher's own share, so that a dead neighbour's is taken up in time.
 #[derive(Debug, Default)]
-pub struct Learner {
+pub struct RateLearner {
     /// Pace of fills, in KB/s: a slowly falling best, and the mean of the running step.
     best: f64,
     sum: f64,
@@ -392,7 +392,7 @@
 /// A pace says something from this size on; of less, most is distance.
 const TELLS_KB: f64 = 16.0;
 
-impl Learner {
+impl RateLearner {
     /// A fill of so many KB took so long from its first byte on.
     pub fn filled(&mut self, kb: f64, took: TimeSpan) {
         if kb < TELLS_KB || took == TimeSpan::ZERO {
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/memory.rs
@@ -53,7 +53,7 @@
 }
 
 #[derive(Debug)]
-pub struct Memory {
+pub struct ObjectHistory {
     parent_kind: Option<KindId>,
     origin_kind: Option<KindId>,
     newer: BTreeMap<(ObjectId, u32), Seen>,
@@ -64,9 +64,9 @@
     filling: BTreeSet<CachedPart>,
 }
 
-impl Memory {
-    pub fn new(parent_kind: Option<KindId>, origin_kind: Option<KindId>) -> Memory {
-        Memory {
+impl ObjectHistory {
+    pub fn new(parent_kind: Option<KindId>, origin_kind: Option<KindId>) -> ObjectHistory {
+        ObjectHistory {
             parent_kind,
             origin_kind,
             newer: BTreeMap::new(),
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -8,8 +8,8 @@
 pub mod rise;
 
 use account::{Account, Cause, Key, Moved};
-use budget::{Budget, Class, Learner, Limit, Part as Divided};
-use memory::{Memory, Why};
+use budget::{Budget, Class, Limit, Part as Divided, RateLearner};
+use memory::{ObjectHistory, Why};
 use rise::{Alarm, Part, Rise, Watch};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -75,9 +75,9 @@
     rules: Rules,
     chance: fastrand::Rng,
     budgets: Vec<Budget>,
-    learners: Vec<Learner>,
+    learners: Vec<RateLearner>,
     account: Account,
-    memory: Memory,
+    memory: ObjectHistory,
     in_flight: BTreeMap<(RequestId, AttemptNo), InFlightCrossing>,
     /// The share of accesses that crossed, by track and cause.
     crossed: Vec<[f64; Cause::ALL.len()]>,
@@ -120,7 +120,7 @@
             budgets: Vec::new(),
             learners: Vec::new(),
             account: Account::default(),
-            memory: Memory::new(terms.parent_kind, terms.origin_kind),
+            memory: ObjectHistory::new(terms.parent_kind, terms.origin_kind),
             in_flight: BTreeMap::new(),
             crossed: vec![Cause::ALL.map(first_guess); terms.classes.len()],
             watches: BTreeMap::new(),
@@ -186,7 +186,11 @@
                 .filter_map(|&(nth, from)| Some((place(nth)?, from)));
             in_flight.charged = moved.collect();
         }
-        self.learners = rules.limits.iter().map(|_| Learner::default()).collect();
+        self.learners = rules
+            .limits
+            .iter()
+            .map(|_| RateLearner::default())
+            .collect();
         self.rules = rules;
     }
 
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -3,7 +3,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_zones::decide::account::{Account, Cause, Key, Moved, SECONDS, Tier};
-use trailproxy_zones::decide::budget::{self, Budget, Class, Learner, Limit};
+use trailproxy_zones::decide::budget::{self, Budget, Class, Limit, RateLearner};
 use trailproxy_zones::decide::rise::Reason;
 use trailproxy_zones::decide::{Rules, Zones};
 
@@ -329,7 +329,7 @@
 
 #[test]
 fn a_learned_rate_falls_when_fills_slow_down_and_rises_while_some_are_turned_away() {
-    let mut learner = Learner::default();
+    let mut learner = RateLearner::default();
     let between = (100.0, 10_000.0);
     learner.filled(100.0, TimeSpan::from_millis(50));
     learner.refused();
