--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -15,7 +15,7 @@
 
 /// What goes first, and everything else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum Priority {
     First,
     Plain,
 }
@@ -89,12 +89,12 @@
         }
     }
 
-    fn add(&mut self, now: Timestamp, class: Class, kb: f64) {
+    fn add(&mut self, now: Timestamp, class: Priority, kb: f64) {
         *self = self.at(now);
         // Evenly wanted, so many KB a second come to as much here.
         let rate = kb * std::f64::consts::LN_2 / WANTED_HALVES.as_secs_f64();
         self.all += rate;
-        self.first += if class == Class::First { rate } else { 0.0 };
+        self.first += if class == Priority::First { rate } else { 0.0 };
     }
 }
 
@@ -234,7 +234,7 @@
     }
 
     /// Something was wanted, whether it had room or not.
-    pub fn demanded(&mut self, now: Timestamp, class: Class, kb: f64) {
+    pub fn demanded(&mut self, now: Timestamp, class: Priority, kb: f64) {
         self.demand.add(now, class, kb);
     }
 
@@ -297,19 +297,21 @@
     }
 
     /// Where a send of so many KB would be taken from; `None`: there is no room for it now.
-    pub fn room(&self, now: Timestamp, class: Class, kb: f64) -> Option<From> {
+    pub fn room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<From> {
         let need = kb * (1.0 - self.part);
         let passed = now.since(self.at).as_secs_f64();
         let has = |bucket: &Bucket| bucket.level + bucket.rate * passed;
         let common = has(&self.common);
         match class {
-            Class::First if has(&self.kept) >= 0.0 => Some(From::Kept),
+            Priority::First if has(&self.kept) >= 0.0 => Some(From::Kept),
             // What goes first may put the others into debt, by a share of the burst.
-            Class::First if common + self.owes() >= need => Some(From::Common),
-            Class::Plain if kb <= SMALL * self.usual && has(&self.small) >= 0.0 => {
+            Priority::First if common + self.owes() >= need => Some(From::Common),
+            Priority::Plain if kb <= SMALL * self.usual && has(&self.small) >= 0.0 => {
                 Some(From::Small)
             }
-            Class::Plain if common + self.owes() * self.smallness(kb) >= need => Some(From::Common),
+            Priority::Plain if common + self.owes() * self.smallness(kb) >= need => {
+                Some(From::Common)
+            }
             _ => None,
         }
     }
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -8,7 +8,7 @@
 pub mod rise;
 
 use account::{Account, Cause, Key, Moved};
-use budget::{Budget, Class, Limit, Part as Divided, RateLearner};
+use budget::{Budget, Limit, Part as Divided, Priority, RateLearner};
 use memory::{ObjectHistory, Why};
 use rise::{Alarm, Part, Rise, Watch};
 use std::cell::{Cell, RefCell};
@@ -59,7 +59,7 @@
 }
 
 struct ClassInfo {
-    class: Class,
+    class: Priority,
     written: bool,
     fresh: Option<TimeSpan>,
 }
@@ -105,7 +105,7 @@
     /// `terms` as the decisions have them; the seed draws this dispatcher's points in its budgets.
     pub fn new(terms: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
         let class_info = |track: &ClassSettings| ClassInfo {
-            class: class_of(track),
+            class: priority_of(track),
             written: track.is_write,
             fresh: track.fresh_for,
         };
@@ -141,7 +141,7 @@
     pub fn change(&mut self, now: Timestamp, rules: Rules) {
         for (nth, track) in (0..).zip(&mut self.tracks) {
             if rules.first.contains(&ClassId(nth)) {
-                track.class = Class::First;
+                track.class = Priority::First;
             }
         }
         let mut old: Vec<Option<Budget>> = std::mem::take(&mut self.budgets)
@@ -347,10 +347,10 @@
         limit.to == crossing.to && limit.from.is_none_or(|from| from == crossing.from)
     }
 
-    fn class(&self, track: ClassId) -> Class {
+    fn class(&self, track: ClassId) -> Priority {
         self.tracks
             .get(usize::from(track.0))
-            .map_or(Class::Plain, |track| track.class)
+            .map_or(Priority::Plain, |track| track.class)
     }
 
     /// What came of a hand-off that might cross: KB that crossed, as far as it is told or can be inferred.
@@ -438,10 +438,10 @@
 }
 
 /// Orders and all that may not simply run again go first.
-pub fn class_of(track: &ClassSettings) -> Class {
+pub fn priority_of(track: &ClassSettings) -> Priority {
     match track.is_write || track.effect != Effect::Idempotent {
-        true => Class::First,
-        false => Class::Plain,
+        true => Priority::First,
+        false => Priority::Plain,
     }
 }
 
@@ -550,7 +550,7 @@
 
     fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
         let own = |budget: &&Budget| budget.limit.to == self.zone;
-        let plain = self.class(track) == Class::Plain;
+        let plain = self.class(track) == Priority::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
         full.filter_map(|budget| budget.full_for(now)).max()
     }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use trailproxy::units::*;
 use trailproxy_zones::decide::account::{Account, Cause, Key, Moved, Tier};
-use trailproxy_zones::decide::budget::{Budget, Class, From, Limit};
+use trailproxy_zones::decide::budget::{Budget, From, Limit, Priority};
 use trailproxy_zones::decide::merge::merge;
 use trailproxy_zones::report::{Line, Report};
 
@@ -32,7 +32,7 @@
         for (gap, kb, first) in steps {
             now += gap;
             budget.advance(at(now));
-            let class = if first { Class::First } else { Class::Plain };
+            let class = if first { Priority::First } else { Priority::Plain };
             match budget.room(at(now), class, kb) {
                 Some(from) => {
                     budget.charge(at(now), from, kb);
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -3,7 +3,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_zones::decide::account::{Account, Cause, Key, Moved, SECONDS, Tier};
-use trailproxy_zones::decide::budget::{self, Budget, Class, Limit, RateLearner};
+use trailproxy_zones::decide::budget::{self, Budget, Limit, Priority, RateLearner};
 use trailproxy_zones::decide::rise::Reason;
 use trailproxy_zones::decide::{Rules, Zones};
 
@@ -252,7 +252,7 @@
     let mut first = None;
     for ms in (0..60_000).step_by(100) {
         budget.advance(at(ms));
-        match budget.room(at(ms), Class::Plain, 2_000.0) {
+        match budget.room(at(ms), Priority::Plain, 2_000.0) {
             None => budget.turned_away(at(ms), 2_000.0),
             Some(from) => {
                 budget.charge(at(ms), from, 2_000.0);
@@ -271,8 +271,8 @@
     budget.advance(at(1_000));
     budget.charge(at(1_000), budget::From::Common, 1_000.0);
     assert!(budget.saved_kb() < 0.0, "{}", budget.saved_kb());
-    assert!(budget.room(at(1_000), Class::Plain, 5.0).is_some());
-    assert!(budget.room(at(1_000), Class::Plain, 500.0).is_none());
+    assert!(budget.room(at(1_000), Priority::Plain, 5.0).is_some());
+    assert!(budget.room(at(1_000), Priority::Plain, 500.0).is_none());
 }
 
 #[test]
@@ -287,7 +287,7 @@
     for ms in (60_000..80_000).step_by(50) {
         for budget in &mut all {
             budget.advance(at(ms));
-            match budget.room(at(ms), Class::Plain, 250.0) {
+            match budget.room(at(ms), Priority::Plain, 250.0) {
                 None => budget.turned_away(at(ms), 250.0),
                 Some(from) => {
                     budget.charge(at(ms), from, 250.0);
@@ -315,7 +315,7 @@
         let mut budget = Budget::new(limit(4_000.0, 400.0, 0.2), f64::from(n), at(0), &mut chance);
         for ms in (0..10_000).step_by(20) {
             budget.advance(at(ms));
-            match budget.room(at(ms), Class::Plain, 50.0) {
+            match budget.room(at(ms), Priority::Plain, 50.0) {
                 None => budget.turned_away(at(ms), 50.0),
                 Some(from) => {
                     budget.charge(at(ms), from, 50.0);
@@ -718,7 +718,7 @@
 fn drain(budget: &mut Budget, now: Timestamp) -> f64 {
     let mut taken = 0.0;
     budget.advance(now);
-    while let Some(from) = budget.room(now, Class::Plain, 10.0) {
+    while let Some(from) = budget.room(now, Priority::Plain, 10.0) {
         budget.charge(now, from, 10.0);
         taken += 10.0;
     }
