--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -132,7 +132,7 @@
 
 /// Where a charge was taken from: a correction goes back there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum BucketKind {
     Kept,
     Small,
     Common,
@@ -297,20 +297,20 @@
     }
 
     /// Where a send of so many KB would be taken from; `None`: there is no room for it now.
-    pub fn room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<From> {
+    pub fn room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<BucketKind> {
         let need = kb * (1.0 - self.part);
         let passed = now.since(self.at).as_secs_f64();
         let has = |bucket: &Bucket| bucket.level + bucket.rate * passed;
         let common = has(&self.common);
         match class {
-            Priority::First if has(&self.kept) >= 0.0 => Some(From::Kept),
+            Priority::First if has(&self.kept) >= 0.0 => Some(BucketKind::Kept),
             // What goes first may put the others into debt, by a share of the burst.
-            Priority::First if common + self.owes() >= need => Some(From::Common),
+            Priority::First if common + self.owes() >= need => Some(BucketKind::Common),
             Priority::Plain if kb <= SMALL * self.usual && has(&self.small) >= 0.0 => {
-                Some(From::Small)
+                Some(BucketKind::Small)
             }
             Priority::Plain if common + self.owes() * self.smallness(kb) >= need => {
-                Some(From::Common)
+                Some(BucketKind::Common)
             }
             _ => None,
         }
@@ -335,7 +335,7 @@
         }
     }
 
-    pub fn charge(&mut self, now: Timestamp, from: From, kb: f64) {
+    pub fn charge(&mut self, now: Timestamp, from: BucketKind, kb: f64) {
         self.advance(now);
         self.correct(from, kb);
         self.sent = self.sent.saturating_add(1);
@@ -346,11 +346,11 @@
     }
 
     /// Takes so many KB more, or gives some back where negative.
-    pub fn correct(&mut self, from: From, kb: f64) {
+    pub fn correct(&mut self, from: BucketKind, kb: f64) {
         match from {
-            From::Kept => self.kept.level -= kb,
-            From::Small => self.small.level -= kb,
-            From::Common => self.common.level -= kb,
+            BucketKind::Kept => self.kept.level -= kb,
+            BucketKind::Small => self.small.level -= kb,
+            BucketKind::Common => self.common.level -= kb,
         }
     }
 
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -52,7 +52,7 @@
     crossing: Crossing,
     why: Why,
     expected: f64,
-    charged: Vec<(usize, budget::From)>,
+    charged: Vec<(usize, budget::BucketKind)>,
     sent: Timestamp,
     joined: bool,
     left: bool,
@@ -520,7 +520,7 @@
             if Zones::concerns(&budget.limit, crossing) {
                 let from = budget
                     .room(now, class, expected)
-                    .unwrap_or(budget::From::Common);
+                    .unwrap_or(budget::BucketKind::Common);
                 budget.charge(now, from, expected);
                 budget.demanded(now, class, expected);
                 charged.push((nth, from));
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -269,7 +269,7 @@
     let mut chance = chance();
     let mut budget = Budget::new(limit(1_000.0, 400.0, 0.0), 1.0, at(0), &mut chance);
     budget.advance(at(1_000));
-    budget.charge(at(1_000), budget::From::Common, 1_000.0);
+    budget.charge(at(1_000), budget::BucketKind::Common, 1_000.0);
     assert!(budget.saved_kb() < 0.0, "{}", budget.saved_kb());
     assert!(budget.room(at(1_000), Priority::Plain, 5.0).is_some());
     assert!(budget.room(at(1_000), Priority::Plain, 500.0).is_none());
@@ -480,7 +480,7 @@
     assert!(saved <= 400.0, "{saved}");
     budget.advance(at(0));
     assert!(budget.saved_kb() <= saved);
-    budget.charge(at(0), budget::From::Common, 300.0);
+    budget.charge(at(0), budget::BucketKind::Common, 300.0);
     let owed = budget.saved_kb();
     budget.advance(at(100));
     assert!(budget.saved_kb() > owed + 50.0);
