--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
-use trailproxy_zones::decide::budget::Part;
+use trailproxy_zones::decide::budget::BudgetPart;
 
 /// Another's whole counts for so long after it was last heard of.
 const STATED_FOR: TimeSpan = TimeSpan::from_secs(2);
@@ -47,7 +47,7 @@
 pub enum Action {
     Send(HolderId, BudgetMessage),
     /// The part of this budget is another now.
-    Part(BudgetId, Part),
+    Part(BudgetId, BudgetPart),
     /// Another dispatcher's file has another whole or division for it.
     Mismatch {
         name: String,
@@ -75,7 +75,7 @@
     answered: Wholes,
     /// Others whose division is another.
     strangers: u64,
-    told: Option<Part>,
+    told: Option<BudgetPart>,
     differs: bool,
 }
 
@@ -103,12 +103,12 @@
         least(&self.answered, now, self.named.whole)
     }
 
-    fn part(&self, now: Timestamp) -> Part {
+    fn part(&self, now: Timestamp) -> BudgetPart {
         let of = match self.named.whole > 0.0 {
             true => self.least(now) / self.named.whole,
             false => 1.0,
         };
-        Part {
+        BudgetPart {
             part: self.holder.part(now) * of,
             until: self.holder.good_until(now),
             floor: self.named.division.floor() * of,
@@ -178,7 +178,7 @@
     }
 
     /// What may be used of it now; `None`: there is no such budget.
-    pub fn part(&self, now: Timestamp, id: BudgetId) -> Option<Part> {
+    pub fn part(&self, now: Timestamp, id: BudgetId) -> Option<BudgetPart> {
         self.budgets.get(&id).map(|one| one.part(now))
     }
 
--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -58,7 +58,7 @@
 
 /// A part of the whole that is this dispatcher's for a while, where budgets are divided by need.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct BudgetPart {
     /// From 0 to 1.
     pub part: f64,
     /// Then it is the floor; `None`: it is that already.
@@ -105,7 +105,7 @@
     /// The share now; where nothing is divided, the equal one.
     share: f64,
     equal: f64,
-    divided: Option<Part>,
+    divided: Option<BudgetPart>,
     /// Of the share, what was given away and may still be saved here.
     gone: f64,
     demand: Wanted,
@@ -195,7 +195,7 @@
 
     /// From now on this part of the whole; `None`: an equal share again. What is saved or owed stays, in KB: what one gave
     /// back another saves up anew.
-    pub fn divide(&mut self, now: Timestamp, part: Option<Part>) {
+    pub fn divide(&mut self, now: Timestamp, part: Option<BudgetPart>) {
         self.advance(now);
         self.divided = part;
         let share = part.map_or(self.equal, |part| part.part);
@@ -217,7 +217,7 @@
             && part.until.is_some_and(|until| until <= now)
         {
             let floor = part.floor.min(part.part);
-            self.divided = Some(Part {
+            self.divided = Some(BudgetPart {
                 part: floor,
                 until: None,
                 floor,
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -8,7 +8,7 @@
 pub mod rise;
 
 use account::{Account, Cause, Key, Moved};
-use budget::{Budget, Limit, Part as Divided, Priority, RateLearner};
+use budget::{Budget, BudgetPart, Limit, Priority, RateLearner};
 use memory::{ObjectHistory, Why};
 use rise::{Alarm, Part, Rise, Watch};
 use std::cell::{Cell, RefCell};
@@ -213,7 +213,7 @@
     }
 
     /// A limit's part is this from now on; `None`: an equal share.
-    pub fn divide(&mut self, now: Timestamp, name: &str, part: Option<Divided>) {
+    pub fn divide(&mut self, now: Timestamp, name: &str, part: Option<BudgetPart>) {
         for budget in self.budgets.iter_mut().filter(|of| of.limit.name == name) {
             budget.divide(now, part);
         }
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -705,9 +705,9 @@
     assert!(kept < 46_000, "{kept}");
 }
 
-fn part(part: f64, until: u64) -> budget::Part {
+fn part(part: f64, until: u64) -> budget::BudgetPart {
     let until = Some(at(until));
-    budget::Part {
+    budget::BudgetPart {
         part,
         until,
         floor: 0.05,
