--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -10,7 +10,7 @@
 use account::{Account, Cause, Key, Moved};
 use budget::{Budget, BudgetPart, Limit, Priority, RateLearner};
 use memory::{ObjectHistory, Why};
-use rise::{Alarm, Part, Rise, Watch};
+use rise::{Alarm, CrossingSample, Rise, Watch};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use trailproxy::interface::*;
@@ -299,7 +299,7 @@
     fn watch(&mut self, crossing: &Crossing, kb: f64, why: Why) {
         let way = (crossing.from, crossing.to);
         if self.watches.contains_key(&way) || self.watches.len() < MOST_WATCHED {
-            self.watches.entry(way).or_default().add(Part {
+            self.watches.entry(way).or_default().add(CrossingSample {
                 kb,
                 cause: why.cause,
                 object: crossing.arrival.object,
--- a/crates/zones/src/decide/rise.rs
+++ b/crates/zones/src/decide/rise.rs
@@ -92,7 +92,7 @@
 
 /// What crossed, as the detector sees it.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct CrossingSample {
     pub kb: f64,
     pub cause: Cause,
     pub object: ObjectId,
@@ -131,7 +131,7 @@
 }
 
 /// What a turn tells: whether it begins, KB a second now and usually, why, and the part that explains.
-pub type Turn = (bool, f64, f64, Reason, f64);
+pub type RiseChange = (bool, f64, f64, Reason, f64);
 
 /// Median, and spread above it, which is `least` or more.
 fn usual(values: impl Iterator<Item = f64>, least: f64) -> Option<(f64, f64)> {
@@ -151,7 +151,7 @@
 }
 
 impl Watch {
-    pub fn add(&mut self, part: Part) {
+    pub fn add(&mut self, part: CrossingSample) {
         let slot = &mut self.running;
         slot.kb += part.kb;
         *slot.by_cause.entry(part.cause).or_default() += part.kb;
@@ -169,7 +169,7 @@
     }
 
     /// Lets time pass; at the end of a slot a rise may begin or end.
-    pub fn advance(&mut self, now: Timestamp, alarm: Alarm) -> Option<Turn> {
+    pub fn advance(&mut self, now: Timestamp, alarm: Alarm) -> Option<RiseChange> {
         let slot = now.0 / SLOT.0;
         let before = *self.slot.get_or_insert(slot);
         // A clock that went back goes on in its running slot.
@@ -204,7 +204,7 @@
         Some(all)
     }
 
-    fn end_slot(&mut self, ended: Slot, alarm: Alarm) -> Option<Turn> {
+    fn end_slot(&mut self, ended: Slot, alarm: Alarm) -> Option<RiseChange> {
         let mut values = [ended.kb; OWN.len() + 1];
         let own = values[1..].iter_mut().zip(OWN);
         own.for_each(|(value, cause)| *value = ended.of(cause));
