--- a/crates/zones/src/decide/account.rs
+++ b/crates/zones/src/decide/account.rs
@@ -1,7 +1,7 @@
 //! What crossed between zones: KB and accesses by way, tier, track and cause, in seconds and in all.
 //!
 //! Bytes are booked where they moved: those of a fill that ran from one moment to another are spread evenly over
-//! the seconds between, as far back as the account reaches. Its memory is bounded by [`MOST_KEYS`].
+//! the seconds between, as far back as the account reaches. Its memory is bounded by [`MAX_KEYS`].
 
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -84,7 +84,7 @@
 
 /// One line of the account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Key {
+pub struct AccountKey {
     pub from: ZoneId,
     pub to: ZoneId,
     pub tier: Tier,
@@ -94,29 +94,29 @@
 
 /// What stands in a line: hand-offs that moved something, and KB of 1,024 bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Sum {
+pub struct Total {
     pub moves: u64,
     pub kb: f64,
 }
 
-impl Sum {
+impl Total {
     fn add(&mut self, moves: u64, kb: f64) {
         self.moves += moves;
         self.kb += kb;
     }
 }
 
-pub type Sums = BTreeMap<Key, Sum>;
+pub type Totals = BTreeMap<AccountKey, Total>;
 
 /// More lines than this are not opened; what would stand in one is counted as left out.
-pub const MOST_KEYS: usize = 4_096;
+pub const MAX_KEYS: usize = 4_096;
 /// Seconds that are kept one by one.
-pub const SECONDS: u64 = 64;
+pub const RETAINED_SECONDS: u64 = 64;
 
 /// What moved, from when to when.
 #[derive(Clone, Copy, Debug)]
-pub struct Moved {
-    pub key: Key,
+pub struct Transfer {
+    pub key: AccountKey,
     pub kb: f64,
     pub from: Timestamp,
     pub until: Timestamp,
@@ -124,9 +124,9 @@
 
 #[derive(Debug, Default)]
 pub struct Account {
-    totals: Sums,
+    totals: Totals,
     /// By second of the caller's clock; oldest first, without gaps.
-    seconds: VecDeque<Sums>,
+    seconds: VecDeque<Totals>,
     /// The second at the back.
     newest: u64,
     left_out_kb: f64,
@@ -141,24 +141,24 @@
     /// never totals.
     pub fn advance(&mut self, now: Timestamp) {
         let now = second(now);
-        if self.seconds.is_empty() || now > self.newest + SECONDS {
+        if self.seconds.is_empty() || now > self.newest + RETAINED_SECONDS {
             self.seconds.clear();
-            self.seconds.push_back(Sums::new());
+            self.seconds.push_back(Totals::new());
             self.newest = now;
         }
         while self.newest < now {
             self.newest += 1;
-            self.seconds.push_back(Sums::new());
+            self.seconds.push_back(Totals::new());
         }
-        while self.seconds.len() as u64 > SECONDS {
+        while self.seconds.len() as u64 > RETAINED_SECONDS {
             self.seconds.pop_front();
         }
     }
 
-    pub fn book(&mut self, now: Timestamp, moved: Moved) {
+    pub fn book(&mut self, now: Timestamp, moved: Transfer) {
         self.advance(now);
         let known = self.totals.contains_key(&moved.key);
-        if !known && self.totals.len() >= MOST_KEYS {
+        if !known && self.totals.len() >= MAX_KEYS {
             self.left_out_kb += moved.kb;
             return;
         }
@@ -190,7 +190,7 @@
         }
     }
 
-    pub fn totals(&self) -> &Sums {
+    pub fn totals(&self) -> &Totals {
         &self.totals
     }
 
@@ -199,10 +199,10 @@
         self.left_out_kb
     }
 
-    /// The sums of the last whole seconds before `now`, at most [`SECONDS`] less one.
-    pub fn within(&self, now: Timestamp, span: TimeSpan) -> Sums {
+    /// The sums of the last whole seconds before `now`, at most [`RETAINED_SECONDS`] less one.
+    pub fn within(&self, now: Timestamp, span: TimeSpan) -> Totals {
         let (until, n) = (second(now), (span.0 / 1_000_000).max(1));
-        let mut sums = Sums::new();
+        let mut sums = Totals::new();
         let oldest = self.newest + 1 - (self.seconds.len() as u64).min(self.newest + 1);
         for (slot, part) in (oldest..).zip(&self.seconds) {
             if slot < until && slot + n >= until {
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -7,7 +7,7 @@
 pub mod merge;
 pub mod rise;
 
-use account::{Account, Cause, Key, Moved};
+use account::{Account, AccountKey, Cause, Transfer};
 use budget::{Budget, BudgetPart, Limit, Priority, RateLearner};
 use memory::{ObjectHistory, Why};
 use rise::{Alarm, CrossingSample, Rise, Watch};
@@ -412,14 +412,14 @@
         let begun = outcome
             .first_byte_latency
             .map_or(in_flight.sent, |waited| in_flight.sent + waited);
-        let key = Key {
+        let key = AccountKey {
             from: crossing.from,
             to: crossing.to,
             tier: self.memory.tier(crossing.source),
             track: crossing.arrival.class,
             cause: if wasted { Cause::Waste } else { cause },
         };
-        let moved = Moved {
+        let moved = Transfer {
             key,
             kb,
             from: begun,
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -72,16 +72,18 @@
         let zone = |id: ZoneId| name(&names.zones, usize::from(id.0));
         let track = |id: ClassId| name(&names.tracks, usize::from(id.0));
         let account = zones.account();
-        let line =
-            |(key, sum): (&crate::decide::account::Key, &crate::decide::account::Sum)| Line {
-                from: zone(key.from),
-                to: zone(key.to),
-                tier: key.tier.name().into(),
-                track: track(key.track),
-                cause: key.cause.name().into(),
-                moves: sum.moves,
-                kb: short(sum.kb),
-            };
+        let line = |(key, sum): (
+            &crate::decide::account::AccountKey,
+            &crate::decide::account::Total,
+        )| Line {
+            from: zone(key.from),
+            to: zone(key.to),
+            tier: key.tier.name().into(),
+            track: track(key.track),
+            cause: key.cause.name().into(),
+            moves: sum.moves,
+            kb: short(sum.kb),
+        };
         let mut ways: BTreeMap<(ZoneId, ZoneId), [f64; 3]> = BTreeMap::new();
         for (nth, s) in [1, 10, 60].into_iter().enumerate() {
             for (key, sum) in account.within(now, TimeSpan::from_secs(s)) {
