--- a/crates/zones-tools/tests/sheet.rs
+++ b/crates/zones-tools/tests/sheet.rs
@@ -88,5 +88,5 @@
         Bounds::default(),
     )
     .expect("fits");
-    assert_eq!(sheet(&script), None);
+    assert_eq!(zones_config(&script), None);
 }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -2,8 +2,8 @@
 
 use proptest::prelude::*;
 use trailproxy::units::*;
-use trailproxy_zones::decide::account::{Account, Cause, Key, Moved, Tier};
-use trailproxy_zones::decide::budget::{Budget, From, Limit, Priority};
+use trailproxy_zones::decide::account::{Account, AccountKey, Cause, Tier, Transfer};
+use trailproxy_zones::decide::budget::{BucketKind, Budget, Limit, Priority};
 use trailproxy_zones::decide::merge::merge;
 use trailproxy_zones::report::{Line, Report};
 
@@ -54,7 +54,7 @@
         };
         let mut chance = fastrand::Rng::with_seed(seed);
         let mut budget = Budget::new(limit, 1.0, at(0), &mut chance);
-        let from = if kept { From::Kept } else { From::Common };
+        let from = if kept { BucketKind::Kept } else { BucketKind::Common };
         budget.charge(at(0), from, kb);
         budget.correct(from, -kb);
         prop_assert!(budget.saved_kb().abs() < 1e-6);
@@ -65,14 +65,14 @@
     fn the_seconds_of_an_account_sum_to_its_totals(
         moves in prop::collection::vec((0u64..50_000_000, 0u64..20_000_000, 0.0f64..1e4), 1..100),
     ) {
-        let key = Key { from: ZoneId(0), to: ZoneId(1), tier: Tier::Origin, track: ClassId(0), cause: Cause::First };
+        let key = AccountKey { from: ZoneId(0), to: ZoneId(1), tier: Tier::Origin, track: ClassId(0), cause: Cause::First };
         let mut account = Account::default();
         account.advance(at(0));
         let now = at(58_000_000);
         account.advance(now);
         for &(from, long, kb) in &moves {
             let (from, until) = (at(from), at((from + long).min(57_999_999)));
-            account.book(now, Moved { key, kb, from, until });
+            account.book(now, Transfer { key, kb, from, until });
         }
         let all: f64 = moves.iter().map(|(_, _, kb)| kb).sum();
         let seconds = account.within(now, TimeSpan::from_secs(60))[&key];
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -2,7 +2,9 @@
 
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_zones::decide::account::{Account, Cause, Key, Moved, SECONDS, Tier};
+use trailproxy_zones::decide::account::{
+    Account, AccountKey, Cause, RETAINED_SECONDS, Tier, Transfer,
+};
 use trailproxy_zones::decide::budget::{self, Budget, Limit, Priority, RateLearner};
 use trailproxy_zones::decide::rise::Reason;
 use trailproxy_zones::decide::{Rules, Zones};
@@ -489,7 +491,7 @@
 #[test]
 fn the_account_spreads_a_fill_over_the_seconds_in_which_it_ran() {
     let mut account = Account::default();
-    let key = Key {
+    let key = AccountKey {
         from: HUB,
         to: DEPOT,
         tier: Tier::Parent,
@@ -501,7 +503,7 @@
     let (from, until) = (at(500), at(3_500));
     account.book(
         at(4_000),
-        Moved {
+        Transfer {
             key,
             kb: 300.0,
             from,
@@ -515,17 +517,20 @@
     // A clock that goes back books into its newest second, one that leaps forgets seconds and no totals.
     account.book(
         at(1_000),
-        Moved {
+        Transfer {
             key,
             kb: 5.0,
             from,
             until,
         },
     );
-    account.advance(at(4_000 + SECONDS * 2_000));
+    account.advance(at(4_000 + RETAINED_SECONDS * 2_000));
     assert!(
         account
-            .within(at(4_000 + SECONDS * 2_000), TimeSpan::from_secs(60))
+            .within(
+                at(4_000 + RETAINED_SECONDS * 2_000),
+                TimeSpan::from_secs(60)
+            )
             .is_empty()
     );
     assert_eq!(account.totals()[&key].kb, 305.0);
