--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -21,14 +21,14 @@
         let some = keepers.iter().filter(reached).count() > keepers.len() / 2;
         let wait = Some(self.rules.wait).filter(|_| some && self.claims.room());
         self.counts.waited += u64::from(wait.is_some());
-        let steps = self.records.come(now, id, key, due, wait);
+        let steps = self.records.on_request(now, id, key, due, wait);
         self.follow(now, steps);
     }
 
     /// A hand-off of it goes out.
     pub fn hand_off(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
         let token = self.token();
-        self.records.sent(id, place);
+        self.records.on_attempt_sent(id, place);
         let delay = match self.keepers.scope() {
             Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
@@ -39,7 +39,7 @@
 
     /// It has its final answer.
     pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
-        self.records.ended(id, &came);
+        self.records.on_request_ended(id, &came);
         self.claims.ended(now, id, came);
         self.tell_owed(now);
     }
@@ -55,12 +55,12 @@
                 first_sent,
             })
         };
-        self.records.earlier(id).or_else(unsure)
+        self.records.earlier_attempt(id).or_else(unsure)
     }
 
     /// Whether the others said that no other has the key of this access.
     pub fn granted(&self, id: RequestId) -> bool {
-        self.records.claimed(id)
+        self.records.is_claimed(id)
     }
 
     pub(super) fn token(&mut self) -> Token {
@@ -81,7 +81,7 @@
 
     pub(super) fn claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
         if !self.claims.room() {
-            let steps = self.records.go(id);
+            let steps = self.records.proceed(id);
             return self.follow(now, steps);
         }
         self.counts.claimed += 1;
@@ -187,19 +187,20 @@
         let steps = match heard {
             Heard::Waits => return,
             Heard::Mine => {
-                self.counts.granted += u64::from(self.records.waits(id));
+                self.counts.granted += u64::from(self.records.is_waiting(id));
                 // One that claimed at the same time has taken its claim back.
-                self.records.freed(id);
-                self.records.mine(id)
+                self.records.on_released(id);
+                self.records.on_claimed(id)
             }
             Heard::Unsure => {
                 self.counts.unsure += 1;
-                self.records.go(id)
+                self.records.proceed(id)
             }
             Heard::Found(asked, record) => {
-                let news = !self.records.waits(id) && self.records.earlier(id).is_none();
-                let steps = self.records.found(now, asked, id, record);
-                let waits = self.records.waits(id);
+                let news =
+                    !self.records.is_waiting(id) && self.records.earlier_attempt(id).is_none();
+                let steps = self.records.on_found(now, asked, id, record);
+                let waits = self.records.is_waiting(id);
                 self.counts.joined += u64::from(steps.is_empty() && waits);
                 self.counts.found_late += u64::from(news);
                 steps
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -384,7 +384,7 @@
         let others = self.members.all().map(|(&id, _)| id);
         self.sync.without(others);
         self.lack_all(now, Why::CutOff);
-        let steps = self.records.leave();
+        let steps = self.records.proceed_all();
         self.follow(now, steps);
         self.settle(now);
     }
@@ -450,7 +450,7 @@
                     self.look_at_fleet(self.fleet_at + FLEET);
                 }
                 MemberAction::Shadowed => {
-                    let steps = self.records.leave();
+                    let steps = self.records.proceed_all();
                     self.follow(now, steps);
                 }
             }
@@ -540,7 +540,7 @@
     pub fn next(&self) -> Timestamp {
         let relays = self.relays.as_ref().and_then(Relays::next);
         let timed = [
-            self.records.next(),
+            self.records.next_deadline(),
             self.claims.next(),
             self.facts.next(),
             relays,
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -205,17 +205,21 @@
 
     /// Accesses, operations and words that something is kept of, for a check that it stays bounded.
     pub fn kept(&self) -> (usize, usize, usize) {
-        (self.records.open(), self.pending.len(), self.news.kept())
+        (
+            self.records.open_requests(),
+            self.pending.len(),
+            self.news.kept(),
+        )
     }
 
     /// What another dispatcher did under the key of this access.
     pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
-        self.records.earlier(id)
+        self.records.earlier_attempt(id)
     }
 
     /// Whether the store said that no other has the key of this access.
     pub fn claimed(&self, id: RequestId) -> bool {
-        self.records.claimed(id)
+        self.records.is_claimed(id)
     }
 
     fn token(&self, id: RequestId) -> u64 {
@@ -231,13 +235,13 @@
         let room = self.pending.len() < MOST_OUT;
         let wait = Some(self.rules.wait).filter(|_| self.trust.may_wait() && room);
         self.counts.waited += u64::from(wait.is_some());
-        let steps = self.records.come(now, id, key, due, wait);
+        let steps = self.records.on_request(now, id, key, due, wait);
         self.follow(now, steps);
     }
 
     /// A hand-off of it goes out.
     pub fn hand_off(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
-        if let Some(key) = self.records.sent(id, place) {
+        if let Some(key) = self.records.on_attempt_sent(id, place) {
             let (token, keep) = (self.token(id), self.rules.keep);
             let ago = TimeSpan::ZERO;
             let op = Op::Sent {
@@ -253,7 +257,7 @@
 
     /// It has its final answer.
     pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
-        if let Some((key, place)) = self.records.ended(id, &came) {
+        if let Some((key, place)) = self.records.on_request_ended(id, &came) {
             let (token, keep) = (self.token(id), self.rules.keep);
             let op = Op::Ended {
                 key,
@@ -333,7 +337,7 @@
         self.pending.clear();
         self.timed.clear();
         self.turned(cause);
-        let steps = self.records.leave();
+        let steps = self.records.proceed_all();
         self.follow(now, steps);
     }
 
@@ -381,7 +385,7 @@
     /// Nothing is known by it: a waiting access goes on.
     fn without(&mut self, now: Timestamp, what: What) {
         if let What::Claim(id) = what {
-            let steps = self.records.go(id);
+            let steps = self.records.proceed(id);
             self.follow(now, steps);
         }
     }
@@ -390,7 +394,7 @@
         let left = cause.is_some() && !self.trust.may_wait();
         self.turned(cause);
         if left {
-            let steps = self.records.leave();
+            let steps = self.records.proceed_all();
             self.follow(now, steps);
         }
     }
@@ -424,12 +428,12 @@
                 self.trust.epoch(now, age, self.rules.keep);
             }
             (What::Claim(id), Answer::Mine) => {
-                let steps = self.records.mine(id);
+                let steps = self.records.on_claimed(id);
                 self.follow(now, steps);
             }
             (What::Claim(id), Answer::Found(record)) => {
-                let steps = self.records.found(now, pending.asked, id, record);
-                let waits = steps.is_empty() && self.records.waits(id);
+                let steps = self.records.on_found(now, pending.asked, id, record);
+                let waits = steps.is_empty() && self.records.is_waiting(id);
                 self.counts.joined += u64::from(waits);
                 self.counts.found_late += u64::from(steps.is_empty() && !waits);
                 self.follow(now, steps);
@@ -481,7 +485,7 @@
                 RecordStep::Claim(id, key) => {
                     let (token, keep) = (self.token(id), self.rules.keep);
                     if !self.ask(now, What::Claim(id), Op::Claim { key, token, keep }) {
-                        let go = self.records.go(id);
+                        let go = self.records.proceed(id);
                         self.follow(now, go);
                     }
                 }
@@ -541,7 +545,7 @@
         let fetch = self.own.map(|_| self.fetch_at).filter(|_| sending);
         let all = [
             self.trust.next(),
-            self.records.next(),
+            self.records.next_deadline(),
             news,
             first,
             open,
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -139,7 +139,7 @@
 }
 
 impl Records {
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.own.len()
     }
 
@@ -148,24 +148,24 @@
     }
 
     /// Whether the store said that no other has its key.
-    pub fn claimed(&self, id: RequestId) -> bool {
+    pub fn is_claimed(&self, id: RequestId) -> bool {
         self.own.get(&id).is_some_and(|own| own.claimed)
     }
 
     /// Whether it waits for the store.
-    pub fn waits(&self, id: RequestId) -> bool {
+    pub fn is_waiting(&self, id: RequestId) -> bool {
         self.own
             .get(&id)
             .is_some_and(|own| own.phase != Phase::Gone)
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
+    pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         self.own.get(&id)?.earlier
     }
 
     /// An access comes. It waits where `wait` is given and the store is trusted, for no longer than that.
-    pub fn come(
+    pub fn on_request(
         &mut self,
         now: Timestamp,
         id: RequestId,
@@ -197,23 +197,23 @@
     }
 
     /// The claim stands: no other has this key.
-    pub fn mine(&mut self, id: RequestId) -> Vec<RecordStep> {
+    pub fn on_claimed(&mut self, id: RequestId) -> Vec<RecordStep> {
         let Some(own) = self.own.get_mut(&id) else {
             return Vec::new();
         };
         own.claimed = true;
-        self.go(id)
+        self.proceed(id)
     }
 
     /// Whoever had it before has let go of it, and it never ran: nothing binds this access any more.
-    pub fn freed(&mut self, id: RequestId) {
+    pub fn on_released(&mut self, id: RequestId) {
         if let Some(own) = self.own.get_mut(&id) {
             own.earlier = None;
         }
     }
 
     /// Another has it, or had it: told at `now` to a question that went out at `asked`.
-    pub fn found(
+    pub fn on_found(
         &mut self,
         now: Timestamp,
         asked: Timestamp,
@@ -249,19 +249,22 @@
                 self.timed.insert((again, id));
                 Vec::new()
             }
-            _ => self.go(id),
+            _ => self.proceed(id),
         }
     }
 
     /// Whoever waits goes on without the store.
-    pub fn leave(&mut self) -> Vec<RecordStep> {
+    pub fn proceed_all(&mut self) -> Vec<RecordStep> {
         let waiting = self.own.iter().filter(|(_, own)| own.phase != Phase::Gone);
         let waiting: Vec<RequestId> = waiting.map(|(&id, _)| id).collect();
-        waiting.into_iter().flat_map(|id| self.go(id)).collect()
+        waiting
+            .into_iter()
+            .flat_map(|id| self.proceed(id))
+            .collect()
     }
 
     /// One whose question can't be answered goes on without.
-    pub fn go(&mut self, id: RequestId) -> Vec<RecordStep> {
+    pub fn proceed(&mut self, id: RequestId) -> Vec<RecordStep> {
         let waits = |own: &&mut Own| own.phase != Phase::Gone;
         match self.own.get_mut(&id).filter(waits) {
             Some(own) => {
@@ -273,7 +276,7 @@
     }
 
     /// A hand-off goes out; `Some`: it is the first, and the store is to know where it went.
-    pub fn sent(&mut self, id: RequestId, place: (ZoneId, CellId)) -> Option<Key> {
+    pub fn on_attempt_sent(&mut self, id: RequestId, place: (ZoneId, CellId)) -> Option<Key> {
         let own = self.own.get_mut(&id)?;
         let first = own.place.is_none() && own.earlier.is_none();
         own.place = own.place.or(Some(place));
@@ -281,7 +284,7 @@
     }
 
     /// It has its final answer. `Some`: the store is to know how it ended; with where it went first.
-    pub fn ended(
+    pub fn on_request_ended(
         &mut self,
         id: RequestId,
         came: &Completion,
@@ -292,7 +295,7 @@
         (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.location))))
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.timed.first().map(|&(at, _)| at)
     }
 
@@ -305,10 +308,10 @@
                 continue;
             };
             match own.phase {
-                Phase::Asking if now >= own.until => steps.extend(self.go(id)),
+                Phase::Asking if now >= own.until => steps.extend(self.proceed(id)),
                 Phase::Joining { again, .. } if now >= again => {
                     if now >= own.join_until {
-                        steps.extend(self.go(id));
+                        steps.extend(self.proceed(id));
                     } else {
                         steps.push(RecordStep::Claim(id, own.key));
                         // Without an answer it goes when the time to join is over.
