--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -318,7 +318,7 @@
     /// A connection stands; the server's epoch is asked for first.
     pub fn connected(&mut self, now: Timestamp) {
         let drawn = self.chance.f64();
-        let cause = self.trust.connected(now, drawn);
+        let cause = self.trust.on_connected(now, drawn);
         self.epoch.open = false;
         self.turned(cause);
     }
@@ -330,7 +330,7 @@
 
     fn leave(&mut self, now: Timestamp, cause: Cause) {
         let drawn = self.chance.f64();
-        let cause = self.trust.broken(now, cause, drawn);
+        let cause = self.trust.on_disconnected(now, cause, drawn);
         self.epoch.open = false;
         // Whether any was applied is not known.
         self.counts.lost += self.pending.len() as u64;
@@ -358,7 +358,7 @@
             self.rules.wait
         };
         self.timed.remove(&(pending.asked + waits, id));
-        self.trust.heard(now, !self.pending.is_empty());
+        self.trust.on_reply(now, !self.pending.is_empty());
         let ending = match &reply {
             Reply::Result(_) => Ending::InTime,
             Reply::Refused => Ending::Refused,
@@ -373,7 +373,7 @@
             };
             self.counts.late += u64::from(ending == Ending::Late);
             self.counts.refused += u64::from(ending == Ending::Refused);
-            let cause = self.trust.ended(now, ending);
+            let cause = self.trust.on_operation_ended(now, ending);
             self.settle_trust(now, cause);
         }
         match reply {
@@ -410,7 +410,7 @@
         if forgot {
             // What it says may have been forgotten in part: nothing of it is believed.
             self.epoch.open = false;
-            let cause = self.trust.lost_epoch(now);
+            let cause = self.trust.on_epoch_changed(now);
             self.settle_trust(now, cause);
             return self.without(now, pending.what);
         }
@@ -425,7 +425,7 @@
                     self.news.tell_again(now, &mut self.chance);
                 }
                 (self.epoch.id, self.epoch.count, self.epoch.open) = (epoch, said.count, true);
-                self.trust.epoch(now, age, self.rules.keep);
+                self.trust.on_epoch(now, age, self.rules.keep);
             }
             (What::Claim(id), Answer::Mine) => {
                 let steps = self.records.on_claimed(id);
@@ -521,7 +521,7 @@
             },
         );
         self.timed.insert((now + self.rules.wait, id));
-        self.trust.asked(now);
+        self.trust.on_operation_sent(now);
         // Its clock had got there by the time the answer was heard, so it is no earlier there now.
         let (clock, at) = self.epoch.clock;
         let not_after_ms = clock + (now + APPLY_WITHIN).since(at).0 / 1_000;
@@ -544,7 +544,7 @@
         let open = closed.then_some(self.open_at.max(self.trust.quiet_until()));
         let fetch = self.own.map(|_| self.fetch_at).filter(|_| sending);
         let all = [
-            self.trust.next(),
+            self.trust.next_deadline(),
             self.records.next_deadline(),
             news,
             first,
@@ -556,10 +556,10 @@
 
     /// Time passes: what is due is done.
     pub fn advance(&mut self, now: Timestamp) {
-        if self.trust.wants_connection(now) {
+        if self.trust.take_connection_due(now) {
             self.actions.push(Action::Connect);
         }
-        if self.trust.silent(now) {
+        if self.trust.is_silent(now) {
             self.actions.push(Action::Disconnect);
             self.leave(now, Cause::Silent);
         }
@@ -576,7 +576,7 @@
             pending.judged = true;
             self.timed.insert((pending.asked + FORGET, id));
             self.counts.late += 1;
-            let cause = self.trust.ended(now, Ending::Late);
+            let cause = self.trust.on_operation_ended(now, Ending::Late);
             self.settle_trust(now, cause);
         }
         let steps = self.records.advance(now);
--- a/crates/shared-store/src/decide/trust.rs
+++ b/crates/shared-store/src/decide/trust.rs
@@ -19,7 +19,7 @@
 }
 
 impl Trust {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Trust::Together => "together",
             Trust::Doubtful => "doubtful",
@@ -50,7 +50,7 @@
 }
 
 impl Cause {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Cause::Late => "late",
             Cause::Refused => "refused",
@@ -144,12 +144,12 @@
     }
 
     /// Whether "not found" means "never there".
-    pub fn whole(&self, now: Timestamp) -> bool {
+    pub fn is_complete(&self, now: Timestamp) -> bool {
         self.whole_at.is_some_and(|at| now >= at)
     }
 
     /// Whether a connection is due; it is asked for once.
-    pub fn wants_connection(&mut self, now: Timestamp) -> bool {
+    pub fn take_connection_due(&mut self, now: Timestamp) -> bool {
         let due = self.connect_at.is_some_and(|at| now >= at);
         if due {
             self.connect_at = None;
@@ -158,7 +158,7 @@
     }
 
     /// When something is to be done by itself next.
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let silent = self.owed.map(|owed| owed.max(self.heard) + SILENT);
         [self.connect_at, silent].into_iter().flatten().min()
     }
@@ -173,7 +173,7 @@
     }
 
     /// A connection stands; `drawn` is from 0 to 1.
-    pub fn connected(&mut self, now: Timestamp, drawn: f64) -> Option<Cause> {
+    pub fn on_connected(&mut self, now: Timestamp, drawn: f64) -> Option<Cause> {
         (self.heard, self.owed, self.connect_at) = (now, None, None);
         // The very first connection of a process waits for nothing: it starts apart from the others anyway.
         let first = self.pause == FIRST_PAUSE && self.whole_at.is_none();
@@ -182,7 +182,7 @@
     }
 
     /// The connection is over, or could not be made.
-    pub fn broken(&mut self, now: Timestamp, cause: Cause, drawn: f64) -> Option<Cause> {
+    pub fn on_disconnected(&mut self, now: Timestamp, cause: Cause, drawn: f64) -> Option<Cause> {
         if self.state != Trust::Alone && now.since(self.since) >= HELD {
             self.pause = FIRST_PAUSE;
         }
@@ -195,12 +195,12 @@
     }
 
     /// The store told its epoch, which is so old; what was written before it has run out `over` after its birth.
-    pub fn epoch(&mut self, now: Timestamp, age: TimeSpan, over: TimeSpan) {
+    pub fn on_epoch(&mut self, now: Timestamp, age: TimeSpan, over: TimeSpan) {
         self.whole_at = Some(now + (over - age));
     }
 
     /// It is another history than the one that was trusted.
-    pub fn lost_epoch(&mut self, now: Timestamp) -> Option<Cause> {
+    pub fn on_epoch_changed(&mut self, now: Timestamp) -> Option<Cause> {
         self.whole_at = None;
         if self.state == Trust::Alone {
             return None;
@@ -209,18 +209,18 @@
     }
 
     /// An operation goes out.
-    pub fn asked(&mut self, now: Timestamp) {
+    pub fn on_operation_sent(&mut self, now: Timestamp) {
         self.owed.get_or_insert(now);
     }
 
     /// Something came from the store; `more`: it owes another answer still.
-    pub fn heard(&mut self, now: Timestamp, more: bool) {
+    pub fn on_reply(&mut self, now: Timestamp, more: bool) {
         self.heard = now;
         self.owed = Some(now).filter(|_| more);
     }
 
     /// An operation ended, or its time passed without an answer.
-    pub fn ended(&mut self, now: Timestamp, ending: Ending) -> Option<Cause> {
+    pub fn on_operation_ended(&mut self, now: Timestamp, ending: Ending) -> Option<Cause> {
         let amiss = ending != Ending::InTime;
         let mask = (1u32 << WATCHED) - 1;
         self.recent = (self.recent << 1 | u32::from(amiss)) & mask;
@@ -234,7 +234,9 @@
             Trust::Together if self.recent.count_ones() >= AMISS_ACTS => {
                 self.turn(now, Trust::Doubtful, cause)
             }
-            Trust::Doubtful | Trust::Returning if self.in_row >= PROOFS && self.whole(now) => {
+            Trust::Doubtful | Trust::Returning
+                if self.in_row >= PROOFS && self.is_complete(now) =>
+            {
                 self.turn(now, Trust::Together, Cause::Proven)
             }
             _ => None,
@@ -242,7 +244,7 @@
     }
 
     /// Time passes: a store that owes an answer for too long is left. `true`: the connection has to go.
-    pub fn silent(&self, now: Timestamp) -> bool {
+    pub fn is_silent(&self, now: Timestamp) -> bool {
         let since = self.owed.map(|owed| owed.max(self.heard));
         self.state != Trust::Alone && since.is_some_and(|since| now.since(since) >= SILENT)
     }
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -303,7 +303,7 @@
                         }
                     }
                     Action::Turned { trust, cause } => {
-                        member.turns.push((now, trust, cause.word()))
+                        member.turns.push((now, trust, cause.as_str()))
                     }
                 }
             }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -313,7 +313,7 @@
     pub fn figures(&self) -> String {
         let (records, under_way, news) = self.sharing.kept();
         let counts = self.sharing.counts();
-        let trust = self.sharing.trust().word();
+        let trust = self.sharing.trust().as_str();
         format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
     }
 
@@ -352,7 +352,7 @@
                     .due(Due::Tell(Event::PeerBreakerOpened { host })),
                 Action::Posted { from, bytes } => self.posted.push((from, bytes)),
                 Action::Turned { trust, cause } => {
-                    info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
+                    info!(self.log, "store"; "trust" => trust.as_str(), "why" => cause.as_str());
                 }
             }
         }
