--- a/crates/shared-store/src/decide/announcements.rs
+++ b/crates/shared-store/src/decide/announcements.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    pub fn kept(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.known.len() + self.telling.len()
     }
 
@@ -79,7 +79,13 @@
     }
 
     /// It happened here at `at`; `drawn` is from 0 to 1.
-    pub fn happened(&mut self, now: Timestamp, word: Announcement, at: Timestamp, drawn: f64) {
+    pub fn on_local_event(
+        &mut self,
+        now: Timestamp,
+        word: Announcement,
+        at: Timestamp,
+        drawn: f64,
+    ) {
         if self.learn(now, word, at) && self.telling.len() < MOST {
             let when = match word {
                 Announcement::Purged { .. } => now + TELL_WITHIN.mul_f64(drawn),
@@ -90,7 +96,7 @@
     }
 
     /// The store says that it happened at `at`. `true`: that is news here.
-    pub fn told(&mut self, now: Timestamp, word: Announcement, at: Timestamp) -> bool {
+    pub fn on_announced(&mut self, now: Timestamp, word: Announcement, at: Timestamp) -> bool {
         let at = at.min(now);
         if self
             .telling
@@ -102,13 +108,13 @@
         now.since(at) < self.lasts(word) && self.learn(now, word, at)
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let telling = self.telling.values().map(|&(when, _)| when).min();
         telling.into_iter().chain([self.ask_at]).min()
     }
 
     /// Whether the store is to be asked for news now.
-    pub fn asks(&mut self, now: Timestamp, drawn: f64) -> bool {
+    pub fn take_poll_due(&mut self, now: Timestamp, drawn: f64) -> bool {
         let due = now >= self.ask_at;
         if due {
             self.ask_at = now + EVERY.mul_f64(0.75 + 0.5 * drawn);
@@ -117,7 +123,7 @@
     }
 
     /// What is to be told by now, with how long ago it happened. What got old while the store was away is dropped.
-    pub fn take(&mut self, now: Timestamp) -> Vec<(Announcement, TimeSpan)> {
+    pub fn take_due(&mut self, now: Timestamp) -> Vec<(Announcement, TimeSpan)> {
         let due = self.telling.iter().filter(|(_, (when, _))| now >= *when);
         let due: Vec<(Announcement, Timestamp)> = due.map(|(&word, &(_, at))| (word, at)).collect();
         self.telling.retain(|_, (when, _)| now < *when);
@@ -128,7 +134,7 @@
     }
 
     /// The store is another: all that still counts is told to it again.
-    pub fn tell_again(&mut self, now: Timestamp, chance: &mut fastrand::Rng) {
+    pub fn announce_all(&mut self, now: Timestamp, chance: &mut fastrand::Rng) {
         let known: Vec<(Announcement, Timestamp)> =
             self.known.iter().map(|(&word, &at)| (word, at)).collect();
         for (word, at) in known {
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -208,7 +208,7 @@
         (
             self.records.open_requests(),
             self.pending.len(),
-            self.news.kept(),
+            self.news.tracked_count(),
         )
     }
 
@@ -283,14 +283,14 @@
             let drawn = self.chance.f64();
             let at = Timestamp(now.0.saturating_sub(ago.0));
             self.news
-                .happened(now, Announcement::Purged { object, group }, at, drawn);
+                .on_local_event(now, Announcement::Purged { object, group }, at, drawn);
         }
     }
 
     /// A breaker opened here.
     pub fn opened(&mut self, now: Timestamp, entry: HostEntry) {
         if self.rules.hints {
-            self.news.happened(now, opened(entry), now, 0.0);
+            self.news.on_local_event(now, opened(entry), now, 0.0);
         }
     }
 
@@ -422,7 +422,7 @@
                 if epoch != self.epoch.id {
                     self.counts.epochs += 1;
                     self.epoch.news_after = 0;
-                    self.news.tell_again(now, &mut self.chance);
+                    self.news.announce_all(now, &mut self.chance);
                 }
                 (self.epoch.id, self.epoch.count, self.epoch.open) = (epoch, said.count, true);
                 self.trust.on_epoch(now, age, self.rules.keep);
@@ -469,7 +469,7 @@
             Announcement::Opened { .. } => (ago, asked),
         };
         let at = Timestamp(heard.0.saturating_sub(ago.0));
-        if !wanted || !self.news.told(now, word, at) {
+        if !wanted || !self.news.on_announced(now, word, at) {
             return;
         }
         self.counts.news += 1;
@@ -538,7 +538,7 @@
     /// When something is to be done by itself next.
     pub fn next(&self) -> Option<Timestamp> {
         let sending = self.trust.state() != Trust::Alone && self.epoch.open;
-        let news = self.news.next().filter(|_| sending);
+        let news = self.news.next_deadline().filter(|_| sending);
         let first = self.timed.first().map(|&(at, _)| at);
         let closed = self.trust.state() != Trust::Alone && !self.epoch.open && !self.opening();
         let open = closed.then_some(self.open_at.max(self.trust.quiet_until()));
@@ -601,7 +601,7 @@
 
     fn tell(&mut self, now: Timestamp) {
         if self.rules.purges || self.rules.hints {
-            for (word, ago) in self.news.take(now) {
+            for (word, ago) in self.news.take_due(now) {
                 let (same, keep) = (
                     announcements::SAME,
                     self.rules.purges_last + TimeSpan::from_secs(5),
@@ -621,7 +621,7 @@
         }
         // Asked for on a quiet day, too: it is the sign of life that trust is won back by.
         let drawn = self.chance.f64();
-        if self.news.asks(now, drawn) {
+        if self.news.take_poll_due(now, drawn) {
             let after = self.epoch.news_after;
             self.ask(
                 now,
