--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -247,9 +247,9 @@
             let op = Op::Sent {
                 key,
                 token,
-                place,
-                ago,
-                keep,
+                location: place,
+                age: ago,
+                retention: keep,
             };
             self.ask(now, What::Write, op);
         }
@@ -262,9 +262,9 @@
             let op = Op::Ended {
                 key,
                 token,
-                came,
-                place,
-                keep,
+                completion: came,
+                location: place,
+                retention: keep,
             };
             self.ask(now, What::Write, op);
         }
@@ -304,7 +304,7 @@
                 to,
                 from,
                 bytes,
-                keep,
+                retention: keep,
             };
             self.ask(now, What::Write, op);
         }
@@ -427,7 +427,7 @@
                 (self.epoch.id, self.epoch.count, self.epoch.open) = (epoch, said.count, true);
                 self.trust.on_epoch(now, age, self.rules.keep);
             }
-            (What::Claim(id), Answer::Mine) => {
+            (What::Claim(id), Answer::Claimed) => {
                 let steps = self.records.on_claimed(id);
                 self.follow(now, steps);
             }
@@ -484,7 +484,15 @@
             match step {
                 RecordStep::Claim(id, key) => {
                     let (token, keep) = (self.token(id), self.rules.keep);
-                    if !self.ask(now, What::Claim(id), Op::Claim { key, token, keep }) {
+                    if !self.ask(
+                        now,
+                        What::Claim(id),
+                        Op::Claim {
+                            key,
+                            token,
+                            retention: keep,
+                        },
+                    ) {
                         let go = self.records.proceed(id);
                         self.follow(now, go);
                     }
@@ -611,10 +619,10 @@
                     now,
                     What::Write,
                     Op::Announce {
-                        word,
-                        ago,
-                        same,
-                        keep,
+                        announcement: word,
+                        age: ago,
+                        merge_within: same,
+                        retention: keep,
                     },
                 );
             }
@@ -637,7 +645,7 @@
         };
         self.fetch_at = now + FETCH_EVERY.mul_f64(0.75 + 0.5 * self.chance.f64());
         if self.epoch.open && self.trust.may_send(now) {
-            self.ask(now, What::Fetch, Op::Fetch { own });
+            self.ask(now, What::Fetch, Op::Fetch { mailbox: own });
         }
     }
 
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -21,36 +21,36 @@
     Claim {
         key: Key,
         token: u64,
-        keep: TimeSpan,
+        retention: TimeSpan,
     },
     Sent {
         key: Key,
         token: u64,
-        place: (ZoneId, CellId),
-        ago: TimeSpan,
-        keep: TimeSpan,
+        location: (ZoneId, CellId),
+        age: TimeSpan,
+        retention: TimeSpan,
     },
     Ended {
         key: Key,
         token: u64,
-        came: Completion,
-        place: Option<(ZoneId, CellId)>,
-        keep: TimeSpan,
+        completion: Completion,
+        location: Option<(ZoneId, CellId)>,
+        retention: TimeSpan,
     },
     /// Another subsystem's words for one dispatcher, to be had until they are taken or have run out.
     Post {
         to: MailboxId,
         from: MailboxId,
         bytes: Vec<u8>,
-        keep: TimeSpan,
+        retention: TimeSpan,
     },
     /// All that was posted for this one.
-    Fetch { own: MailboxId },
+    Fetch { mailbox: MailboxId },
     Announce {
-        word: Announcement,
-        ago: TimeSpan,
-        same: TimeSpan,
-        keep: TimeSpan,
+        announcement: Announcement,
+        age: TimeSpan,
+        merge_within: TimeSpan,
+        retention: TimeSpan,
     },
     ReadAnnouncements {
         /// By the server's clock, in milliseconds.
@@ -65,12 +65,12 @@
         epoch: u64,
         age: TimeSpan,
     },
-    Mine,
+    Claimed,
     Found(Record),
     Posted(Vec<(MailboxId, Vec<u8>)>),
     /// What was told, with how long ago it happened.
     Announcements(Vec<(Announcement, TimeSpan)>),
-    Taken,
+    Applied,
     /// Its time was over: it did nothing and never will.
     TooLate,
     /// The store's epoch is another, or it has none: nothing was done.
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -232,7 +232,11 @@
             ];
             OPEN
         }
-        Op::Claim { key, token, keep } => {
+        Op::Claim {
+            key,
+            token,
+            retention: keep,
+        } => {
             keys.push(record(key));
             args.extend([token.to_string(), ms(*keep).to_string()].map(text));
             CLAIM
@@ -240,9 +244,9 @@
         Op::Sent {
             key,
             token,
-            place: at,
-            ago,
-            keep,
+            location: at,
+            age: ago,
+            retention: keep,
         } => {
             keys.push(record(key));
             let (zone, cell) = place(at);
@@ -259,9 +263,9 @@
         Op::Ended {
             key,
             token,
-            came,
-            place: at,
-            keep,
+            completion: came,
+            location: at,
+            retention: keep,
         } => {
             keys.push(record(key));
             let (zone, cell) = at.as_ref().map(place).unwrap_or_default();
@@ -287,22 +291,22 @@
             to,
             from,
             bytes,
-            keep,
+            retention: keep,
         } => {
             keys.push(mailbox(to));
             args.extend([from.0.to_string(), ms(*keep).to_string()].map(text));
             args.push(bytes.clone());
             POST
         }
-        Op::Fetch { own } => {
+        Op::Fetch { mailbox: own } => {
             keys.push(mailbox(own));
             FETCH
         }
         Op::Announce {
-            word,
-            ago,
-            same,
-            keep,
+            announcement: word,
+            age: ago,
+            merge_within: same,
+            retention: keep,
         } => {
             keys.extend([key("news".into()), key("told".into())]);
             args.push(text(word_text(*word)));
@@ -351,7 +355,7 @@
             epoch: epoch.number()?,
             age: span(age)?,
         },
-        ("mine", []) => Answer::Mine,
+        ("mine", []) => Answer::Claimed,
         ("found", [stand, zone, cell, age, body]) => {
             let stand = match stand.text()? {
                 "claimed" => RecordStatus::Claimed,
@@ -391,7 +395,7 @@
             // A word of a newer version is passed over.
             Answer::Announcements(words.chunks_exact(2).filter_map(word).collect())
         }
-        ("taken", []) => Answer::Taken,
+        ("taken", []) => Answer::Applied,
         ("late", []) => Answer::TooLate,
         ("epoch", []) => Answer::OtherEpoch,
         ("drained", []) => Answer::Drained,
