--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -179,7 +179,7 @@
                 && claim.stage != Stage::Free
                 && Some(claim.token) != token
         };
-        let yields = matches!(&heard, Heard::Found(_, record) if record.stand == RecordStatus::Claimed)
+        let yields = matches!(&heard, Heard::Found(_, record) if record.status == RecordStatus::Claimed)
             && own.claim.place == Place::Untold
             && asking.claims.iter().any(earlier);
         if asking.open.is_empty() && now.since(asked) > FORGET {
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -303,8 +303,8 @@
     };
     let body = others.iter().find_map(|claim| claim.body.clone());
     Some(Record {
-        stand,
-        place: match place {
+        status: stand,
+        location: match place {
             Place::At(zone, cell) => Some((ZoneId(zone), CellId(cell))),
             Place::Untold | Place::Anywhere => None,
         },
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -62,8 +62,8 @@
 /// What the store knows of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    pub stand: RecordStatus,
-    pub place: Option<(ZoneId, CellId)>,
+    pub status: RecordStatus,
+    pub location: Option<(ZoneId, CellId)>,
     /// How long ago the first hand-off was claimed, by the store's clock.
     pub age: TimeSpan,
     /// The answer, where it is small enough to be kept.
@@ -225,7 +225,7 @@
         };
         // Taken for as old as it can be, so that its window ends here no later than at the hosts.
         let first_sent = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
-        let location = record.place;
+        let location = record.location;
         own.earlier = Some(PeerAttempt {
             location,
             first_sent,
@@ -234,7 +234,7 @@
         if own.phase == Phase::Gone {
             return Vec::new();
         }
-        match (record.stand, record.body) {
+        match (record.status, record.body) {
             (RecordStatus::Done, Some(body)) => {
                 own.phase = Phase::Gone;
                 vec![RecordStep::Decided(id, RecordDecision::Answer(body))]
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -371,8 +371,8 @@
                 _ => None,
             };
             Answer::Found(Record {
-                stand,
-                place: place.map(|(zone, cell)| (ZoneId(zone), CellId(cell))),
+                status: stand,
+                location: place.map(|(zone, cell)| (ZoneId(zone), CellId(cell))),
                 age: span(age)?,
                 body,
             })
