--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -44,7 +44,7 @@
     Connect,
     /// The connection is of no use any more.
     Disconnect,
-    Ask {
+    Execute {
         id: OpId,
         op: Op,
         epoch: u64,
@@ -53,22 +53,22 @@
     /// An access that came goes on now.
     Decided {
         id: RequestId,
-        verdict: RecordDecision,
+        decision: RecordDecision,
     },
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
-        ago: TimeSpan,
+        age: TimeSpan,
     },
-    Hinted {
+    PeerBreakerOpened {
         host: HostId,
     },
     /// Another dispatcher's words of another subsystem.
-    Posted {
+    MessageReceived {
         from: MailboxId,
         bytes: Vec<u8>,
     },
-    Turned {
+    TrustChanged {
         trust: Trust,
         cause: Cause,
     },
@@ -230,7 +230,10 @@
     pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         if !self.rules.records {
             let verdict = RecordDecision::Proceed;
-            return self.actions.push(Action::Decided { id, verdict });
+            return self.actions.push(Action::Decided {
+                id,
+                decision: verdict,
+            });
         }
         let room = self.pending.len() < MOST_OUT;
         let wait = Some(self.rules.wait).filter(|_| self.trust.may_wait() && room);
@@ -344,7 +347,7 @@
     fn turned(&mut self, cause: Option<Cause>) {
         let trust = self.trust.state();
         self.actions
-            .extend(cause.map(|cause| Action::Turned { trust, cause }));
+            .extend(cause.map(|cause| Action::TrustChanged { trust, cause }));
     }
 
     /// An operation ended.
@@ -442,7 +445,7 @@
                 self.counts.fetched += words.len() as u64;
                 let words = words.into_iter();
                 self.actions
-                    .extend(words.map(|(from, bytes)| Action::Posted { from, bytes }));
+                    .extend(words.map(|(from, bytes)| Action::MessageReceived { from, bytes }));
             }
             (What::ReadAnnouncements, Answer::Announcements(words)) => {
                 // What was told while this was on its way has the same millisecond at worst.
@@ -474,8 +477,12 @@
         }
         self.counts.news += 1;
         self.actions.push(match word {
-            Announcement::Purged { object, group } => Action::Purged { object, group, ago },
-            Announcement::Opened { host, .. } => Action::Hinted { host },
+            Announcement::Purged { object, group } => Action::Purged {
+                object,
+                group,
+                age: ago,
+            },
+            Announcement::Opened { host, .. } => Action::PeerBreakerOpened { host },
         });
     }
 
@@ -499,7 +506,10 @@
                 }
                 RecordStep::Decided(id, verdict) => {
                     self.counts.answered += u64::from(matches!(verdict, RecordDecision::Answer(_)));
-                    self.actions.push(Action::Decided { id, verdict });
+                    self.actions.push(Action::Decided {
+                        id,
+                        decision: verdict,
+                    });
                 }
             }
         }
@@ -534,7 +544,7 @@
         let (clock, at) = self.epoch.clock;
         let not_after_ms = clock + (now + APPLY_WITHIN).since(at).0 / 1_000;
         let epoch = self.epoch.id;
-        self.actions.push(Action::Ask {
+        self.actions.push(Action::Execute {
             id,
             op,
             epoch,
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -276,7 +276,7 @@
                         member.back.clear();
                         member.sharing.on_disconnected(now);
                     }
-                    Action::Ask {
+                    Action::Execute {
                         id,
                         op,
                         epoch,
@@ -294,19 +294,24 @@
                         });
                         *self.asked_in.entry(now.0 / 100_000).or_default() += 1;
                     }
-                    Action::Decided { id, verdict } => {
+                    Action::Decided {
+                        id,
+                        decision: verdict,
+                    } => {
                         let believed = member.sharing.is_claimed(id);
                         member.believed.insert(id, believed);
                         member.decided.entry(id).or_default().push((now, verdict));
                     }
-                    Action::Purged { object, ago, .. } => member.purges.push((now, object, ago)),
-                    Action::Hinted { host } => member.hints.push((now, host)),
-                    Action::Posted { from, bytes } => {
+                    Action::Purged {
+                        object, age: ago, ..
+                    } => member.purges.push((now, object, ago)),
+                    Action::PeerBreakerOpened { host } => member.hints.push((now, host)),
+                    Action::MessageReceived { from, bytes } => {
                         if let Some(note) = trailproxy_budgets::read(&bytes) {
                             member.shares.heard(now, HolderId(from.0), note);
                         }
                     }
-                    Action::Turned { trust, cause } => {
+                    Action::TrustChanged { trust, cause } => {
                         member.turns.push((now, trust, cause.as_str()))
                     }
                 }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -322,7 +322,7 @@
             match act {
                 Action::Connect => drop(self.to.send(ToStore::Connect)),
                 Action::Disconnect => drop(self.to.send(ToStore::Disconnect)),
-                Action::Ask {
+                Action::Execute {
                     id,
                     op,
                     epoch,
@@ -338,8 +338,15 @@
                     let request = Box::new(request(&op, &under));
                     let _ = self.to.send(ToStore::Ask(id, request));
                 }
-                Action::Decided { id, verdict } => self.waiting.decided(id, verdict),
-                Action::Purged { object, group, ago } => {
+                Action::Decided {
+                    id,
+                    decision: verdict,
+                } => self.waiting.decided(id, verdict),
+                Action::Purged {
+                    object,
+                    group,
+                    age: ago,
+                } => {
                     self.waiting.due(Due::Tell(Event::Purged {
                         object,
                         group,
@@ -347,11 +354,11 @@
                         stamp: None,
                     }));
                 }
-                Action::Hinted { host } => self
+                Action::PeerBreakerOpened { host } => self
                     .waiting
                     .due(Due::Tell(Event::PeerBreakerOpened { host })),
-                Action::Posted { from, bytes } => self.posted.push((from, bytes)),
-                Action::Turned { trust, cause } => {
+                Action::MessageReceived { from, bytes } => self.posted.push((from, bytes)),
+                Action::TrustChanged { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.as_str(), "why" => cause.as_str());
                 }
             }
