--- a/crates/shared-store/src/config.rs
+++ b/crates/shared-store/src/config.rs
@@ -43,12 +43,12 @@
         }
         Ok(Rules {
             records: self.records,
-            words: self.words,
+            messages: self.words,
             hints: self.hints,
             purges: self.purges,
-            wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
-            keep,
-            purges_last: purges_last.mul_f64(3.0),
+            max_wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
+            record_retention: keep,
+            purge_retention: purges_last.mul_f64(3.0),
         })
     }
 }
--- a/crates/shared-store/src/decide/mod.rs
+++ b/crates/shared-store/src/decide/mod.rs
@@ -23,15 +23,15 @@
 pub struct Rules {
     pub records: bool,
     /// Whether words of other subsystems go by it.
-    pub words: bool,
+    pub messages: bool,
     pub hints: bool,
     pub purges: bool,
     /// The longest that an access waits for an answer; an answer that takes longer is late.
-    pub wait: TimeSpan,
+    pub max_wait: TimeSpan,
     /// How long a record is kept: no shorter than any window and outer limit together.
-    pub keep: TimeSpan,
+    pub record_retention: TimeSpan,
     /// After that every copy from before a purge is gone.
-    pub purges_last: TimeSpan,
+    pub purge_retention: TimeSpan,
 }
 
 /// One operation under way.
@@ -173,7 +173,7 @@
         let mut chance = fastrand::Rng::with_seed(seed);
         let life = chance.u64(1..1 << 40);
         SharedState {
-            news: Announcements::new(now, rules.purges_last),
+            news: Announcements::new(now, rules.purge_retention),
             rules,
             life,
             chance,
@@ -236,7 +236,7 @@
             });
         }
         let room = self.pending.len() < MOST_OUT;
-        let wait = Some(self.rules.wait).filter(|_| self.trust.may_wait() && room);
+        let wait = Some(self.rules.max_wait).filter(|_| self.trust.may_wait() && room);
         self.counts.waited += u64::from(wait.is_some());
         let steps = self.records.on_request(now, id, key, due, wait);
         self.follow(now, steps);
@@ -245,7 +245,7 @@
     /// A hand-off of it goes out.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
         if let Some(key) = self.records.on_attempt_sent(id, place) {
-            let (token, keep) = (self.token(id), self.rules.keep);
+            let (token, keep) = (self.token(id), self.rules.record_retention);
             let ago = TimeSpan::ZERO;
             let op = Op::Sent {
                 key,
@@ -261,7 +261,7 @@
     /// It has its final answer.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         if let Some((key, place)) = self.records.on_request_ended(id, &came) {
-            let (token, keep) = (self.token(id), self.rules.keep);
+            let (token, keep) = (self.token(id), self.rules.record_retention);
             let op = Op::Ended {
                 key,
                 token,
@@ -300,7 +300,7 @@
     /// Words for another dispatcher; they may not arrive. From the first one on the own box is looked into.
     pub fn post_message(&mut self, now: Timestamp, own: MailboxId, to: MailboxId, bytes: Vec<u8>) {
         self.open_mailbox(own);
-        if self.rules.words && self.trust.may_send(now) {
+        if self.rules.messages && self.trust.may_send(now) {
             self.counts.posted += 1;
             let (from, keep) = (own, WORDS_LAST);
             let op = Op::Post {
@@ -315,7 +315,7 @@
 
     /// Words are expected in this box.
     pub fn open_mailbox(&mut self, own: MailboxId) {
-        self.own = Some(own).filter(|_| self.rules.words);
+        self.own = Some(own).filter(|_| self.rules.messages);
     }
 
     /// A connection stands; the server's epoch is asked for first.
@@ -358,7 +358,7 @@
         let waits = if pending.judged {
             FORGET
         } else {
-            self.rules.wait
+            self.rules.max_wait
         };
         self.timed.remove(&(pending.asked + waits, id));
         self.trust.on_reply(now, !self.pending.is_empty());
@@ -368,7 +368,7 @@
             Reply::Lost => Ending::Late,
         };
         if !pending.judged {
-            let late = now.since(pending.asked) > self.rules.wait;
+            let late = now.since(pending.asked) > self.rules.max_wait;
             let ending = if late && ending == Ending::InTime {
                 Ending::Late
             } else {
@@ -428,7 +428,7 @@
                     self.news.announce_all(now, &mut self.chance);
                 }
                 (self.epoch.id, self.epoch.count, self.epoch.open) = (epoch, said.count, true);
-                self.trust.on_epoch(now, age, self.rules.keep);
+                self.trust.on_epoch(now, age, self.rules.record_retention);
             }
             (What::Claim(id), Answer::Claimed) => {
                 let steps = self.records.on_claimed(id);
@@ -490,7 +490,7 @@
         for step in steps {
             match step {
                 RecordStep::Claim(id, key) => {
-                    let (token, keep) = (self.token(id), self.rules.keep);
+                    let (token, keep) = (self.token(id), self.rules.record_retention);
                     if !self.ask(
                         now,
                         What::Claim(id),
@@ -538,7 +538,7 @@
                 judged,
             },
         );
-        self.timed.insert((now + self.rules.wait, id));
+        self.timed.insert((now + self.rules.max_wait, id));
         self.trust.on_operation_sent(now);
         // Its clock had got there by the time the answer was heard, so it is no earlier there now.
         let (clock, at) = self.epoch.clock;
@@ -622,7 +622,7 @@
             for (word, ago) in self.news.take_due(now) {
                 let (same, keep) = (
                     announcements::SAME,
-                    self.rules.purges_last + TimeSpan::from_secs(5),
+                    self.rules.purge_retention + TimeSpan::from_secs(5),
                 );
                 self.counts.told += 1;
                 self.ask(
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -467,7 +467,7 @@
 fn what_is_switched_off_asks_nothing() {
     let none = trailproxy_shared_store::decide::Rules {
         records: false,
-        words: false,
+        messages: false,
         hints: false,
         purges: false,
         ..rules()
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -19,12 +19,12 @@
 pub fn rules() -> Rules {
     Rules {
         records: true,
-        words: true,
+        messages: true,
         hints: true,
         purges: true,
-        wait: WAIT,
-        keep: TimeSpan::from_secs(6),
-        purges_last: TimeSpan::from_secs(20),
+        max_wait: WAIT,
+        record_retention: TimeSpan::from_secs(6),
+        purge_retention: TimeSpan::from_secs(20),
     }
 }
 
