--- a/crates/budgets/src/config.rs
+++ b/crates/budgets/src/config.rs
@@ -9,7 +9,8 @@
 pub struct BudgetsConfig {
     pub file: String,
     /// Line and column of the section, from 1.
-    pub place: (usize, usize),
+    #[serde(rename = "place")]
+    pub position: (usize, usize),
     /// Names of the dispatchers that give their words: the same with all, in the same order.
     pub voters: Vec<String>,
     /// The part of the whole that all floors together have.
@@ -26,7 +27,7 @@
 impl BudgetsConfig {
     /// The message of a field that does not fit.
     pub fn wrong(&self, field: &str, found: &str, accepted: &str) -> String {
-        let (line, column) = self.place;
+        let (line, column) = self.position;
         format!(
             "{}:{line}:{column}: section budgets, field {field}: found {found}, accepted: {accepted}",
             self.file
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -308,7 +308,7 @@
 fn a_section_with_wrong_voters_is_refused_by_place_and_field() {
     let sheet = |voters: &[&str]| BudgetsConfig {
         file: "f.star".into(),
-        place: (3, 1),
+        position: (3, 1),
         voters: voters.iter().map(|name| (*name).to_owned()).collect(),
         floors: 0.25,
         lasts_s: 2.0,
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -23,7 +23,7 @@
 pub fn sheet(voters: Vec<String>) -> BudgetsConfig {
     BudgetsConfig {
         file: "fleet".into(),
-        place: (1, 1),
+        position: (1, 1),
         voters,
         floors: FLOORS,
         lasts_s: LASTS_S,
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -52,7 +52,7 @@
         };
         let sheet = BudgetsConfig {
             file: "model".into(),
-            place: (1, 1),
+            position: (1, 1),
             voters: (0..divided.voters.min(self.seats.len()))
                 .map(name)
                 .collect(),
--- a/crates/shared-store/src/config.rs
+++ b/crates/shared-store/src/config.rs
@@ -9,7 +9,8 @@
 pub struct StoreConfig {
     pub file: String,
     /// Line and column of the section, from 1.
-    pub place: (usize, usize),
+    #[serde(rename = "place")]
+    pub position: (usize, usize),
     pub host: String,
     pub port: u16,
     /// A file that holds the password and nothing else; empty: none is needed.
@@ -33,7 +34,7 @@
     pub fn rules(&self, longest_window: TimeSpan, purges_last: TimeSpan) -> Result<Rules, String> {
         let keep = TimeSpan::from_secs_f64(self.keep_s);
         if self.records && keep < longest_window {
-            let (line, column) = self.place;
+            let (line, column) = self.position;
             let least = longest_window.as_secs_f64();
             return Err(format!(
                 "{}:{line}:{column}: section store, field keep_s: found {}, accepted: {least} or more, the longest window \
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -56,7 +56,7 @@
     let of = script.one("store").filter(|of| of.flag("on"))?;
     Some(StoreConfig {
         file: script.file.clone(),
-        place: (of.place.line, of.place.column),
+        position: (of.place.line, of.place.column),
         host: of.text("host").into(),
         port: of.number("port") as u16,
         password_file: of.text("password_file").into(),
@@ -167,7 +167,7 @@
     let of = script.one("budgets").filter(|of| of.flag("on"))?;
     Some(BudgetsConfig {
         file: script.file.clone(),
-        place: (of.place.line, of.place.column),
+        position: (of.place.line, of.place.column),
         voters: of.names("voters").into_iter().map(str::to_owned).collect(),
         floors: of.number("floors"),
         lasts_s: of.number("lasts_s"),
--- a/crates/trailproxy-cli/src/store.rs
+++ b/crates/trailproxy-cli/src/store.rs
@@ -39,7 +39,7 @@
         let script = read_file(file, &kinds()).map_err(|wrong| wrong.to_string())?;
         let sheet =
             store_sheet(&script).ok_or(format!("{file} has no section store that is on"))?;
-        let (line, column) = sheet.place;
+        let (line, column) = sheet.position;
         let at = |field: &str| format!("{file}:{line}:{column}: section store, field {field}");
         let password = match sheet.password_file.as_str() {
             "" => None,
@@ -89,7 +89,7 @@
         let (host, port) = (self.sheet.host.clone(), self.sheet.port);
         command.query(&mut self.connection).map_err(|e| match e.to_string() {
             why if why.contains("NOAUTH") => {
-                let (line, column) = self.sheet.place;
+                let (line, column) = self.sheet.position;
                 let file = &self.sheet.file;
                 format!("{file}:{line}:{column}: section store, field password_file: the store wants a password")
             }
