--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -155,7 +155,7 @@
 
 /// What goes to a server: a script, its keys and its arguments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
+pub struct ScriptRequest {
     pub script: Script,
     pub keys: Vec<String>,
     pub args: Vec<Vec<u8>>,
@@ -210,7 +210,7 @@
 }
 
 /// An operation as a script with its keys and arguments.
-pub fn request(op: &Op, under: &ScriptContext) -> Request {
+pub fn script_request(op: &Op, under: &ScriptContext) -> ScriptRequest {
     let key = |rest: String| format!("{}{rest}", under.prefix);
     let mut keys = vec![key("epoch".into())];
     let text = |text: String| text.into_bytes();
@@ -321,7 +321,7 @@
             NEWS
         }
     };
-    Request { script, keys, args }
+    ScriptRequest { script, keys, args }
 }
 
 impl Value {
@@ -342,7 +342,7 @@
 }
 
 /// Reads an answer; `None`: it is none of a script's.
-pub fn said(value: &Value) -> Option<OpResult> {
+pub fn parse_reply(value: &Value) -> Option<OpResult> {
     let Value::List(parts) = value else {
         return None;
     };
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -10,7 +10,7 @@
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
 use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
-use trailproxy_shared_store::scripts::{ScriptContext, Value, request, said};
+use trailproxy_shared_store::scripts::{ScriptContext, Value, parse_reply, script_request};
 use trailproxy_standins::redis::{self, Redis};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(4);
@@ -374,10 +374,10 @@
             epoch: asked.epoch,
             not_after_ms: asked.not_after_ms,
         };
-        let request = request(&asked.op, &under);
+        let request = script_request(&asked.op, &under);
         let reply =
             self.stores[half].script(self.now, request.script.name, &request.keys, &request.args);
-        let reply = match value(reply).map(|value| said(&value)) {
+        let reply = match value(reply).map(|value| parse_reply(&value)) {
             None => Reply::Refused,
             Some(None) => Reply::Lost,
             Some(Some(said)) => Reply::Result(said),
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -15,7 +15,7 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{Address, Message};
 use trailproxy_shared_store::decide::{OpId, Reply as StoreReply};
-use trailproxy_shared_store::scripts::Request;
+use trailproxy_shared_store::scripts::ScriptRequest;
 use trailproxy_terms::Reports;
 
 pub type Queue = mpsc::Sender<Inbound>;
@@ -255,7 +255,7 @@
 pub enum ToStore {
     Connect,
     Disconnect,
-    Ask(OpId, Box<Request>),
+    Ask(OpId, Box<ScriptRequest>),
 }
 
 pub enum FromStore {
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::Reply;
-use trailproxy_shared_store::scripts::{Request, SCRIPTS, Value, said};
+use trailproxy_shared_store::scripts::{SCRIPTS, ScriptRequest, Value, parse_reply};
 
 /// A server that takes longer to let one in is not there.
 const CONNECT_WITHIN: Duration = Duration::from_secs(1);
@@ -129,7 +129,7 @@
 }
 
 /// The answer, and whether the connection is of no more use.
-async fn ask(line: &Line, request: &Request) -> (Reply, bool) {
+async fn ask(line: &Line, request: &ScriptRequest) -> (Reply, bool) {
     let mut connection = line.connection.clone();
     let sum = line
         .sums
@@ -143,7 +143,7 @@
         .arg(&request.args);
     let answer: redis::RedisResult<redis::Value> = command.query_async(&mut connection).await;
     match answer {
-        Ok(answer) => match value(answer).as_ref().and_then(said) {
+        Ok(answer) => match value(answer).as_ref().and_then(parse_reply) {
             Some(said) => (Reply::Result(said), false),
             // No script answers so: whatever it is that listens there, it is not the store.
             None => (Reply::Lost, true),
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -16,7 +16,7 @@
 use trailproxy_shared_store::decide::ops::MailboxId;
 use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MAX_BODY_BYTES};
 use trailproxy_shared_store::decide::{Action, SharedState};
-use trailproxy_shared_store::scripts::{ScriptContext, request};
+use trailproxy_shared_store::scripts::{ScriptContext, script_request};
 use trailproxy_zones::Zones;
 
 #[derive(Default)]
@@ -335,7 +335,7 @@
                         epoch,
                         not_after_ms,
                     };
-                    let request = Box::new(request(&op, &under));
+                    let request = Box::new(script_request(&op, &under));
                     let _ = self.to.send(ToStore::Ask(id, request));
                 }
                 Action::Decided {
