--- a/crates/budgets/src/config.rs
+++ b/crates/budgets/src/config.rs
@@ -52,12 +52,12 @@
         // Enough that a part can be told from a little more, and few enough for one letter.
         let tickets = (seats * 16).clamp(64, 1_024) as u16;
         Division {
-            seats: seats.max(1),
-            floors: self.floors,
+            dispatchers: seats.max(1),
+            floor_share: self.floors,
             tickets,
             voters: self.voters.len() as u8,
-            lasts: TimeSpan::from_secs_f64(self.lasts_s),
-            guard: TimeSpan::ZERO,
+            lease_duration: TimeSpan::from_secs_f64(self.lasts_s),
+            guard_time: TimeSpan::ZERO,
         }
     }
 }
--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -117,7 +117,7 @@
 
     /// Voters that answered lately.
     pub fn heard(&self, now: Timestamp) -> usize {
-        let lately = |at: &&Timestamp| now.since(**at) < self.division.lasts;
+        let lately = |at: &&Timestamp| now.since(**at) < self.division.lease_duration;
         self.heard.values().filter(lately).count()
     }
 
@@ -183,7 +183,7 @@
             words.retain(|_, until| now < *until);
         }
         self.words.retain(|_, words| !words.is_empty());
-        let lasts = self.division.with_holder();
+        let lasts = self.division.holder_lease();
         self.asked.retain(|_, at| now.since(*at) < lasts);
         let wanted = self.tickets_for(self.need() * AHEAD);
         let give = self.gives(now, wanted);
@@ -309,7 +309,7 @@
         for ticket in &word.free {
             self.free.entry(*ticket).or_default().insert(voter);
         }
-        let until = asked + self.division.with_holder();
+        let until = asked + self.division.holder_lease();
         // What is not given again runs out by itself.
         for &ticket in word.given.iter().filter(|_| now < until) {
             if self
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -59,16 +59,16 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
     /// Seats that a floor is kept for, and the part of the whole that all floors together have.
-    pub seats: u32,
-    pub floors: f64,
+    pub dispatchers: u32,
+    pub floor_share: f64,
     /// Twice as many as seats, or more: with fewer some have none when all want.
     pub tickets: u16,
     pub voters: u8,
     /// How long a word lasts with its holder. Longer is steadier, shorter gives a dead one's part back sooner.
-    pub lasts: TimeSpan,
+    pub lease_duration: TimeSpan,
     /// What has begun under a ticket may go on for so long after its end: nothing for a rate, the outer limit for work
     /// under way.
-    pub guard: TimeSpan,
+    pub guard_time: TimeSpan,
 }
 
 /// By how much two clocks may drift apart over a word, as a part of it.
@@ -77,23 +77,23 @@
 impl Division {
     /// One floor, as a part of the whole.
     pub fn floor(&self) -> f64 {
-        self.floors / f64::from(self.seats.max(1))
+        self.floor_share / f64::from(self.dispatchers.max(1))
     }
 
     /// One ticket, as a part of the whole.
     pub fn ticket(&self) -> f64 {
-        (1.0 - self.floors) / f64::from(self.tickets.max(1))
+        (1.0 - self.floor_share) / f64::from(self.tickets.max(1))
     }
 
     /// Tells this division from any other: words of one say nothing of another's tickets.
-    pub fn sum(&self) -> u32 {
+    pub fn checksum(&self) -> u32 {
         let parts = [
-            u64::from(self.seats),
-            self.floors.to_bits(),
+            u64::from(self.dispatchers),
+            self.floor_share.to_bits(),
             u64::from(self.tickets),
             u64::from(self.voters),
-            self.lasts.0,
-            self.guard.0,
+            self.lease_duration.0,
+            self.guard_time.0,
         ];
         let folded = parts.into_iter().fold(0, |sum: u64, part| {
             (sum ^ part)
@@ -108,13 +108,13 @@
     }
 
     /// With a voter, a word ends after this.
-    pub fn with_voter(&self) -> TimeSpan {
-        self.lasts.mul_f64(1.0 + DRIFT) + self.guard
+    pub fn voter_lease(&self) -> TimeSpan {
+        self.lease_duration.mul_f64(1.0 + DRIFT) + self.guard_time
     }
 
     /// With its holder, counted from when it asked.
-    pub fn with_holder(&self) -> TimeSpan {
-        self.lasts.mul_f64(1.0 - DRIFT)
+    pub fn holder_lease(&self) -> TimeSpan {
+        self.lease_duration.mul_f64(1.0 - DRIFT)
     }
 }
 
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -93,7 +93,7 @@
     fn stated(&self, whole: f64) -> BudgetStatement {
         BudgetStatement {
             budget: BudgetId::of_name(&self.named.name),
-            sum: self.named.division.sum(),
+            sum: self.named.division.checksum(),
             whole,
         }
     }
@@ -190,7 +190,7 @@
         let Some(one) = self.budgets.get_mut(&stated.budget) else {
             return;
         };
-        if stated.sum != one.named.division.sum() {
+        if stated.sum != one.named.division.checksum() {
             one.strangers += 1;
             return self.differs(stated);
         }
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -44,7 +44,7 @@
     /// A voter that remembers nothing.
     pub fn new(now: Timestamp, division: Division) -> LeaseVoter {
         LeaseVoter {
-            silent_until: now + division.with_voter(),
+            silent_until: now + division.voter_lease(),
             division,
             given: BTreeMap::new(),
             wants: BTreeMap::new(),
@@ -90,7 +90,7 @@
             );
         }
         let fair = self.fair(ask.holder);
-        let until = now + self.division.with_voter();
+        let until = now + self.division.voter_lease();
         let mut given = Vec::new();
         // What it has beyond its part runs out where others want it; what it has within is renewed first.
         for &ticket in ask.renew.iter().chain(&ask.want) {
@@ -114,8 +114,8 @@
 
     /// What was given back may still have work under way.
     fn give_back(&mut self, now: Timestamp, ticket: TicketId) {
-        let until = now + self.division.guard;
-        if self.division.guard == TimeSpan::ZERO {
+        let until = now + self.division.guard_time;
+        if self.division.guard_time == TimeSpan::ZERO {
             self.given.remove(&ticket);
         } else if let Some(given) = self.given.get_mut(&ticket) {
             // Nobody's, and not to be had before then.
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -11,12 +11,12 @@
 
 fn named(name: &str, whole: f64, seats: u32) -> NamedBudget {
     let division = Division {
-        seats,
-        floors: 0.25,
+        dispatchers: seats,
+        floor_share: 0.25,
         tickets: 64,
         voters: 3,
-        lasts: TimeSpan::from_secs(2),
-        guard: TimeSpan::ZERO,
+        lease_duration: TimeSpan::from_secs(2),
+        guard_time: TimeSpan::ZERO,
     };
     let name = name.into();
     NamedBudget {
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -141,7 +141,7 @@
     let guard = TimeSpan::from_secs(1);
     for seed in 0..30 {
         let division = Division {
-            guard,
+            guard_time: guard,
             ..division(5)
         };
         let mut world = World::with(5, seed, division);
@@ -215,12 +215,12 @@
         }
     }
     let division = Division {
-        seats: 2,
-        floors: 0.25,
+        dispatchers: 2,
+        floor_share: 0.25,
         tickets: 1,
         voters: 3,
-        lasts: TimeSpan::from_secs(2),
-        guard: TimeSpan::ZERO,
+        lease_duration: TimeSpan::from_secs(2),
+        guard_time: TimeSpan::ZERO,
     };
     let holder = |nth: u64, life: u64, now| {
         let mut holder = LeaseHolder::new(now, division, HolderId(nth), BootId(life), life);
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -12,12 +12,12 @@
 
 pub fn division(seats: u32) -> Division {
     Division {
-        seats,
-        floors: 0.25,
+        dispatchers: seats,
+        floor_share: 0.25,
         tickets: 64,
         voters: 5,
-        lasts: TimeSpan::from_secs(2),
-        guard: TimeSpan::ZERO,
+        lease_duration: TimeSpan::from_secs(2),
+        guard_time: TimeSpan::ZERO,
     }
 }
 
@@ -130,7 +130,7 @@
         self.lives[nth] = life;
         let mut division = self.division;
         if self.planted == Some(Planted::NoDrift) {
-            division.lasts = division.lasts.mul_f64(1.06);
+            division.lease_duration = division.lease_duration.mul_f64(1.06);
         }
         self.holders[nth] = Some(LeaseHolder::new(now, division, id, life, seed));
         self.paused[nth] = false;
@@ -249,7 +249,7 @@
     /// Each begins as much work as its tickets allow; what has begun goes on to its end, whatever becomes of them, also
     /// while its dispatcher is paused.
     pub fn work(&mut self) {
-        let (now, guard) = (self.now, self.division.guard);
+        let (now, guard) = (self.now, self.division.guard_time);
         if guard == TimeSpan::ZERO {
             return;
         }
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -143,12 +143,12 @@
     fn fresh(&self, (nth, members): (usize, usize), rules: Rules, seed: u64) -> Member {
         let voters = if members < 3 { 1 } else { 3 };
         let division = Division {
-            seats: members as u32,
-            floors: 0.25,
+            dispatchers: members as u32,
+            floor_share: 0.25,
             tickets: 64,
             voters: voters as u8,
-            lasts: TimeSpan::from_secs(2),
-            guard: TimeSpan::ZERO,
+            lease_duration: TimeSpan::from_secs(2),
+            guard_time: TimeSpan::ZERO,
         };
         let (name, whole) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
