--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -203,13 +203,13 @@
         let ask = LeaseRequest {
             no,
             holder: self.id,
-            life: self.life,
+            boot: self.life,
             renew,
-            want,
-            give,
+            acquire: want,
+            release: give,
             need: self.tickets_for(self.need()),
-            first: self.tickets_for(self.first()),
-            ahead: wanted,
+            priority_need: self.tickets_for(self.first()),
+            need_with_reserve: wanted,
             weight: self.weight,
         };
         let voters = (0..self.division.voters).map(VoterId);
@@ -228,13 +228,13 @@
         let ask = LeaseRequest {
             no: RequestNo(self.next),
             holder: self.id,
-            life: self.life,
+            boot: self.life,
             renew: Vec::new(),
-            want: Vec::new(),
-            give,
+            acquire: Vec::new(),
+            release: give,
             need: 0,
-            first: 0,
-            ahead: 0,
+            priority_need: 0,
+            need_with_reserve: 0,
             weight: 0,
         };
         self.asked.clear();
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -123,16 +123,16 @@
 pub struct LeaseRequest {
     pub no: RequestNo,
     pub holder: HolderId,
-    pub life: BootId,
+    pub boot: BootId,
     /// Held tickets, whose words are to go on, then further ones that are wanted.
     pub renew: Vec<TicketId>,
-    pub want: Vec<TicketId>,
+    pub acquire: Vec<TicketId>,
     /// Not used any more, and not before they are asked for again.
-    pub give: Vec<TicketId>,
+    pub release: Vec<TicketId>,
     /// How many it could use in all, how many of those for what goes first, and how many with something in reserve.
     pub need: u16,
-    pub first: u16,
-    pub ahead: u16,
+    pub priority_need: u16,
+    pub need_with_reserve: u16,
     /// Where all is to be given out by weight, whatever each could use: this one's; else 0.
     pub weight: u32,
 }
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -68,16 +68,16 @@
         self.given.retain(|_, given| now < given.until);
         self.wants
             .retain(|_, wants| now.since(wants.heard) < WANTS_FOR);
-        let by = (ask.holder, ask.life);
-        for ticket in &ask.give {
+        let by = (ask.holder, ask.boot);
+        for ticket in &ask.release {
             let given = self.given.get(ticket);
             if given.is_some_and(|given| given.to == by && given.no < ask.no) {
                 self.give_back(now, *ticket);
             }
         }
         if self.wants.len() < MOST_HOLDERS || self.wants.contains_key(&ask.holder) {
-            let (need, first, heard) = (ask.need, ask.first.min(ask.need), now);
-            let (ahead, weight) = (ask.ahead.max(need), ask.weight);
+            let (need, first, heard) = (ask.need, ask.priority_need.min(ask.need), now);
+            let (ahead, weight) = (ask.need_with_reserve.max(need), ask.weight);
             self.wants.insert(
                 ask.holder,
                 Wants {
@@ -93,7 +93,7 @@
         let until = now + self.division.voter_lease();
         let mut given = Vec::new();
         // What it has beyond its part runs out where others want it; what it has within is renewed first.
-        for &ticket in ask.renew.iter().chain(&ask.want) {
+        for &ticket in ask.renew.iter().chain(&ask.acquire) {
             let room = given.len() < usize::from(fair) && ticket.0 < self.division.tickets;
             let theirs = self.given.get(&ticket).is_none_or(|known| known.to == by);
             if room && theirs && !given.contains(&ticket) {
@@ -105,7 +105,7 @@
         }
         Some(LeaseGrant {
             no: ask.no,
-            life: ask.life,
+            life: ask.boot,
             given,
             free: self.free(ask),
             fair,
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -233,13 +233,13 @@
             let forged = LeaseRequest {
                 no: RequestNo(u64::MAX),
                 holder,
-                life: *life,
+                boot: *life,
                 renew: Vec::new(),
-                want: Vec::new(),
-                give: vec![ticket],
+                acquire: Vec::new(),
+                release: vec![ticket],
                 need: 64,
-                first: 0,
-                ahead: 64,
+                priority_need: 0,
+                need_with_reserve: 64,
                 weight: 0,
             };
             voter.asked(now, &forged);
