--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -300,18 +300,18 @@
 
     /// A voter answers.
     pub fn told(&mut self, now: Timestamp, voter: VoterId, word: &LeaseGrant) {
-        let ours = Some(voter).filter(|_| word.life == self.life);
+        let ours = Some(voter).filter(|_| word.boot == self.life);
         let Some(asked) = ours.and_then(|voter| self.asked.remove(&(voter, word.no))) else {
             return;
         };
-        self.fair.insert(voter, word.fair);
+        self.fair.insert(voter, word.fair_share);
         self.heard.insert(voter, now);
         for ticket in &word.free {
             self.free.entry(*ticket).or_default().insert(voter);
         }
         let until = asked + self.division.holder_lease();
         // What is not given again runs out by itself.
-        for &ticket in word.given.iter().filter(|_| now < until) {
+        for &ticket in word.granted.iter().filter(|_| now < until) {
             if self
                 .dropped
                 .get(&ticket)
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -142,11 +142,11 @@
 pub struct LeaseGrant {
     pub no: RequestNo,
     /// Whom it is for: a process that took another's place must not take its words.
-    pub life: BootId,
+    pub boot: BootId,
     /// These are the holder's, as far as this voter goes.
-    pub given: Vec<TicketId>,
+    pub granted: Vec<TicketId>,
     /// Nobody's, as far as this voter goes: some of them.
     pub free: Vec<TicketId>,
     /// So many may stay with the holder while others want.
-    pub fair: u16,
+    pub fair_share: u16,
 }
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -105,10 +105,10 @@
         }
         Some(LeaseGrant {
             no: ask.no,
-            life: ask.boot,
-            given,
+            boot: ask.boot,
+            granted: given,
             free: self.free(ask),
-            fair,
+            fair_share: fair,
         })
     }
 
