--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -98,7 +98,7 @@
             self.followers.insert(BudgetId::of_name(&name), follower);
             named.push(NamedBudget {
                 name,
-                whole,
+                total: whole,
                 division,
             });
         };
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -22,10 +22,10 @@
 pub struct BudgetStatement {
     pub budget: BudgetId,
     /// Of the division: between two that differ no word counts.
-    pub sum: u32,
+    pub checksum: u32,
     /// Of a question: the whole as the writer's file has it. Of an answer: the smallest that the voter was asked with lately.
     /// What a holder was told is never told on, or a whole that nobody has any more would go round for ever.
-    pub whole: f64,
+    pub total: f64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
 pub struct NamedBudget {
     pub name: String,
     /// In the unit of whoever follows it.
-    pub whole: f64,
+    pub total: f64,
     pub division: Division,
 }
 
@@ -93,19 +93,19 @@
     fn stated(&self, whole: f64) -> BudgetStatement {
         BudgetStatement {
             budget: BudgetId::of_name(&self.named.name),
-            sum: self.named.division.checksum(),
-            whole,
+            checksum: self.named.division.checksum(),
+            total: whole,
         }
     }
 
     /// The smallest whole that it knows of: it acts under that.
     fn least(&self, now: Timestamp) -> f64 {
-        least(&self.answered, now, self.named.whole)
+        least(&self.answered, now, self.named.total)
     }
 
     fn part(&self, now: Timestamp) -> BudgetPart {
-        let of = match self.named.whole > 0.0 {
-            true => self.least(now) / self.named.whole,
+        let of = match self.named.total > 0.0 {
+            true => self.least(now) / self.named.total,
             false => 1.0,
         };
         BudgetPart {
@@ -190,7 +190,7 @@
         let Some(one) = self.budgets.get_mut(&stated.budget) else {
             return;
         };
-        if stated.sum != one.named.division.checksum() {
+        if stated.checksum != one.named.division.checksum() {
             one.strangers += 1;
             return self.differs(stated);
         }
@@ -198,17 +198,17 @@
             BudgetMessage::Request(..) => &mut one.asked,
             BudgetMessage::Grant(..) => &mut one.answered,
         };
-        if stated.whole.is_finite() && stated.whole >= 0.0 {
+        if stated.total.is_finite() && stated.total >= 0.0 {
             wholes.retain(|_, (_, at)| now.since(*at) < STATED_FOR);
             if wholes.len() < 1_024 || wholes.contains_key(&from) {
-                wholes.insert(from, (stated.whole, now));
+                wholes.insert(from, (stated.total, now));
             }
         }
         match note {
             BudgetMessage::Request(_, ask) if ask.holder == from => {
                 let word = one.voter.as_mut().and_then(|voter| voter.asked(now, &ask));
                 if let Some(word) = word {
-                    let whole = least(&one.asked, now, one.named.whole);
+                    let whole = least(&one.asked, now, one.named.total);
                     let note = BudgetMessage::Grant(one.stated(whole), word);
                     self.send(now, from, note);
                 }
@@ -224,7 +224,7 @@
         if self
             .budgets
             .get(&stated.budget)
-            .is_some_and(|one| stated.whole != one.named.whole)
+            .is_some_and(|one| stated.total != one.named.total)
         {
             self.differs(stated);
         }
@@ -238,8 +238,8 @@
         {
             self.actions.push(Action::Mismatch {
                 name: one.named.name.clone(),
-                own: one.named.whole,
-                other: stated.whole,
+                own: one.named.total,
+                other: stated.total,
             });
         }
     }
@@ -261,7 +261,7 @@
 
     /// It ends in order: others need not wait for its words to run out.
     pub fn leave(&mut self, now: Timestamp) {
-        let asked = |one: &mut BudgetState| (one.stated(one.named.whole), one.holder.leave(now));
+        let asked = |one: &mut BudgetState| (one.stated(one.named.total), one.holder.leave(now));
         let asks: Vec<_> = self.budgets.values_mut().map(asked).collect();
         self.ask(now, asks);
     }
@@ -280,8 +280,8 @@
     pub fn advance(&mut self, now: Timestamp) {
         let mut asks = Vec::new();
         for one in self.budgets.values_mut() {
-            asks.push((one.stated(one.named.whole), one.holder.advance(now)));
-            one.differs &= one.least(now) != one.named.whole || one.strangers > 0;
+            asks.push((one.stated(one.named.total), one.holder.advance(now)));
+            one.differs &= one.least(now) != one.named.total || one.strangers > 0;
             one.strangers = 0;
         }
         self.ask(now, asks);
@@ -326,7 +326,7 @@
             let mut line = format!(
                 "budget {}: whole={} least={} part={:.4} floor={:.4} tickets={held}/{} for={until} need={:.4} voters={}/{} why={why:?}",
                 one.named.name,
-                one.named.whole,
+                one.named.total,
                 one.least(now),
                 part.part,
                 part.floor,
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -21,7 +21,7 @@
     let name = name.into();
     NamedBudget {
         name,
-        whole,
+        total: whole,
         division,
     }
 }
@@ -116,7 +116,7 @@
     fn sum(&self) -> f64 {
         let parts = self.all.iter().flatten().map(|of| {
             let (id, named) = of.all().next().expect("a budget");
-            of.part(self.now, id).expect("its part").part * named.whole
+            of.part(self.now, id).expect("its part").part * named.total
         });
         parts.sum()
     }
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -51,7 +51,7 @@
     let mut shares = BudgetShares::new(own.0, own.1, holders, seed);
     let named = |&(name, _): &(&str, f64)| NamedBudget {
         name: name.into(),
-        whole: WHOLE,
+        total: WHOLE,
         division,
     };
     shares.set(now, BUDGETS.iter().map(named).collect());
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -155,7 +155,7 @@
         let mut shares = BudgetShares::new(HolderId(nth as u64), BootId(seed), voters, seed);
         let named = NamedBudget {
             name,
-            whole,
+            total: whole,
             division,
         };
         shares.set(self.now, vec![named]);
