--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -178,8 +178,8 @@
                             .iter_mut()
                             .for_each(|zones| zones.divide(now, name, Some(part)));
                     }
-                    Some(Follower::ColdCaches) => self.cold.0 = among(part.part),
-                    Some(Follower::ColdParents) => self.cold.1 = among(part.part),
+                    Some(Follower::ColdCaches) => self.cold.0 = among(part.fraction),
+                    Some(Follower::ColdParents) => self.cold.1 = among(part.fraction),
                     None => {}
                 },
                 Action::Mismatch { name, own, other } => {
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -109,8 +109,8 @@
             false => 1.0,
         };
         BudgetPart {
-            part: self.holder.part(now) * of,
-            until: self.holder.good_until(now),
+            fraction: self.holder.part(now) * of,
+            valid_until: self.holder.good_until(now),
             floor: self.named.division.floor() * of,
         }
     }
@@ -255,7 +255,10 @@
     /// When something is due by itself: a question, or a part that ends.
     pub fn next(&self) -> Option<Timestamp> {
         let asks = self.budgets.values().map(|one| one.holder.next());
-        let ends = self.budgets.values().filter_map(|one| one.told?.until);
+        let ends = self
+            .budgets
+            .values()
+            .filter_map(|one| one.told?.valid_until);
         asks.chain(ends).min()
     }
 
@@ -314,11 +317,11 @@
                     .for_each(|(_, holder)| *by.entry(holder).or_default() += 1);
                 by
             });
-            let until = part.until.map_or("ever".into(), |until| {
+            let until = part.valid_until.map_or("ever".into(), |until| {
                 format!("{:.1}s", until.since(now).as_secs_f64())
             });
             let why = match one.holder.need() {
-                need if need <= part.part => "enough",
+                need if need <= part.fraction => "enough",
                 _ if one.holder.heard(now) < division.majority() => "too few voters answer",
                 _ if held >= usize::from(one.holder.fair()) => "others need the rest",
                 _ => "asking",
@@ -328,7 +331,7 @@
                 one.named.name,
                 one.named.total,
                 one.least(now),
-                part.part,
+                part.fraction,
                 part.floor,
                 division.tickets,
                 one.holder.need(),
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -116,7 +116,7 @@
     fn sum(&self) -> f64 {
         let parts = self.all.iter().flatten().map(|of| {
             let (id, named) = of.all().next().expect("a budget");
-            of.part(self.now, id).expect("its part").part * named.total
+            of.part(self.now, id).expect("its part").fraction * named.total
         });
         parts.sum()
     }
@@ -124,7 +124,7 @@
     fn part(&self, nth: usize) -> f64 {
         let of = self.all[nth].as_ref().expect("up");
         of.part(self.now, BudgetId::of_name(LINK))
-            .map_or(0.0, |part| part.part)
+            .map_or(0.0, |part| part.fraction)
     }
 }
 
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -74,7 +74,7 @@
     let overrun = |name: &str| {
         let id = BudgetId::of_name(name);
         let parts = all.clone().filter_map(|shares| shares.part(now, id));
-        parts.map(|part| part.part).sum::<f64>() > 1.0 + ROUNDING
+        parts.map(|part| part.fraction).sum::<f64>() > 1.0 + ROUNDING
     };
     BUDGETS.iter().filter(|(name, _)| overrun(name)).count() as u64
 }
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -344,7 +344,7 @@
     pub fn part(&self, nth: usize) -> f64 {
         let id = BudgetId::of_name(BUDGET);
         let part = self.members[nth].shares.part(self.now, id);
-        part.map_or(0.0, |part| part.part)
+        part.map_or(0.0, |part| part.fraction)
     }
 
     /// What one could use of the budget.
--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -60,9 +60,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetPart {
     /// From 0 to 1.
-    pub part: f64,
+    pub fraction: f64,
     /// Then it is the floor; `None`: it is that already.
-    pub until: Option<Timestamp>,
+    pub valid_until: Option<Timestamp>,
     pub floor: f64,
 }
 
@@ -189,7 +189,7 @@
     /// Another limit in place of this one: debts stay, savings shrink to the new caps.
     pub fn change(&mut self, limit: Limit, dispatchers: f64) {
         (self.limit, self.equal) = (limit, 1.0 / dispatchers.max(1.0));
-        self.share = self.divided.map_or(self.equal, |divided| divided.part);
+        self.share = self.divided.map_or(self.equal, |divided| divided.fraction);
         self.shrink();
     }
 
@@ -198,7 +198,7 @@
     pub fn divide(&mut self, now: Timestamp, part: Option<BudgetPart>) {
         self.advance(now);
         self.divided = part;
-        let share = part.map_or(self.equal, |part| part.part);
+        let share = part.map_or(self.equal, |part| part.fraction);
         self.give_away(share);
         self.lapse(now);
     }
@@ -214,12 +214,12 @@
     /// A part that has run out is the floor, whoever has told anything or not.
     fn lapse(&mut self, now: Timestamp) {
         if let Some(part) = self.divided
-            && part.until.is_some_and(|until| until <= now)
+            && part.valid_until.is_some_and(|until| until <= now)
         {
-            let floor = part.floor.min(part.part);
+            let floor = part.floor.min(part.fraction);
             self.divided = Some(BudgetPart {
-                part: floor,
-                until: None,
+                fraction: floor,
+                valid_until: None,
                 floor,
             });
             self.give_away(floor);
@@ -246,7 +246,7 @@
 
     pub fn advance(&mut self, now: Timestamp) {
         // A clock that went back brings nothing and takes nothing.
-        let until = self.divided.and_then(|part| part.until);
+        let until = self.divided.and_then(|part| part.valid_until);
         let ends = until.filter(|&until| until <= now);
         if let Some(until) = ends {
             // Up to its end the part brings what it is; from then on the floor does.
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -713,8 +713,8 @@
 fn part(part: f64, until: u64) -> budget::BudgetPart {
     let until = Some(at(until));
     budget::BudgetPart {
-        part,
-        until,
+        fraction: part,
+        valid_until: until,
         floor: 0.05,
     }
 }
