--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -74,7 +74,7 @@
     /// What it could use of the whole now, and how much of that for what goes first. It counts for a while: where a few
     /// accesses a second come, need that followed each of them would have parts move to and fro, and lie idle as they move.
     /// Where it is much more than it has, it does not wait for its next round.
-    pub fn needs(&mut self, now: Timestamp, part: f64, first: f64) {
+    pub fn set_need(&mut self, now: Timestamp, part: f64, first: f64) {
         while self
             .lately
             .front()
@@ -88,7 +88,7 @@
             }
             _ => self.lately.push_back((now, part, first)),
         }
-        if self.need() > self.part(now) + self.division.ticket() {
+        if self.need() > self.fraction(now) + self.division.ticket() {
             self.ask_at = self.ask_at.min(self.asked_at + SOONEST);
         }
     }
@@ -98,7 +98,7 @@
     }
 
     /// All of it is wanted, by whoever it is divided among, each by its weight.
-    pub fn weighs(&mut self, weight: u32) {
+    pub fn set_weight(&mut self, weight: u32) {
         self.lately = VecDeque::from([(Timestamp(u64::MAX), 1.0, 0.0)]);
         self.weight = weight.max(1);
     }
@@ -109,20 +109,20 @@
     }
 
     /// So many tickets are its part, as half of the voters or more have it.
-    pub fn fair(&self) -> u16 {
+    pub fn fair_share(&self) -> u16 {
         let mut fair: Vec<u16> = self.fair.values().copied().collect();
         fair.sort_unstable();
         fair.get(fair.len() / 2).copied().unwrap_or(0)
     }
 
     /// Voters that answered lately.
-    pub fn heard(&self, now: Timestamp) -> usize {
+    pub fn responding_voters(&self, now: Timestamp) -> usize {
         let lately = |at: &&Timestamp| now.since(**at) < self.division.lease_duration;
         self.heard.values().filter(lately).count()
     }
 
     /// Until when the present part holds, if no further word comes; `None`: it is the floor, for ever.
-    pub fn good_until(&self, now: Timestamp) -> Option<Timestamp> {
+    pub fn valid_until(&self, now: Timestamp) -> Option<Timestamp> {
         let majority = self.division.majority();
         let held = self.words.values().filter(|words| self.holds(now, words));
         let ends = held.filter_map(|words| {
@@ -148,16 +148,16 @@
     }
 
     /// The part of the whole that may be used now: its floor, and its tickets.
-    pub fn part(&self, now: Timestamp) -> f64 {
+    pub fn fraction(&self, now: Timestamp) -> f64 {
         self.division.floor() + self.tickets(now).count() as f64 * self.division.ticket()
     }
 
-    pub fn next(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         self.ask_at
     }
 
     /// What is kept in mind, for a check that it stays bounded.
-    pub fn kept(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.words.len() + self.asked.len() + self.free.len() + self.dropped.len()
     }
 
@@ -266,7 +266,7 @@
             have.len()
         };
         if !self.fair.is_empty() {
-            keep = keep.min(usize::from(self.fair().max(u16::from(wanted > 0))));
+            keep = keep.min(usize::from(self.fair_share().max(u16::from(wanted > 0))));
         }
         // Of what only some have given their word for, it lets go first.
         let mut have: Vec<(usize, TicketId)> = have
@@ -299,7 +299,7 @@
     }
 
     /// A voter answers.
-    pub fn told(&mut self, now: Timestamp, voter: VoterId, word: &LeaseGrant) {
+    pub fn on_grant(&mut self, now: Timestamp, voter: VoterId, word: &LeaseGrant) {
         let ours = Some(voter).filter(|_| word.boot == self.life);
         let Some(asked) = ours.and_then(|voter| self.asked.remove(&(voter, word.no))) else {
             return;
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -109,8 +109,8 @@
             false => 1.0,
         };
         BudgetPart {
-            fraction: self.holder.part(now) * of,
-            valid_until: self.holder.good_until(now),
+            fraction: self.holder.fraction(now) * of,
+            valid_until: self.holder.valid_until(now),
             floor: self.named.division.floor() * of,
         }
     }
@@ -162,14 +162,14 @@
     /// What it could use of a budget's whole now, and how much of that for what goes first.
     pub fn needs(&mut self, now: Timestamp, id: BudgetId, part: f64, first: f64) {
         if let Some(one) = self.budgets.get_mut(&id) {
-            one.holder.needs(now, part, first);
+            one.holder.set_need(now, part, first);
         }
     }
 
     /// All of a budget is given out, each having its part by weight.
     pub fn weighs(&mut self, id: BudgetId, weight: u32) {
         if let Some(one) = self.budgets.get_mut(&id) {
-            one.holder.weighs(weight);
+            one.holder.set_weight(weight);
         }
     }
 
@@ -206,7 +206,10 @@
         }
         match note {
             BudgetMessage::Request(_, ask) if ask.holder == from => {
-                let word = one.voter.as_mut().and_then(|voter| voter.asked(now, &ask));
+                let word = one
+                    .voter
+                    .as_mut()
+                    .and_then(|voter| voter.on_request(now, &ask));
                 if let Some(word) = word {
                     let whole = least(&one.asked, now, one.named.total);
                     let note = BudgetMessage::Grant(one.stated(whole), word);
@@ -217,7 +220,7 @@
             BudgetMessage::Grant(_, word) => {
                 let voter = self.voters.iter().position(|&voter| voter == from);
                 if let Some(nth) = voter {
-                    one.holder.told(now, VoterId(nth as u8), &word);
+                    one.holder.on_grant(now, VoterId(nth as u8), &word);
                 }
             }
         }
@@ -254,7 +257,7 @@
 
     /// When something is due by itself: a question, or a part that ends.
     pub fn next(&self) -> Option<Timestamp> {
-        let asks = self.budgets.values().map(|one| one.holder.next());
+        let asks = self.budgets.values().map(|one| one.holder.next_deadline());
         let ends = self
             .budgets
             .values()
@@ -313,7 +316,7 @@
             let given = one.voter.as_ref().map(|voter| {
                 let mut by: BTreeMap<HolderId, u32> = BTreeMap::new();
                 voter
-                    .stands(now)
+                    .granted_leases(now)
                     .for_each(|(_, holder)| *by.entry(holder).or_default() += 1);
                 by
             });
@@ -322,8 +325,8 @@
             });
             let why = match one.holder.need() {
                 need if need <= part.fraction => "enough",
-                _ if one.holder.heard(now) < division.majority() => "too few voters answer",
-                _ if held >= usize::from(one.holder.fair()) => "others need the rest",
+                _ if one.holder.responding_voters(now) < division.majority() => "too few voters answer",
+                _ if held >= usize::from(one.holder.fair_share()) => "others need the rest",
                 _ => "asking",
             };
             let mut line = format!(
@@ -335,7 +338,7 @@
                 part.floor,
                 division.tickets,
                 one.holder.need(),
-                one.holder.heard(now),
+                one.holder.responding_voters(now),
                 division.voters,
             );
             for (holder, tickets) in given.into_iter().flatten() {
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -52,7 +52,7 @@
     }
 
     /// Words that stand, for a check.
-    pub fn stands(&self, now: Timestamp) -> impl Iterator<Item = (TicketId, HolderId)> {
+    pub fn granted_leases(&self, now: Timestamp) -> impl Iterator<Item = (TicketId, HolderId)> {
         let stands = self
             .given
             .iter()
@@ -61,7 +61,7 @@
     }
 
     /// `None`: it can't give its word yet.
-    pub fn asked(&mut self, now: Timestamp, ask: &LeaseRequest) -> Option<LeaseGrant> {
+    pub fn on_request(&mut self, now: Timestamp, ask: &LeaseRequest) -> Option<LeaseGrant> {
         if now < self.silent_until {
             return None;
         }
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -195,12 +195,12 @@
         fn deliver(&mut self, nth: usize) {
             match self.flying.remove(nth) {
                 Letter::Request(holder, voter, ask) => {
-                    if let Some(word) = self.voters[voter].asked(self.now, &ask) {
+                    if let Some(word) = self.voters[voter].on_request(self.now, &ask) {
                         self.flying.push(Letter::Grant(holder, voter, word));
                     }
                 }
                 Letter::Grant(holder, voter, word) => {
-                    self.holders[holder].told(self.now, VoterId(voter as u8), &word);
+                    self.holders[holder].on_grant(self.now, VoterId(voter as u8), &word);
                 }
             }
         }
@@ -224,7 +224,7 @@
     };
     let holder = |nth: u64, life: u64, now| {
         let mut holder = LeaseHolder::new(now, division, HolderId(nth), BootId(life), life);
-        holder.needs(now, 1.0, 0.0);
+        holder.set_need(now, 1.0, 0.0);
         holder
     };
     let mut small = Small {
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -155,7 +155,7 @@
                 continue;
             };
             let now = self.clock(nth);
-            parts += holder.part(now);
+            parts += holder.fraction(now);
             if self.planted == Some(Planted::FloorTwice) {
                 parts += self.division.floor();
             }
@@ -181,7 +181,7 @@
                         let now = self.voter_clock(voter);
                         let word = self.voters[voter]
                             .as_mut()
-                            .and_then(|voter| voter.asked(now, &ask));
+                            .and_then(|voter| voter.on_request(now, &ask));
                         if let Some(word) = word {
                             self.post(holder, Letter::Grant(holder, voter, word));
                         }
@@ -191,7 +191,7 @@
                         if let Some(holder) =
                             self.holders[nth].as_mut().filter(|_| !self.paused[nth])
                         {
-                            holder.told(now, VoterId(voter as u8), &word);
+                            holder.on_grant(now, VoterId(voter as u8), &word);
                         }
                     }
                 }
@@ -201,7 +201,7 @@
                 let Some(holder) = self.holders[nth].as_mut().filter(|_| !self.paused[nth]) else {
                     continue;
                 };
-                holder.needs(now, need, 0.0);
+                holder.set_need(now, need, 0.0);
                 let asked = match self.planted {
                     Some(Planted::FromReceipt) => now + TimeSpan::from_secs(1),
                     _ => now,
@@ -226,7 +226,7 @@
         let Some(voter) = self.voters[nth].as_mut() else {
             return;
         };
-        let given = voter.stands(now).next();
+        let given = voter.granted_leases(now).next();
         if let Some((ticket, holder)) = given
             && let Some(life) = self.lives.get(holder.0 as usize)
         {
@@ -242,7 +242,7 @@
                 need_with_reserve: 64,
                 weight: 0,
             };
-            voter.asked(now, &forged);
+            voter.on_request(now, &forged);
         }
     }
 
@@ -270,7 +270,7 @@
     pub fn part(&self, nth: usize) -> f64 {
         self.holders[nth]
             .as_ref()
-            .map_or(0.0, |holder| holder.part(self.clock(nth)))
+            .map_or(0.0, |holder| holder.fraction(self.clock(nth)))
     }
 
     pub fn used(&self) -> f64 {
