--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -120,11 +120,11 @@
             );
             add("cold parents".into(), 1.0, all, Follower::ColdParents);
         }
-        self.shares.set(now, named);
+        self.shares.set_budgets(now, named);
     }
 
     pub fn heard(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
-        self.shares.heard(now, from, note);
+        self.shares.on_message(now, from, note);
     }
 
     /// Every event, before the decisions take it.
@@ -135,7 +135,7 @@
     }
 
     pub fn next(&self) -> Option<Timestamp> {
-        self.shares.next()
+        self.shares.next_deadline()
     }
 
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
@@ -147,14 +147,16 @@
                     Follower::Crossing(name) => {
                         let need = zones.as_ref().map(|zones| zones.need(now, name));
                         let (all, first) = need.unwrap_or_default();
-                        self.shares.needs(now, id, all, first);
+                        self.shares.set_need(now, id, all, first);
+                    }
+                    Follower::ColdCaches | Follower::ColdParents => {
+                        self.shares.set_weight(id, weight)
                     }
-                    Follower::ColdCaches | Follower::ColdParents => self.shares.weighs(id, weight),
                 }
             }
         }
         // Asked for with every event: nothing is reckoned anew before it is due.
-        if self.shares.next().is_some_and(|at| at <= now) {
+        if self.shares.next_deadline().is_some_and(|at| at <= now) {
             self.shares.advance(now);
         }
         self.act(now, zones);
@@ -169,10 +171,10 @@
     fn act(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
         let before = self.cold;
         let among = |part: f64| Some(1.0 / part.max(1e-9));
-        for act in self.shares.take() {
+        for act in self.shares.take_actions() {
             match act {
                 Action::Send(to, note) => self.messages.push((to, note)),
-                Action::Part(id, part) => match self.followers.get(&id) {
+                Action::PartChanged(id, part) => match self.followers.get(&id) {
                     Some(Follower::Crossing(name)) => {
                         zones
                             .iter_mut()
--- a/crates/budgets/src/decide/shares.rs
+++ b/crates/budgets/src/decide/shares.rs
@@ -47,7 +47,7 @@
 pub enum Action {
     Send(HolderId, BudgetMessage),
     /// The part of this budget is another now.
-    Part(BudgetId, BudgetPart),
+    PartChanged(BudgetId, BudgetPart),
     /// Another dispatcher's file has another whole or division for it.
     Mismatch {
         name: String,
@@ -131,7 +131,7 @@
 
     /// These are the budgets now. One with the name and the division of one before goes on, with another whole or not; any
     /// other begins anew, and as a voter keeps silent for as long as a former one's word may hold.
-    pub fn set(&mut self, now: Timestamp, all: Vec<NamedBudget>) {
+    pub fn set_budgets(&mut self, now: Timestamp, all: Vec<NamedBudget>) {
         let mut before = std::mem::take(&mut self.budgets);
         for named in all.into_iter().take(MAX_BUDGETS) {
             let id = BudgetId::of_name(&named.name);
@@ -160,20 +160,20 @@
     }
 
     /// What it could use of a budget's whole now, and how much of that for what goes first.
-    pub fn needs(&mut self, now: Timestamp, id: BudgetId, part: f64, first: f64) {
+    pub fn set_need(&mut self, now: Timestamp, id: BudgetId, part: f64, first: f64) {
         if let Some(one) = self.budgets.get_mut(&id) {
             one.holder.set_need(now, part, first);
         }
     }
 
     /// All of a budget is given out, each having its part by weight.
-    pub fn weighs(&mut self, id: BudgetId, weight: u32) {
+    pub fn set_weight(&mut self, id: BudgetId, weight: u32) {
         if let Some(one) = self.budgets.get_mut(&id) {
             one.holder.set_weight(weight);
         }
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (BudgetId, &NamedBudget)> {
+    pub fn budgets(&self) -> impl Iterator<Item = (BudgetId, &NamedBudget)> {
         self.budgets.iter().map(|(&id, one)| (id, &one.named))
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// A note from another, or from this one's own voter or holder.
-    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
+    pub fn on_message(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
         let stated = match &note {
             BudgetMessage::Request(stated, _) | BudgetMessage::Grant(stated, _) => *stated,
         };
@@ -249,14 +249,14 @@
 
     fn send(&mut self, now: Timestamp, to: HolderId, note: BudgetMessage) {
         if to == self.own {
-            self.heard(now, to, note);
+            self.on_message(now, to, note);
         } else {
             self.actions.push(Action::Send(to, note));
         }
     }
 
     /// When something is due by itself: a question, or a part that ends.
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let asks = self.budgets.values().map(|one| one.holder.next_deadline());
         let ends = self
             .budgets
@@ -298,13 +298,13 @@
             let part = one.part(now);
             if one.told != Some(part) {
                 one.told = Some(part);
-                self.actions.push(Action::Part(id, part));
+                self.actions.push(Action::PartChanged(id, part));
             }
         }
     }
 
     /// What is to be done now.
-    pub fn take(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -60,7 +60,7 @@
         let voters = (0..3).map(HolderId).collect();
         let own = HolderId(nth as u64);
         let mut shares = BudgetShares::new(own, BootId(self.life), voters, self.life);
-        shares.set(self.now, budgets);
+        shares.set_budgets(self.now, budgets);
         self.all[nth] = Some(shares);
     }
 
@@ -68,7 +68,7 @@
         let now = self.now;
         self.all[nth]
             .iter_mut()
-            .for_each(|of| of.set(now, budgets.clone()));
+            .for_each(|of| of.set_budgets(now, budgets.clone()));
     }
 
     fn run(&mut self, ms: u64) {
@@ -78,7 +78,7 @@
             for nth in 0..self.all.len() {
                 let (now, need, first) = (self.now, self.needs[nth], self.first[nth]);
                 if let Some(shares) = &mut self.all[nth] {
-                    shares.needs(now, BudgetId::of_name(LINK), need, first);
+                    shares.set_need(now, BudgetId::of_name(LINK), need, first);
                     shares.advance(now);
                 }
                 self.act(nth);
@@ -87,7 +87,7 @@
                 let now = self.now;
                 self.all[to]
                     .iter_mut()
-                    .for_each(|of| of.heard(now, from, note.clone()));
+                    .for_each(|of| of.on_message(now, from, note.clone()));
                 self.act(to);
             }
         }
@@ -96,7 +96,7 @@
     fn act(&mut self, nth: usize) {
         for act in self.all[nth]
             .as_mut()
-            .map(BudgetShares::take)
+            .map(BudgetShares::take_actions)
             .unwrap_or_default()
         {
             match act {
@@ -107,7 +107,7 @@
                     }
                 }
                 Action::Mismatch { name, .. } => self.differs.push((nth, name)),
-                Action::Part(..) => {}
+                Action::PartChanged(..) => {}
             }
         }
     }
@@ -115,7 +115,7 @@
     /// What all together may use now, in the unit of each one's own whole.
     fn sum(&self) -> f64 {
         let parts = self.all.iter().flatten().map(|of| {
-            let (id, named) = of.all().next().expect("a budget");
+            let (id, named) = of.budgets().next().expect("a budget");
             of.part(self.now, id).expect("its part").fraction * named.total
         });
         parts.sum()
@@ -241,7 +241,7 @@
     for nth in 2..5 {
         let own = HolderId(nth as u64);
         let mut shares = BudgetShares::new(own, BootId(90 + nth as u64), voters.clone(), 5);
-        shares.set(fleet.now, vec![named(LINK, 100.0, 5)]);
+        shares.set_budgets(fleet.now, vec![named(LINK, 100.0, 5)]);
         fleet.all[nth] = Some(shares);
     }
     fleet.run(1_900);
@@ -272,7 +272,7 @@
         for (nth, weight) in [(0, 70), (1, 10), (2, 10), (3, 1)] {
             fleet.all[nth]
                 .iter_mut()
-                .for_each(|of| of.weighs(id, weight));
+                .for_each(|of| of.set_weight(id, weight));
         }
     }
     assert!(
@@ -328,9 +328,9 @@
 #[test]
 fn a_word_is_read_as_written_and_what_is_none_is_not() {
     let mut shares = BudgetShares::new(HolderId(7), BootId(1), vec![HolderId(1)], 3);
-    shares.set(Timestamp(0), vec![named(LINK, 5.0, 2)]);
+    shares.set_budgets(Timestamp(0), vec![named(LINK, 5.0, 2)]);
     shares.advance(Timestamp(1_000_000));
-    let sent = shares.take().into_iter().find_map(|act| match act {
+    let sent = shares.take_actions().into_iter().find_map(|act| match act {
         Action::Send(_, note) => Some(note),
         _ => None,
     });
--- a/crates/capacity/src/fleet/budgets.rs
+++ b/crates/capacity/src/fleet/budgets.rs
@@ -54,7 +54,7 @@
         total: WHOLE,
         division,
     };
-    shares.set(now, BUDGETS.iter().map(named).collect());
+    shares.set_budgets(now, BUDGETS.iter().map(named).collect());
     shares
 }
 
@@ -65,7 +65,7 @@
     let swing = 1.0 + 0.5 * (phase * std::f64::consts::TAU).sin();
     for (name, of_all) in BUDGETS {
         let part = of_all * location.load * swing / layout.members.len() as f64;
-        shares.needs(now, BudgetId::of_name(name), part, 0.0);
+        shares.set_need(now, BudgetId::of_name(name), part, 0.0);
     }
 }
 
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -98,7 +98,7 @@
     /// When its cores want to be woken.
     pub fn next(&self) -> Option<Timestamp> {
         let peers = self.peers.as_ref()?.next();
-        let shares = self.shares.as_ref().and_then(BudgetShares::next);
+        let shares = self.shares.as_ref().and_then(BudgetShares::next_deadline);
         Some(shares.map_or(peers, |shares| shares.min(peers)))
     }
 
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -320,7 +320,11 @@
             peers.advance(now);
         }
         let due = |at: Option<Timestamp>| at.is_some_and(|at| at <= now);
-        if let Some(shares) = of.shares.as_mut().filter(|shares| due(shares.next())) {
+        if let Some(shares) = of
+            .shares
+            .as_mut()
+            .filter(|shares| due(shares.next_deadline()))
+        {
             shares.advance(now);
         }
         of.core_time += begun.elapsed();
@@ -414,7 +418,7 @@
         let note = trailproxy_budgets::read(bytes);
         let shares = &mut self.members[member].shares;
         if let (Some(shares), Some(note)) = (shares, note) {
-            shares.heard(now, HolderId(from.0), note);
+            shares.on_message(now, HolderId(from.0), note);
         }
     }
 
@@ -425,7 +429,7 @@
         let (Some(peers), Some(shares)) = (&mut of.peers, &mut of.shares) else {
             return;
         };
-        for act in shares.take() {
+        for act in shares.take_actions() {
             if let BudgetAction::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
                 peers.beside(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -158,7 +158,7 @@
             total: whole,
             division,
         };
-        shares.set(self.now, vec![named]);
+        shares.set_budgets(self.now, vec![named]);
         Member {
             shares,
             sharing: SharedState::new(self.now, rules, seed),
@@ -308,7 +308,7 @@
                     Action::PeerBreakerOpened { host } => member.hints.push((now, host)),
                     Action::MessageReceived { from, bytes } => {
                         if let Some(note) = trailproxy_budgets::read(&bytes) {
-                            member.shares.heard(now, HolderId(from.0), note);
+                            member.shares.on_message(now, HolderId(from.0), note);
                         }
                     }
                     Action::TrustChanged { trust, cause } => {
@@ -324,7 +324,7 @@
     fn words(&mut self, nth: usize) {
         let now = self.now;
         let member = &mut self.members[nth];
-        let actions = member.shares.take();
+        let actions = member.shares.take_actions();
         let said = !actions.is_empty();
         for act in actions {
             if let shares::Action::Send(to, note) = act {
@@ -350,7 +350,7 @@
     /// What one could use of the budget.
     pub fn needs(&mut self, nth: usize, part: f64) {
         let (now, id) = (self.now, BudgetId::of_name(BUDGET));
-        self.members[nth].shares.needs(now, id, part, 0.0);
+        self.members[nth].shares.set_need(now, id, part, 0.0);
     }
 
     /// Applies what is due of one dispatcher's operations.
@@ -398,7 +398,7 @@
             .filter(|_| !self.way.paused)
             .map(|asked| asked.apply_at);
         let back = member.back.front().map(|(at, ..)| *at);
-        let shares = member.shares.next();
+        let shares = member.shares.next_deadline();
         [
             out,
             back,
@@ -459,7 +459,7 @@
             }
             if self.members[nth]
                 .shares
-                .next()
+                .next_deadline()
                 .is_some_and(|at| at <= self.now)
             {
                 self.members[nth].shares.advance(self.now);
