--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -21,8 +21,8 @@
 
 /// One dispatcher's budgets with who follows them.
 pub struct BudgetFollower {
-    pub sheet: BudgetsConfig,
-    own: (HolderId, BootId),
+    pub config: BudgetsConfig,
+    member: (HolderId, BootId),
     shares: BudgetShares,
     followers: BTreeMap<BudgetId, Follower>,
     zone: ZoneId,
@@ -31,7 +31,7 @@
     traffic: Traffic,
     look_at: Timestamp,
     messages: Vec<(HolderId, BudgetMessage)>,
-    differs: Vec<Mismatch>,
+    mismatches: Vec<Mismatch>,
     /// Among how many work for cold caches and parents is divided, where that is another than was told.
     cold: (Option<f64>, Option<f64>),
     cold_told: bool,
@@ -60,9 +60,9 @@
             .get(usize::from(terms.zone.0))
             .copied();
         BudgetFollower {
-            own,
+            member: own,
             shares: BudgetShares::new(own.0, own.1, voters, seed),
-            sheet,
+            config: sheet,
             followers: BTreeMap::new(),
             zone: terms.zone,
             seats: (
@@ -72,29 +72,29 @@
             traffic: Traffic::default(),
             look_at: now,
             messages: Vec::new(),
-            differs: Vec::new(),
+            mismatches: Vec::new(),
             cold: (None, None),
             cold_told: true,
         }
     }
 
-    pub fn own(&self) -> (HolderId, BootId) {
-        self.own
+    pub fn member(&self) -> (HolderId, BootId) {
+        self.member
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, sheet: &BudgetsConfig, own: (HolderId, BootId)) -> bool {
-        self.sheet == *sheet && self.own == own
+    pub fn matches(&self, sheet: &BudgetsConfig, own: (HolderId, BootId)) -> bool {
+        self.config == *sheet && self.member == own
     }
 
     /// The budgets that there are now.
-    pub fn set(&mut self, now: Timestamp, zones: Option<&Zones>) {
+    pub fn update_budgets(&mut self, now: Timestamp, zones: Option<&Zones>) {
         let (own, all) = self.seats;
         let zone = self.zone.0;
         let mut named = Vec::new();
         self.followers.clear();
         let mut add = |name: String, whole: f64, seats: u32, follower: Follower| {
-            let division = self.sheet.division(seats);
+            let division = self.config.division(seats);
             self.followers.insert(BudgetId::of_name(&name), follower);
             named.push(NamedBudget {
                 name,
@@ -111,7 +111,7 @@
                 Follower::Crossing(limit.name.clone()),
             );
         }
-        if self.sheet.cold {
+        if self.config.cold {
             add(
                 format!("{zone}/cold caches"),
                 1.0,
@@ -123,18 +123,18 @@
         self.shares.set_budgets(now, named);
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
+    pub fn on_message(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
         self.shares.on_message(now, from, note);
     }
 
     /// Every event, before the decisions take it.
-    pub fn event(&mut self, now: Timestamp, event: &Event) {
+    pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         if let Event::Arrived(_) = event {
             self.traffic.arrived(now);
         }
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.shares.next_deadline()
     }
 
@@ -185,7 +185,7 @@
                     None => {}
                 },
                 Action::Mismatch { name, own, other } => {
-                    self.differs.push(Mismatch { name, own, other });
+                    self.mismatches.push(Mismatch { name, own, other });
                 }
             }
         }
@@ -193,22 +193,22 @@
     }
 
     /// The decisions have forgotten it.
-    pub fn again(&mut self) {
+    pub fn resend_slow_start_shares(&mut self) {
         self.cold_told = false;
     }
 
     /// Files that differ, each told once while it lasts.
-    pub fn differs(&mut self) -> Vec<Mismatch> {
-        std::mem::take(&mut self.differs)
+    pub fn take_mismatches(&mut self) -> Vec<Mismatch> {
+        std::mem::take(&mut self.mismatches)
     }
 
     /// Words to go out.
-    pub fn messages(&mut self) -> Vec<(HolderId, BudgetMessage)> {
+    pub fn take_messages(&mut self) -> Vec<(HolderId, BudgetMessage)> {
         std::mem::take(&mut self.messages)
     }
 
     /// Among how many work for cold caches and parents is divided now; `None`: as before.
-    pub fn cold(&mut self) -> Option<(Option<f64>, Option<f64>)> {
+    pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
         (!std::mem::replace(&mut self.cold_told, true)).then_some(self.cold)
     }
 
--- a/crates/lab/src/decide/baseline.rs
+++ b/crates/lab/src/decide/baseline.rs
@@ -47,7 +47,7 @@
 
     fn set_slow_start_shares(&mut self, now: Timestamp, following: &mut BudgetFollower) {
         following.advance(now, &mut self.crossings);
-        if let Some((caches, parents)) = following.cold() {
+        if let Some((caches, parents)) = following.take_slow_start_shares() {
             Dispatcher::set_slow_start_shares(self, now, caches, parents);
         }
     }
--- a/crates/lab/src/model/dispatchers.rs
+++ b/crates/lab/src/model/dispatchers.rs
@@ -65,7 +65,7 @@
         let terms = self.scenario.terms(self.seats[seat].zone);
         let mut following = BudgetFollower::new(now, sheet, own, &terms, seed);
         let decider = self.seats[seat].decider.as_mut();
-        following.set(now, decider.and_then(|decider| decider.zones()).as_deref());
+        following.update_budgets(now, decider.and_then(|decider| decider.zones()).as_deref());
         self.seats[seat].following = Some(following);
         self.divide(seat);
         let life = self.seats[seat].life;
@@ -84,7 +84,7 @@
             return;
         };
         decider.set_slow_start_shares(now, following);
-        for (to, note) in following.messages() {
+        for (to, note) in following.take_messages() {
             let place = (0..self.seats.len()).find(|&nth| HolderId::of_name(&name(nth)) == to);
             if let Some(place) = place {
                 self.file(now + WORD_TAKES, Ev::Word(place, from, note));
@@ -102,7 +102,7 @@
         else {
             return;
         };
-        following.iter_mut().for_each(|on| on.event(now, &event));
+        following.iter_mut().for_each(|on| on.on_event(now, &event));
         decider.handle_event(now, event);
         self.settle(seat);
     }
--- a/crates/lab/src/model/events.rs
+++ b/crates/lab/src/model/events.rs
@@ -74,7 +74,7 @@
             }
             Ev::Word(seat, from, note) => {
                 if let Some(following) = &mut self.seats[seat].following {
-                    following.heard(now, from, note);
+                    following.on_message(now, from, note);
                     self.divide(seat);
                 }
             }
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -30,31 +30,31 @@
     }
 
     pub fn own(&self) -> (PeerId, Life) {
-        let (id, life) = self.following.own();
+        let (id, life) = self.following.member();
         (PeerId(id.0), Life(life.0))
     }
 
     /// Whether it is of this section and this member.
     pub fn is(&self, config: &BudgetsConfig, own: (PeerId, Life)) -> bool {
-        self.following.sheet == *config && self.own() == own
+        self.following.config == *config && self.own() == own
     }
 
     pub fn heard(&mut self, now: Timestamp, from: PeerId, bytes: &[u8]) {
         if let Some(note) = trailproxy_budgets::read(bytes) {
-            self.following.heard(now, HolderId(from.0), note);
+            self.following.on_message(now, HolderId(from.0), note);
         }
     }
 
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
         self.following.advance(now, zones);
-        for of in self.following.differs() {
+        for of in self.following.take_mismatches() {
             warn!(self.log, "budget differs"; "name" => of.name, "own" => of.own, "another" => of.other);
         }
     }
 
     /// Messages to go out.
     pub fn messages(&mut self) -> Vec<(PeerId, Vec<u8>)> {
-        let words = self.following.messages().into_iter();
+        let words = self.following.take_messages().into_iter();
         words
             .map(|(to, note)| (PeerId(to.0), trailproxy_budgets::write(&note)))
             .collect()
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -71,7 +71,11 @@
         shared
             .into_iter()
             .chain(self.peers.as_ref().map(Peered::next))
-            .chain(self.divided.as_ref().and_then(|on| on.following.next()))
+            .chain(
+                self.divided
+                    .as_ref()
+                    .and_then(|on| on.following.next_deadline()),
+            )
             .min()
     }
 
@@ -120,7 +124,7 @@
             }
         }
         divided.advance(now, &mut self.zones);
-        self.cold = divided.following.cold().or(self.cold);
+        self.cold = divided.following.take_slow_start_shares().or(self.cold);
         self.send_words(now);
     }
 
@@ -186,8 +190,8 @@
             self.divided = Some(fresh);
         }
         if let Some(divided) = &mut self.divided {
-            divided.following.set(now, self.zones.as_ref());
-            divided.following.again();
+            divided.following.update_budgets(now, self.zones.as_ref());
+            divided.following.resend_slow_start_shares();
         }
         if let Some(shared) = self.shared.as_mut().filter(|_| self.peers.is_none()) {
             shared.sharing.open_mailbox(MailboxId(own.0.0));
@@ -397,7 +401,7 @@
         self.peers.iter_mut().for_each(|peers| peers.heard(event));
         self.divided
             .iter_mut()
-            .for_each(|on| on.following.event(now, event));
+            .for_each(|on| on.following.on_event(now, event));
     }
 
     fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
