--- a/crates/budgets/src/config.rs
+++ b/crates/budgets/src/config.rs
@@ -26,7 +26,7 @@
 
 impl BudgetsConfig {
     /// The message of a field that does not fit.
-    pub fn wrong(&self, field: &str, found: &str, accepted: &str) -> String {
+    pub fn field_error(&self, field: &str, found: &str, accepted: &str) -> String {
         let (line, column) = self.position;
         format!(
             "{}:{line}:{column}: section budgets, field {field}: found {found}, accepted: {accepted}",
@@ -42,7 +42,7 @@
         if names.len() != n || !(1..=MAX_VOTERS).contains(&n) || n.is_multiple_of(2) {
             let found = format!("{:?}", self.voters);
             let accepted = "1, 3, 5, 7 or 9 different names of dispatchers";
-            return Err(self.wrong("voters", &found, accepted));
+            return Err(self.field_error("voters", &found, accepted));
         }
         Ok(())
     }
--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -1,7 +1,7 @@
 //! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
 
-use super::needs::Traffic;
 use super::shares::{Action, BudgetMessage, BudgetShares, NamedBudget};
+use super::traffic::Traffic;
 use super::{BootId, BudgetId, HolderId};
 use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
@@ -130,7 +130,7 @@
     /// Every event, before the decisions take it.
     pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         if let Event::Arrived(_) = event {
-            self.traffic.arrived(now);
+            self.traffic.on_arrival(now);
         }
     }
 
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -8,8 +8,8 @@
 
 pub mod follower;
 pub mod holder;
-pub mod needs;
 pub mod shares;
+pub mod traffic;
 pub mod voter;
 
 use serde::{Deserialize, Serialize};
--- a/crates/budgets/src/decide/needs.rs
+++ b/crates/budgets/src/decide/traffic.rs
@@ -25,7 +25,7 @@
     }
 
     /// An access came.
-    pub fn arrived(&mut self, now: Timestamp) {
+    pub fn on_arrival(&mut self, now: Timestamp) {
         self.rate = self.rate(now) + std::f64::consts::LN_2 / HALVES.as_secs_f64();
         self.at = self.at.max(now);
     }
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -294,7 +294,7 @@
     for nth in 0..2_000 {
         // Forty a second, then eighty.
         now = now + TimeSpan::from_millis(if nth < 1_000 { 25 } else { 12 });
-        traffic.arrived(now);
+        traffic.on_arrival(now);
         told.push(traffic.weight(now));
     }
     let steady = &told[600..1_000];
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -139,7 +139,7 @@
             budgets.check()?;
             if peers.is_none() && !store.as_ref().is_some_and(|store| store.words) {
                 let accepted = "a section peers that is on beside it, or a section store with words, as its words go by one";
-                return Err(budgets.wrong("on", "True", accepted));
+                return Err(budgets.field_error("on", "True", accepted));
             }
         }
         let empty = all.as_object().is_some_and(|all| all.is_empty());
