--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -102,7 +102,7 @@
                 division,
             });
         };
-        for limit in zones.iter().flat_map(|zones| zones.dividable()) {
+        for limit in zones.iter().flat_map(|zones| zones.divisible_limits()) {
             let name = format!("{zone}/{}", limit.name);
             add(
                 name,
@@ -178,7 +178,7 @@
                     Some(Follower::Crossing(name)) => {
                         zones
                             .iter_mut()
-                            .for_each(|zones| zones.divide(now, name, Some(part)));
+                            .for_each(|zones| zones.set_part(now, name, Some(part)));
                     }
                     Some(Follower::ColdCaches) => self.cold.0 = among(part.fraction),
                     Some(Follower::ColdParents) => self.cold.1 = among(part.fraction),
--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use trailproxy::units::*;
 use trailproxy_budgets::config::BudgetsConfig;
-use trailproxy_budgets::decide::needs::Traffic;
 use trailproxy_budgets::decide::shares::{Action, BudgetMessage, BudgetShares, NamedBudget};
+use trailproxy_budgets::decide::traffic::Traffic;
 use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
 
 const LINK: &str = "1/link";
--- a/crates/lab/src/model/crossings.rs
+++ b/crates/lab/src/model/crossings.rs
@@ -24,7 +24,7 @@
             for (key, sum) in zones.account().totals() {
                 *self.crossed.booked.entry((key.to, key.track)).or_default() += sum.kb;
             }
-            let refused = zones.turned_away();
+            let refused = zones.refused();
             self.crossed.turned_away.resize(refused.len(), 0);
             let sums = self.crossed.turned_away.iter_mut().zip(refused);
             sums.for_each(|(sum, (n, _))| *sum += n);
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -188,7 +188,7 @@
         accounts.follow(&config);
         info!(self.log, "zones are on"; "file" => &config.file, "limits" => rules.limits.len());
         match crossings {
-            Some(zones) => zones.change(now, rules),
+            Some(zones) => zones.apply_rules(now, rules),
             None => {
                 let mut zones = Zones::new(terms, rules, *seed);
                 let kind = HostListKind::Full;
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -176,8 +176,11 @@
                 self.cold = Some((None, None));
             }
             if let Some(zones) = &mut self.zones {
-                let all: Vec<String> = zones.dividable().map(|limit| limit.name.clone()).collect();
-                all.iter().for_each(|name| zones.divide(now, name, None));
+                let all: Vec<String> = zones
+                    .divisible_limits()
+                    .map(|limit| limit.name.clone())
+                    .collect();
+                all.iter().for_each(|name| zones.set_part(now, name, None));
             }
             return;
         };
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -133,12 +133,12 @@
                 ..rules.clone()
             },
         };
-        zones.change(Timestamp(0), rules);
+        zones.apply_rules(Timestamp(0), rules);
         zones
     }
 
     /// Other rules in place of these. Counts, debts and what is under way stay; a limit is the same by its name.
-    pub fn change(&mut self, now: Timestamp, rules: Rules) {
+    pub fn apply_rules(&mut self, now: Timestamp, rules: Rules) {
         for (nth, track) in (0..).zip(&mut self.tracks) {
             if rules.first.contains(&ClassId(nth)) {
                 track.class = Priority::First;
@@ -207,13 +207,13 @@
     }
 
     /// The limits into the own zone whose rate is the operator's: the same with all dispatchers of the zone.
-    pub fn dividable(&self) -> impl Iterator<Item = &Limit> {
+    pub fn divisible_limits(&self) -> impl Iterator<Item = &Limit> {
         let limits = self.budgets.iter().map(|budget| &budget.limit);
         limits.filter(|limit| limit.to == self.zone && limit.learned.is_none())
     }
 
     /// A limit's part is this from now on; `None`: an equal share.
-    pub fn divide(&mut self, now: Timestamp, name: &str, part: Option<BudgetPart>) {
+    pub fn set_part(&mut self, now: Timestamp, name: &str, part: Option<BudgetPart>) {
         for budget in self.budgets.iter_mut().filter(|of| of.limit.name == name) {
             budget.divide(now, part);
         }
@@ -226,12 +226,12 @@
     }
 
     /// Accesses that found no room, by track, and the KB they were expected to move.
-    pub fn turned_away(&self) -> Vec<(u64, f64)> {
+    pub fn refused(&self) -> Vec<(u64, f64)> {
         self.turned_away.borrow().clone()
     }
 
     /// KB expected of what is under way.
-    pub fn under_way_kb(&self) -> f64 {
+    pub fn in_flight_kb(&self) -> f64 {
         self.in_flight
             .values()
             .map(|in_flight| in_flight.expected)
@@ -239,7 +239,7 @@
     }
 
     /// What it keeps, for a check that nothing grows: hand-offs, objects, purges and hosts.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn tracked_counts(&self) -> (usize, usize) {
         (self.in_flight.len(), self.memory.kept())
     }
 
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -97,7 +97,7 @@
             kb_10s: short(kb[1]),
             kb_60s: short(kb[2]),
         };
-        let refused = zones.turned_away().into_iter().zip(0..);
+        let refused = zones.refused().into_iter().zip(0..);
         let refused = refused.filter(|((n, _), _)| *n > 0);
         Report {
             dispatcher: dispatcher.into(),
@@ -121,7 +121,7 @@
                     kb: short(kb),
                 })
                 .collect(),
-            under_way_kb: short(zones.under_way_kb()),
+            under_way_kb: short(zones.in_flight_kb()),
             left_out_kb: short(account.left_out_kb()),
         }
     }
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -371,7 +371,7 @@
     ways.iter()
         .for_each(|way| desk.zones.on_sent(at(5_000), way));
     desk.zones
-        .change(at(5_001), rules(vec![limit(100.0, 50.0, 0.2)]));
+        .apply_rules(at(5_001), rules(vec![limit(100.0, 50.0, 0.2)]));
     for way in &ways {
         desk.end(way, 5_050, 50, Ending::Done, Note::Filled, Some(300.0));
     }
@@ -387,7 +387,7 @@
     let mut desk = Desk::new(rules(vec![limit(1_000.0, 400.0, 0.2)]), 1);
     let way = desk.way(VIDEO, 1, 100.0);
     desk.zones.on_sent(at(0), &way);
-    desk.zones.change(at(1), rules(Vec::new()));
+    desk.zones.apply_rules(at(1), rules(Vec::new()));
     desk.end(&way, 50, 50, Ending::Done, Note::Filled, Some(100.0));
     assert_eq!(desk.booked(Cause::First), 100.0);
     let next = desk.way(VIDEO, 2, 1e9);
@@ -681,7 +681,7 @@
             .is_some_and(|ms| (60_000..=63_000).contains(ms)),
         "{told:?}"
     );
-    assert!(desk.zones.turned_away()[0].0 > 100);
+    assert!(desk.zones.refused()[0].0 > 100);
 }
 
 #[test]
@@ -705,7 +705,7 @@
             desk.zones.advance(at(n * 10));
         }
     }
-    let (in_flight, kept) = desk.zones.kept();
+    let (in_flight, kept) = desk.zones.tracked_counts();
     assert_eq!(in_flight, 0);
     assert!(kept < 46_000, "{kept}");
 }
@@ -801,5 +801,5 @@
         desk.zones.need(at(60_000), "link").0 < 0.01,
         "and forgotten"
     );
-    assert_eq!(desk.zones.dividable().count(), 1);
+    assert_eq!(desk.zones.divisible_limits().count(), 1);
 }
