--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -187,7 +187,7 @@
     }
 
     /// Another limit in place of this one: debts stay, savings shrink to the new caps.
-    pub fn change(&mut self, limit: Limit, dispatchers: f64) {
+    pub fn apply_limit(&mut self, limit: Limit, dispatchers: f64) {
         (self.limit, self.equal) = (limit, 1.0 / dispatchers.max(1.0));
         self.share = self.divided.map_or(self.equal, |divided| divided.fraction);
         self.shrink();
@@ -195,7 +195,7 @@
 
     /// From now on this part of the whole; `None`: an equal share again. What is saved or owed stays, in KB: what one gave
     /// back another saves up anew.
-    pub fn divide(&mut self, now: Timestamp, part: Option<BudgetPart>) {
+    pub fn set_part(&mut self, now: Timestamp, part: Option<BudgetPart>) {
         self.advance(now);
         self.divided = part;
         let share = part.map_or(self.equal, |part| part.fraction);
@@ -234,7 +234,7 @@
     }
 
     /// Something was wanted, whether it had room or not.
-    pub fn demanded(&mut self, now: Timestamp, class: Priority, kb: f64) {
+    pub fn on_demand(&mut self, now: Timestamp, class: Priority, kb: f64) {
         self.demand.add(now, class, kb);
     }
 
@@ -297,7 +297,7 @@
     }
 
     /// Where a send of so many KB would be taken from; `None`: there is no room for it now.
-    pub fn room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<BucketKind> {
+    pub fn bucket_with_room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<BucketKind> {
         let need = kb * (1.0 - self.part);
         let passed = now.since(self.at).as_secs_f64();
         let has = |bucket: &Bucket| bucket.level + bucket.rate * passed;
@@ -328,7 +328,7 @@
     }
 
     /// Notes that so much was turned away, so that it is saved up for.
-    pub fn turned_away(&self, now: Timestamp, kb: f64) {
+    pub fn on_refused(&self, now: Timestamp, kb: f64) {
         let before = self.wanted(now);
         if kb >= before {
             self.wanted.set((kb, now));
@@ -355,7 +355,7 @@
     }
 
     /// How long until something plain has room again; `None`: it has.
-    pub fn full_for(&self, now: Timestamp) -> Option<TimeSpan> {
+    pub fn time_until_room(&self, now: Timestamp) -> Option<TimeSpan> {
         let wanted = self.wanted(now) * (1.0 - self.part);
         let level = self.common.level + self.common.rate * now.since(self.at).as_secs_f64();
         let lacks = wanted.max(0.0) - level;
@@ -396,7 +396,7 @@
 
 impl RateLearner {
     /// A fill of so many KB took so long from its first byte on.
-    pub fn filled(&mut self, kb: f64, took: TimeSpan) {
+    pub fn on_fill(&mut self, kb: f64, took: TimeSpan) {
         if kb < TELLS_KB || took == TimeSpan::ZERO {
             return;
         }
@@ -405,7 +405,7 @@
         (self.sum, self.n) = (self.sum + pace, self.n + 1);
     }
 
-    pub fn refused(&mut self) {
+    pub fn on_refused(&mut self) {
         self.refused = true;
     }
 
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -164,10 +164,10 @@
             self.budgets.push(match kept.filter(ways) {
                 Some(mut budget) => {
                     budget.advance(now);
-                    budget.change(limit.clone(), dispatchers);
+                    budget.apply_limit(limit.clone(), dispatchers);
                     if limit.learned.is_some() {
                         // Its whole is not the same with all: it is not divided any more.
-                        budget.divide(now, None);
+                        budget.set_part(now, None);
                     }
                     budget
                 }
@@ -215,7 +215,7 @@
     /// A limit's part is this from now on; `None`: an equal share.
     pub fn set_part(&mut self, now: Timestamp, name: &str, part: Option<BudgetPart>) {
         for budget in self.budgets.iter_mut().filter(|of| of.limit.name == name) {
-            budget.divide(now, part);
+            budget.set_part(now, part);
         }
     }
 
@@ -253,13 +253,13 @@
             self.watch(&crossing, kb, why);
             for (learner, budget) in self.learners.iter_mut().zip(&self.budgets) {
                 if Zones::concerns(&budget.limit, &crossing) {
-                    learner.refused();
+                    learner.on_refused();
                 }
             }
             let class = self.class(crossing.arrival.class);
             for budget in &mut self.budgets {
                 if Zones::concerns(&budget.limit, &crossing) {
-                    budget.demanded(now, class, kb);
+                    budget.on_demand(now, class, kb);
                 }
             }
         }
@@ -274,7 +274,7 @@
                     kb_per_s: rate,
                     ..budget.limit.clone()
                 };
-                budget.change(limit, share);
+                budget.apply_limit(limit, share);
             }
         }
         if let Some(alarm) = self.rules.alarm {
@@ -430,7 +430,7 @@
             let took = now.since(begun);
             for (learner, budget) in self.learners.iter_mut().zip(&self.budgets) {
                 if Zones::concerns(&budget.limit, &crossing) {
-                    learner.filled(kb, took);
+                    learner.on_fill(kb, took);
                 }
             }
         }
@@ -486,8 +486,8 @@
             .filter(|budget| Zones::concerns(&budget.limit, crossing));
         let mut fits = true;
         for budget in concerned {
-            if budget.room(now, class, kb).is_none() {
-                budget.turned_away(now, kb);
+            if budget.bucket_with_room(now, class, kb).is_none() {
+                budget.on_refused(now, kb);
                 fits = false;
             }
         }
@@ -519,10 +519,10 @@
             let budget = &mut self.budgets[nth];
             if Zones::concerns(&budget.limit, crossing) {
                 let from = budget
-                    .room(now, class, expected)
+                    .bucket_with_room(now, class, expected)
                     .unwrap_or(budget::BucketKind::Common);
                 budget.charge(now, from, expected);
-                budget.demanded(now, class, expected);
+                budget.on_demand(now, class, expected);
                 charged.push((nth, from));
             }
         }
@@ -552,6 +552,6 @@
         let own = |budget: &&Budget| budget.limit.to == self.zone;
         let plain = self.class(track) == Priority::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
-        full.filter_map(|budget| budget.full_for(now)).max()
+        full.filter_map(|budget| budget.time_until_room(now)).max()
     }
 }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -33,12 +33,12 @@
             now += gap;
             budget.advance(at(now));
             let class = if first { Priority::First } else { Priority::Plain };
-            match budget.room(at(now), class, kb) {
+            match budget.bucket_with_room(at(now), class, kb) {
                 Some(from) => {
                     budget.charge(at(now), from, kb);
                     sent += kb;
                 }
-                None => budget.turned_away(at(now), kb),
+                None => budget.on_refused(at(now), kb),
             }
             let may = rate / n * now as f64 / 1e6 + burst / n + 2.0 * 400.0;
             prop_assert!(sent <= may + 1e-6, "{sent} {may}");
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -254,8 +254,8 @@
     let mut first = None;
     for ms in (0..60_000).step_by(100) {
         budget.advance(at(ms));
-        match budget.room(at(ms), Priority::Plain, 2_000.0) {
-            None => budget.turned_away(at(ms), 2_000.0),
+        match budget.bucket_with_room(at(ms), Priority::Plain, 2_000.0) {
+            None => budget.on_refused(at(ms), 2_000.0),
             Some(from) => {
                 budget.charge(at(ms), from, 2_000.0);
                 first.get_or_insert(ms);
@@ -273,8 +273,16 @@
     budget.advance(at(1_000));
     budget.charge(at(1_000), budget::BucketKind::Common, 1_000.0);
     assert!(budget.saved_kb() < 0.0, "{}", budget.saved_kb());
-    assert!(budget.room(at(1_000), Priority::Plain, 5.0).is_some());
-    assert!(budget.room(at(1_000), Priority::Plain, 500.0).is_none());
+    assert!(
+        budget
+            .bucket_with_room(at(1_000), Priority::Plain, 5.0)
+            .is_some()
+    );
+    assert!(
+        budget
+            .bucket_with_room(at(1_000), Priority::Plain, 500.0)
+            .is_none()
+    );
 }
 
 #[test]
@@ -289,8 +297,8 @@
     for ms in (60_000..80_000).step_by(50) {
         for budget in &mut all {
             budget.advance(at(ms));
-            match budget.room(at(ms), Priority::Plain, 250.0) {
-                None => budget.turned_away(at(ms), 250.0),
+            match budget.bucket_with_room(at(ms), Priority::Plain, 250.0) {
+                None => budget.on_refused(at(ms), 250.0),
                 Some(from) => {
                     budget.charge(at(ms), from, 250.0);
                     seconds[(ms as usize - 60_000) / 1_000] += 250.0;
@@ -317,8 +325,8 @@
         let mut budget = Budget::new(limit(4_000.0, 400.0, 0.2), f64::from(n), at(0), &mut chance);
         for ms in (0..10_000).step_by(20) {
             budget.advance(at(ms));
-            match budget.room(at(ms), Priority::Plain, 50.0) {
-                None => budget.turned_away(at(ms), 50.0),
+            match budget.bucket_with_room(at(ms), Priority::Plain, 50.0) {
+                None => budget.on_refused(at(ms), 50.0),
                 Some(from) => {
                     budget.charge(at(ms), from, 50.0);
                     sum += 50.0;
@@ -333,11 +341,11 @@
 fn a_learned_rate_falls_when_fills_slow_down_and_rises_while_some_are_turned_away() {
     let mut learner = RateLearner::default();
     let between = (100.0, 10_000.0);
-    learner.filled(100.0, TimeSpan::from_millis(50));
-    learner.refused();
+    learner.on_fill(100.0, TimeSpan::from_millis(50));
+    learner.on_refused();
     let risen = learner.step(at(1_000), 1_000.0, between);
     assert_eq!(risen, Some(1_050.0));
-    learner.filled(100.0, TimeSpan::from_millis(200));
+    learner.on_fill(100.0, TimeSpan::from_millis(200));
     let fallen = learner.step(at(2_000), 1_050.0, between);
     assert!(fallen.is_some_and(|rate| rate < 1_000.0), "{fallen:?}");
     assert_eq!(learner.step(at(3_000), 150.0, between), Some(150.0));
@@ -723,7 +731,7 @@
 fn drain(budget: &mut Budget, now: Timestamp) -> f64 {
     let mut taken = 0.0;
     budget.advance(now);
-    while let Some(from) = budget.room(now, Priority::Plain, 10.0) {
+    while let Some(from) = budget.bucket_with_room(now, Priority::Plain, 10.0) {
         budget.charge(now, from, 10.0);
         taken += 10.0;
     }
@@ -734,7 +742,7 @@
 fn a_part_that_has_run_out_is_the_floor_whoever_tells_it() {
     let mut chance = fastrand::Rng::with_seed(4);
     let mut budget = Budget::new(limit(1_000.0, 500.0, 0.0), 5.0, at(0), &mut chance);
-    budget.divide(at(0), Some(part(0.8, 2_000)));
+    budget.set_part(at(0), Some(part(0.8, 2_000)));
     let busy: f64 = (0..20).map(|n| drain(&mut budget, at(n * 100))).sum();
     assert!(busy > 1_200.0, "{busy}");
     // Nobody has told anything since: the dispatcher slept, or is cut off.
@@ -746,7 +754,7 @@
         late < 4.0 * 50.0 + 60.0,
         "{late}: the floor's rate and burst"
     );
-    budget.divide(at(14_000), None);
+    budget.set_part(at(14_000), None);
     let equal: f64 = (0..40)
         .map(|n| drain(&mut budget, at(14_000 + n * 100)))
         .sum();
@@ -766,8 +774,8 @@
             let now = n * 100;
             if n % 3 == 0 {
                 let first = 0.05 + 0.9 * chance.f64();
-                two[0].divide(at(now), Some(part(first, now + 5_000)));
-                two[1].divide(at(now), Some(part(1.0 - first, now + 5_000)));
+                two[0].set_part(at(now), Some(part(first, now + 5_000)));
+                two[1].set_part(at(now), Some(part(1.0 - first, now + 5_000)));
             }
             by_step.push(two.iter_mut().map(|of| drain(of, at(now))).sum::<f64>());
         }
