--- a/crates/lab/src/model/crossings.rs
+++ b/crates/lab/src/model/crossings.rs
@@ -22,7 +22,7 @@
         let decider = self.seats[seat].decider.as_mut();
         if let Some(zones) = decider.and_then(|decider| decider.zones()) {
             for (key, sum) in zones.account().totals() {
-                *self.crossed.booked.entry((key.to, key.track)).or_default() += sum.kb;
+                *self.crossed.booked.entry((key.to, key.class)).or_default() += sum.kb;
             }
             let refused = zones.refused();
             self.crossed.turned_away.resize(refused.len(), 0);
--- a/crates/zones/src/decide/account.rs
+++ b/crates/zones/src/decide/account.rs
@@ -88,7 +88,7 @@
     pub from: ZoneId,
     pub to: ZoneId,
     pub tier: Tier,
-    pub track: ClassId,
+    pub class: ClassId,
     pub cause: Cause,
 }
 
@@ -155,7 +155,7 @@
         }
     }
 
-    pub fn book(&mut self, now: Timestamp, moved: Transfer) {
+    pub fn record(&mut self, now: Timestamp, moved: Transfer) {
         self.advance(now);
         let known = self.totals.contains_key(&moved.key);
         if !known && self.totals.len() >= MAX_KEYS {
@@ -200,7 +200,7 @@
     }
 
     /// The sums of the last whole seconds before `now`, at most [`RETAINED_SECONDS`] less one.
-    pub fn within(&self, now: Timestamp, span: TimeSpan) -> Totals {
+    pub fn sums_within(&self, now: Timestamp, span: TimeSpan) -> Totals {
         let (until, n) = (second(now), (span.0 / 1_000_000).max(1));
         let mut sums = Totals::new();
         let oldest = self.newest + 1 - (self.seconds.len() as u64).min(self.newest + 1);
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -416,7 +416,7 @@
             from: crossing.from,
             to: crossing.to,
             tier: self.memory.tier(crossing.source),
-            track: crossing.arrival.class,
+            class: crossing.arrival.class,
             cause: if wasted { Cause::Waste } else { cause },
         };
         let moved = Transfer {
@@ -425,7 +425,7 @@
             from: begun,
             until: now,
         };
-        self.account.book(now, moved);
+        self.account.record(now, moved);
         if filled {
             let took = now.since(begun);
             for (learner, budget) in self.learners.iter_mut().zip(&self.budgets) {
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -79,14 +79,14 @@
             from: zone(key.from),
             to: zone(key.to),
             tier: key.tier.name().into(),
-            track: track(key.track),
+            track: track(key.class),
             cause: key.cause.name().into(),
             moves: sum.moves,
             kb: short(sum.kb),
         };
         let mut ways: BTreeMap<(ZoneId, ZoneId), [f64; 3]> = BTreeMap::new();
         for (nth, s) in [1, 10, 60].into_iter().enumerate() {
-            for (key, sum) in account.within(now, TimeSpan::from_secs(s)) {
+            for (key, sum) in account.sums_within(now, TimeSpan::from_secs(s)) {
                 ways.entry((key.from, key.to)).or_default()[nth] += sum.kb;
             }
         }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -65,17 +65,17 @@
     fn the_seconds_of_an_account_sum_to_its_totals(
         moves in prop::collection::vec((0u64..50_000_000, 0u64..20_000_000, 0.0f64..1e4), 1..100),
     ) {
-        let key = AccountKey { from: ZoneId(0), to: ZoneId(1), tier: Tier::Origin, track: ClassId(0), cause: Cause::First };
+        let key = AccountKey { from: ZoneId(0), to: ZoneId(1), tier: Tier::Origin, class: ClassId(0), cause: Cause::First };
         let mut account = Account::default();
         account.advance(at(0));
         let now = at(58_000_000);
         account.advance(now);
         for &(from, long, kb) in &moves {
             let (from, until) = (at(from), at((from + long).min(57_999_999)));
-            account.book(now, Transfer { key, kb, from, until });
+            account.record(now, Transfer { key, kb, from, until });
         }
         let all: f64 = moves.iter().map(|(_, _, kb)| kb).sum();
-        let seconds = account.within(now, TimeSpan::from_secs(60))[&key];
+        let seconds = account.sums_within(now, TimeSpan::from_secs(60))[&key];
         prop_assert!((seconds.kb - all).abs() < 1e-3 * all.max(1.0), "{} {all}", seconds.kb);
         prop_assert_eq!(seconds.moves, moves.len() as u64);
         prop_assert!((account.totals()[&key].kb - all).abs() < 1e-6 * all.max(1.0));
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/stories.rs
@@ -503,13 +503,13 @@
         from: HUB,
         to: DEPOT,
         tier: Tier::Parent,
-        track: VIDEO,
+        class: VIDEO,
         cause: Cause::First,
     };
     account.advance(at(0));
     account.advance(at(4_000));
     let (from, until) = (at(500), at(3_500));
-    account.book(
+    account.record(
         at(4_000),
         Transfer {
             key,
@@ -518,12 +518,12 @@
             until,
         },
     );
-    let second = account.within(at(4_000), TimeSpan::from_secs(1));
+    let second = account.sums_within(at(4_000), TimeSpan::from_secs(1));
     assert!((second[&key].kb - 50.0).abs() < 1e-6, "{second:?}");
-    let four = account.within(at(4_000), TimeSpan::from_secs(10));
+    let four = account.sums_within(at(4_000), TimeSpan::from_secs(10));
     assert!((four[&key].kb - 300.0).abs() < 1e-6, "{four:?}");
     // A clock that goes back books into its newest second, one that leaps forgets seconds and no totals.
-    account.book(
+    account.record(
         at(1_000),
         Transfer {
             key,
@@ -535,7 +535,7 @@
     account.advance(at(4_000 + RETAINED_SECONDS * 2_000));
     assert!(
         account
-            .within(
+            .sums_within(
                 at(4_000 + RETAINED_SECONDS * 2_000),
                 TimeSpan::from_secs(60)
             )
