--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/history.rs
@@ -15,15 +15,15 @@
 
 /// Why something crosses, with its evidence.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Why {
+pub struct CrossingCause {
     pub cause: Cause,
     pub lost: Option<HostId>,
     pub purge: Option<u64>,
 }
 
-impl Why {
-    pub fn of(cause: Cause) -> Why {
-        Why {
+impl CrossingCause {
+    pub fn of(cause: Cause) -> CrossingCause {
+        CrossingCause {
             cause,
             lost: None,
             purge: None,
@@ -78,7 +78,7 @@
         }
     }
 
-    pub fn kept(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.newer.len()
             + self.older.len()
             + self.hosts.len()
@@ -86,7 +86,7 @@
             + self.filling.len()
     }
 
-    pub fn list(&mut self, now: Timestamp, form: HostListKind, entries: &[HostEntry]) {
+    pub fn on_host_list(&mut self, now: Timestamp, form: HostListKind, entries: &[HostEntry]) {
         let gone = |known: &mut Known| {
             if known.state != HostState::Gone {
                 (known.state, known.left) = (HostState::Gone, now);
@@ -128,7 +128,7 @@
             .map_or(Tier::Parent, |known| known.tier)
     }
 
-    pub fn purged(&mut self, at: Timestamp, object: Option<ObjectId>, group: GroupId) {
+    pub fn on_purge(&mut self, at: Timestamp, object: Option<ObjectId>, group: GroupId) {
         let group = object.map_or(group, |_| GroupId::default());
         let key = (group, object);
         let known = self.purges.entry(key).or_default();
@@ -154,9 +154,14 @@
         self.newer.get(&part).or(self.older.get(&part)).copied()
     }
 
-    pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<TimeSpan>) -> Why {
+    pub fn explain(
+        &self,
+        now: Timestamp,
+        crossing: &Crossing,
+        fresh: Option<TimeSpan>,
+    ) -> CrossingCause {
         let Some(seen) = self.seen((crossing.arrival.object, crossing.arrival.part)) else {
-            return Why::of(Cause::First);
+            return CrossingCause::of(Cause::First);
         };
         let (object, group) = (crossing.arrival.object, crossing.arrival.group);
         let own = self.purges.get(&(GroupId::default(), Some(object)));
@@ -164,9 +169,9 @@
         let since = |purge: &&Timestamp| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
         let of_own = own.filter(since).map(|_| object.0);
         if let Some(purge) = of_own.or(whole.filter(since).map(|_| u64::from(group.0))) {
-            return Why {
+            return CrossingCause {
                 purge: Some(purge),
-                ..Why::of(Cause::Purge)
+                ..CrossingCause::of(Cause::Purge)
             };
         }
         // The cache that had it is gone, fails, or is another process now.
@@ -178,31 +183,31 @@
             Some(had) => seen.host != crossing.host && had.failing.is_some(),
         };
         if lost {
-            return Why {
+            return CrossingCause {
                 lost: Some(seen.host),
-                ..Why::of(Cause::HostLost)
+                ..CrossingCause::of(Cause::HostLost)
             };
         }
         let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.mul_f64(RENEWS_FROM));
-        Why::of(match (crossing.attempt.0 > 0, aged) {
+        CrossingCause::of(match (crossing.attempt.0 > 0, aged) {
             (true, _) => Cause::Retry,
             (_, true) => Cause::Renewal,
             _ => Cause::Unknown,
         })
     }
 
-    pub fn filling(&self, way: CachedPart) -> bool {
+    pub fn is_filling(&self, way: CachedPart) -> bool {
         self.filling.contains(&way)
     }
 
     /// It goes out; `fills`: it is the own hand-off that others join.
-    pub fn sent(&mut self, _now: Timestamp, way: CachedPart, fills: bool) {
+    pub fn on_sent(&mut self, _now: Timestamp, way: CachedPart, fills: bool) {
         if fills {
             self.filling.insert(way);
         }
     }
 
-    pub fn ended(
+    pub fn on_attempt_ended(
         &mut self,
         now: Timestamp,
         way: CachedPart,
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -3,13 +3,13 @@
 pub mod account;
 pub mod budget;
 pub mod config;
-pub mod memory;
+pub mod history;
 pub mod merge;
 pub mod rise;
 
 use account::{Account, AccountKey, Cause, Transfer};
 use budget::{Budget, BudgetPart, Limit, Priority, RateLearner};
-use memory::{ObjectHistory, Why};
+use history::{CrossingCause, ObjectHistory};
 use rise::{Alarm, CrossingSample, Rise, Watch};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct InFlightCrossing {
     crossing: Crossing,
-    why: Why,
+    why: CrossingCause,
     expected: f64,
     charged: Vec<(usize, budget::BucketKind)>,
     sent: Timestamp,
@@ -84,7 +84,7 @@
     watches: BTreeMap<(ZoneId, ZoneId), Watch>,
     told: Vec<Rise>,
     /// What was turned away since time last passed, each access once.
-    refused: RefCell<Vec<(Crossing, f64, Why)>>,
+    refused: RefCell<Vec<(Crossing, f64, CrossingCause)>>,
     last_refused: Cell<Option<RequestId>>,
     turned_away: RefCell<Vec<(u64, f64)>>,
 }
@@ -240,7 +240,7 @@
 
     /// What it keeps, for a check that nothing grows: hand-offs, objects, purges and hosts.
     pub fn tracked_counts(&self) -> (usize, usize) {
-        (self.in_flight.len(), self.memory.kept())
+        (self.in_flight.len(), self.memory.tracked_count())
     }
 
     /// Lets time pass, and takes what is to be told.
@@ -296,7 +296,7 @@
         std::mem::take(&mut self.told)
     }
 
-    fn watch(&mut self, crossing: &Crossing, kb: f64, why: Why) {
+    fn watch(&mut self, crossing: &Crossing, kb: f64, why: CrossingCause) {
         let way = (crossing.from, crossing.to);
         if self.watches.contains_key(&way) || self.watches.len() < MOST_WATCHED {
             self.watches.entry(way).or_default().add(CrossingSample {
@@ -309,19 +309,19 @@
         }
     }
 
-    fn why(&self, now: Timestamp, crossing: &Crossing) -> Why {
+    fn why(&self, now: Timestamp, crossing: &Crossing) -> CrossingCause {
         let track = &self.tracks[usize::from(crossing.arrival.class.0)];
         if track.written {
-            return Why::of(Cause::Written);
+            return CrossingCause::of(Cause::Written);
         }
         if crossing.host == crossing.source {
-            return Why::of(Cause::Straight);
+            return CrossingCause::of(Cause::Straight);
         }
-        self.memory.why(now, crossing, track.fresh)
+        self.memory.explain(now, crossing, track.fresh)
     }
 
     /// KB that this is expected to move: what it may, by how often its like did.
-    fn expected(&self, crossing: &Crossing, why: Why) -> f64 {
+    fn expected(&self, crossing: &Crossing, why: CrossingCause) -> f64 {
         let joined = self.joins(crossing);
         let likely = self.crossed[usize::from(crossing.arrival.class.0)][why.cause as usize];
         // What was told falsely small is corrected when it has come; nothing is free.
@@ -340,7 +340,7 @@
             crossing.arrival.object,
             crossing.arrival.part,
         );
-        crossing.join && self.memory.filling(way)
+        crossing.join && self.memory.is_filling(way)
     }
 
     fn concerns(limit: &Limit, crossing: &Crossing) -> bool {
@@ -404,7 +404,7 @@
         // A hit where a refill was expected says that another dispatcher's came first.
         let anew = filled || matches!(cause, Cause::Purge | Cause::HostLost);
         self.memory
-            .ended(now, way, outcome.ending, anew, !in_flight.joined);
+            .on_attempt_ended(now, way, outcome.ending, anew, !in_flight.joined);
         if kb <= 0.0 {
             return;
         }
@@ -454,10 +454,10 @@
             .iter_mut()
             .for_each(|budget| budget.advance(now));
         match event {
-            Event::HostList { kind, entries } => self.memory.list(now, *kind, entries),
+            Event::HostList { kind, entries } => self.memory.on_host_list(now, *kind, entries),
             Event::Purged {
                 object, group, age, ..
-            } => self.memory.purged(now - *age, *object, *group),
+            } => self.memory.on_purge(now - *age, *object, *group),
             Event::Outcome(outcome) => self.outcome(now, outcome),
             Event::ClientGone { id } => {
                 let all = (*id, AttemptNo(0))..=(*id, AttemptNo(u8::MAX));
@@ -532,7 +532,7 @@
                 crossing.arrival.object,
                 crossing.arrival.part,
             );
-            self.memory.sent(now, way, !joined);
+            self.memory.on_sent(now, way, !joined);
         }
         let in_flight = InFlightCrossing {
             crossing: *crossing,
