--- a/crates/trailproxyd/src/accounts.rs
+++ b/crates/trailproxyd/src/accounts.rs
@@ -166,7 +166,7 @@
             out_of: line.from.clone(),
             into: line.to.clone(),
             tier: line.tier.clone(),
-            track: line.track.clone(),
+            track: line.class.clone(),
             cause: line.cause.clone(),
         };
         bytes.get_or_create(&of).inc_by((line.kb * 1024.0).max(0.0));
@@ -184,14 +184,14 @@
         saved.get_or_create(&of).set(budget.saved_kb * 1024.0);
     }
     let refused = Family::<OfTrack, Counter>::default();
-    for of in &report.turned_away {
-        let track = of.track.clone();
+    for of in &report.refused {
+        let track = of.class.clone();
         refused
             .get_or_create(&OfTrack { track })
-            .inc_by(of.accesses);
+            .inc_by(of.requests);
     }
     let under_way = Level::default();
-    under_way.set(report.under_way_kb * 1024.0);
+    under_way.set(report.in_flight_kb * 1024.0);
     let mut registry = Registry::with_prefix("trailproxy");
     let of_bytes = || Unit::Bytes;
     registry.register_with_unit("crossed", "What crossed between zones", of_bytes(), bytes);
--- a/crates/zones/src/decide/merge.rs
+++ b/crates/zones/src/decide/merge.rs
@@ -48,7 +48,7 @@
 
 /// Adds up the differences between one report and the next of each life.
 pub fn merge(mut reports: Vec<Report>, slot_us: u64) -> Merged {
-    reports.sort_by(|a, b| (&a.dispatcher, a.life, a.at_us).cmp(&(&b.dispatcher, b.life, b.at_us)));
+    reports.sort_by(|a, b| (&a.dispatcher, a.boot, a.at_us).cmp(&(&b.dispatcher, b.boot, b.at_us)));
     let first = reports.iter().map(|report| report.at_us).min().unwrap_or(0);
     let last = reports.iter().map(|report| report.at_us).max().unwrap_or(0);
     let slot_us = slot_us.max(1).max((last - first) / MOST_SLOTS);
@@ -60,7 +60,7 @@
     let mut before: Option<(&Report, BTreeMap<Row, Total>)> = None;
     for report in &reports {
         let same =
-            |other: &Report| (&other.dispatcher, other.life) == (&report.dispatcher, report.life);
+            |other: &Report| (&other.dispatcher, other.boot) == (&report.dispatcher, report.boot);
         let former = before.take().filter(|(other, _)| same(other));
         let mut now: BTreeMap<Row, Total> = BTreeMap::new();
         for line in &report.lines {
@@ -68,7 +68,7 @@
                 from: line.from.clone(),
                 to: line.to.clone(),
                 tier: line.tier.clone(),
-                track: line.track.clone(),
+                track: line.class.clone(),
                 cause: line.cause.clone(),
             };
             let total = now.entry(row).or_default();
@@ -95,14 +95,14 @@
             *slot.crossed.entry(way).or_default() += kb;
         }
         let earlier = former.as_ref().map(|(other, _)| *other);
-        for refused in &report.turned_away {
-            let was = earlier
-                .and_then(|other| other.turned_away.iter().find(|r| r.track == refused.track));
-            let (n, kb) = was.map_or((0, 0.0), |was| (was.accesses, was.kb));
-            let total = merged.refused.entry(refused.track.clone()).or_default();
-            total.moves += refused.accesses.saturating_sub(n);
+        for refused in &report.refused {
+            let was =
+                earlier.and_then(|other| other.refused.iter().find(|r| r.class == refused.class));
+            let (n, kb) = was.map_or((0, 0.0), |was| (was.requests, was.kb));
+            let total = merged.refused.entry(refused.class.clone()).or_default();
+            total.moves += refused.requests.saturating_sub(n);
             total.kb += refused.kb - kb;
-            *slot.refused.entry(refused.track.clone()).or_default() += refused.kb - kb;
+            *slot.refused.entry(refused.class.clone()).or_default() += refused.kb - kb;
         }
         merged.left_out_kb += report.left_out_kb - earlier.map_or(0.0, |other| other.left_out_kb);
         before = Some((report, now));
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -11,11 +11,12 @@
 
 /// One line of the account since the dispatcher's start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ReportLine {
     pub from: String,
     pub to: String,
     pub tier: String,
-    pub track: String,
+    #[serde(rename = "track")]
+    pub class: String,
     pub cause: String,
     pub moves: u64,
     /// In KB of 1,024 bytes, as everywhere here.
@@ -40,9 +41,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Refusals {
-    pub track: String,
-    pub accesses: u64,
+pub struct RefusedRequests {
+    #[serde(rename = "track")]
+    pub class: String,
+    #[serde(rename = "accesses")]
+    pub requests: u64,
     pub kb: f64,
 }
 
@@ -50,13 +53,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub dispatcher: String,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub boot: u64,
     pub at_us: u64,
-    pub lines: Vec<Line>,
-    pub ways: Vec<Route>,
+    pub lines: Vec<ReportLine>,
+    #[serde(rename = "ways")]
+    pub routes: Vec<Route>,
     pub budgets: Vec<BudgetLine>,
-    pub turned_away: Vec<Refusals>,
-    pub under_way_kb: f64,
+    #[serde(rename = "turned_away")]
+    pub refused: Vec<RefusedRequests>,
+    #[serde(rename = "under_way_kb")]
+    pub in_flight_kb: f64,
     pub left_out_kb: f64,
 }
 
@@ -75,11 +82,11 @@
         let line = |(key, sum): (
             &crate::decide::account::AccountKey,
             &crate::decide::account::Total,
-        )| Line {
+        )| ReportLine {
             from: zone(key.from),
             to: zone(key.to),
             tier: key.tier.name().into(),
-            track: track(key.class),
+            class: track(key.class),
             cause: key.cause.name().into(),
             moves: sum.moves,
             kb: short(sum.kb),
@@ -101,10 +108,10 @@
         let refused = refused.filter(|((n, _), _)| *n > 0);
         Report {
             dispatcher: dispatcher.into(),
-            life,
+            boot: life,
             at_us: now.0,
             lines: account.totals().iter().map(line).collect(),
-            ways: ways.into_iter().map(way).collect(),
+            routes: ways.into_iter().map(way).collect(),
             budgets: zones
                 .budgets()
                 .iter()
@@ -114,14 +121,14 @@
                     saved_kb: short(budget.saved_kb()),
                 })
                 .collect(),
-            turned_away: refused
-                .map(|((accesses, kb), nth)| Refusals {
-                    track: track(ClassId(nth)),
-                    accesses,
+            refused: refused
+                .map(|((accesses, kb), nth)| RefusedRequests {
+                    class: track(ClassId(nth)),
+                    requests: accesses,
                     kb: short(kb),
                 })
                 .collect(),
-            under_way_kb: short(zones.in_flight_kb()),
+            in_flight_kb: short(zones.in_flight_kb()),
             left_out_kb: short(account.left_out_kb()),
         }
     }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -5,7 +5,7 @@
 use trailproxy_zones::decide::account::{Account, AccountKey, Cause, Tier, Transfer};
 use trailproxy_zones::decide::budget::{BucketKind, Budget, Limit, Priority};
 use trailproxy_zones::decide::merge::merge;
-use trailproxy_zones::report::{Line, Report};
+use trailproxy_zones::report::{Report, ReportLine};
 
 fn at(us: u64) -> Timestamp {
     Timestamp(1_000_000_000 + us)
@@ -98,12 +98,12 @@
                 }
                 last = kb;
                 reports.push(Report {
-                    dispatcher: "n".into(), life, at_us: nth * 1_000_000,
-                    lines: vec![Line {
-                        from: "hub".into(), to: "depot".into(), tier: "parent".into(), track: "video".into(),
+                    dispatcher: "n".into(), boot: life, at_us: nth * 1_000_000,
+                    lines: vec![ReportLine {
+                        from: "hub".into(), to: "depot".into(), tier: "parent".into(), class: "video".into(),
                         cause: "first".into(), moves, kb,
                     }],
-                    ways: vec![], budgets: vec![], turned_away: vec![], under_way_kb: 0.0, left_out_kb: 0.0,
+                    routes: vec![], budgets: vec![], refused: vec![], in_flight_kb: 0.0, left_out_kb: 0.0,
                 });
             }
             wanted += last;
