--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -61,7 +61,7 @@
 pub fn zones_config(script: &Script) -> Option<ZonesConfig> {
     let head = script.one("zones").filter(|head| head.flag("on"))?;
     let alarm = Alarm {
-        at: head.number("alarm_at"),
+        threshold: head.number("alarm_at"),
         slack: head.number("alarm_slack"),
         ..Alarm::default()
     };
--- a/crates/zones/src/decide/rise.rs
+++ b/crates/zones/src/decide/rise.rs
@@ -17,19 +17,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Alarm {
     /// Sum of spreads above usual at which it is told. More misses small rises, less tells of chance.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub threshold: f64,
     /// Spreads above usual that count as nothing.
     pub slack: f64,
     /// What one half second counts for at most.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max_per_slot: f64,
 }
 
 impl Default for Alarm {
     fn default() -> Alarm {
         Alarm {
-            at: 8.0,
+            threshold: 8.0,
             slack: 2.0,
-            most: 5.0,
+            max_per_slot: 5.0,
         }
     }
 }
@@ -220,9 +222,9 @@
             // The whole and the first cause.
             let [slack, most, at] = if nth < 2 { OFTEN } else { RARE };
             let above = (value - median) / spread - slack * alarm.slack;
-            *sum = (*sum + above.min(most * alarm.most)).max(0.0);
+            *sum = (*sum + above.min(most * alarm.max_per_slot)).max(0.0);
             any |= above > 0.0;
-            first = first.or((*sum >= at * alarm.at).then_some(nth));
+            first = first.or((*sum >= at * alarm.threshold).then_some(nth));
         }
         let per_s = 1.0 / SLOT.as_secs_f64();
         let lately = self.slots.iter().rev().take(LATELY).map(|slot| slot.kb);
