--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -556,12 +556,12 @@
         for (row, total) in &merged.rows {
             let key = (
                 ZoneId(nth(&names.zones, &row.to)),
-                ClassId(nth(&names.tracks, &row.track)),
+                ClassId(nth(&names.classes, &row.track)),
             );
             *crossed.booked.entry(key).or_default() += total.kb;
         }
         crossed.turned_away = names
-            .tracks
+            .classes
             .iter()
             .map(|track| merged.refused.get(track).map_or(0, |total| total.moves))
             .collect();
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -532,8 +532,8 @@
             Box::new(Wrong {
                 place: trailproxy_operator::Place {
                     file: unfit.file,
-                    line: unfit.place.0,
-                    column: unfit.place.1,
+                    line: unfit.position.0,
+                    column: unfit.position.1,
                 },
                 section: unfit.section.into(),
                 field: Some(unfit.field.into()),
@@ -691,7 +691,7 @@
                 .iter()
                 .map(|zone| zone.name.clone())
                 .collect(),
-            tracks: self.track_names.clone(),
+            classes: self.track_names.clone(),
         }
     }
 
--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -148,7 +148,7 @@
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     Ok(Names {
         zones: list("/settings/failure_domains").iter().map(text).collect(),
-        tracks: list("/settings/classes")
+        classes: list("/settings/classes")
             .iter()
             .map(|class| text(&class["name"]))
             .collect(),
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -35,7 +35,7 @@
     } = signals;
     let names = trailproxy_zones::decide::config::Names {
         zones: start.bounds.zone_names.clone(),
-        tracks: start.bounds.track_names.clone(),
+        classes: start.bounds.track_names.clone(),
     };
     let against = operator::Against {
         names: names.clone(),
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -75,16 +75,16 @@
         largest_kb: section.number("largest_kb"),
         least_kb_per_s: section.number("least_kb_per_s"),
         most_kb_per_s: section.number("most_kb_per_s"),
-        places: places(section),
+        positions: places(section),
     };
     Some(ZonesConfig {
         file: script.file.clone(),
         on: true,
         report_s: head.number("report_s"),
-        first: head.names("first").into_iter().map(str::to_owned).collect(),
+        priority_classes: head.names("first").into_iter().map(str::to_owned).collect(),
         metrics: head.text("metrics").into(),
         alarm: head.flag("alarm").then_some(alarm),
-        places: places(head),
+        positions: places(head),
         crossings: script.all("crossing").map(crossing).collect(),
     })
 }
--- a/crates/zones-tools/tests/sheet.rs
+++ b/crates/zones-tools/tests/sheet.rs
@@ -9,7 +9,7 @@
     let owned = |all: &[&str]| all.iter().map(|&name| name.to_owned()).collect();
     Names {
         zones: owned(&["hub", "depot"]),
-        tracks: owned(&["video", "order"]),
+        classes: owned(&["video", "order"]),
     }
 }
 
@@ -36,7 +36,7 @@
     let again: ZonesConfig = serde_json::from_str(&json).expect("a sheet");
     assert_eq!(again, told);
     let rules = again.resolve(&names()).expect("rules");
-    assert_eq!(rules.first, vec![ClassId(0)]);
+    assert_eq!(rules.priority_classes, vec![ClassId(0)]);
     let limit = &rules.limits[0];
     assert_eq!(
         (limit.to, limit.from, limit.reserve),
--- a/crates/zones/src/decide/config.rs
+++ b/crates/zones/src/decide/config.rs
@@ -20,11 +20,13 @@
     pub on: bool,
     pub report_s: f64,
     /// Tracks that go first beside the written, fingerprinted and binding ones.
-    pub first: Vec<String>,
+    #[serde(rename = "first")]
+    pub priority_classes: Vec<String>,
     /// A file that Prometheus text is written to; empty: none.
     pub metrics: String,
     pub alarm: Option<Alarm>,
-    pub places: Positions,
+    #[serde(rename = "places")]
+    pub positions: Positions,
     pub crossings: Vec<CrossingConfig>,
 }
 
@@ -41,14 +43,15 @@
     pub largest_kb: f64,
     pub least_kb_per_s: f64,
     pub most_kb_per_s: f64,
-    pub places: Positions,
+    #[serde(rename = "places")]
+    pub positions: Positions,
 }
 
 /// What does not fit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     pub file: String,
-    pub place: (usize, usize),
+    pub position: (usize, usize),
     pub section: &'static str,
     pub field: &'static str,
     pub found: String,
@@ -57,7 +60,7 @@
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (line, column) = self.place;
+        let (line, column) = self.position;
         write!(
             f,
             "{}:{line}:{column}: section {}, field {}: ",
@@ -73,7 +76,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     pub zones: Vec<String>,
-    pub tracks: Vec<String>,
+    pub classes: Vec<String>,
 }
 
 impl ZonesConfig {
@@ -93,7 +96,7 @@
         let (section, field) = at;
         ConfigError {
             file,
-            place,
+            position: place,
             section,
             field,
             found,
@@ -106,7 +109,7 @@
         for crossing in &self.crossings {
             let wrong = |field: &'static str, found: f64, wanted: String| {
                 Err(self.unfit(
-                    &crossing.places,
+                    &crossing.positions,
                     ("crossing", field),
                     found.to_string(),
                     wanted,
@@ -137,7 +140,7 @@
             if crossing.out_of == crossing.into {
                 let wanted = "another zone than into".into();
                 let found = format!("{:?}", crossing.out_of);
-                return Err(self.unfit(&crossing.places, ("crossing", "out_of"), found, wanted));
+                return Err(self.unfit(&crossing.positions, ("crossing", "out_of"), found, wanted));
             }
         }
         Ok(())
@@ -153,7 +156,7 @@
                 .ok_or_else(|| {
                     let wanted = format!("one of {}", names.zones.join(", "));
                     self.unfit(
-                        &crossing.places,
+                        &crossing.positions,
                         ("crossing", field),
                         format!("{name:?}"),
                         wanted,
@@ -165,17 +168,17 @@
             alarm: self.alarm,
             ..Rules::default()
         };
-        for name in &self.first {
-            let track = among(&names.tracks, name).ok_or_else(|| {
-                let wanted = format!("names among {}", names.tracks.join(", "));
+        for name in &self.priority_classes {
+            let track = among(&names.classes, name).ok_or_else(|| {
+                let wanted = format!("names among {}", names.classes.join(", "));
                 self.unfit(
-                    &self.places,
+                    &self.positions,
                     ("zones", "first"),
                     format!("{name:?}"),
                     wanted,
                 )
             })?;
-            rules.first.push(ClassId(track as u16));
+            rules.priority_classes.push(ClassId(track as u16));
         }
         for crossing in &self.crossings {
             let from = match crossing.out_of.as_str() {
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -21,7 +21,7 @@
 pub struct Rules {
     pub limits: Vec<Limit>,
     /// Tracks that go first beside the written, fingerprinted and binding ones.
-    pub first: Vec<ClassId>,
+    pub priority_classes: Vec<ClassId>,
     pub alarm: Option<Alarm>,
     pub report_every: TimeSpan,
 }
@@ -30,7 +30,7 @@
     fn default() -> Rules {
         Rules {
             limits: Vec::new(),
-            first: Vec::new(),
+            priority_classes: Vec::new(),
             alarm: Some(Alarm::default()),
             report_every: TimeSpan::from_secs(10),
         }
@@ -140,7 +140,7 @@
     /// Other rules in place of these. Counts, debts and what is under way stay; a limit is the same by its name.
     pub fn apply_rules(&mut self, now: Timestamp, rules: Rules) {
         for (nth, track) in (0..).zip(&mut self.tracks) {
-            if rules.first.contains(&ClassId(nth)) {
+            if rules.priority_classes.contains(&ClassId(nth)) {
                 track.class = Priority::First;
             }
         }
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -77,7 +77,7 @@
     /// What `zones` has to tell at `now`.
     pub fn of(zones: &Zones, names: &Names, dispatcher: &str, life: u64, now: Timestamp) -> Report {
         let zone = |id: ZoneId| name(&names.zones, usize::from(id.0));
-        let track = |id: ClassId| name(&names.tracks, usize::from(id.0));
+        let track = |id: ClassId| name(&names.classes, usize::from(id.0));
         let account = zones.account();
         let line = |(key, sum): (
             &crate::decide::account::AccountKey,
