--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -556,7 +556,7 @@
         for (row, total) in &merged.rows {
             let key = (
                 ZoneId(nth(&names.zones, &row.to)),
-                ClassId(nth(&names.classes, &row.track)),
+                ClassId(nth(&names.classes, &row.class)),
             );
             *crossed.booked.entry(key).or_default() += total.kb;
         }
--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -181,7 +181,7 @@
     println!(
         "{} reports, {} starts of dispatchers, {} out of order; {:.1} MB crossed",
         merged.reports,
-        merged.lives,
+        merged.boots,
         merged.out_of_order,
         all / 1024.0
     );
@@ -189,7 +189,7 @@
         "{:<16} {:<16} {:<12} {:>9} {:>12} {:>12}",
         "out of", "into", "track", "moves", "MB", "no room"
     );
-    let ways = merged.by(|row| (row.from.clone(), row.to.clone(), row.track.clone()));
+    let ways = merged.by(|row| (row.from.clone(), row.to.clone(), row.class.clone()));
     for ((from, to, track), total) in &ways {
         let refused = merged.refused.get(track).map_or(0, |total| total.moves);
         let mb = total.kb / 1024.0;
@@ -198,7 +198,7 @@
             total.moves
         );
     }
-    let causes = merged.by(|row| (row.track.clone(), row.cause.clone()));
+    let causes = merged.by(|row| (row.class.clone(), row.cause.clone()));
     println!(
         "{:<12} {:<12} {:>9} {:>12} {:>7}",
         "track", "cause", "moves", "MB", "part"
@@ -217,7 +217,7 @@
             .iter()
             .map(|(row, total)| json!({"row": row, "total": total}))
             .collect();
-        let summary = json!({"reports": merged.reports, "lives": merged.lives, "out_of_order": merged.out_of_order,
+        let summary = json!({"reports": merged.reports, "lives": merged.boots, "out_of_order": merged.out_of_order,
             "kb": all, "left_out_kb": merged.left_out_kb, "rows": rows, "refused": merged.refused});
         let text = serde_json::to_string_pretty(&summary).map_err(|e| e.to_string())?;
         out::write(folder, "summary.json", &text)?;
@@ -238,7 +238,7 @@
     let slot_s = merged.slot_us as f64 / 1e6;
     let mut body = format!(
         "<p>{} reports of {} starts of dispatchers.</p>",
-        merged.reports, merged.lives
+        merged.reports, merged.boots
     );
     let mut ways: BTreeMap<(String, String), Tracks> = BTreeMap::new();
     let mut refused = Tracks::new();
@@ -271,7 +271,7 @@
     let head = ["out of", "into", "tier", "track", "cause", "moves", "MB"].map(str::to_owned);
     report::row(&mut body, &head);
     for (row, total) in &merged.rows {
-        let words = [&row.from, &row.to, &row.tier, &row.track, &row.cause].map(Clone::clone);
+        let words = [&row.from, &row.to, &row.tier, &row.class, &row.cause].map(Clone::clone);
         let mut cells = words.to_vec();
         cells.extend([total.moves.to_string(), format!("{:.2}", total.kb / 1024.0)]);
         report::row(&mut body, &cells);
@@ -307,7 +307,7 @@
         .rows
         .keys()
         .filter(|row| row.to == into)
-        .map(|row| row.track.clone())
+        .map(|row| row.class.clone())
         .collect();
     tracks.extend(merged.refused.keys().cloned());
     tracks.sort();
--- a/crates/zones/src/decide/merge.rs
+++ b/crates/zones/src/decide/merge.rs
@@ -10,7 +10,8 @@
     pub from: String,
     pub to: String,
     pub tier: String,
-    pub track: String,
+    #[serde(rename = "track")]
+    pub class: String,
     pub cause: String,
 }
 
@@ -36,7 +37,7 @@
     pub slots: BTreeMap<u64, Slot>,
     pub slot_us: u64,
     pub reports: usize,
-    pub lives: usize,
+    pub boots: usize,
     /// Reports whose totals fell within one life, or that came twice: not counted.
     pub out_of_order: usize,
     pub refused: BTreeMap<String, Total>,
@@ -68,7 +69,7 @@
                 from: line.from.clone(),
                 to: line.to.clone(),
                 tier: line.tier.clone(),
-                track: line.class.clone(),
+                class: line.class.clone(),
                 cause: line.cause.clone(),
             };
             let total = now.entry(row).or_default();
@@ -81,7 +82,7 @@
             before = former;
             continue;
         }
-        merged.lives += usize::from(former.is_none());
+        merged.boots += usize::from(former.is_none());
         let slot = merged.slots.entry(report.at_us / slot_us).or_default();
         for (row, is) in &now {
             let was = old
@@ -91,7 +92,7 @@
             let (moves, kb) = (is.moves - was.moves, is.kb - was.kb);
             let total = merged.rows.entry(row.clone()).or_default();
             (total.moves, total.kb) = (total.moves + moves, total.kb + kb);
-            let way = (row.from.clone(), row.to.clone(), row.track.clone());
+            let way = (row.from.clone(), row.to.clone(), row.class.clone());
             *slot.crossed.entry(way).or_default() += kb;
         }
         let earlier = former.as_ref().map(|(other, _)| *other);
