--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -17,7 +17,7 @@
 use trailproxy_operator::read_file;
 use trailproxy_zones::decide::config::Names;
 use trailproxy_zones::decide::merge::{Merged, merge};
-use trailproxy_zones_tools::decide::plan::{self, Demand, Promise};
+use trailproxy_zones_tools::decide::plan::{self, Demand, ServiceTargets};
 use trailproxy_zones_tools::log::of_log;
 use trailproxy_zones_tools::sections as zones_sections;
 
@@ -363,11 +363,11 @@
     if service.iter().any(|part| !(0.0..=1.0).contains(part)) {
         return Err("accepted: a service from 0 to 1".into());
     }
-    let promise = Promise {
+    let promise = ServiceTargets {
         service,
         burst_kb: wanted.burst_kb,
     };
-    let link = plan::least_link(&demand, &promise)?;
+    let link = plan::min_link_rate(&demand, &promise)?;
     let first: Vec<String> = wanted
         .first
         .iter()
@@ -376,7 +376,7 @@
         .collect();
     let reserve = match first.is_empty() {
         true => None,
-        false => Some(plan::least_reserve(&demand, &promise, &first)?),
+        false => Some(plan::min_reserve_rate(&demand, &promise, &first)?),
     };
     println!(
         "link into {into}: {:.0} KB/s over {} slots of {} s",
--- a/crates/zones-tools/src/decide/plan.rs
+++ b/crates/zones-tools/src/decide/plan.rs
@@ -15,41 +15,42 @@
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
     pub slot_s: f64,
-    pub tracks: Vec<String>,
+    pub classes: Vec<String>,
     /// One row a slot, one column a track.
     pub kb: Vec<Vec<f64>>,
 }
 
 /// The part of its KB that must get through, for each track, from 0 to 1.
 #[derive(Clone, Debug)]
-pub struct Promise {
+pub struct ServiceTargets {
     pub service: Vec<f64>,
     pub burst_kb: f64,
 }
 
 #[derive(Clone, Debug, Serialize, PartialEq)]
-pub struct Planned {
+pub struct Plan {
     /// The least rate, in KB a second.
     pub kb_per_s: f64,
     /// Slots in which the link is wholly used, by number from 0.
     pub binding_slots: Vec<usize>,
     /// Tracks of which no more than promised gets through.
-    pub binding_tracks: Vec<String>,
+    #[serde(rename = "binding_tracks")]
+    pub binding_classes: Vec<String>,
     /// What gets through, by track.
     pub service: BTreeMap<String, f64>,
 }
 
 /// The most slots that are solved for; a longer account is cut into the slots that ask for most around its peak.
-pub const MOST_SLOTS: usize = 240;
+pub const MAX_SLOTS: usize = 240;
 const NEAR: f64 = 1e-6;
 
 /// The least rate that keeps the promise.
-pub fn least_link(demand: &Demand, promise: &Promise) -> Result<Planned, String> {
-    let (slots, tracks) = (demand.kb.len(), demand.tracks.len());
+pub fn min_link_rate(demand: &Demand, promise: &ServiceTargets) -> Result<Plan, String> {
+    let (slots, tracks) = (demand.kb.len(), demand.classes.len());
     if slots == 0 || tracks == 0 {
         return Err("the account holds no demand to plan for".into());
     }
-    if slots > MOST_SLOTS {
+    if slots > MAX_SLOTS {
         return Err(format!(
             "{slots} slots: {MOST_SLOTS} at most; take wider ones"
         ));
@@ -124,33 +125,33 @@
     };
     let tight =
         |track: &usize| asked[*track] > 0.0 && service(*track) <= promise.service[*track] + 1e-4;
-    Ok(Planned {
+    Ok(Plan {
         kb_per_s: rate * scale,
         binding_slots: (0..slots).filter(|slot| used(*slot)).collect(),
-        binding_tracks: (0..tracks)
+        binding_classes: (0..tracks)
             .filter(tight)
-            .map(|track| demand.tracks[track].clone())
+            .map(|track| demand.classes[track].clone())
             .collect(),
         service: (0..tracks)
-            .map(|track| (demand.tracks[track].clone(), service(track)))
+            .map(|track| (demand.classes[track].clone(), service(track)))
             .collect(),
     })
 }
 
 /// The least rate that must be kept for the first tracks, were all else to fill the link.
-pub fn least_reserve(
+pub fn min_reserve_rate(
     demand: &Demand,
-    promise: &Promise,
+    promise: &ServiceTargets,
     first: &[String],
-) -> Result<Planned, String> {
-    let of: Vec<usize> = (0..demand.tracks.len())
-        .filter(|track| first.contains(&demand.tracks[*track]))
+) -> Result<Plan, String> {
+    let of: Vec<usize> = (0..demand.classes.len())
+        .filter(|track| first.contains(&demand.classes[*track]))
         .collect();
     let own = Demand {
         slot_s: demand.slot_s,
-        tracks: of
+        classes: of
             .iter()
-            .map(|track| demand.tracks[*track].clone())
+            .map(|track| demand.classes[*track].clone())
             .collect(),
         kb: demand
             .kb
@@ -160,9 +161,9 @@
     };
     let service = of.iter().map(|track| promise.service[*track]).collect();
     // All else may have spent the burst when they come.
-    let promise = Promise {
+    let promise = ServiceTargets {
         service,
         burst_kb: 0.0,
     };
-    least_link(&own, &promise)
+    min_link_rate(&own, &promise)
 }
