--- a/crates/zones-tools/src/log.rs
+++ b/crates/zones-tools/src/log.rs
@@ -7,7 +7,7 @@
 const VALUE: &str = "report: {";
 
 /// The reports in a dispatcher's log, and how many could not be read.
-pub fn of_log(log: &str) -> (Vec<Report>, usize) {
+pub fn reports_in_log(log: &str) -> (Vec<Report>, usize) {
     let (mut reports, mut unread) = (Vec::new(), 0);
     for line in log.lines() {
         // The message and its one value, whatever stands before: time, level, name.
