--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -550,7 +550,7 @@
             .iter()
             .map(|seat| std::fs::read_to_string(&seat.log).unwrap_or_default());
         let reports = logs
-            .flat_map(|log| trailproxy_zones_tools::log::of_log(&log).0)
+            .flat_map(|log| trailproxy_zones_tools::log::reports_in_log(&log).0)
             .collect();
         let merged = trailproxy_zones::decide::merge::merge(reports, 1_000_000);
         for (row, total) in &merged.rows {
--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -18,7 +18,7 @@
 use trailproxy_zones::decide::config::Names;
 use trailproxy_zones::decide::merge::{Merged, merge};
 use trailproxy_zones_tools::decide::plan::{self, Demand, ServiceTargets};
-use trailproxy_zones_tools::log::of_log;
+use trailproxy_zones_tools::log::reports_in_log;
 use trailproxy_zones_tools::sections as zones_sections;
 
 #[derive(Subcommand)]
@@ -162,7 +162,7 @@
     let (mut reports, mut unread) = (Vec::new(), 0);
     for path in logs {
         let log = std::fs::read(path).map_err(|e| format!("{path} can't be read: {e}"))?;
-        let (more, bad) = of_log(&String::from_utf8_lossy(&log));
+        let (more, bad) = reports_in_log(&String::from_utf8_lossy(&log));
         reports.extend(more);
         unread += bad;
     }
@@ -332,7 +332,7 @@
     Demand {
         slot_s: merged.slot_us as f64 / 1e6,
         kb: (first..=last).map(row).collect(),
-        tracks,
+        classes: tracks,
     }
 }
 
@@ -345,17 +345,17 @@
         .map(|(zone, _)| zone.clone());
     let into = wanted.into.clone().or(most).ok_or("nothing crossed")?;
     let demand = demand(&merged, &into);
-    let mut service = vec![wanted.service; demand.tracks.len()];
+    let mut service = vec![wanted.service; demand.classes.len()];
     for told in &wanted.of {
         let parts = told
             .split_once('=')
             .and_then(|(track, part)| Some((track, part.parse::<f64>().ok()?)));
         let nth =
-            parts.and_then(|(track, _)| demand.tracks.iter().position(|known| known == track));
+            parts.and_then(|(track, _)| demand.classes.iter().position(|known| known == track));
         let (Some((_, part)), Some(nth)) = (parts, nth) else {
             return Err(format!(
                 "found --of {told}, accepted: TRACK=PART with one of {}",
-                demand.tracks.join(", ")
+                demand.classes.join(", ")
             ));
         };
         service[nth] = part;
@@ -387,7 +387,7 @@
     println!(
         "binds in slots {:?}, for tracks {}",
         link.binding_slots,
-        link.binding_tracks.join(", ")
+        link.binding_classes.join(", ")
     );
     if let Some(reserve) = &reserve {
         println!(
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -292,11 +292,11 @@
 
     pub fn told(&mut self, now: Timestamp, told: FromStore) {
         match told {
-            FromStore::Connected { run } => {
+            FromStore::Connected { run_id: run } => {
                 self.run = run;
                 self.sharing.on_connected(now);
             }
-            FromStore::Broken => self.sharing.on_disconnected(now),
+            FromStore::Disconnected => self.sharing.on_disconnected(now),
             FromStore::Answered(id, reply) => self.sharing.on_reply(now, id, reply),
         }
         self.act();
@@ -343,7 +343,7 @@
                         not_after_ms,
                     };
                     let request = Box::new(script_request(&op, &under));
-                    let _ = self.to.send(ToStore::Ask(id, request));
+                    let _ = self.to.send(ToStore::Execute(id, request));
                 }
                 Action::Decided {
                     id,
--- a/crates/zones-tools/src/decide/plan.rs
+++ b/crates/zones-tools/src/decide/plan.rs
@@ -52,7 +52,7 @@
     }
     if slots > MAX_SLOTS {
         return Err(format!(
-            "{slots} slots: {MOST_SLOTS} at most; take wider ones"
+            "{slots} slots: {MAX_SLOTS} at most; take wider ones"
         ));
     }
     if promise.service.len() != tracks || demand.kb.iter().any(|row| row.len() != tracks) {
--- a/crates/zones-tools/tests/plan.rs
+++ b/crates/zones-tools/tests/plan.rs
@@ -8,7 +8,7 @@
 fn demand(rows: &[[f64; 2]]) -> Demand {
     Demand {
         slot_s: 1.0,
-        tracks: vec!["video".into(), "order".into()],
+        classes: vec!["video".into(), "order".into()],
         kb: rows.iter().map(|row| row.to_vec()).collect(),
     }
 }
@@ -36,7 +36,7 @@
     let plan = min_link_rate(&demand(&rows), &promise(0.8, 1.0, 0.0)).expect("a plan");
     // 400 of 500 KB of videos: 100, 200 and 100.
     assert!((plan.kb_per_s - 210.0).abs() < 0.01, "{plan:?}");
-    assert!(plan.binding_tracks.contains(&"video".to_owned()));
+    assert!(plan.binding_classes.contains(&"video".to_owned()));
     assert!((plan.service["video"] - 0.8).abs() < 1e-3 && plan.service["order"] > 0.999);
 }
 
