--- a/crates/budgets/src/decide/following.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -1,9 +1,9 @@
 //! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
 
-use super::needs::Traffic;
-use super::shares::{Act, Named, Note, Shares};
-use super::{BudgetId, HolderId, LifeId};
-use crate::sheet::Sheet;
+use super::shares::{Action, BudgetMessage, BudgetShares, NamedBudget};
+use super::traffic::Traffic;
+use super::{BootId, BudgetId, HolderId};
+use crate::config::BudgetsConfig;
 use std::collections::BTreeMap;
 use trailproxy::interface::*;
 use trailproxy::units::*;
@@ -20,18 +20,18 @@
 }
 
 /// One dispatcher's budgets with who follows them.
-pub struct Following {
-    pub sheet: Sheet,
-    own: (HolderId, LifeId),
-    shares: Shares,
+pub struct BudgetFollower {
+    pub config: BudgetsConfig,
+    member: (HolderId, BootId),
+    shares: BudgetShares,
     followers: BTreeMap<BudgetId, Follower>,
     zone: ZoneId,
     /// Dispatchers of the own zone, and of all.
     seats: (u32, u32),
     traffic: Traffic,
     look_at: Timestamp,
-    messages: Vec<(HolderId, Note)>,
-    differs: Vec<Differs>,
+    messages: Vec<(HolderId, BudgetMessage)>,
+    mismatches: Vec<Mismatch>,
     /// Among how many work for cold caches and parents is divided, where that is another than was told.
     cold: (Option<f64>, Option<f64>),
     cold_told: bool,
@@ -39,30 +39,30 @@
 
 /// Another dispatcher's file has another whole or division for a budget.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Differs {
+pub struct Mismatch {
     pub name: String,
     pub own: f64,
     pub other: f64,
 }
 
-impl Following {
+impl BudgetFollower {
     pub fn new(
         now: Timestamp,
-        sheet: Sheet,
-        own: (HolderId, LifeId),
+        sheet: BudgetsConfig,
+        own: (HolderId, BootId),
         terms: &DispatcherSettings,
         seed: u64,
-    ) -> Following {
+    ) -> BudgetFollower {
         let voters = sheet.voters.iter();
         let voters = voters.map(|name| HolderId::of_name(name)).collect();
         let seats = terms
             .dispatchers_by_zone
             .get(usize::from(terms.zone.0))
             .copied();
-        Following {
-            own,
-            shares: Shares::new(own.0, own.1, voters, seed),
-            sheet,
+        BudgetFollower {
+            member: own,
+            shares: BudgetShares::new(own.0, own.1, voters, seed),
+            config: sheet,
             followers: BTreeMap::new(),
             zone: terms.zone,
             seats: (
@@ -72,37 +72,37 @@
             traffic: Traffic::default(),
             look_at: now,
             messages: Vec::new(),
-            differs: Vec::new(),
+            mismatches: Vec::new(),
             cold: (None, None),
             cold_told: true,
         }
     }
 
-    pub fn own(&self) -> (HolderId, LifeId) {
-        self.own
+    pub fn member(&self) -> (HolderId, BootId) {
+        self.member
     }
 
     /// Whether it is of this section and this member.
-    pub fn is(&self, sheet: &Sheet, own: (HolderId, LifeId)) -> bool {
-        self.sheet == *sheet && self.own == own
+    pub fn matches(&self, sheet: &BudgetsConfig, own: (HolderId, BootId)) -> bool {
+        self.config == *sheet && self.member == own
     }
 
     /// The budgets that there are now.
-    pub fn set(&mut self, now: Timestamp, zones: Option<&Zones>) {
+    pub fn update_budgets(&mut self, now: Timestamp, zones: Option<&Zones>) {
         let (own, all) = self.seats;
         let zone = self.zone.0;
         let mut named = Vec::new();
         self.followers.clear();
         let mut add = |name: String, whole: f64, seats: u32, follower: Follower| {
-            let division = self.sheet.division(seats);
+            let division = self.config.division(seats);
             self.followers.insert(BudgetId::of_name(&name), follower);
-            named.push(Named {
+            named.push(NamedBudget {
                 name,
-                whole,
+                total: whole,
                 division,
             });
         };
-        for limit in zones.iter().flat_map(|zones| zones.dividable()) {
+        for limit in zones.iter().flat_map(|zones| zones.divisible_limits()) {
             let name = format!("{zone}/{}", limit.name);
             add(
                 name,
@@ -111,7 +111,7 @@
                 Follower::Crossing(limit.name.clone()),
             );
         }
-        if self.sheet.cold {
+        if self.config.cold {
             add(
                 format!("{zone}/cold caches"),
                 1.0,
@@ -120,22 +120,22 @@
             );
             add("cold parents".into(), 1.0, all, Follower::ColdParents);
         }
-        self.shares.set(now, named);
+        self.shares.set_budgets(now, named);
     }
 
-    pub fn heard(&mut self, now: Timestamp, from: HolderId, note: Note) {
-        self.shares.heard(now, from, note);
+    pub fn on_message(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
+        self.shares.on_message(now, from, note);
     }
 
     /// Every event, before the decisions take it.
-    pub fn event(&mut self, now: Timestamp, event: &Event) {
+    pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         if let Event::Arrived(_) = event {
-            self.traffic.arrived(now);
+            self.traffic.on_arrival(now);
         }
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
-        self.shares.next()
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        self.shares.next_deadline()
     }
 
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
@@ -147,14 +147,16 @@
                     Follower::Crossing(name) => {
                         let need = zones.as_ref().map(|zones| zones.need(now, name));
                         let (all, first) = need.unwrap_or_default();
-                        self.shares.needs(now, id, all, first);
+                        self.shares.set_need(now, id, all, first);
+                    }
+                    Follower::ColdCaches | Follower::ColdParents => {
+                        self.shares.set_weight(id, weight)
                     }
-                    Follower::ColdCaches | Follower::ColdParents => self.shares.weighs(id, weight),
                 }
             }
         }
         // Asked for with every event: nothing is reckoned anew before it is due.
-        if self.shares.next().is_some_and(|at| at <= now) {
+        if self.shares.next_deadline().is_some_and(|at| at <= now) {
             self.shares.advance(now);
         }
         self.act(now, zones);
@@ -169,21 +171,21 @@
     fn act(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
         let before = self.cold;
         let among = |part: f64| Some(1.0 / part.max(1e-9));
-        for act in self.shares.take() {
+        for act in self.shares.take_actions() {
             match act {
-                Act::Send(to, note) => self.messages.push((to, note)),
-                Act::Part(id, part) => match self.followers.get(&id) {
+                Action::Send(to, note) => self.messages.push((to, note)),
+                Action::PartChanged(id, part) => match self.followers.get(&id) {
                     Some(Follower::Crossing(name)) => {
                         zones
                             .iter_mut()
-                            .for_each(|zones| zones.divide(now, name, Some(part)));
+                            .for_each(|zones| zones.set_part(now, name, Some(part)));
                     }
-                    Some(Follower::ColdCaches) => self.cold.0 = among(part.part),
-                    Some(Follower::ColdParents) => self.cold.1 = among(part.part),
+                    Some(Follower::ColdCaches) => self.cold.0 = among(part.fraction),
+                    Some(Follower::ColdParents) => self.cold.1 = among(part.fraction),
                     None => {}
                 },
-                Act::Differs { name, own, other } => {
-                    self.differs.push(Differs { name, own, other });
+                Action::Mismatch { name, own, other } => {
+                    self.mismatches.push(Mismatch { name, own, other });
                 }
             }
         }
@@ -191,22 +193,22 @@
     }
 
     /// The decisions have forgotten it.
-    pub fn again(&mut self) {
+    pub fn resend_slow_start_shares(&mut self) {
         self.cold_told = false;
     }
 
     /// Files that differ, each told once while it lasts.
-    pub fn differs(&mut self) -> Vec<Differs> {
-        std::mem::take(&mut self.differs)
+    pub fn take_mismatches(&mut self) -> Vec<Mismatch> {
+        std::mem::take(&mut self.mismatches)
     }
 
     /// Words to go out.
-    pub fn messages(&mut self) -> Vec<(HolderId, Note)> {
+    pub fn take_messages(&mut self) -> Vec<(HolderId, BudgetMessage)> {
         std::mem::take(&mut self.messages)
     }
 
     /// Among how many work for cold caches and parents is divided now; `None`: as before.
-    pub fn cold(&mut self) -> Option<(Option<f64>, Option<f64>)> {
+    pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
         (!std::mem::replace(&mut self.cold_told, true)).then_some(self.cold)
     }
 
--- a/crates/lab/src/loopback.rs
+++ b/crates/lab/src/loopback.rs
@@ -550,18 +550,18 @@
             .iter()
             .map(|seat| std::fs::read_to_string(&seat.log).unwrap_or_default());
         let reports = logs
-            .flat_map(|log| trailproxy_zones_tools::log::of_log(&log).0)
+            .flat_map(|log| trailproxy_zones_tools::log::reports_in_log(&log).0)
             .collect();
         let merged = trailproxy_zones::decide::merge::merge(reports, 1_000_000);
         for (row, total) in &merged.rows {
             let key = (
                 ZoneId(nth(&names.zones, &row.to)),
-                ClassId(nth(&names.tracks, &row.track)),
+                ClassId(nth(&names.classes, &row.class)),
             );
             *crossed.booked.entry(key).or_default() += total.kb;
         }
         crossed.turned_away = names
-            .tracks
+            .classes
             .iter()
             .map(|track| merged.refused.get(track).map_or(0, |total| total.moves))
             .collect();
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -11,7 +11,7 @@
     pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         self.detect_pause(now);
         if !self.settings.records || self.is_silent() {
-            let verdict = Verdict::Go;
+            let verdict = RecordDecision::Proceed;
             return self.actions.push(Action::Decided { id, verdict });
         }
         let slot = FactId::Record(key.0).slot();
@@ -21,14 +21,14 @@
         let some = replicas.iter().filter(reached).count() > replicas.len() / 2;
         let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.has_room());
         self.counts.waited += u64::from(wait.is_some());
-        let steps = self.records.come(now, id, key, due, wait);
+        let steps = self.records.on_request(now, id, key, due, wait);
         self.run_steps(now, steps);
     }
 
     /// A hand-off of it goes out.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
         let token = self.new_token();
-        self.records.sent(id, location);
+        self.records.on_attempt_sent(id, location);
         let delay = match self.replicas.scope() {
             Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
@@ -38,8 +38,8 @@
     }
 
     /// It has its final answer.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
-        self.records.ended(id, &came);
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
+        self.records.on_request_ended(id, &came);
         self.claims.on_request_ended(now, id, came);
         self.send_pending_updates(now);
     }
@@ -57,24 +57,24 @@
                 first_sent,
             })
         };
-        self.records.earlier(id).or_else(unsure)
+        self.records.earlier_attempt(id).or_else(unsure)
     }
 
     /// Whether the others said that no other has the key of this access.
     pub fn is_granted(&self, id: RequestId) -> bool {
-        self.records.claimed(id)
+        self.records.is_claimed(id)
     }
 
     pub(super) fn new_token(&mut self) -> Token {
         Token(self.rng.u64(16..))
     }
 
-    pub(super) fn run_steps(&mut self, now: Timestamp, steps: Vec<Step>) {
+    pub(super) fn run_steps(&mut self, now: Timestamp, steps: Vec<RecordStep>) {
         for step in steps {
             match step {
-                Step::Claim(id, key) => self.send_claim(now, id, key),
-                Step::Decided(id, verdict) => {
-                    self.counts.answered += u64::from(matches!(verdict, Verdict::Answer(_)));
+                RecordStep::Claim(id, key) => self.send_claim(now, id, key),
+                RecordStep::Decided(id, verdict) => {
+                    self.counts.answered += u64::from(matches!(verdict, RecordDecision::Answer(_)));
                     self.actions.push(Action::Decided { id, verdict });
                 }
             }
@@ -83,7 +83,7 @@
 
     pub(super) fn send_claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
         if !self.claims.has_room() {
-            let steps = self.records.go(id);
+            let steps = self.records.proceed(id);
             return self.run_steps(now, steps);
         }
         self.counts.claimed += 1;
@@ -205,19 +205,20 @@
         let steps = match heard {
             ClaimOutcome::Pending => return,
             ClaimOutcome::Granted => {
-                self.counts.granted += u64::from(self.records.waits(id));
+                self.counts.granted += u64::from(self.records.is_waiting(id));
                 // One that claimed at the same time has taken its claim back.
-                self.records.freed(id);
-                self.records.mine(id)
+                self.records.on_released(id);
+                self.records.on_claimed(id)
             }
             ClaimOutcome::Unsure => {
                 self.counts.unsure += 1;
-                self.records.go(id)
+                self.records.proceed(id)
             }
             ClaimOutcome::Found(asked, record) => {
-                let news = !self.records.waits(id) && self.records.earlier(id).is_none();
-                let steps = self.records.found(now, asked, id, record);
-                let waits = self.records.waits(id);
+                let news =
+                    !self.records.is_waiting(id) && self.records.earlier_attempt(id).is_none();
+                let steps = self.records.on_found(now, asked, id, record);
+                let waits = self.records.is_waiting(id);
                 self.counts.joined += u64::from(steps.is_empty() && waits);
                 self.counts.found_late += u64::from(news);
                 steps
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -13,7 +13,7 @@
 };
 use trailproxy_peers::decide::{Action, PeerState, Peers, PeersSettings, new_boot_id};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
 pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
@@ -119,7 +119,7 @@
     pub planted: Option<Planted>,
     pub rng: fastrand::Rng,
     settings: PeersSettings,
-    folding: Folding,
+    key_hasher: KeyHasher,
     flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
     by_address: BTreeMap<Address, usize>,
     next: u64,
@@ -169,7 +169,7 @@
             planted: None,
             rng: fastrand::Rng::with_seed(seed),
             settings,
-            folding: Folding::new("world"),
+            key_hasher: KeyHasher::new("world"),
             flying: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
             next: 0,
@@ -273,7 +273,7 @@
         for id in ids {
             self.nodes[node].open.remove(&id);
             self.with_peers(node, |peers, now| {
-                peers.on_request_ended(now, id, Came::NeverRan)
+                peers.on_request_ended(now, id, Completion::NeverRan)
             });
         }
     }
@@ -462,21 +462,21 @@
             ends_at: None,
         };
         self.nodes[node].open.insert(id, open);
-        let folded = self.folding.key(ClassId(0), &key.to_string());
+        let folded = self.key_hasher.key(ClassId(0), &key.to_string());
         let eager = self.planted == Some(Planted::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
             peers.on_request(now, id, folded, now + TimeSpan::from_secs(1));
         }
         if eager {
             // It goes as if it had been alone, and says so afterwards.
-            self.decided(node, id, Verdict::Go);
+            self.decided(node, id, RecordDecision::Proceed);
             let sent = self.seen.sent.last_mut();
             sent.into_iter().for_each(|sent| sent.granted = true);
         }
         self.act(node);
     }
 
-    fn decided(&mut self, node: usize, id: RequestId, verdict: Verdict) {
+    fn decided(&mut self, node: usize, id: RequestId, verdict: RecordDecision) {
         let now = self.clock(node);
         let (at, runs) = (self.now, self.runs);
         let of = &mut self.nodes[node];
@@ -487,10 +487,10 @@
             self.seen.held.push(at.since(open.come));
         }
         let Some(peers) = &mut of.peers else { return };
-        if let Verdict::Answer(_) = verdict {
+        if let RecordDecision::Answer(_) = verdict {
             self.seen.answered += 1;
             of.open.remove(&id);
-            peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.on_request_ended(now, id, Completion::Done(Some(b"ok".to_vec())));
             return;
         }
         let place = (open.zone, CellId(open.zone.0));
@@ -503,7 +503,7 @@
         if !may {
             self.seen.refused += 1;
             of.open.remove(&id);
-            peers.on_request_ended(now, id, Came::NeverRan);
+            peers.on_request_ended(now, id, Completion::NeverRan);
             return;
         }
         let granted = peers.is_granted(id);
@@ -532,7 +532,7 @@
             .collect();
         for id in over {
             of.open.remove(&id);
-            peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
+            peers.on_request_ended(now, id, Completion::Done(Some(b"ok".to_vec())));
         }
     }
 
--- a/crates/shared-store/src/sheet.rs
+++ b/crates/shared-store/src/config.rs
@@ -6,10 +6,11 @@
 
 /// The section `store`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct StoreConfig {
     pub file: String,
     /// Line and column of the section, from 1.
-    pub place: (usize, usize),
+    #[serde(rename = "place")]
+    pub position: (usize, usize),
     pub host: String,
     pub port: u16,
     /// A file that holds the password and nothing else; empty: none is needed.
@@ -27,13 +28,13 @@
     pub words: bool,
 }
 
-impl Sheet {
+impl StoreConfig {
     /// The longest of all windows with an outer limit behind it, and the time after which no copy from before a purge is
     /// left, are the deployment's.
     pub fn rules(&self, longest_window: TimeSpan, purges_last: TimeSpan) -> Result<Rules, String> {
         let keep = TimeSpan::from_secs_f64(self.keep_s);
         if self.records && keep < longest_window {
-            let (line, column) = self.place;
+            let (line, column) = self.position;
             let least = longest_window.as_secs_f64();
             return Err(format!(
                 "{}:{line}:{column}: section store, field keep_s: found {}, accepted: {least} or more, the longest window \
@@ -43,12 +44,12 @@
         }
         Ok(Rules {
             records: self.records,
-            words: self.words,
+            messages: self.words,
             hints: self.hints,
             purges: self.purges,
-            wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
-            keep,
-            purges_last: purges_last.mul_f64(3.0),
+            max_wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
+            record_retention: keep,
+            purge_retention: purges_last.mul_f64(3.0),
         })
     }
 }
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -4,13 +4,13 @@
 
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::units::*;
-use trailproxy_budgets::decide::shares::{self, Named, Shares};
-use trailproxy_budgets::decide::{BudgetId, Division, HolderId, LifeId};
-use trailproxy_shared_store::decide::ops::{BoxId, Op};
-use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
+use trailproxy_budgets::decide::shares::{self, BudgetShares, NamedBudget};
+use trailproxy_budgets::decide::{BootId, BudgetId, Division, HolderId};
+use trailproxy_shared_store::decide::ops::{MailboxId, Op};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
-use trailproxy_shared_store::decide::{Act, OpId, Reply, Rules, Sharing};
-use trailproxy_shared_store::words::{Under, Value, request, said};
+use trailproxy_shared_store::decide::{Action, OpId, Reply, Rules, SharedState};
+use trailproxy_shared_store::scripts::{ScriptContext, Value, parse_reply, script_request};
 use trailproxy_standins::redis::{self, Redis};
 
 pub const WAIT: TimeSpan = TimeSpan::from_millis(4);
@@ -19,12 +19,12 @@
 pub fn rules() -> Rules {
     Rules {
         records: true,
-        words: true,
+        messages: true,
         hints: true,
         purges: true,
-        wait: WAIT,
-        keep: TimeSpan::from_secs(6),
-        purges_last: TimeSpan::from_secs(20),
+        max_wait: WAIT,
+        record_retention: TimeSpan::from_secs(6),
+        purge_retention: TimeSpan::from_secs(20),
     }
 }
 
@@ -54,9 +54,9 @@
 /// One dispatcher's end.
 #[derive(Clone)]
 pub struct Member {
-    pub sharing: Sharing,
+    pub sharing: SharedState,
     /// Its budgets, whose words go by the store.
-    pub shares: Shares,
+    pub shares: BudgetShares,
     pub connected: bool,
     /// Which half of a split store it reaches.
     pub half: usize,
@@ -65,7 +65,7 @@
     back: VecDeque<(Timestamp, OpId, Reply)>,
     connecting: Option<Timestamp>,
     /// Accesses that were decided, how, and how often.
-    pub decided: BTreeMap<RequestId, Vec<(Timestamp, Verdict)>>,
+    pub decided: BTreeMap<RequestId, Vec<(Timestamp, RecordDecision)>>,
     pub turns: Vec<(Timestamp, Trust, &'static str)>,
     pub purges: Vec<(Timestamp, Option<ObjectId>, TimeSpan)>,
     pub hints: Vec<(Timestamp, HostId)>,
@@ -143,25 +143,25 @@
     fn fresh(&self, (nth, members): (usize, usize), rules: Rules, seed: u64) -> Member {
         let voters = if members < 3 { 1 } else { 3 };
         let division = Division {
-            seats: members as u32,
-            floors: 0.25,
+            dispatchers: members as u32,
+            floor_share: 0.25,
             tickets: 64,
             voters: voters as u8,
-            lasts: TimeSpan::from_secs(2),
-            guard: TimeSpan::ZERO,
+            lease_duration: TimeSpan::from_secs(2),
+            guard_time: TimeSpan::ZERO,
         };
         let (name, whole) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
-        let mut shares = Shares::new(HolderId(nth as u64), LifeId(seed), voters, seed);
-        let named = Named {
+        let mut shares = BudgetShares::new(HolderId(nth as u64), BootId(seed), voters, seed);
+        let named = NamedBudget {
             name,
-            whole,
+            total: whole,
             division,
         };
-        shares.set(self.now, vec![named]);
+        shares.set_budgets(self.now, vec![named]);
         Member {
             shares,
-            sharing: Sharing::new(self.now, rules, seed),
+            sharing: SharedState::new(self.now, rules, seed),
             connected: false,
             half: 0,
             run: String::new(),
@@ -220,7 +220,7 @@
         }
         member.back.clear();
         member.out.retain(|asked| asked.id.0 % 2 == 0);
-        member.sharing.broken(now);
+        member.sharing.on_disconnected(now);
         self.pump(nth);
     }
 
@@ -228,25 +228,29 @@
         self.next_access += 1;
         let id = RequestId(self.next_access);
         let due = self.now + left;
-        let key = Folding::new("t").key(ClassId(1), mark);
-        self.members[nth].sharing.come(self.now, id, key, due);
+        let key = KeyHasher::new("t").key(ClassId(1), mark);
+        self.members[nth].sharing.on_request(self.now, id, key, due);
         self.pump(nth);
         id
     }
 
     pub fn sent(&mut self, nth: usize, id: RequestId, cell: u16) {
         let place = (ZoneId(0), CellId(cell));
-        self.members[nth].sharing.hand_off(self.now, id, place);
+        self.members[nth]
+            .sharing
+            .on_attempt_sent(self.now, id, place);
         self.pump(nth);
     }
 
-    pub fn ended(&mut self, nth: usize, id: RequestId, came: Came) {
-        self.members[nth].sharing.ended(self.now, id, came);
+    pub fn ended(&mut self, nth: usize, id: RequestId, came: Completion) {
+        self.members[nth]
+            .sharing
+            .on_request_ended(self.now, id, came);
         self.pump(nth);
     }
 
     /// How one access was decided, if it was.
-    pub fn verdict(&self, nth: usize, id: RequestId) -> Option<&Verdict> {
+    pub fn verdict(&self, nth: usize, id: RequestId) -> Option<&RecordDecision> {
         let all = self.members[nth].decided.get(&id)?;
         assert_eq!(all.len(), 1, "one verdict for one access");
         Some(&all[0].1)
@@ -259,20 +263,20 @@
     pub fn pump(&mut self, nth: usize) {
         let (now, way) = (self.now, self.way);
         loop {
-            let acts = self.members[nth].sharing.take();
-            if acts.is_empty() {
+            let actions = self.members[nth].sharing.take_actions();
+            if actions.is_empty() {
                 break;
             }
-            for act in acts {
+            for act in actions {
                 let member = &mut self.members[nth];
                 match act {
-                    Act::Connect => member.connecting = Some(now + TimeSpan::from_millis(1)),
-                    Act::Disconnect => {
+                    Action::Connect => member.connecting = Some(now + TimeSpan::from_millis(1)),
+                    Action::Disconnect => {
                         member.connected = false;
                         member.back.clear();
-                        member.sharing.broken(now);
+                        member.sharing.on_disconnected(now);
                     }
-                    Act::Ask {
+                    Action::Execute {
                         id,
                         op,
                         epoch,
@@ -290,19 +294,26 @@
                         });
                         *self.asked_in.entry(now.0 / 100_000).or_default() += 1;
                     }
-                    Act::Decided { id, verdict } => {
-                        let believed = member.sharing.claimed(id);
+                    Action::Decided {
+                        id,
+                        decision: verdict,
+                    } => {
+                        let believed = member.sharing.is_claimed(id);
                         member.believed.insert(id, believed);
                         member.decided.entry(id).or_default().push((now, verdict));
                     }
-                    Act::Purged { object, ago, .. } => member.purges.push((now, object, ago)),
-                    Act::Hinted { host } => member.hints.push((now, host)),
-                    Act::Posted { from, bytes } => {
+                    Action::Purged {
+                        object, age: ago, ..
+                    } => member.purges.push((now, object, ago)),
+                    Action::PeerBreakerOpened { host } => member.hints.push((now, host)),
+                    Action::MessageReceived { from, bytes } => {
                         if let Some(note) = trailproxy_budgets::read(&bytes) {
-                            member.shares.heard(now, HolderId(from.0), note);
+                            member.shares.on_message(now, HolderId(from.0), note);
                         }
                     }
-                    Act::Turned { trust, cause } => member.turns.push((now, trust, cause.word())),
+                    Action::TrustChanged { trust, cause } => {
+                        member.turns.push((now, trust, cause.as_str()))
+                    }
                 }
             }
         }
@@ -313,13 +324,13 @@
     fn words(&mut self, nth: usize) {
         let now = self.now;
         let member = &mut self.members[nth];
-        let acts = member.shares.take();
-        let said = !acts.is_empty();
-        for act in acts {
-            if let shares::Act::Send(to, note) = act {
-                let (own, to) = (BoxId(nth as u64), BoxId(to.0));
+        let actions = member.shares.take_actions();
+        let said = !actions.is_empty();
+        for act in actions {
+            if let shares::Action::Send(to, note) = act {
+                let (own, to) = (MailboxId(nth as u64), MailboxId(to.0));
                 let bytes = trailproxy_budgets::write(&note);
-                member.sharing.post(now, own, to, bytes);
+                member.sharing.post_message(now, own, to, bytes);
             }
         }
         let sum: f64 = (0..self.members.len()).map(|nth| self.part(nth)).sum();
@@ -333,13 +344,13 @@
     pub fn part(&self, nth: usize) -> f64 {
         let id = BudgetId::of_name(BUDGET);
         let part = self.members[nth].shares.part(self.now, id);
-        part.map_or(0.0, |part| part.part)
+        part.map_or(0.0, |part| part.fraction)
     }
 
     /// What one could use of the budget.
     pub fn needs(&mut self, nth: usize, part: f64) {
         let (now, id) = (self.now, BudgetId::of_name(BUDGET));
-        self.members[nth].shares.needs(now, id, part, 0.0);
+        self.members[nth].shares.set_need(now, id, part, 0.0);
     }
 
     /// Applies what is due of one dispatcher's operations.
@@ -357,19 +368,19 @@
 
     fn apply_one(&mut self, nth: usize, asked: Asked) {
         let half = self.members[nth].half;
-        let under = Under {
+        let under = ScriptContext {
             prefix: "t:",
             run: &asked.run,
             epoch: asked.epoch,
             not_after_ms: asked.not_after_ms,
         };
-        let request = request(&asked.op, &under);
+        let request = script_request(&asked.op, &under);
         let reply =
             self.stores[half].script(self.now, request.script.name, &request.keys, &request.args);
-        let reply = match value(reply).map(|value| said(&value)) {
+        let reply = match value(reply).map(|value| parse_reply(&value)) {
             None => Reply::Refused,
             Some(None) => Reply::Lost,
-            Some(Some(said)) => Reply::Said(said),
+            Some(Some(said)) => Reply::Result(said),
         };
         if self.way.answers && self.members[nth].connected {
             let drawn = self.chance.f64();
@@ -387,11 +398,17 @@
             .filter(|_| !self.way.paused)
             .map(|asked| asked.apply_at);
         let back = member.back.front().map(|(at, ..)| *at);
-        let shares = member.shares.next();
-        [out, back, member.connecting, member.sharing.next(), shares]
-            .into_iter()
-            .flatten()
-            .min()
+        let shares = member.shares.next_deadline();
+        [
+            out,
+            back,
+            member.connecting,
+            member.sharing.next_deadline(),
+            shares,
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// On to what happens next, or to the end.
@@ -411,7 +428,7 @@
                 let Some((_, id, reply)) = self.members[nth].back.pop_front() else {
                     break;
                 };
-                self.members[nth].sharing.answered(self.now, id, reply);
+                self.members[nth].sharing.on_reply(self.now, id, reply);
                 self.pump(nth);
             }
             if self.members[nth]
@@ -426,15 +443,15 @@
                 match reached {
                     true => {
                         (member.connected, member.run) = (true, self.stores[half].run_id());
-                        member.sharing.connected(self.now);
+                        member.sharing.on_connected(self.now);
                     }
-                    false => member.sharing.broken(self.now),
+                    false => member.sharing.on_disconnected(self.now),
                 }
                 self.pump(nth);
             }
             if self.members[nth]
                 .sharing
-                .next()
+                .next_deadline()
                 .is_some_and(|at| at <= self.now)
             {
                 self.members[nth].sharing.advance(self.now);
@@ -442,7 +459,7 @@
             }
             if self.members[nth]
                 .shares
-                .next()
+                .next_deadline()
                 .is_some_and(|at| at <= self.now)
             {
                 self.members[nth].shares.advance(self.now);
@@ -488,7 +505,7 @@
         let next = self.members[nth].back.pop_front();
         let any = next.is_some();
         if let Some((_, id, reply)) = next.filter(|_| !lost) {
-            self.members[nth].sharing.answered(self.now, id, reply);
+            self.members[nth].sharing.on_reply(self.now, id, reply);
             self.pump(nth);
         }
         any
--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -15,10 +15,10 @@
 use trailproxy_lab::loopback;
 use trailproxy_lab::report::{self, Line};
 use trailproxy_operator::read_file;
+use trailproxy_zones::decide::config::Names;
 use trailproxy_zones::decide::merge::{Merged, merge};
-use trailproxy_zones::decide::sheet::Names;
-use trailproxy_zones_tools::decide::plan::{self, Demand, Promise};
-use trailproxy_zones_tools::log::of_log;
+use trailproxy_zones_tools::decide::plan::{self, Demand, ServiceTargets};
+use trailproxy_zones_tools::log::reports_in_log;
 use trailproxy_zones_tools::sections as zones_sections;
 
 #[derive(Subcommand)]
@@ -106,7 +106,7 @@
 
 fn sheet(file: &str, config: Option<&str>) -> Result<End, String> {
     let script = read_file(file, &kinds()).map_err(|wrong| wrong.to_string())?;
-    let sheet = zones_sections::sheet(&script);
+    let sheet = zones_sections::zones_config(&script);
     if let Some(sheet) = &sheet {
         sheet.check().map_err(|unfit| unfit.to_string())?;
         if let Some(config) = config {
@@ -148,7 +148,7 @@
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     Ok(Names {
         zones: list("/settings/failure_domains").iter().map(text).collect(),
-        tracks: list("/settings/classes")
+        classes: list("/settings/classes")
             .iter()
             .map(|class| text(&class["name"]))
             .collect(),
@@ -162,7 +162,7 @@
     let (mut reports, mut unread) = (Vec::new(), 0);
     for path in logs {
         let log = std::fs::read(path).map_err(|e| format!("{path} can't be read: {e}"))?;
-        let (more, bad) = of_log(&String::from_utf8_lossy(&log));
+        let (more, bad) = reports_in_log(&String::from_utf8_lossy(&log));
         reports.extend(more);
         unread += bad;
     }
@@ -181,7 +181,7 @@
     println!(
         "{} reports, {} starts of dispatchers, {} out of order; {:.1} MB crossed",
         merged.reports,
-        merged.lives,
+        merged.boots,
         merged.out_of_order,
         all / 1024.0
     );
@@ -189,7 +189,7 @@
         "{:<16} {:<16} {:<12} {:>9} {:>12} {:>12}",
         "out of", "into", "track", "moves", "MB", "no room"
     );
-    let ways = merged.by(|row| (row.from.clone(), row.to.clone(), row.track.clone()));
+    let ways = merged.by(|row| (row.from.clone(), row.to.clone(), row.class.clone()));
     for ((from, to, track), total) in &ways {
         let refused = merged.refused.get(track).map_or(0, |total| total.moves);
         let mb = total.kb / 1024.0;
@@ -198,7 +198,7 @@
             total.moves
         );
     }
-    let causes = merged.by(|row| (row.track.clone(), row.cause.clone()));
+    let causes = merged.by(|row| (row.class.clone(), row.cause.clone()));
     println!(
         "{:<12} {:<12} {:>9} {:>12} {:>7}",
         "track", "cause", "moves", "MB", "part"
@@ -217,7 +217,7 @@
             .iter()
             .map(|(row, total)| json!({"row": row, "total": total}))
             .collect();
-        let summary = json!({"reports": merged.reports, "lives": merged.lives, "out_of_order": merged.out_of_order,
+        let summary = json!({"reports": merged.reports, "lives": merged.boots, "out_of_order": merged.out_of_order,
             "kb": all, "left_out_kb": merged.left_out_kb, "rows": rows, "refused": merged.refused});
         let text = serde_json::to_string_pretty(&summary).map_err(|e| e.to_string())?;
         out::write(folder, "summary.json", &text)?;
@@ -238,7 +238,7 @@
     let slot_s = merged.slot_us as f64 / 1e6;
     let mut body = format!(
         "<p>{} reports of {} starts of dispatchers.</p>",
-        merged.reports, merged.lives
+        merged.reports, merged.boots
     );
     let mut ways: BTreeMap<(String, String), Tracks> = BTreeMap::new();
     let mut refused = Tracks::new();
@@ -271,7 +271,7 @@
     let head = ["out of", "into", "tier", "track", "cause", "moves", "MB"].map(str::to_owned);
     report::row(&mut body, &head);
     for (row, total) in &merged.rows {
-        let words = [&row.from, &row.to, &row.tier, &row.track, &row.cause].map(Clone::clone);
+        let words = [&row.from, &row.to, &row.tier, &row.class, &row.cause].map(Clone::clone);
         let mut cells = words.to_vec();
         cells.extend([total.moves.to_string(), format!("{:.2}", total.kb / 1024.0)]);
         report::row(&mut body, &cells);
@@ -307,7 +307,7 @@
         .rows
         .keys()
         .filter(|row| row.to == into)
-        .map(|row| row.track.clone())
+        .map(|row| row.class.clone())
         .collect();
     tracks.extend(merged.refused.keys().cloned());
     tracks.sort();
@@ -332,7 +332,7 @@
     Demand {
         slot_s: merged.slot_us as f64 / 1e6,
         kb: (first..=last).map(row).collect(),
-        tracks,
+        classes: tracks,
     }
 }
 
@@ -345,17 +345,17 @@
         .map(|(zone, _)| zone.clone());
     let into = wanted.into.clone().or(most).ok_or("nothing crossed")?;
     let demand = demand(&merged, &into);
-    let mut service = vec![wanted.service; demand.tracks.len()];
+    let mut service = vec![wanted.service; demand.classes.len()];
     for told in &wanted.of {
         let parts = told
             .split_once('=')
             .and_then(|(track, part)| Some((track, part.parse::<f64>().ok()?)));
         let nth =
-            parts.and_then(|(track, _)| demand.tracks.iter().position(|known| known == track));
+            parts.and_then(|(track, _)| demand.classes.iter().position(|known| known == track));
         let (Some((_, part)), Some(nth)) = (parts, nth) else {
             return Err(format!(
                 "found --of {told}, accepted: TRACK=PART with one of {}",
-                demand.tracks.join(", ")
+                demand.classes.join(", ")
             ));
         };
         service[nth] = part;
@@ -363,11 +363,11 @@
     if service.iter().any(|part| !(0.0..=1.0).contains(part)) {
         return Err("accepted: a service from 0 to 1".into());
     }
-    let promise = Promise {
+    let promise = ServiceTargets {
         service,
         burst_kb: wanted.burst_kb,
     };
-    let link = plan::least_link(&demand, &promise)?;
+    let link = plan::min_link_rate(&demand, &promise)?;
     let first: Vec<String> = wanted
         .first
         .iter()
@@ -376,7 +376,7 @@
         .collect();
     let reserve = match first.is_empty() {
         true => None,
-        false => Some(plan::least_reserve(&demand, &promise, &first)?),
+        false => Some(plan::min_reserve_rate(&demand, &promise, &first)?),
     };
     println!(
         "link into {into}: {:.0} KB/s over {} slots of {} s",
@@ -387,7 +387,7 @@
     println!(
         "binds in slots {:?}, for tracks {}",
         link.binding_slots,
-        link.binding_tracks.join(", ")
+        link.binding_classes.join(", ")
     );
     if let Some(reserve) = &reserve {
         println!(
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -4,16 +4,16 @@
 use slog::{Logger, info, warn};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_budgets::decide::following::Following;
-use trailproxy_budgets::decide::{HolderId, LifeId};
-use trailproxy_budgets::sheet::Sheet;
+use trailproxy_budgets::config::BudgetsConfig;
+use trailproxy_budgets::decide::follower::BudgetFollower;
+use trailproxy_budgets::decide::{BootId as HolderBootId, HolderId};
 use trailproxy_peers::decide::messages::{BootId, PeerId};
 use trailproxy_zones::Zones;
 
 /// Budgets divided among the dispatchers.
 pub struct BudgetsRuntime {
     /// The decisions.
-    pub following: Following,
+    pub following: BudgetFollower,
     log: Logger,
 }
 
@@ -21,47 +21,47 @@
     /// Starts with a section and the identity of this dispatcher.
     pub fn new(
         now: Timestamp,
-        config: Sheet,
+        config: BudgetsConfig,
         own: (PeerId, BootId),
         settings: &DispatcherSettings,
         seed: u64,
         log: Logger,
     ) -> BudgetsRuntime {
         info!(log, "budgets are on"; "file" => &config.file, "voters" => config.voters.len());
-        let own = (HolderId(own.0.0), LifeId(own.1.0));
-        let following = Following::new(now, config, own, settings, seed);
+        let own = (HolderId(own.0.0), HolderBootId(own.1.0));
+        let following = BudgetFollower::new(now, config, own, settings, seed);
         BudgetsRuntime { following, log }
     }
 
     /// The identity under which this dispatcher takes part.
     pub fn identity(&self) -> (PeerId, BootId) {
-        let (id, life) = self.following.own();
+        let (id, life) = self.following.member();
         (PeerId(id.0), BootId(life.0))
     }
 
     /// Whether it runs with this section and this identity.
-    pub fn is_for(&self, config: &Sheet, own: (PeerId, BootId)) -> bool {
-        self.following.sheet == *config && self.identity() == own
+    pub fn is_for(&self, config: &BudgetsConfig, own: (PeerId, BootId)) -> bool {
+        self.following.config == *config && self.identity() == own
     }
 
     /// Handles a message of another dispatcher. Bytes that cannot be read are ignored.
     pub fn on_message(&mut self, now: Timestamp, from: PeerId, bytes: &[u8]) {
         if let Some(note) = trailproxy_budgets::read(bytes) {
-            self.following.heard(now, HolderId(from.0), note);
+            self.following.on_message(now, HolderId(from.0), note);
         }
     }
 
     /// Lets time pass, and logs budgets that dispatchers define differently.
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
         self.following.advance(now, zones);
-        for of in self.following.differs() {
+        for of in self.following.take_mismatches() {
             warn!(self.log, "budget differs"; "name" => of.name, "own" => of.own, "another" => of.other);
         }
     }
 
     /// Takes the messages to send: receiver and bytes.
     pub fn take_messages(&mut self) -> Vec<(PeerId, Vec<u8>)> {
-        let messages = self.following.messages().into_iter();
+        let messages = self.following.take_messages().into_iter();
         messages
             .map(|(to, note)| (PeerId(to.0), trailproxy_budgets::write(&note)))
             .collect()
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -16,7 +16,7 @@
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{Address, Message};
 use trailproxy_shared_store::decide::{OpId, Reply as StoreReply};
-use trailproxy_shared_store::words::Request;
+use trailproxy_shared_store::scripts::ScriptRequest;
 use trailproxy_terms::Reports;
 
 /// The sending end of the queue of the task that owns the decisions.
@@ -317,7 +317,7 @@
     /// Closes the connection.
     Disconnect,
     /// Executes an operation.
-    Execute(OpId, Box<Request>),
+    Execute(OpId, Box<ScriptRequest>),
 }
 
 /// Events of the connection to the shared store.
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -12,12 +12,12 @@
 use tokio::time::timeout;
 use trailproxy::interface::{DispatcherSettings, Effect};
 use trailproxy::units::TimeSpan;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_peers::config::{Addresses, PeersConfig};
 use trailproxy_peers::decide::locality::Topology;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_zones::Rules;
-use trailproxy_zones::decide::sheet::{Names, Sheet};
+use trailproxy_zones::decide::config::{Names, ZonesConfig};
 
 /// How long the reader may run.
 const READER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -40,13 +40,13 @@
 #[derive(Default)]
 pub struct OperatorConfig {
     /// Traffic between zones: the section, and the rules that follow from it.
-    pub zones: Option<Box<(Sheet, Rules)>>,
+    pub zones: Option<Box<(ZonesConfig, Rules)>>,
     /// The store that dispatchers share.
-    pub store: Option<Box<StoreSheet>>,
+    pub store: Option<Box<StoreConfig>>,
     /// State held together with other dispatchers.
     pub peers: Option<Box<ResolvedPeers>>,
     /// Budgets divided among dispatchers.
-    pub budgets: Option<Box<BudgetsSheet>>,
+    pub budgets: Option<Box<BudgetsConfig>>,
 }
 
 /// The section `peers`, with what follows from it on this machine.
@@ -130,7 +130,7 @@
         let store = sections
             .as_object_mut()
             .and_then(|sections| sections.remove("store"));
-        let store: Option<Box<StoreSheet>> = match store {
+        let store: Option<Box<StoreConfig>> = match store {
             Some(store) => {
                 serde_json::from_value(store).map_err(|e| format!("{path}: section store: {e}"))?
             }
@@ -159,7 +159,7 @@
         let budgets = sections
             .as_object_mut()
             .and_then(|sections| sections.remove("budgets"));
-        let budgets: Option<Box<BudgetsSheet>> = match budgets {
+        let budgets: Option<Box<BudgetsConfig>> = match budgets {
             Some(budgets) => serde_json::from_value(budgets)
                 .map_err(|e| format!("{path}: section budgets: {e}"))?,
             None => None,
@@ -168,13 +168,13 @@
             budgets.check()?;
             if peers.is_none() && !store.as_ref().is_some_and(|store| store.words) {
                 let accepted = "a section peers that is on beside it, or a section store with words, because budgets send their messages through one of them";
-                return Err(budgets.wrong("on", "True", accepted));
+                return Err(budgets.field_error("on", "True", accepted));
             }
         }
         let empty = sections
             .as_object()
             .is_some_and(|sections| sections.is_empty());
-        let config: Option<Sheet> = match empty {
+        let config: Option<ZonesConfig> = match empty {
             true => None,
             false => serde_json::from_value(sections).map_err(invalid)?,
         };
@@ -248,7 +248,7 @@
 impl ResolvedPeers {
     fn of(
         config: PeersConfig,
-        store: Option<&StoreSheet>,
+        store: Option<&StoreConfig>,
         context: &ValidationContext,
     ) -> Result<ResolvedPeers, String> {
         config.settings(context.longest_window, context.purges_last)?;
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -13,13 +13,13 @@
 use trailproxy_peers::decide::facts::ListedState;
 use trailproxy_peers::decide::messages::{Address, BootId, InquiryId, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
-use trailproxy_shared_store::decide::records::{Came, Folding};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher};
 
 /// State held together with the other dispatchers, with the requests that are held for it.
 pub struct PeersRuntime {
     /// The section that is in force.
     pub section: ResolvedPeers,
-    folding: Folding,
+    key_hasher: KeyHasher,
     peers: Peers,
     /// The socket, which a new section with the same address takes over.
     pub socket: Rc<UdpSocket>,
@@ -41,7 +41,7 @@
         log: Logger,
     ) -> PeersRuntime {
         PeersRuntime {
-            folding: Folding::new(&section.config.fleet),
+            key_hasher: KeyHasher::new(&section.config.fleet),
             section,
             peers,
             socket,
@@ -56,7 +56,7 @@
     /// its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
-        let key = self.folding.key(arrival.class, key);
+        let key = self.key_hasher.key(arrival.class, key);
         self.peers.on_request(now, arrival.id, key, held_until);
         self.apply_actions();
     }
@@ -70,7 +70,7 @@
     }
 
     /// Handles a request that has its final answer or whose client has gone.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.held.forget(id);
         self.peers.on_request_ended(now, id, came);
         self.apply_actions();
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::Verdict;
+use trailproxy_shared_store::decide::records::RecordDecision;
 
 /// What a subsystem reports to the task that owns the decisions.
 pub enum SubsystemEvent {
@@ -51,13 +51,13 @@
     }
 
     /// Releases a held request as the subsystem has decided.
-    pub fn on_decided(&mut self, id: RequestId, verdict: Verdict) {
+    pub fn on_decided(&mut self, id: RequestId, verdict: RecordDecision) {
         let Some(arrival) = self.held.remove(&id) else {
             return;
         };
         self.events.push_back(match verdict {
-            Verdict::Go => SubsystemEvent::MayStart(arrival),
-            Verdict::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
+            RecordDecision::Proceed => SubsystemEvent::MayStart(arrival),
+            RecordDecision::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
         });
     }
 
--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -15,7 +15,7 @@
 
 /// What goes first, and everything else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Class {
+pub enum Priority {
     First,
     Plain,
 }
@@ -58,11 +58,11 @@
 
 /// A part of the whole that is this dispatcher's for a while, where budgets are divided by need.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Part {
+pub struct BudgetPart {
     /// From 0 to 1.
-    pub part: f64,
+    pub fraction: f64,
     /// Then it is the floor; `None`: it is that already.
-    pub until: Option<Timestamp>,
+    pub valid_until: Option<Timestamp>,
     pub floor: f64,
 }
 
@@ -89,12 +89,12 @@
         }
     }
 
-    fn add(&mut self, now: Timestamp, class: Class, kb: f64) {
+    fn add(&mut self, now: Timestamp, class: Priority, kb: f64) {
         *self = self.at(now);
         // Evenly wanted, so many KB a second come to as much here.
         let rate = kb * std::f64::consts::LN_2 / WANTED_HALVES.as_secs_f64();
         self.all += rate;
-        self.first += if class == Class::First { rate } else { 0.0 };
+        self.first += if class == Priority::First { rate } else { 0.0 };
     }
 }
 
@@ -105,7 +105,7 @@
     /// The share now; where nothing is divided, the equal one.
     share: f64,
     equal: f64,
-    divided: Option<Part>,
+    divided: Option<BudgetPart>,
     /// Of the share, what was given away and may still be saved here.
     gone: f64,
     demand: Wanted,
@@ -132,7 +132,7 @@
 
 /// Where a charge was taken from: a correction goes back there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum From {
+pub enum BucketKind {
     Kept,
     Small,
     Common,
@@ -187,18 +187,18 @@
     }
 
     /// Another limit in place of this one: debts stay, savings shrink to the new caps.
-    pub fn change(&mut self, limit: Limit, dispatchers: f64) {
+    pub fn apply_limit(&mut self, limit: Limit, dispatchers: f64) {
         (self.limit, self.equal) = (limit, 1.0 / dispatchers.max(1.0));
-        self.share = self.divided.map_or(self.equal, |divided| divided.part);
+        self.share = self.divided.map_or(self.equal, |divided| divided.fraction);
         self.shrink();
     }
 
     /// From now on this part of the whole; `None`: an equal share again. What is saved or owed stays, in KB: what one gave
     /// back another saves up anew.
-    pub fn divide(&mut self, now: Timestamp, part: Option<Part>) {
+    pub fn set_part(&mut self, now: Timestamp, part: Option<BudgetPart>) {
         self.advance(now);
         self.divided = part;
-        let share = part.map_or(self.equal, |part| part.part);
+        let share = part.map_or(self.equal, |part| part.fraction);
         self.give_away(share);
         self.lapse(now);
     }
@@ -214,12 +214,12 @@
     /// A part that has run out is the floor, whoever has told anything or not.
     fn lapse(&mut self, now: Timestamp) {
         if let Some(part) = self.divided
-            && part.until.is_some_and(|until| until <= now)
+            && part.valid_until.is_some_and(|until| until <= now)
         {
-            let floor = part.floor.min(part.part);
-            self.divided = Some(Part {
-                part: floor,
-                until: None,
+            let floor = part.floor.min(part.fraction);
+            self.divided = Some(BudgetPart {
+                fraction: floor,
+                valid_until: None,
                 floor,
             });
             self.give_away(floor);
@@ -234,7 +234,7 @@
     }
 
     /// Something was wanted, whether it had room or not.
-    pub fn demanded(&mut self, now: Timestamp, class: Class, kb: f64) {
+    pub fn on_demand(&mut self, now: Timestamp, class: Priority, kb: f64) {
         self.demand.add(now, class, kb);
     }
 
@@ -246,7 +246,7 @@
 
     pub fn advance(&mut self, now: Timestamp) {
         // A clock that went back brings nothing and takes nothing.
-        let until = self.divided.and_then(|part| part.until);
+        let until = self.divided.and_then(|part| part.valid_until);
         let ends = until.filter(|&until| until <= now);
         if let Some(until) = ends {
             // Up to its end the part brings what it is; from then on the floor does.
@@ -297,19 +297,21 @@
     }
 
     /// Where a send of so many KB would be taken from; `None`: there is no room for it now.
-    pub fn room(&self, now: Timestamp, class: Class, kb: f64) -> Option<From> {
+    pub fn bucket_with_room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<BucketKind> {
         let need = kb * (1.0 - self.part);
         let passed = now.since(self.at).as_secs_f64();
         let has = |bucket: &Bucket| bucket.level + bucket.rate * passed;
         let common = has(&self.common);
         match class {
-            Class::First if has(&self.kept) >= 0.0 => Some(From::Kept),
+            Priority::First if has(&self.kept) >= 0.0 => Some(BucketKind::Kept),
             // What goes first may put the others into debt, by a share of the burst.
-            Class::First if common + self.owes() >= need => Some(From::Common),
-            Class::Plain if kb <= SMALL * self.usual && has(&self.small) >= 0.0 => {
-                Some(From::Small)
+            Priority::First if common + self.owes() >= need => Some(BucketKind::Common),
+            Priority::Plain if kb <= SMALL * self.usual && has(&self.small) >= 0.0 => {
+                Some(BucketKind::Small)
+            }
+            Priority::Plain if common + self.owes() * self.smallness(kb) >= need => {
+                Some(BucketKind::Common)
             }
-            Class::Plain if common + self.owes() * self.smallness(kb) >= need => Some(From::Common),
             _ => None,
         }
     }
@@ -326,14 +328,14 @@
     }
 
     /// Notes that so much was turned away, so that it is saved up for.
-    pub fn turned_away(&self, now: Timestamp, kb: f64) {
+    pub fn on_refused(&self, now: Timestamp, kb: f64) {
         let before = self.wanted(now);
         if kb >= before {
             self.wanted.set((kb, now));
         }
     }
 
-    pub fn charge(&mut self, now: Timestamp, from: From, kb: f64) {
+    pub fn charge(&mut self, now: Timestamp, from: BucketKind, kb: f64) {
         self.advance(now);
         self.correct(from, kb);
         self.sent = self.sent.saturating_add(1);
@@ -344,16 +346,16 @@
     }
 
     /// Takes so many KB more, or gives some back where negative.
-    pub fn correct(&mut self, from: From, kb: f64) {
+    pub fn correct(&mut self, from: BucketKind, kb: f64) {
         match from {
-            From::Kept => self.kept.level -= kb,
-            From::Small => self.small.level -= kb,
-            From::Common => self.common.level -= kb,
+            BucketKind::Kept => self.kept.level -= kb,
+            BucketKind::Small => self.small.level -= kb,
+            BucketKind::Common => self.common.level -= kb,
         }
     }
 
     /// How long until something plain has room again; `None`: it has.
-    pub fn full_for(&self, now: Timestamp) -> Option<TimeSpan> {
+    pub fn time_until_room(&self, now: Timestamp) -> Option<TimeSpan> {
         let wanted = self.wanted(now) * (1.0 - self.part);
         let level = self.common.level + self.common.rate * now.since(self.at).as_secs_f64();
         let lacks = wanted.max(0.0) - level;
@@ -374,7 +376,7 @@
 /// Finds the rate of a link by how quick its fills are: more while all are quick and some were turned away, less at
 /// once when they slow down. It follows the dispatcher's own share, so that a dead neighbour's is taken up in time.
 #[derive(Debug, Default)]
-pub struct Learner {
+pub struct RateLearner {
     /// Pace of fills, in KB/s: a slowly falling best, and the mean of the running step.
     best: f64,
     sum: f64,
@@ -392,9 +394,9 @@
 /// A pace says something from this size on; of less, most is distance.
 const TELLS_KB: f64 = 16.0;
 
-impl Learner {
+impl RateLearner {
     /// A fill of so many KB took so long from its first byte on.
-    pub fn filled(&mut self, kb: f64, took: TimeSpan) {
+    pub fn on_fill(&mut self, kb: f64, took: TimeSpan) {
         if kb < TELLS_KB || took == TimeSpan::ZERO {
             return;
         }
@@ -403,7 +405,7 @@
         (self.sum, self.n) = (self.sum + pace, self.n + 1);
     }
 
-    pub fn refused(&mut self) {
+    pub fn on_refused(&mut self) {
         self.refused = true;
     }
 
--- a/crates/zones/src/decide/memory.rs
+++ b/crates/zones/src/decide/history.rs
@@ -15,15 +15,15 @@
 
 /// Why something crosses, with its evidence.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Why {
+pub struct CrossingCause {
     pub cause: Cause,
     pub lost: Option<HostId>,
     pub purge: Option<u64>,
 }
 
-impl Why {
-    pub fn of(cause: Cause) -> Why {
-        Why {
+impl CrossingCause {
+    pub fn of(cause: Cause) -> CrossingCause {
+        CrossingCause {
             cause,
             lost: None,
             purge: None,
@@ -32,7 +32,7 @@
 }
 
 /// A part of an object at a cache.
-pub type Way = (HostId, ObjectId, u32);
+pub type CachedPart = (HostId, ObjectId, u32);
 
 #[derive(Clone, Copy, Debug)]
 struct Seen {
@@ -53,7 +53,7 @@
 }
 
 #[derive(Debug)]
-pub struct Memory {
+pub struct ObjectHistory {
     parent_kind: Option<KindId>,
     origin_kind: Option<KindId>,
     newer: BTreeMap<(ObjectId, u32), Seen>,
@@ -61,12 +61,12 @@
     hosts: BTreeMap<HostId, Known>,
     purges: BTreeMap<(GroupId, Option<ObjectId>), Timestamp>,
     purge_order: VecDeque<(Timestamp, (GroupId, Option<ObjectId>))>,
-    filling: BTreeSet<Way>,
+    filling: BTreeSet<CachedPart>,
 }
 
-impl Memory {
-    pub fn new(parent_kind: Option<KindId>, origin_kind: Option<KindId>) -> Memory {
-        Memory {
+impl ObjectHistory {
+    pub fn new(parent_kind: Option<KindId>, origin_kind: Option<KindId>) -> ObjectHistory {
+        ObjectHistory {
             parent_kind,
             origin_kind,
             newer: BTreeMap::new(),
@@ -78,7 +78,7 @@
         }
     }
 
-    pub fn kept(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.newer.len()
             + self.older.len()
             + self.hosts.len()
@@ -86,7 +86,7 @@
             + self.filling.len()
     }
 
-    pub fn list(&mut self, now: Timestamp, form: HostListKind, entries: &[HostEntry]) {
+    pub fn on_host_list(&mut self, now: Timestamp, form: HostListKind, entries: &[HostEntry]) {
         let gone = |known: &mut Known| {
             if known.state != HostState::Gone {
                 (known.state, known.left) = (HostState::Gone, now);
@@ -128,7 +128,7 @@
             .map_or(Tier::Parent, |known| known.tier)
     }
 
-    pub fn purged(&mut self, at: Timestamp, object: Option<ObjectId>, group: GroupId) {
+    pub fn on_purge(&mut self, at: Timestamp, object: Option<ObjectId>, group: GroupId) {
         let group = object.map_or(group, |_| GroupId::default());
         let key = (group, object);
         let known = self.purges.entry(key).or_default();
@@ -154,9 +154,14 @@
         self.newer.get(&part).or(self.older.get(&part)).copied()
     }
 
-    pub fn why(&self, now: Timestamp, crossing: &Crossing, fresh: Option<TimeSpan>) -> Why {
+    pub fn explain(
+        &self,
+        now: Timestamp,
+        crossing: &Crossing,
+        fresh: Option<TimeSpan>,
+    ) -> CrossingCause {
         let Some(seen) = self.seen((crossing.arrival.object, crossing.arrival.part)) else {
-            return Why::of(Cause::First);
+            return CrossingCause::of(Cause::First);
         };
         let (object, group) = (crossing.arrival.object, crossing.arrival.group);
         let own = self.purges.get(&(GroupId::default(), Some(object)));
@@ -164,9 +169,9 @@
         let since = |purge: &&Timestamp| **purge >= seen.filled && now.since(**purge) < EXPLAINS;
         let of_own = own.filter(since).map(|_| object.0);
         if let Some(purge) = of_own.or(whole.filter(since).map(|_| u64::from(group.0))) {
-            return Why {
+            return CrossingCause {
                 purge: Some(purge),
-                ..Why::of(Cause::Purge)
+                ..CrossingCause::of(Cause::Purge)
             };
         }
         // The cache that had it is gone, fails, or is another process now.
@@ -178,31 +183,38 @@
             Some(had) => seen.host != crossing.host && had.failing.is_some(),
         };
         if lost {
-            return Why {
+            return CrossingCause {
                 lost: Some(seen.host),
-                ..Why::of(Cause::HostLost)
+                ..CrossingCause::of(Cause::HostLost)
             };
         }
         let aged = fresh.is_some_and(|fresh| now.since(seen.filled) >= fresh.mul_f64(RENEWS_FROM));
-        Why::of(match (crossing.attempt.0 > 0, aged) {
+        CrossingCause::of(match (crossing.attempt.0 > 0, aged) {
             (true, _) => Cause::Retry,
             (_, true) => Cause::Renewal,
             _ => Cause::Unknown,
         })
     }
 
-    pub fn filling(&self, way: Way) -> bool {
+    pub fn is_filling(&self, way: CachedPart) -> bool {
         self.filling.contains(&way)
     }
 
     /// It goes out; `fills`: it is the own hand-off that others join.
-    pub fn sent(&mut self, _now: Timestamp, way: Way, fills: bool) {
+    pub fn on_sent(&mut self, _now: Timestamp, way: CachedPart, fills: bool) {
         if fills {
             self.filling.insert(way);
         }
     }
 
-    pub fn ended(&mut self, now: Timestamp, way: Way, ending: Ending, filled: bool, filler: bool) {
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Timestamp,
+        way: CachedPart,
+        ending: Ending,
+        filled: bool,
+        filler: bool,
+    ) {
         if filler {
             self.filling.remove(&way);
         }
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -4,18 +4,19 @@
 
 use crate::decide::Zones;
 use crate::decide::account::Cause;
-use crate::decide::sheet::Names;
+use crate::decide::config::Names;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use trailproxy::units::{ClassId, TimeSpan, Timestamp, ZoneId};
 
 /// One line of the account since the dispatcher's start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct ReportLine {
     pub from: String,
     pub to: String,
     pub tier: String,
-    pub track: String,
+    #[serde(rename = "track")]
+    pub class: String,
     pub cause: String,
     pub moves: u64,
     /// In KB of 1,024 bytes, as everywhere here.
@@ -24,7 +25,7 @@
 
 /// What crossed lately on one way.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Way {
+pub struct Route {
     pub from: String,
     pub to: String,
     pub kb_1s: f64,
@@ -40,9 +41,11 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Refusals {
-    pub track: String,
-    pub accesses: u64,
+pub struct RefusedRequests {
+    #[serde(rename = "track")]
+    pub class: String,
+    #[serde(rename = "accesses")]
+    pub requests: u64,
     pub kb: f64,
 }
 
@@ -50,13 +53,17 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub dispatcher: String,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub boot: u64,
     pub at_us: u64,
-    pub lines: Vec<Line>,
-    pub ways: Vec<Way>,
+    pub lines: Vec<ReportLine>,
+    #[serde(rename = "ways")]
+    pub routes: Vec<Route>,
     pub budgets: Vec<BudgetLine>,
-    pub turned_away: Vec<Refusals>,
-    pub under_way_kb: f64,
+    #[serde(rename = "turned_away")]
+    pub refused: Vec<RefusedRequests>,
+    #[serde(rename = "under_way_kb")]
+    pub in_flight_kb: f64,
     pub left_out_kb: f64,
 }
 
@@ -70,39 +77,41 @@
     /// What `zones` has to tell at `now`.
     pub fn of(zones: &Zones, names: &Names, dispatcher: &str, life: u64, now: Timestamp) -> Report {
         let zone = |id: ZoneId| name(&names.zones, usize::from(id.0));
-        let track = |id: ClassId| name(&names.tracks, usize::from(id.0));
+        let track = |id: ClassId| name(&names.classes, usize::from(id.0));
         let account = zones.account();
-        let line =
-            |(key, sum): (&crate::decide::account::Key, &crate::decide::account::Sum)| Line {
-                from: zone(key.from),
-                to: zone(key.to),
-                tier: key.tier.name().into(),
-                track: track(key.track),
-                cause: key.cause.name().into(),
-                moves: sum.moves,
-                kb: short(sum.kb),
-            };
+        let line = |(key, sum): (
+            &crate::decide::account::AccountKey,
+            &crate::decide::account::Total,
+        )| ReportLine {
+            from: zone(key.from),
+            to: zone(key.to),
+            tier: key.tier.name().into(),
+            class: track(key.class),
+            cause: key.cause.name().into(),
+            moves: sum.moves,
+            kb: short(sum.kb),
+        };
         let mut ways: BTreeMap<(ZoneId, ZoneId), [f64; 3]> = BTreeMap::new();
         for (nth, s) in [1, 10, 60].into_iter().enumerate() {
-            for (key, sum) in account.within(now, TimeSpan::from_secs(s)) {
+            for (key, sum) in account.sums_within(now, TimeSpan::from_secs(s)) {
                 ways.entry((key.from, key.to)).or_default()[nth] += sum.kb;
             }
         }
-        let way = |((from, to), kb): ((ZoneId, ZoneId), [f64; 3])| Way {
+        let way = |((from, to), kb): ((ZoneId, ZoneId), [f64; 3])| Route {
             from: zone(from),
             to: zone(to),
             kb_1s: short(kb[0]),
             kb_10s: short(kb[1]),
             kb_60s: short(kb[2]),
         };
-        let refused = zones.turned_away().into_iter().zip(0..);
+        let refused = zones.refused().into_iter().zip(0..);
         let refused = refused.filter(|((n, _), _)| *n > 0);
         Report {
             dispatcher: dispatcher.into(),
-            life,
+            boot: life,
             at_us: now.0,
             lines: account.totals().iter().map(line).collect(),
-            ways: ways.into_iter().map(way).collect(),
+            routes: ways.into_iter().map(way).collect(),
             budgets: zones
                 .budgets()
                 .iter()
@@ -112,14 +121,14 @@
                     saved_kb: short(budget.saved_kb()),
                 })
                 .collect(),
-            turned_away: refused
-                .map(|((accesses, kb), nth)| Refusals {
-                    track: track(ClassId(nth)),
-                    accesses,
+            refused: refused
+                .map(|((accesses, kb), nth)| RefusedRequests {
+                    class: track(ClassId(nth)),
+                    requests: accesses,
                     kb: short(kb),
                 })
                 .collect(),
-            under_way_kb: short(zones.under_way_kb()),
+            in_flight_kb: short(zones.in_flight_kb()),
             left_out_kb: short(account.left_out_kb()),
         }
     }
