--- a/crates/trailproxyd/src/accounts.rs
+++ b/crates/trailproxyd/src/accounts.rs
@@ -32,7 +32,7 @@
     /// The name of this dispatcher.
     dispatcher: String,
     /// Number of this process, by which a restart is recognised.
-    life: u64,
+    boot_id: u64,
     log: Logger,
     report_interval: Duration,
     advance_at: Instant,
@@ -48,7 +48,7 @@
         Accounts {
             names,
             dispatcher,
-            life: now.0,
+            boot_id: now.0,
             log,
             report_interval: Duration::from_secs(10),
             advance_at: first_at,
@@ -95,7 +95,7 @@
 
     /// Writes a report now.
     pub fn write_report(&mut self, zones: &mut Zones, now: Timestamp) {
-        let report = Report::of(zones, &self.names, &self.dispatcher, self.life, now);
+        let report = Report::of(zones, &self.names, &self.dispatcher, self.boot_id, now);
         let text = serde_json::to_string(&report).unwrap_or_default();
         info!(self.log, "zones"; "report" => text);
         if let Some((path, to)) = &self.metrics {
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -42,7 +42,7 @@
         }
         if let Some(budgets) = &self.decisions.crossings.budgets {
             for line in budgets
-                .following
+                .follower
                 .show(now)
                 .lines()
                 .filter(|line| line.starts_with("budget"))
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -35,8 +35,8 @@
         info!(self.log, "settings followed"; "probes" => settings.probes_enabled, "sizes_told" => settings.capacities_reported,
             "link_told" => settings.link_load_reported, "straight" => settings.allows_direct, "open" => self.state.requests.len());
         self.reports = reports;
-        if let Some((_, known, _)) = &mut self.accounts {
-            *known = settings.clone();
+        if let Some((_, stored, _)) = &mut self.accounts {
+            *stored = settings.clone();
         }
         self.decisions.crossings.zones = None;
         self.decisions.apply_settings(now, settings);
@@ -93,8 +93,8 @@
             return Ok(());
         };
         let config = &section.config;
-        let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-        let rules = config.settings(longest, settings.purge_propagation)?;
+        let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
+        let rules = config.settings(min_retention, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
@@ -137,18 +137,18 @@
         let Some((_, settings, seed)) = &self.accounts else {
             return;
         };
-        let shared = &mut self.decisions.crossings.store;
-        if shared.as_ref().map(|shared| &shared.config) == section.as_deref() {
+        let present = &mut self.decisions.crossings.store;
+        if present.as_ref().map(|present| &present.config) == section.as_deref() {
             return;
         }
-        let ended = shared.take();
+        let ended = present.take();
         if let Some(config) = section {
-            let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-            match config.rules(longest, settings.purge_propagation) {
+            let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
+            match config.rules(min_retention, settings.purge_propagation) {
                 Ok(rules) => {
                     // Differs between any two processes; otherwise one would take records of the
                     // other for its own.
-                    let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
+                    let process_id = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
                     tokio::task::spawn_local(store::run(
@@ -161,14 +161,14 @@
                     let targets = settings.classes.iter().map(|class| class.target).collect();
                     let mut client = StoreClient::new(
                         *config,
-                        SharedState::new(now, rules, life),
+                        SharedState::new(now, rules, process_id),
                         to,
                         targets,
                         log,
                     );
                     let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
                     client.on_event(now, &Event::HostList { kind, entries });
-                    *shared = Some(client);
+                    *present = Some(client);
                 }
                 Err(reason) => warn!(self.log, "operator's file refused"; "why" => reason),
             }
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -25,8 +25,8 @@
         if let Some((caches, parents)) = self.decisions.crossings.take_slow_start_shares() {
             self.decisions.set_slow_start_shares(now, caches, parents);
         }
-        while let Some(due) = self.decisions.crossings.take_event() {
-            match due {
+        while let Some(event) = self.decisions.crossings.take_event() {
+            match event {
                 SubsystemEvent::MayStart(arrival) => self.submit_arrival(now, arrival),
                 SubsystemEvent::AnsweredFromRecord(id, body) => {
                     let body = CountedBytes::new(&body, &self.pools.shared.buffered);
--- a/crates/trailproxyd/src/divided.rs
+++ b/crates/trailproxyd/src/divided.rs
@@ -13,7 +13,7 @@
 /// Budgets divided among the dispatchers.
 pub struct BudgetsRuntime {
     /// The decisions.
-    pub following: BudgetFollower,
+    pub follower: BudgetFollower,
     log: Logger,
 }
 
@@ -22,48 +22,48 @@
     pub fn new(
         now: Timestamp,
         config: BudgetsConfig,
-        own: (PeerId, BootId),
+        identity: (PeerId, BootId),
         settings: &DispatcherSettings,
         seed: u64,
         log: Logger,
     ) -> BudgetsRuntime {
         info!(log, "budgets are on"; "file" => &config.file, "voters" => config.voters.len());
-        let own = (HolderId(own.0.0), HolderBootId(own.1.0));
-        let following = BudgetFollower::new(now, config, own, settings, seed);
-        BudgetsRuntime { following, log }
+        let holder = (HolderId(identity.0.0), HolderBootId(identity.1.0));
+        let follower = BudgetFollower::new(now, config, holder, settings, seed);
+        BudgetsRuntime { follower, log }
     }
 
     /// The identity under which this dispatcher takes part.
     pub fn identity(&self) -> (PeerId, BootId) {
-        let (id, life) = self.following.member();
-        (PeerId(id.0), BootId(life.0))
+        let (id, boot_id) = self.follower.member();
+        (PeerId(id.0), BootId(boot_id.0))
     }
 
     /// Whether it runs with this section and this identity.
-    pub fn is_for(&self, config: &BudgetsConfig, own: (PeerId, BootId)) -> bool {
-        self.following.config == *config && self.identity() == own
+    pub fn is_for(&self, config: &BudgetsConfig, identity: (PeerId, BootId)) -> bool {
+        self.follower.config == *config && self.identity() == identity
     }
 
     /// Handles a message of another dispatcher. Bytes that cannot be read are ignored.
     pub fn on_message(&mut self, now: Timestamp, from: PeerId, bytes: &[u8]) {
-        if let Some(note) = trailproxy_budgets::read(bytes) {
-            self.following.on_message(now, HolderId(from.0), note);
+        if let Some(message) = trailproxy_budgets::read(bytes) {
+            self.follower.on_message(now, HolderId(from.0), message);
         }
     }
 
     /// Lets time pass, and logs budgets that dispatchers define differently.
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
-        self.following.advance(now, zones);
-        for of in self.following.take_mismatches() {
-            warn!(self.log, "budget differs"; "name" => of.name, "own" => of.own, "another" => of.other);
+        self.follower.advance(now, zones);
+        for mismatch in self.follower.take_mismatches() {
+            warn!(self.log, "budget differs"; "name" => mismatch.name, "own" => mismatch.own, "another" => mismatch.other);
         }
     }
 
     /// Takes the messages to send: receiver and bytes.
     pub fn take_messages(&mut self) -> Vec<(PeerId, Vec<u8>)> {
-        let messages = self.following.take_messages().into_iter();
+        let messages = self.follower.take_messages().into_iter();
         messages
-            .map(|(to, note)| (PeerId(to.0), trailproxy_budgets::write(&note)))
+            .map(|(to, message)| (PeerId(to.0), trailproxy_budgets::write(&message)))
             .collect()
     }
 }
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -70,7 +70,7 @@
     /// The longest repeat window of any class, together with the longest deadline.
     pub longest_window: TimeSpan,
     /// How long a purge may take to reach all hosts.
-    pub purges_last: TimeSpan,
+    pub purge_propagation: TimeSpan,
     /// The address at which other dispatchers reach this one, if the environment or the
     /// configuration names it.
     pub peers: Option<String>,
@@ -88,7 +88,7 @@
 impl Source {
     /// From `RELAY_OPERATOR` and `RELAY_READER`, or else from `operator` and `reader` in the
     /// configuration. `None`: there is no such file.
-    pub fn of(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<Source> {
+    pub fn from_config(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<Source> {
         let key = |name: &str| json.get(name).and_then(Value::as_str).map(str::to_owned);
         let path = variable("RELAY_OPERATOR").or(key("operator"))?;
         let next_to_daemon = || Some(std::env::current_exe().ok()?.parent()?.join("trailproxy"));
@@ -103,7 +103,11 @@
     /// Reads and checks the file. The error names the file, the line and the field that do not fit.
     pub async fn read(&self, context: &ValidationContext) -> Result<OperatorConfig, StepError> {
         let path = self.path.display();
-        let text = match self.path.extension().is_some_and(|end| end == "json") {
+        let text = match self
+            .path
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             true => read_file(&self.path)
                 .map_err(|error| StepError::System(format!("{path} can't be read"), error))?,
             false => self.run_reader().await?,
@@ -137,7 +141,7 @@
             None => None,
         };
         if let Some(store) = &store {
-            store.rules(context.longest_window, context.purges_last)?;
+            store.rules(context.longest_window, context.purge_propagation)?;
         }
         let peers = sections
             .as_object_mut()
@@ -149,7 +153,7 @@
             None => None,
         };
         let peers = match peers {
-            Some(config) => Some(Box::new(ResolvedPeers::of(
+            Some(config) => Some(Box::new(ResolvedPeers::resolve(
                 config,
                 store.as_deref(),
                 context,
@@ -246,12 +250,14 @@
 }
 
 impl ResolvedPeers {
-    fn of(
+    /// Checks the section and reads the secret. Records may be kept by the store or by the peers,
+    /// not by both.
+    fn resolve(
         config: PeersConfig,
         store: Option<&StoreConfig>,
         context: &ValidationContext,
     ) -> Result<ResolvedPeers, String> {
-        config.settings(context.longest_window, context.purges_last)?;
+        config.settings(context.longest_window, context.purge_propagation)?;
         let addresses = config.addresses(context.peers.as_deref())?;
         if config.records && store.is_some_and(|store| store.records) {
             let accepted = "records in one of the sections store and peers";
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -63,16 +63,16 @@
 
     /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.held.location_of(host) {
-            self.peers.on_attempt_sent(now, id, place);
+        if let Some(location) = self.held.location_of(host) {
+            self.peers.on_attempt_sent(now, id, location);
             self.apply_actions();
         }
     }
 
     /// Handles a request that has its final answer or whose client has gone.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         self.held.forget(id);
-        self.peers.on_request_ended(now, id, came);
+        self.peers.on_request_ended(now, id, completion);
         self.apply_actions();
     }
 
@@ -108,8 +108,8 @@
     }
 
     /// Answers a query from the command line.
-    pub fn answer(&mut self, now: Timestamp, address: Address, no: InquiryId, text: String) {
-        self.peers.send_operator_reply(now, address, no, text);
+    pub fn answer(&mut self, now: Timestamp, address: Address, inquiry: InquiryId, text: String) {
+        self.peers.send_operator_reply(now, address, inquiry, text);
         self.apply_actions();
     }
 
@@ -184,8 +184,8 @@
 
     /// Carries out the actions of the decisions.
     fn apply_actions(&mut self) {
-        for act in self.peers.take_actions() {
-            match act {
+        for action in self.peers.take_actions() {
+            match action {
                 Action::Send(to, message) => drop(self.orders.send(ToPeers::Send(to, message))),
                 Action::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Action::Purged { object, group, at } => {
@@ -218,12 +218,14 @@
                 Action::PeerBreakerOpened { host } => self
                     .held
                     .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
-                Action::SubsystemMessage(from, of, bytes) => self.received.push((from, of, bytes)),
-                Action::StateChanged(stands) => {
-                    info!(self.log, "peers"; "stands" => stands.as_str())
+                Action::SubsystemMessage(from, subsystem, bytes) => {
+                    self.received.push((from, subsystem, bytes))
                 }
-                Action::MemberStatusChanged(id, standing) => {
-                    info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?standing);
+                Action::StateChanged(state) => {
+                    info!(self.log, "peers"; "stands" => state.as_str())
+                }
+                Action::MemberStatusChanged(id, status) => {
+                    info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?status);
                 }
             }
         }
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -41,7 +41,7 @@
     let context = operator::ValidationContext {
         names: names.clone(),
         longest_window: operator::longest_window(&start.settings, start.bounds.longest_limit),
-        purges_last: start.settings.purge_propagation,
+        purge_propagation: start.settings.purge_propagation,
         peers: start.peers.clone(),
     };
     let config = tokio::select! {
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -180,7 +180,7 @@
         reports,
         bounds,
         names: Rc::new(names),
-        operator: Source::of(json, variable),
+        operator: Source::from_config(json, variable),
         peers: variable("RELAY_PEERS").or(text("peers")?),
         file: json.clone(),
     })
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -156,7 +156,7 @@
     let result: redis::RedisResult<redis::Value> = command.query_async(&mut client).await;
     match result {
         Ok(answer) => match value(answer).as_ref().and_then(parse_reply) {
-            Some(said) => (Reply::Result(said), false),
+            Some(result) => (Reply::Result(result), false),
             // No script gives such an answer, so the process that listens there is not the store.
             None => (Reply::Lost, true),
         },
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -65,13 +65,13 @@
 
     /// Handles a request with a key that has its final answer or whose client has gone. The
     /// decisions may not know the request.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Completion) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: &Completion) {
         self.store
             .iter_mut()
-            .for_each(|store| store.on_request_ended(now, id, came.clone()));
+            .for_each(|store| store.on_request_ended(now, id, completion.clone()));
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.on_request_ended(now, id, came.clone()));
+            .for_each(|peers| peers.on_request_ended(now, id, completion.clone()));
     }
 
     /// When a subsystem next has something to do.
@@ -83,7 +83,7 @@
             .chain(
                 self.budgets
                     .as_ref()
-                    .and_then(|on| on.following.next_deadline()),
+                    .and_then(|budgets| budgets.follower.next_deadline()),
             )
             .min()
     }
@@ -101,13 +101,13 @@
             return;
         };
         match received.message.parts[..] {
-            [MessagePart::SubsystemStatusRequest(no, SUBSYSTEM_ID)] => {
-                let shown = self
+            [MessagePart::SubsystemStatusRequest(inquiry, SUBSYSTEM_ID)] => {
+                let status = self
                     .budgets
                     .as_ref()
-                    .map(|budgets| budgets.following.show(now));
-                let text = shown.unwrap_or("budgets are off".into());
-                peers.answer(now, received.from, no, text);
+                    .map(|budgets| budgets.follower.show(now));
+                let text = status.unwrap_or("budgets are off".into());
+                peers.answer(now, received.from, inquiry, text);
             }
             _ => peers.on_message(now, received.from, received.message),
         }
@@ -141,7 +141,7 @@
         }
         budgets.advance(now, &mut self.zones);
         self.slow_start_shares = budgets
-            .following
+            .follower
             .take_slow_start_shares()
             .or(self.slow_start_shares);
         self.send_budget_messages(now);
@@ -152,11 +152,11 @@
         let Some(budgets) = &mut self.budgets else {
             return;
         };
-        let (own, messages) = (budgets.identity().0, budgets.take_messages());
+        let (sender, messages) = (budgets.identity().0, budgets.take_messages());
         for (to, bytes) in messages {
             match (&mut self.peers, &mut self.store) {
                 (Some(peers), _) => peers.send_subsystem_message(now, to, SUBSYSTEM_ID, bytes),
-                (None, Some(store)) => store.post(now, own, to, SUBSYSTEM_ID, &bytes),
+                (None, Some(store)) => store.post(now, sender, to, SUBSYSTEM_ID, &bytes),
                 (None, None) => {}
             }
         }
@@ -168,14 +168,14 @@
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
         }
-        let by_store = self.store.as_ref().is_some_and(|store| store.config.words);
+        let through_store = self.store.as_ref().is_some_and(|store| store.config.words);
         let id = PeerId::of_name(name);
         let known = self
             .budgets
             .as_ref()
             .map(BudgetsRuntime::identity)
-            .filter(|own| own.0 == id);
-        by_store.then(|| known.unwrap_or((id, new_boot_id)))
+            .filter(|identity| identity.0 == id);
+        through_store.then(|| known.unwrap_or((id, new_boot_id)))
     }
 
     /// Applies the section about budgets. If the section and the identity are unchanged, the
@@ -188,8 +188,8 @@
         (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.identity(name, new_boot_id);
-        let Some((config, own)) = config.zip(own) else {
+        let identity = self.identity(name, new_boot_id);
+        let Some((config, identity)) = config.zip(identity) else {
             if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
                 self.slow_start_shares = Some((None, None));
@@ -208,18 +208,18 @@
         if !self
             .budgets
             .as_ref()
-            .is_some_and(|budgets| budgets.is_for(config, own))
+            .is_some_and(|budgets| budgets.is_for(config, identity))
         {
             let runtime =
-                BudgetsRuntime::new(now, config.clone(), own, settings, seed, log.clone());
+                BudgetsRuntime::new(now, config.clone(), identity, settings, seed, log.clone());
             self.budgets = Some(runtime);
         }
         if let Some(budgets) = &mut self.budgets {
-            budgets.following.update_budgets(now, self.zones.as_ref());
-            budgets.following.resend_slow_start_shares();
+            budgets.follower.update_budgets(now, self.zones.as_ref());
+            budgets.follower.resend_slow_start_shares();
         }
         if let Some(store) = self.store.as_mut().filter(|_| self.peers.is_none()) {
-            store.sharing.open_mailbox(MailboxId(own.0.0));
+            store.state.open_mailbox(MailboxId(identity.0.0));
         }
         self.advance_budgets(now);
     }
@@ -228,7 +228,7 @@
     pub fn leave(&mut self, now: Timestamp) {
         self.budgets
             .iter_mut()
-            .for_each(|budgets| budgets.following.leave(now));
+            .for_each(|budgets| budgets.follower.leave(now));
         self.send_budget_messages(now);
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
@@ -251,7 +251,7 @@
     /// The section that is in force.
     pub config: StoreConfig,
     key_hasher: KeyHasher,
-    sharing: SharedState,
+    state: SharedState,
     orders: mpsc::Sender<ToStore>,
     /// The server process that the connection leads to.
     run_id: String,
@@ -265,7 +265,7 @@
     /// `targets`: how long requests wait at most, by class.
     pub fn new(
         config: StoreConfig,
-        sharing: SharedState,
+        state: SharedState,
         orders: mpsc::Sender<ToStore>,
         targets: Vec<TimeSpan>,
         log: Logger,
@@ -273,7 +273,7 @@
         StoreClient {
             key_hasher: KeyHasher::new(&config.prefix),
             config,
-            sharing,
+            state,
             orders,
             run_id: String::new(),
             held: HeldRequests::new(targets),
@@ -284,10 +284,10 @@
 
     /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is
     /// its first byte.
-    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
+    fn post(&mut self, now: Timestamp, sender: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
         let bytes = [&[subsystem], bytes].concat();
-        self.sharing
-            .post_message(now, MailboxId(own.0), MailboxId(to.0), bytes);
+        self.state
+            .post_message(now, MailboxId(sender.0), MailboxId(to.0), bytes);
         self.apply_actions();
     }
 
@@ -295,27 +295,27 @@
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
         let key = self.key_hasher.key(arrival.class, key);
-        self.sharing.on_request(now, arrival.id, key, held_until);
+        self.state.on_request(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
     /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.held.location_of(host) {
-            self.sharing.on_attempt_sent(now, id, place);
+        if let Some(location) = self.held.location_of(host) {
+            self.state.on_attempt_sent(now, id, location);
             self.apply_actions();
         }
     }
 
     /// Handles a request that has its final answer or whose client has gone. The decisions may not
     /// know the request.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         self.held.forget(id);
-        self.sharing.on_request_ended(now, id, came);
+        self.state.on_request_ended(now, id, completion);
         self.apply_actions();
     }
 
-    /// Ends the sharing and returns the requests that waited, which may continue.
+    /// Ends the state and returns the requests that waited, which may continue.
     pub fn into_arrivals(self) -> impl Iterator<Item = Arrival> {
         self.held.into_arrivals()
     }
@@ -325,23 +325,23 @@
         match message {
             FromStore::Connected { run_id } => {
                 self.run_id = run_id;
-                self.sharing.on_connected(now);
+                self.state.on_connected(now);
             }
-            FromStore::Disconnected => self.sharing.on_disconnected(now),
-            FromStore::Answered(id, reply) => self.sharing.on_reply(now, id, reply),
+            FromStore::Disconnected => self.state.on_disconnected(now),
+            FromStore::Answered(id, reply) => self.state.on_reply(now, id, reply),
         }
         self.apply_actions();
     }
 
     /// When it next has something to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        self.sharing.next_deadline()
+        self.state.next_deadline()
     }
 
     /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
-        if self.sharing.next_deadline().is_some_and(|at| at <= now) {
-            self.sharing.advance(now);
+        if self.state.next_deadline().is_some_and(|at| at <= now) {
+            self.state.advance(now);
             self.apply_actions();
         }
     }
@@ -353,16 +353,18 @@
 
     /// Counts and sizes, for the log.
     pub fn summary(&self) -> String {
-        let (records, under_way, news) = self.sharing.tracked_counts();
-        let counts = self.sharing.counts();
-        let trust = self.sharing.trust().as_str();
-        format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
+        let (records, in_flight, announcements) = self.state.tracked_counts();
+        let counts = self.state.counts();
+        let trust = self.state.trust().as_str();
+        format!(
+            "trust={trust} records={records} under_way={in_flight} words={announcements} {counts:?}"
+        )
     }
 
     /// Carries out the actions of the decisions about shared state.
     fn apply_actions(&mut self) {
-        for act in self.sharing.take_actions() {
-            match act {
+        for action in self.state.take_actions() {
+            match action {
                 Action::Connect => drop(self.orders.send(ToStore::Connect)),
                 Action::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
                 Action::Execute {
@@ -372,28 +374,21 @@
                     not_after_ms,
                 } => {
                     let (prefix, run) = (self.config.prefix.as_str(), self.run_id.as_str());
-                    let under = ScriptContext {
+                    let context = ScriptContext {
                         prefix,
                         run,
                         epoch,
                         not_after_ms,
                     };
-                    let request = Box::new(script_request(&op, &under));
+                    let request = Box::new(script_request(&op, &context));
                     let _ = self.orders.send(ToStore::Execute(id, request));
                 }
-                Action::Decided {
-                    id,
-                    decision: verdict,
-                } => self.held.on_decided(id, verdict),
-                Action::Purged {
-                    object,
-                    group,
-                    age: ago,
-                } => {
+                Action::Decided { id, decision } => self.held.on_decided(id, decision),
+                Action::Purged { object, group, age } => {
                     self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
-                        age: ago,
+                        age,
                         stamp: None,
                     }));
                 }
@@ -415,7 +410,7 @@
             object, group, age, ..
         } = event
         {
-            self.sharing.on_purge(now, *object, *group, *age);
+            self.state.on_purge(now, *object, *group, *age);
             self.apply_actions();
         }
     }
@@ -444,7 +439,7 @@
             .for_each(|peers| peers.on_event(event));
         self.budgets
             .iter_mut()
-            .for_each(|on| on.following.on_event(now, event));
+            .for_each(|budgets| budgets.follower.on_event(now, event));
     }
 
     fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
@@ -465,13 +460,13 @@
         let store = self
             .store
             .as_ref()
-            .and_then(|store| store.sharing.earlier_attempt(id));
+            .and_then(|store| store.state.earlier_attempt(id));
         store.or_else(|| self.peers.as_ref()?.earlier_attempt(id))
     }
 
     fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
         if let Some(store) = self.store.as_mut().filter(|_| open) {
-            store.sharing.on_breaker_opened(now, host);
+            store.state.on_breaker_opened(now, host);
             store.apply_actions();
         }
         if let Some(peers) = self.peers.as_mut().filter(|_| open) {
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/waiting.rs
@@ -51,11 +51,11 @@
     }
 
     /// Releases a held request as the subsystem has decided.
-    pub fn on_decided(&mut self, id: RequestId, verdict: RecordDecision) {
+    pub fn on_decided(&mut self, id: RequestId, decision: RecordDecision) {
         let Some(arrival) = self.held.remove(&id) else {
             return;
         };
-        self.events.push_back(match verdict {
+        self.events.push_back(match decision {
             RecordDecision::Proceed => SubsystemEvent::MayStart(arrival),
             RecordDecision::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
         });
