--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -3,9 +3,9 @@
 
 use super::Dispatch;
 use crate::operator::{OperatorConfig, ResolvedPeers, longest_window};
-use crate::peered::PeersRuntime;
-use crate::peers;
-use crate::store;
+use crate::peers_runtime::PeersRuntime;
+use crate::peers_socket;
+use crate::store_connection;
 use crate::subsystems::StoreClient;
 use local_channel::mpsc;
 use slog::{info, warn};
@@ -97,7 +97,7 @@
         let rules = config.settings(min_retention, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
-            .map_or_else(|| peers::bind(listen), Ok)
+            .map_or_else(|| peers_socket::bind(listen), Ok)
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
@@ -118,7 +118,13 @@
         let (to, orders) = mpsc::channel();
         let seal = Seal::new(&config.fleet, &section.secret);
         let queue = self.pools.shared.queue.clone();
-        tokio::task::spawn_local(peers::run(socket.clone(), seal, queue, orders, log.clone()));
+        tokio::task::spawn_local(peers_socket::run(
+            socket.clone(),
+            seal,
+            queue,
+            orders,
+            log.clone(),
+        ));
         let targets = settings.classes.iter().map(|class| class.target).collect();
         let decisions = Peers::new(now, own, rules, seed);
         let mut runtime =
@@ -151,7 +157,7 @@
                     let process_id = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
-                    tokio::task::spawn_local(store::run(
+                    tokio::task::spawn_local(store_connection::run(
                         *config.clone(),
                         queue,
                         orders,
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -3,8 +3,8 @@
 
 use super::Dispatch;
 use crate::buffered::CountedBytes;
+use crate::held_requests::SubsystemEvent;
 use crate::messages::Reply;
-use crate::waiting::SubsystemEvent;
 use slog::info;
 use trailproxy::interface::{Arrival, Event, HostListKind, HostState};
 use trailproxy::units::{HostId, Timestamp};
--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -2,11 +2,12 @@
 //! the origin, and follows the journal service.
 
 mod accounts;
+mod budgets_runtime;
 mod checks;
 mod client_slots;
 mod clients;
 mod dispatch;
-mod divided;
+mod held_requests;
 mod host_connection;
 mod host_context;
 mod host_pools;
@@ -14,17 +15,16 @@
 mod logging;
 mod messages;
 mod operator;
-mod peered;
-mod peers;
+mod peers_runtime;
+mod peers_socket;
 mod reload;
 mod serving;
 mod starting;
 mod startup;
-mod store;
+mod store_connection;
 mod subsystems;
 mod system_calls;
 mod trace;
-mod waiting;
 
 use serving::serve;
 use slog::{Drain, Logger, o};
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peers_runtime.rs
@@ -1,9 +1,9 @@
 //! State held together with the other dispatchers, while it is switched on: its decisions, and how
 //! their actions are carried out.
 
+use crate::held_requests::{HeldRequests, SubsystemEvent};
 use crate::messages::ToPeers;
 use crate::operator::ResolvedPeers;
-use crate::waiting::{HeldRequests, SubsystemEvent};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::rc::Rc;
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,10 +1,10 @@
 //! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers
 //! through the store, the peers or the budgets. Each exists only while it is switched on.
 
-use crate::divided::BudgetsRuntime;
+use crate::budgets_runtime::BudgetsRuntime;
+use crate::held_requests::{HeldRequests, SubsystemEvent};
 use crate::messages::{FromPeers, FromStore, ToStore};
-use crate::peered::PeersRuntime;
-use crate::waiting::{HeldRequests, SubsystemEvent};
+use crate::peers_runtime::PeersRuntime;
 use local_channel::mpsc;
 use slog::{Logger, info};
 use trailproxy::interface::*;
