--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -154,7 +154,8 @@
                 Ok(rules) => {
                     // Differs between any two processes; otherwise one would take records of the
                     // other for its own.
-                    let process_id = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
+                    let process_number =
+                        *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
                     tokio::task::spawn_local(store_connection::run(
@@ -167,7 +168,7 @@
                     let targets = settings.classes.iter().map(|class| class.target).collect();
                     let mut client = StoreClient::new(
                         *config,
-                        SharedState::new(now, rules, process_id),
+                        SharedState::new(now, rules, process_number),
                         to,
                         targets,
                         log,
