--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! Decisions, split by job.
+//! The rules and per-host state that [`crate::logic`] decides by: what may be done, when a host is unhealthy, what
+//! system errors mean.
 
 pub(crate) mod breaker;
 pub(crate) mod host;
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,4 @@
-//! Points in time, spans of time and one type for each kind of id.
+//! Timestamps, time spans and one type for each kind of id.
 //!
 //! ```
 //! use trailproxy::units::{Timestamp, TimeSpan};
@@ -7,7 +7,7 @@
 //! assert_eq!(Timestamp(5_000).since(later), TimeSpan::ZERO);
 //! ```
 //!
-//! A point and a span can't be mixed up:
+//! A timestamp and a time span have different types and can't be confused:
 //!
 //! ```compile_fail
 //! use trailproxy::units::{Timestamp, TimeSpan};
@@ -16,7 +16,7 @@
 
 use std::ops::{Add, AddAssign, Sub};
 
-/// A point on the caller's clock, in microseconds.
+/// A point in time on the caller's clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub u64);
 
@@ -25,32 +25,37 @@
 pub struct TimeSpan(pub u64);
 
 impl TimeSpan {
+    /// The empty span.
     pub const ZERO: TimeSpan = TimeSpan(0);
 
+    /// A span of whole milliseconds.
     pub const fn from_millis(ms: u64) -> TimeSpan {
         TimeSpan(ms * 1_000)
     }
 
+    /// A span of whole seconds.
     pub const fn from_secs(s: u64) -> TimeSpan {
         TimeSpan(s * 1_000_000)
     }
 
-    /// Negative and unordered figures give the empty span.
+    /// A span of `s` seconds; negative values and NaN give the empty span.
     pub fn from_secs_f64(s: f64) -> TimeSpan {
         TimeSpan((s.max(0.0) * 1e6) as u64)
     }
 
+    /// The span in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
+    /// The span times `factor`; a negative factor gives the empty span.
     pub fn mul_f64(self, factor: f64) -> TimeSpan {
         TimeSpan((self.0 as f64 * factor.max(0.0)) as u64)
     }
 }
 
 impl Timestamp {
-    /// The span from `earlier` to this moment; empty if `earlier` is later.
+    /// The span from `earlier` to this timestamp; empty if `earlier` is later.
     pub fn since(self, earlier: Timestamp) -> TimeSpan {
         TimeSpan(self.0.saturating_sub(earlier.0))
     }
@@ -99,30 +104,30 @@
 }
 
 ids! {
-    /// One access, as long as it is open.
+    /// One request, unique while it is pending.
     RequestId(u64);
-    /// The place of a hand-off among those of its access, from 0.
+    /// The index of an attempt among those of its request, from 0.
     AttemptNo(u8);
     /// A cache host, a parent or the origin.
     HostId(u64);
-    /// An object, whatever the part.
+    /// An object with all its parts.
     ObjectId(u64);
     /// A group of objects that may be purged together.
     GroupId(u32);
-    /// The place of a track in the terms.
+    /// The index of a class in [`DispatcherSettings::classes`](crate::interface::DispatcherSettings::classes).
     ClassId(u16);
-    /// A zone, by its place in the terms.
+    /// A zone, by its index in the settings.
     ZoneId(u16);
-    /// A kind of machine, by its place in the terms.
+    /// A kind of host, by its index in the settings.
     KindId(u8);
-    /// A set of caches that share the fingerprints they have seen.
+    /// A set of caches that share the idempotency keys they have seen.
     CellId(u16);
-    /// Names a wake-up that was asked for.
+    /// A timer that the dispatcher has set.
     TimerId(u32);
 }
 
 impl HostId {
-    /// The same number for a host in every dispatcher and after every restart, whatever its address.
+    /// The id of the host with this name: the same in every dispatcher and after every restart, whatever the host's address.
     ///
     /// ```
     /// use trailproxy::units::HostId;
