--- a/src/interface.rs
+++ b/src/interface.rs
@@ -360,7 +360,7 @@
 pub struct Attempt {
     pub id: RequestId,
     pub host: HostId,
-    /// How the host handles a miss; `None`: the host gets no instructions.
+    /// How the host handles a miss; `None`: a plain request for what the host holds.
     pub fill: Option<Fill>,
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,10 +1,21 @@
-//! Every decision of a dispatcher, with its tables and tuned values. Call [`Dispatcher::new`] once,
-//! [`Dispatcher::handle_event`] for each event of a batch, then [`Dispatcher::take_actions`] once: it answers with the
-//! actions that lead from what is out, held and timed to what should be.
+//! The decisions of a dispatcher, with its tables and tuning constants.
 //!
-//! The design: a breaker per host over a sliding window, hash order over caches and parents, stale
-//! or rejection where every parent is open, return by one trial and a rising share. Beside it stand the
-//! cold budget, due-time admission, spill, silence watch, origin shield, keep-rank and probes.
+//! Call [`Dispatcher::new`] once, [`Dispatcher::handle_event`] for each event of a batch, then
+//! [`Dispatcher::take_actions`] once: it returns the actions that bring the attempts in flight and the timer to the
+//! state in which they should be.
+//!
+//! Each host has a breaker over a sliding window. Caches and parents are tried in hash order; where every parent is
+//! open, a request gets a stale copy or a refusal; an open host returns by one trial and a rising share. Further
+//! mechanisms: a budget for cold hosts in slow start, admission only if the target time can be met, spilling to another
+//! cache, detection of overdue attempts, protection of the origin, ranks for keeping objects, and probes of load.
+//!
+//! Five rules must never be broken. Comments refer to them by number:
+//!
+//! 1. Nothing is sent for a request that has its final answer, whose client is gone or whose deadline has passed.
+//! 2. Nothing is repeated that may have run, unless its class allows the repeat at that host and time.
+//! 3. Nothing is sent to, or filled from, a host that drains or is gone.
+//! 4. A cold host gets no more than the dispatchers together may send it during slow start.
+//! 5. No copy from before a known purge is served.
 
 use crate::interface::*;
 use crate::policy::breaker::*;
@@ -14,127 +25,170 @@
 use crate::units::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A fill this many times slower than the usual 95th percentile fails (the design has 3; a bin adds up to 1.7).
-const SLOW: f64 = 2.0;
-/// Up to this predicted stretch an access stays at its first cache. Lower loses hits, higher loses time.
-const SPILL_AT: f64 = 3.0;
-/// Added to a sending time of guessed size. Lower lets large ones crowd caches, higher rejects small.
-const GUESS_MARGIN: f64 = 1.3;
-const HOP: TimeSpan = TimeSpan::from_millis(40); // what an answer takes besides its sending
-const FILL_WAIT: TimeSpan = TimeSpan::from_millis(100); // what a fill takes besides its sending
-/// A hand-off is overdue after this many times its predicted sending and the longer of a part of the track's
-/// due time and so many usual waits for a fill. Lower blames the slow; higher holds on to the silent.
-const PATIENCE: f64 = 1.5;
-const WAIT_OF_DUE: f64 = 0.6;
-const USUAL_WAITS: f64 = 3.0;
-const ORIGIN_WAIT: TimeSpan = TimeSpan::from_millis(60); // between two hand-offs of an access to the origin
-/// What was known of a host is forgotten so long after it left the list; a late list may name it once more.
-const FORGET: TimeSpan = TimeSpan::from_secs(60);
-const SEEN: usize = 50_000; // so many objects seen are remembered, before all are forgotten
-/// How much faster than an answer a fill runs at least: a fuller link delays answers. Higher fills the link.
-const FILL_PACE: f64 = 1.75;
-/// Weight of the newest answer in the share that needed a fill and in the slowness of a cache.
-const FIRST_MISSING: f64 = 0.4;
-const MISSING_GAIN: f64 = 0.02;
+/// A first-byte latency above this many times the usual 95th percentile is a failure. The design says 3; a histogram bin
+/// adds a factor of up to 1.7.
+const SLOW_LATENCY_FACTOR: f64 = 2.0;
+/// Up to this predicted slowdown a request stays at the first cache in hash order. Lower loses hits, higher loses time.
+const MAX_SLOWDOWN_BEFORE_SPILL: f64 = 3.0;
+/// Factor on a transfer time of estimated size. Lower lets large answers overload caches, higher refuses small ones.
+const ESTIMATED_SIZE_MARGIN: f64 = 1.3;
+/// Time that an answer takes besides its transfer.
+const ANSWER_OVERHEAD: TimeSpan = TimeSpan::from_millis(40);
+/// Time that a fill takes besides its transfer.
+const FILL_OVERHEAD: TimeSpan = TimeSpan::from_millis(100);
+/// An attempt is overdue after this many times its predicted transfer time plus a wait: the longer of
+/// `OVERDUE_TARGET_SHARE` of the class's target and `OVERDUE_FILL_WAITS` median waits for a fill. Lower reports slow hosts
+/// as failed, higher keeps requests at silent hosts.
+const OVERDUE_TRANSFER_FACTOR: f64 = 1.5;
+/// The share of the class's target that an attempt may wait before it is overdue.
+const OVERDUE_TARGET_SHARE: f64 = 0.6;
+/// The number of median waits for a fill that an attempt may wait before it is overdue.
+const OVERDUE_FILL_WAITS: f64 = 3.0;
+/// Minimum time between two attempts of a request at the origin.
+const ORIGIN_RETRY_INTERVAL: TimeSpan = TimeSpan::from_millis(60);
+/// How long a host is remembered after it left the list; a delayed list may name it again.
+const GONE_HOST_RETENTION: TimeSpan = TimeSpan::from_secs(60);
+/// Maximum number of object parts remembered as seen; at this number all are forgotten.
+const MAX_SEEN_PARTS: usize = 50_000;
+/// Minimum rate of a fill, as a multiple of the rate of an answer: on a link so full that fills are slower, they delay
+/// answers. Higher fills the link more.
+const MIN_FILL_RATE_FACTOR: f64 = 1.75;
+/// Initial share of answers that needed a fill.
+const INITIAL_FILL_SHARE: f64 = 0.4;
+/// Weight of the newest answer in the share that needed a fill.
+const FILL_SHARE_GAIN: f64 = 0.02;
+/// Weight of the newest hit in the slowness of a cache.
 const SLOWNESS_GAIN: f64 = 0.1;
-/// How often a host is probed; what a cache and a parent of untold size is taken for, and for how many busy
-/// seconds that counts. Probes cost hosts work; a larger guess risks cold hosts, a smaller one rejects.
-const PROBE_EVERY: TimeSpan = TimeSpan::from_secs(2);
-const FIRST_SIZES: [f64; 3] = [4.0, 16.0, 16.0];
-const FIRST_COUNTS: f64 = 3.0;
-/// Busy seconds remembered of a kind.
-const REMEMBERED: f64 = 120.0;
-
-/// One purge.
+/// How often each host is probed. Probes cost the hosts work.
+const PROBE_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
+/// Assumed capacity of a cache, a parent and an origin where capacities are not reported. Larger overloads cold hosts,
+/// smaller refuses requests.
+const ASSUMED_CAPACITIES: [f64; 3] = [4.0, 16.0, 16.0];
+/// Number of busy seconds for which the assumed capacity counts.
+const ASSUMED_BUSY_SECONDS: f64 = 3.0;
+/// Above this number of busy seconds, older measurements of a kind's capacity count half.
+const MAX_BUSY_SECONDS: f64 = 120.0;
+
+/// The latest purge of an object or a group.
 #[derive(Clone, Copy, Default)]
 struct Purge {
-    /// When, on the own clock, at the latest.
+    /// Latest possible time of the purge, on the own clock.
     at: Timestamp,
-    /// When it was told.
-    heard: Timestamp,
-    /// When, by the clock that stamps copies.
+    /// When the message of the purge was received.
+    received_at: Timestamp,
+    /// Time of the purge on the clock that stamps copies.
     stamp: Option<Timestamp>,
 }
 
+/// A pending request.
 struct Request {
     arrival: Arrival,
-    send: f64, // predicted sending time alone, in seconds
-    due: Timestamp,
-    limit: Timestamp,
-    tries: Vec<Try>,
-    lacking: bool,
-    ended: bool,
+    /// Predicted transfer time without queueing.
+    transfer_seconds: f64,
+    /// Time by which an answer is worth its full value.
+    target: Timestamp,
+    deadline: Timestamp,
+    attempts: Vec<AttemptState>,
+    /// A host that was asked for what it holds does not hold the object.
+    not_cached: bool,
+    /// It has its final answer or needs none.
+    closed: bool,
 }
 
 impl Request {
-    fn failed_at(&self, id: HostId) -> bool {
-        (self.tries.iter()).any(|t| t.failed && [t.plan.host, t.plan.source].contains(&id))
+    /// Whether an attempt failed that involved this host.
+    fn has_failed_at(&self, id: HostId) -> bool {
+        (self.attempts.iter()).any(|attempt| {
+            attempt.failed && [attempt.route.host, attempt.route.source].contains(&id)
+        })
     }
 }
 
+/// An attempt that was sent.
 #[derive(Clone, Copy, Default)]
-struct Try {
-    plan: Plan,
-    held_only: bool,
-    sent: Timestamp,
+struct AttemptState {
+    route: Route,
+    /// The source serves only what it holds.
+    only_if_cached: bool,
+    sent_at: Timestamp,
     overdue_at: Timestamp,
-    out: bool,
+    in_flight: bool,
     may_have_run: bool,
     failed: bool,
-    blamed: bool,
-    withdrawn: bool,
+    /// It was overdue, and that has been counted as a failure.
+    counted_overdue: bool,
+    /// It was cancelled, or its response has started.
+    not_cancellable: bool,
+    /// The host whose breaker takes this attempt as its trial.
     trial_of: Option<HostId>,
-    missing: f64,
+    /// Probability that it causes a fill.
+    fill_probability: f64,
 }
 
-/// Where an access goes, and what fills a miss there: nothing where both are the same.
+/// The host that a request goes to, and the source that fills a miss there; no fill where both are the same.
 #[derive(Clone, Copy, Default)]
-struct Plan {
+struct Route {
     host: HostId,
     source: HostId,
 }
 
-enum Step {
+/// What is to be done next for a request.
+enum NextStep {
+    /// Nothing before this time.
     Wait(Timestamp),
-    Send(Plan),
-    Withdraw(usize),
+    Send(Route),
+    /// Cancels the attempt with this index.
+    Cancel(usize),
     GiveUp(GiveUpReason),
 }
 
+/// Decides about requests: where each is sent, when it is repeated, cancelled, refused or failed.
 pub struct Dispatcher<C = Standalone> {
-    /// What crosses between zones, and whether there is room for more.
+    /// Limits on traffic between zones, and the knowledge of other dispatchers.
     pub crossings: C,
-    terms: DispatcherSettings,
-    chance: fastrand::Rng,
+    settings: DispatcherSettings,
+    rng: fastrand::Rng,
     hosts: BTreeMap<HostId, Host>,
+    /// The ready caches of the own zone.
     caches: Vec<HostId>,
+    /// The ready parents.
     parents: Vec<HostId>,
+    /// The ready origin.
     origin: Option<HostId>,
-    accesses: BTreeMap<RequestId, Request>,
-    /// Accesses to look at when settling, those to look at later, and the wake-up asked for.
-    touched: BTreeSet<RequestId>,
-    timed: BTreeSet<(Timestamp, RequestId)>,
-    armed: Option<Timestamp>,
+    requests: BTreeMap<RequestId, Request>,
+    /// Requests to look at in the next `take_actions`.
+    to_process: BTreeSet<RequestId>,
+    /// Requests to look at later.
+    scheduled: BTreeSet<(Timestamp, RequestId)>,
+    /// The time for which a timer has been set.
+    timer_set_for: Option<Timestamp>,
     purges: BTreeMap<(GroupId, Option<ObjectId>), Purge>,
-    seen: BTreeSet<(ObjectId, u32)>,
-    sending: Vec<(f64, f64)>, // sending times by track: their sum in seconds and their number
-    pooled: [Histogram; 3],
-    waits: Histogram, // how long fills took besides their sending
-    /// Fills that are likely under way for this dispatcher, and the share that needed one lately.
-    fills: Level,
-    missing: f64,
-    link_told: f64,
-    at_caches: Level,
-    zone_size: f64,
-    /// By kind, where sizes are not told: what all dispatchers had sent, and the busy seconds it took.
-    learnt: BTreeMap<KindId, (f64, f64)>,
-    probe_at: Timestamp,
-    probed: HostId,
+    seen_parts: BTreeSet<(ObjectId, u32)>,
+    /// By class: the sum of the transfer times in seconds, and their number.
+    transfer_totals: Vec<(f64, f64)>,
+    /// First-byte latencies of all hosts of a role, for hosts with too few of their own.
+    latencies_by_role: [Histogram; 3],
+    /// Time that fills took besides their transfer.
+    fill_waits: Histogram,
+    /// Expected number of this dispatcher's fills in flight.
+    fills: AveragedLevel,
+    /// Share of recent answers that needed a fill.
+    fill_share: f64,
+    /// The last reported utilization of the zone's link.
+    link_utilization: f64,
+    /// This dispatcher's attempts in flight at caches.
+    cache_attempts: AveragedLevel,
+    /// Sum of the capacities of the zone's caches.
+    zone_capacity: f64,
+    /// By kind, where capacities are not reported: what all dispatchers had sent, and the busy seconds that it took.
+    capacity_samples: BTreeMap<KindId, (f64, f64)>,
+    next_probe_at: Timestamp,
+    last_probed: HostId,
     actions: Vec<Action>,
 }
 
-/// A number that follows the object and the host, evenly spread over 0 to 1.
-fn point(object: ObjectId, part: u32, host: HostId, salt: u64) -> f64 {
+/// A pseudo-random number from 0 to 1 that depends only on the object part, the host and the salt.
+fn hash_to_unit(object: ObjectId, part: u32, host: HostId, salt: u64) -> f64 {
     let mut x = object.0 ^ u64::from(part) << 52 ^ salt;
     x ^= host.0.rotate_left(29).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     for factor in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
@@ -143,80 +197,91 @@
     ((x ^ (x >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Dispatchers in the own zone, or in all where that is not told.
-fn seats(terms: &DispatcherSettings) -> f64 {
-    let own = terms.dispatchers_by_zone.get(usize::from(terms.zone.0));
-    f64::from(own.copied().unwrap_or(terms.dispatchers).max(1))
+/// Number of dispatchers in the own zone, or in all zones where that is unknown.
+fn dispatchers_in_zone(settings: &DispatcherSettings) -> f64 {
+    let in_zone = settings
+        .dispatchers_by_zone
+        .get(usize::from(settings.zone.0));
+    f64::from(in_zone.copied().unwrap_or(settings.dispatchers).max(1))
 }
 
 impl<C: CrossingLimits + PeerKnowledge> Dispatcher<C> {
-    pub fn new(crossings: C, terms: DispatcherSettings, seed: u64) -> Dispatcher<C> {
-        let first_guess = |track: &ClassSettings| (track.target.as_secs_f64() * 0.5, 1.0);
+    /// A dispatcher that knows no hosts yet. `seed` determines all its random choices.
+    pub fn new(crossings: C, settings: DispatcherSettings, seed: u64) -> Dispatcher<C> {
+        let initial_total = |class: &ClassSettings| (class.target.as_secs_f64() * 0.5, 1.0);
         Dispatcher {
             crossings,
-            chance: fastrand::Rng::with_seed(seed),
+            rng: fastrand::Rng::with_seed(seed),
             hosts: BTreeMap::new(),
             caches: Vec::new(),
             parents: Vec::new(),
             origin: None,
-            accesses: BTreeMap::new(),
-            touched: BTreeSet::new(),
-            timed: BTreeSet::new(),
-            armed: None,
+            requests: BTreeMap::new(),
+            to_process: BTreeSet::new(),
+            scheduled: BTreeSet::new(),
+            timer_set_for: None,
             purges: BTreeMap::new(),
-            seen: BTreeSet::new(),
-            sending: terms.classes.iter().map(first_guess).collect(),
-            pooled: Default::default(),
-            waits: Histogram::default(),
-            fills: Level::default(),
-            missing: FIRST_MISSING,
-            link_told: 0.0,
-            at_caches: Level::default(),
-            zone_size: 1.0,
-            learnt: BTreeMap::new(),
-            probe_at: Timestamp::default(),
-            probed: HostId::default(),
+            seen_parts: BTreeSet::new(),
+            transfer_totals: settings.classes.iter().map(initial_total).collect(),
+            latencies_by_role: Default::default(),
+            fill_waits: Histogram::default(),
+            fills: AveragedLevel::default(),
+            fill_share: INITIAL_FILL_SHARE,
+            link_utilization: 0.0,
+            cache_attempts: AveragedLevel::default(),
+            zone_capacity: 1.0,
+            capacity_samples: BTreeMap::new(),
+            next_probe_at: Timestamp::default(),
+            last_probed: HostId::default(),
             actions: Vec::from_iter(
-                terms
+                settings
                     .host_list_on_request
                     .then_some(Action::RequestHostList),
             ),
-            terms,
+            settings,
         }
     }
 
-    /// How many hosts it keeps something of, for a check that the table stays bounded.
+    /// Number of hosts in the table, for tests that it stays bounded.
     pub fn tracked_hosts(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Takes one event; nothing goes out before [`Dispatcher::take_actions`].
+    /// Handles one event; its actions are returned by [`Dispatcher::take_actions`].
     pub fn handle_event(&mut self, now: Timestamp, event: Event) {
         self.crossings.on_event(now, &event);
         match event {
-            Event::HostList { kind, entries } => self.list(now, kind, entries),
-            Event::Arrived(arrival) => self.arrive(now, arrival),
-            Event::Outcome(outcome) => self.outcome(now, &outcome),
+            Event::HostList { kind, entries } => self.on_host_list(now, kind, entries),
+            Event::Arrived(arrival) => self.on_arrival(now, arrival),
+            Event::Outcome(outcome) => self.on_outcome(now, &outcome),
             Event::ResponseStarted { id, attempt } => {
-                let begun = self.try_mut(id, attempt);
-                begun.into_iter().for_each(|t| t.withdrawn = true);
+                let started = self.attempt_mut(id, attempt);
+                started
+                    .into_iter()
+                    .for_each(|attempt| attempt.not_cancellable = true);
                 self.close(id);
             }
             Event::ClientGone { id } => self.close(id),
-            Event::Probed { host, ending, load } => self.probed(now, host, ending, load),
-            Event::PeerBreakerOpened { host } => (self.hosts.get_mut(&host).into_iter())
-                .for_each(|host| host.breaker.run = host.breaker.run.max(RUN_ACTS - 1)),
-            Event::TimerFired { .. } => self.armed = self.armed.filter(|&at| at > now),
+            Event::Probed { host, ending, load } => self.on_probed(now, host, ending, load),
+            Event::PeerBreakerOpened { host } => {
+                (self.hosts.get_mut(&host).into_iter()).for_each(|host| {
+                    host.breaker.failure_weight =
+                        host.breaker.failure_weight.max(FAILURE_WEIGHT_LIMIT - 1)
+                })
+            }
+            Event::TimerFired { .. } => {
+                self.timer_set_for = self.timer_set_for.filter(|&at| at > now)
+            }
             Event::Purged {
                 object,
                 group,
                 age,
                 stamp,
-            } => self.purged(now, object, group, now - age, stamp),
+            } => self.on_purge(now, object, group, now - age, stamp),
         }
     }
 
-    fn purged(
+    fn on_purge(
         &mut self,
         now: Timestamp,
         object: Option<ObjectId>,
@@ -224,156 +289,199 @@
         at: Timestamp,
         stamp: Option<Timestamp>,
     ) {
-        let forget = self.forgets_purges_after();
-        self.purges.retain(|_, purge| now.since(purge.at) < forget);
-        let group = object.map_or(group, |_| GroupId::default()); // an object's may be untold
+        let retention = self.purge_retention();
+        self.purges
+            .retain(|_, purge| now.since(purge.at) < retention);
+        // The purge of an object may come without its group, so it is stored without one.
+        let group = object.map_or(group, |_| GroupId::default());
         let purge = self.purges.entry((group, object)).or_default();
         purge.at = purge.at.max(at);
-        purge.heard = now;
+        purge.received_at = now;
         purge.stamp = purge.stamp.max(stamp);
     }
 
-    /// By then no host has a copy from before a purge.
-    fn forgets_purges_after(&self) -> TimeSpan {
-        self.terms.purge_propagation.mul_f64(3.0)
+    /// Time after which no host has a copy from before a purge.
+    fn purge_retention(&self) -> TimeSpan {
+        self.settings.purge_propagation.mul_f64(3.0)
     }
 
-    /// The purges of an object and of its group that still bind.
-    fn purges_of(&self, now: Timestamp, access: &Request) -> impl Iterator<Item = &Purge> {
-        let (object, group) = (access.arrival.object, access.arrival.group);
+    /// The purges of a request's object and group that still matter.
+    fn active_purges(&self, now: Timestamp, request: &Request) -> impl Iterator<Item = &Purge> {
+        let (object, group) = (request.arrival.object, request.arrival.group);
         let keys = [(GroupId::default(), Some(object)), (group, None)];
-        let forget = self.forgets_purges_after();
+        let retention = self.purge_retention();
         let known = keys.into_iter().filter_map(|key| self.purges.get(&key));
-        known.filter(move |purge| now.since(purge.at) < forget)
+        known.filter(move |purge| now.since(purge.at) < retention)
     }
 
-    /// Rule 5, by stamps alone: whether a copy that was given out then may answer an attempt. A host whose clock is wrong,
-    /// or that heeds no age, may answer from before a purge that was told before the attempt went out.
+    /// Rule 5, by stamps alone: whether a copy with the stamp `minted` may answer an attempt. A host whose clock is wrong,
+    /// or that ignores the maximum age, may answer with a copy from before a purge whose message was received before the
+    /// attempt was sent.
     pub fn admits_copy(
         &self,
         now: Timestamp,
         id: RequestId,
-        no: AttemptNo,
+        attempt: AttemptNo,
         minted: Timestamp,
     ) -> bool {
-        let Some(access) = self.accesses.get(&id) else {
+        let Some(request) = self.requests.get(&id) else {
             return true;
         };
-        let sent = access.tries.get(usize::from(no.0)).map(|t| t.sent);
-        let told_before = |purge: &&Purge| sent.is_some_and(|sent| purge.heard <= sent);
-        let mut binding = self.purges_of(now, access).filter(told_before);
-        binding.all(|purge| purge.stamp.is_none_or(|stamp| minted > stamp))
+        let attempt = request.attempts.get(usize::from(attempt.0));
+        let sent_at = attempt.map(|attempt| attempt.sent_at);
+        let known_when_sent =
+            |purge: &&Purge| sent_at.is_some_and(|sent_at| purge.received_at <= sent_at);
+        let mut relevant = self.active_purges(now, request).filter(known_when_sent);
+        relevant.all(|purge| purge.stamp.is_none_or(|stamp| minted > stamp))
     }
 
-    fn list(&mut self, now: Timestamp, form: HostListKind, entries: Vec<HostEntry>) {
-        if form == HostListKind::Failed && self.terms.host_list_on_request {
+    fn on_host_list(&mut self, now: Timestamp, kind: HostListKind, entries: Vec<HostEntry>) {
+        if kind == HostListKind::Failed && self.settings.host_list_on_request {
             self.actions.push(Action::RequestHostList);
         }
-        let all = self
+        let replaced = self
             .hosts
             .values_mut()
-            .filter(|_| form == HostListKind::Full);
-        all.for_each(|host| host.list_as(now, HostState::Gone));
-        let mean = self.mean_send();
-        let (all, own) = (f64::from(self.terms.dispatchers.max(1)), seats(&self.terms));
-        let (parent, cache) = (self.terms.parent_slow_start, self.terms.cache_slow_start);
+            .filter(|_| kind == HostListKind::Full);
+        replaced.for_each(|host| host.set_state(now, HostState::Gone));
+        let mean_transfer = self.mean_transfer();
+        let (everywhere, in_zone) = (
+            f64::from(self.settings.dispatchers.max(1)),
+            dispatchers_in_zone(&self.settings),
+        );
+        let (parent, cache) = (
+            self.settings.parent_slow_start,
+            self.settings.cache_slow_start,
+        );
         for entry in entries {
-            let (role, cold, dispatchers) = match Some(entry.kind) {
-                kind if kind == self.terms.parent_kind => (Role::Parent, parent, all),
-                kind if kind == self.terms.origin_kind => (Role::Origin, parent, all),
-                _ => (Role::Cache, cache, own),
+            let (role, slow_start, dispatchers) = match Some(entry.kind) {
+                kind if kind == self.settings.parent_kind => (Role::Parent, parent, everywhere),
+                kind if kind == self.settings.origin_kind => (Role::Origin, parent, everywhere),
+                _ => (Role::Cache, cache, in_zone),
             };
-            let before = self.hosts.get(&entry.host).map(|host| host.entry.stamp);
-            let fresh = || Host {
+            let previous_stamp = self.hosts.get(&entry.host).map(|host| host.entry.stamp);
+            let new_host = || Host {
                 entry,
                 role,
-                cold,
+                slow_start,
                 dispatchers,
                 breaker: Breaker::default(),
-                heard: Timestamp::default(),
+                last_seen_at: Timestamp::default(),
                 slowness: (1.0, Timestamp::default()),
-                out: 0,
-                size: entry.capacity,
-                busy: None,
-                done: 0.0,
-                left: now,
-                allowance: (0.0, now),
+                in_flight: 0,
+                capacity: entry.capacity,
+                utilization: None,
+                sent_seconds: 0.0,
+                left_list_at: now,
+                slow_start_budget: (0.0, now),
             };
-            let host = self.hosts.entry(entry.host).or_insert_with(fresh);
-            host.list_as(now, entry.state);
+            let host = self.hosts.entry(entry.host).or_insert_with(new_host);
+            host.set_state(now, entry.state);
             (host.entry, host.role) = (entry, role);
-            (host.cold, host.dispatchers) = (cold, dispatchers);
-            let first = (FIRST_SIZES[role as usize] * FIRST_COUNTS, FIRST_COUNTS);
-            let learnt = *self.learnt.entry(entry.kind).or_insert(first);
-            let told = Some(entry.capacity).filter(|_| self.terms.capacities_reported);
-            host.size = told.unwrap_or(learnt.0 / learnt.1);
-            if before != Some(entry.stamp) {
-                // A fresh process: what its predecessor did is no fault of it. Each dispatcher begins
-                // at another point of its debt, or all would send at once.
+            (host.slow_start, host.dispatchers) = (slow_start, dispatchers);
+            let assumed = (
+                ASSUMED_CAPACITIES[role as usize] * ASSUMED_BUSY_SECONDS,
+                ASSUMED_BUSY_SECONDS,
+            );
+            let samples = *self.capacity_samples.entry(entry.kind).or_insert(assumed);
+            let reported = Some(entry.capacity).filter(|_| self.settings.capacities_reported);
+            host.capacity = reported.unwrap_or(samples.0 / samples.1);
+            if previous_stamp != Some(entry.stamp) {
+                // A new process is not held responsible for the failures of the previous one. Each dispatcher starts with
+                // a random debt, or all would send to it at the same moment.
                 host.breaker = Breaker::default();
-                host.allowance = (-self.chance.f64() * host.cost(now, mean), now);
+                host.slow_start_budget =
+                    (-self.rng.f64() * host.budget_cost(now, mean_transfer), now);
             }
         }
-        let tries = self.accesses.values().flat_map(|access| &access.tries);
-        let named: BTreeSet<_> = tries.flat_map(|t| [t.plan.host, t.plan.source]).collect();
-        let gone = |host: &Host| host.entry.state == HostState::Gone;
-        let over = |host: &Host| gone(host) && now.since(host.left) >= FORGET;
-        (self.hosts).retain(|id, host| !over(host) || named.contains(id));
-        let ready = self.hosts.values().filter(|host| host.ready());
-        let of = |role| ready.clone().filter(move |host| host.role == role);
-        let own = of(Role::Cache).filter(|host| host.entry.zone == self.terms.zone);
-        self.zone_size = own.clone().map(|host| host.size).sum();
-        self.caches = own.map(|host| host.entry.host).collect();
-        self.parents = of(Role::Parent).map(|host| host.entry.host).collect();
-        self.origin = of(Role::Origin).map(|host| host.entry.host).next();
-    }
-
-    /// What hosts say when they are probed: how full the link is, how busy they are, or nothing.
-    fn probed(&mut self, now: Timestamp, id: HostId, ending: Ending, load: Load) {
-        // A probe that fails blames nobody: hosts answer few at once, and a deep one waits behind accesses.
+        let attempts = self.requests.values().flat_map(|request| &request.attempts);
+        let in_use: BTreeSet<_> = attempts
+            .flat_map(|attempt| [attempt.route.host, attempt.route.source])
+            .collect();
+        let is_gone = |host: &Host| host.entry.state == HostState::Gone;
+        let is_expired =
+            |host: &Host| is_gone(host) && now.since(host.left_list_at) >= GONE_HOST_RETENTION;
+        (self.hosts).retain(|id, host| !is_expired(host) || in_use.contains(id));
+        let ready = self.hosts.values().filter(|host| host.is_ready());
+        let with_role = |role| ready.clone().filter(move |host| host.role == role);
+        let zone_caches =
+            with_role(Role::Cache).filter(|host| host.entry.zone == self.settings.zone);
+        self.zone_capacity = zone_caches.clone().map(|host| host.capacity).sum();
+        self.caches = zone_caches.map(|host| host.entry.host).collect();
+        self.parents = with_role(Role::Parent)
+            .map(|host| host.entry.host)
+            .collect();
+        self.origin = with_role(Role::Origin).map(|host| host.entry.host).next();
+    }
+
+    /// Takes over the load that a probed host reported: the utilization of the link and of the host itself.
+    fn on_probed(&mut self, now: Timestamp, id: HostId, ending: Ending, load: Load) {
+        // A failed probe is not counted against the host: hosts answer few probes at once, and one may wait behind requests.
         let answered = |_: &&mut Host| ending == Ending::Done;
         let Some(host) = self.hosts.get_mut(&id).filter(answered) else {
             return;
         };
-        let told = load.link_utilization.filter(|_| host.role == Role::Cache);
-        self.link_told = told.unwrap_or(self.link_told);
-        let Some(busy) = load.utilization else { return };
-        let done = std::mem::take(&mut host.done) * host.dispatchers;
-        let usual = host.warmth(now) >= 1.0 && !host.sick();
-        let before = host.busy.replace((busy, now)).filter(|_| usual);
-        let (kind, learnt) = (host.entry.kind, self.learnt.get_mut(&host.entry.kind));
-        if let Some((learnt, (was, at))) = learnt.zip(before) {
-            let spent = (was + busy) / 2.0 * now.since(at).as_secs_f64();
-            let kept = if learnt.1 > REMEMBERED { 0.5 } else { 1.0 };
-            *learnt = (learnt.0 * kept + done, learnt.1 * kept + spent);
-            let size = learnt.0 / learnt.1;
-            let untold =
-                |host: &&mut Host| host.entry.kind == kind && !self.terms.capacities_reported;
-            (self.hosts.values_mut().filter(untold)).for_each(|host| host.size = size);
-            self.zone_size = self.caches.iter().map(|id| self.hosts[id].size).sum();
-        }
-    }
-
-    /// Other terms hold from now on, with the same tracks, zone and effects. What is open, the list with its
-    /// rules, purges and breakers stay; what was measured in another unit is learnt afresh.
-    pub fn apply_settings(&mut self, now: Timestamp, terms: DispatcherSettings) {
-        let paced = |terms: &DispatcherSettings| (terms.stream_kb_per_s, terms.capacities_reported);
-        if paced(&terms) != paced(&self.terms) {
-            self.learnt.clear();
-            (self.sending.iter_mut()).for_each(|(sum, n)| (*sum, *n) = (*sum / *n, 1.0));
-        }
-        if terms.note_level != self.terms.note_level {
-            self.pooled = Default::default();
-            (self.hosts.values_mut()).for_each(|host| host.breaker.usual = Default::default());
-        }
-        (self.hosts.values_mut()).for_each(|host| (host.busy, host.done) = (None, 0.0));
-        (self.link_told, self.probe_at) = (0.0, now);
-        self.terms = terms;
+        let reported = load.link_utilization.filter(|_| host.role == Role::Cache);
+        self.link_utilization = reported.unwrap_or(self.link_utilization);
+        let Some(utilization) = load.utilization else {
+            return;
+        };
+        let sent_seconds = std::mem::take(&mut host.sent_seconds) * host.dispatchers;
+        let is_normal = host.slow_start_capacity(now) >= 1.0 && !host.is_unhealthy();
+        let previous = host
+            .utilization
+            .replace((utilization, now))
+            .filter(|_| is_normal);
+        let (kind, samples) = (
+            host.entry.kind,
+            self.capacity_samples.get_mut(&host.entry.kind),
+        );
+        if let Some((samples, (previous_utilization, at))) = samples.zip(previous) {
+            let busy_seconds =
+                (previous_utilization + utilization) / 2.0 * now.since(at).as_secs_f64();
+            let kept = if samples.1 > MAX_BUSY_SECONDS {
+                0.5
+            } else {
+                1.0
+            };
+            *samples = (
+                samples.0 * kept + sent_seconds,
+                samples.1 * kept + busy_seconds,
+            );
+            let capacity = samples.0 / samples.1;
+            let is_estimated =
+                |host: &&mut Host| host.entry.kind == kind && !self.settings.capacities_reported;
+            (self.hosts.values_mut().filter(is_estimated))
+                .for_each(|host| host.capacity = capacity);
+            self.zone_capacity = self.caches.iter().map(|id| self.hosts[id].capacity).sum();
+        }
+    }
+
+    /// Replaces the settings by others with the same classes, zone and effects. Pending requests, the host list with its
+    /// rules, purges and breakers are kept; what was measured in another unit is measured anew.
+    pub fn apply_settings(&mut self, now: Timestamp, settings: DispatcherSettings) {
+        let units = |settings: &DispatcherSettings| {
+            (settings.stream_kb_per_s, settings.capacities_reported)
+        };
+        if units(&settings) != units(&self.settings) {
+            self.capacity_samples.clear();
+            (self.transfer_totals.iter_mut()).for_each(|(sum, n)| (*sum, *n) = (*sum / *n, 1.0));
+        }
+        if settings.note_level != self.settings.note_level {
+            self.latencies_by_role = Default::default();
+            (self.hosts.values_mut())
+                .for_each(|host| host.breaker.usual_latencies = Default::default());
+        }
+        (self.hosts.values_mut())
+            .for_each(|host| (host.utilization, host.sent_seconds) = (None, 0.0));
+        (self.link_utilization, self.next_probe_at) = (0.0, now);
+        self.settings = settings;
         let entries = self.hosts.values().map(|host| host.entry).collect();
-        self.list(now, HostListKind::Delta, entries);
+        self.on_host_list(now, HostListKind::Delta, entries);
     }
 
-    /// From now on work for cold caches and parents is divided among so many; what is saved or owed stays.
+    /// Changes among how many dispatchers the work for cold caches and parents is divided. What each host's budget has
+    /// saved or overdrawn is kept.
     pub fn set_slow_start_shares(
         &mut self,
         now: Timestamp,
@@ -381,90 +489,112 @@
         parents: Option<f64>,
     ) {
         (
-            self.terms.cache_slow_start.shared_by,
-            self.terms.parent_slow_start.shared_by,
+            self.settings.cache_slow_start.shared_by,
+            self.settings.parent_slow_start.shared_by,
         ) = (caches, parents);
-        let mean = self.mean_send();
+        let mean_transfer = self.mean_transfer();
         for host in self.hosts.values_mut() {
-            let (before, allowance) = (host.among(), host.allowance(now, mean));
-            host.cold.shared_by = [caches, parents][usize::from(host.role != Role::Cache)];
-            host.allowance = ((allowance * host.among() / before).min(SAVED), now);
+            let (before, budget) = (host.shared_by(), host.refilled_budget(now, mean_transfer));
+            host.slow_start.shared_by = [caches, parents][usize::from(host.role != Role::Cache)];
+            host.slow_start_budget = (
+                (budget * host.shared_by() / before).min(MAX_SAVED_BUDGET),
+                now,
+            );
         }
     }
 
-    /// One host after another is asked for its load, each as often as the others.
-    fn probe(&mut self, now: Timestamp) {
+    /// Probes one host if it is time for that; caches and parents take turns.
+    fn send_probe(&mut self, now: Timestamp) {
         let all = || self.caches.iter().chain(&self.parents);
-        if !self.terms.probes_enabled || now < self.probe_at {
+        if !self.settings.probes_enabled || now < self.next_probe_at {
             return;
         }
-        let next = all().filter(|id| **id > self.probed).min().or(all().min());
-        self.probed = next.copied().unwrap_or_default();
+        let next = all()
+            .filter(|id| **id > self.last_probed)
+            .min()
+            .or(all().min());
+        self.last_probed = next.copied().unwrap_or_default();
         (self.actions).extend(next.map(|&host| Action::Probe { host }));
-        self.probe_at = now + PROBE_EVERY.mul_f64(1.0 / all().count().max(1) as f64);
+        self.next_probe_at = now + PROBE_INTERVAL.mul_f64(1.0 / all().count().max(1) as f64);
     }
 
-    fn arrive(&mut self, now: Timestamp, arrival: Arrival) {
-        let track = &self.terms.classes[usize::from(arrival.class.0)];
-        let told = arrival.size_kb.map(|kb| kb / self.terms.stream_kb_per_s);
-        let (sum, n) = &mut self.sending[usize::from(arrival.class.0)];
-        (*sum, *n) = told.map_or((*sum, *n), |send| (*sum + send, *n + 1.0));
-        let send = told.unwrap_or(*sum / *n);
-        let limit = now + arrival.time_left;
-        let access = Request {
+    fn on_arrival(&mut self, now: Timestamp, arrival: Arrival) {
+        let class = &self.settings.classes[usize::from(arrival.class.0)];
+        let known = arrival.size_kb.map(|kb| kb / self.settings.stream_kb_per_s);
+        let (sum, n) = &mut self.transfer_totals[usize::from(arrival.class.0)];
+        (*sum, *n) = known.map_or((*sum, *n), |seconds| (*sum + seconds, *n + 1.0));
+        let transfer_seconds = known.unwrap_or(*sum / *n);
+        let deadline = now + arrival.time_left;
+        let request = Request {
             arrival,
-            send,
-            due: limit
-                .min(now + track.target + TimeSpan::from_secs_f64(send * track.target_stretch)),
-            limit,
-            tries: Vec::new(),
-            lacking: false,
-            ended: false,
+            transfer_seconds,
+            target: deadline.min(
+                now + class.target
+                    + TimeSpan::from_secs_f64(transfer_seconds * class.target_stretch),
+            ),
+            deadline,
+            attempts: Vec::new(),
+            not_cached: false,
+            closed: false,
         };
-        self.touched.insert(access.arrival.id);
-        self.accesses.insert(access.arrival.id, access);
+        self.to_process.insert(request.arrival.id);
+        self.requests.insert(request.arrival.id, request);
     }
 
-    /// What a hand-off is charged with: caches count the mean of a track, others the access itself.
-    fn work(&self, access: &Request) -> f64 {
-        let (sum, n) = self.sending[usize::from(access.arrival.class.0)];
-        access.send.max(sum / n)
+    /// The work in seconds that the host of an attempt is charged with: at least the mean of the class, which is what
+    /// caches count. A source is charged with the request's own transfer time.
+    fn charged_work(&self, request: &Request) -> f64 {
+        let (sum, n) = self.transfer_totals[usize::from(request.arrival.class.0)];
+        request.transfer_seconds.max(sum / n)
     }
 
-    fn mean_send(&self) -> f64 {
-        let all = self.sending.iter().fold(0.0, |all, (sum, n)| all + sum / n);
-        all / self.sending.len().max(1) as f64
+    /// The mean of the classes' mean transfer times, in seconds.
+    fn mean_transfer(&self) -> f64 {
+        let all = self
+            .transfer_totals
+            .iter()
+            .fold(0.0, |all, (sum, n)| all + sum / n);
+        all / self.transfer_totals.len().max(1) as f64
     }
 
-    /// Rule 4: whether a host can take this work out of this dispatcher's part. The last may overdraw, or
-    /// one of hundreds could never send; the debt is waited off. No work may exceed the whole limit.
+    /// Rule 4: whether a host can take this work out of this dispatcher's share. The last request may overdraw the
+    /// budget, or one of hundreds of dispatchers could never send; nothing more is sent until the debt is refilled. No
+    /// single request may exceed the whole limit.
     fn has_budget(&self, now: Timestamp, id: HostId, work: f64) -> bool {
         let host = &self.hosts[&id];
-        let bears = || host.cost(now, work * COLD_USE) <= host.among();
-        host.warmth(now) >= 1.0 || bears() && host.allowance(now, self.mean_send()) >= 0.0
+        let within_limit = || host.budget_cost(now, work * SLOW_START_USE) <= host.shared_by();
+        host.slow_start_capacity(now) >= 1.0
+            || within_limit() && host.refilled_budget(now, self.mean_transfer()) >= 0.0
     }
 
-    fn track(&self, access: &Request) -> &ClassSettings {
-        &self.terms.classes[usize::from(access.arrival.class.0)]
+    fn class(&self, request: &Request) -> &ClassSettings {
+        &self.settings.classes[usize::from(request.arrival.class.0)]
     }
 
-    fn try_mut(&mut self, id: RequestId, no: AttemptNo) -> Option<&mut Try> {
-        self.accesses.get_mut(&id)?.tries.get_mut(usize::from(no.0))
+    fn attempt_mut(&mut self, id: RequestId, attempt: AttemptNo) -> Option<&mut AttemptState> {
+        self.requests
+            .get_mut(&id)?
+            .attempts
+            .get_mut(usize::from(attempt.0))
     }
 
+    /// Closes a request and cancels its attempts.
     fn close(&mut self, id: RequestId) {
-        if let Some(access) = self.accesses.get_mut(&id) {
-            access.ended = true;
-            (0..access.tries.len()).for_each(|no| self.withdraw(id, no));
-            self.touched.insert(id);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.closed = true;
+            (0..request.attempts.len()).for_each(|index| self.cancel(id, index));
+            self.to_process.insert(id);
         }
     }
 
-    fn withdraw(&mut self, id: RequestId, no: usize) {
-        let (attempt_no, may) = (AttemptNo(no as u8), self.terms.may_cancel);
-        let free = |t: &&mut Try| may && t.out && !t.withdrawn;
-        if let Some(attempt) = self.try_mut(id, attempt_no).filter(free) {
-            attempt.withdrawn = true;
+    /// Cancels an attempt if that is possible.
+    fn cancel(&mut self, id: RequestId, index: usize) {
+        let (attempt_no, may_cancel) = (AttemptNo(index as u8), self.settings.may_cancel);
+        let is_cancellable = |attempt: &&mut AttemptState| {
+            may_cancel && attempt.in_flight && !attempt.not_cancellable
+        };
+        if let Some(attempt) = self.attempt_mut(id, attempt_no).filter(is_cancellable) {
+            attempt.not_cancellable = true;
             self.actions.push(Action::Cancel {
                 id,
                 attempt: attempt_no,
@@ -472,543 +602,693 @@
         }
     }
 
-    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
+    fn on_outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let (id, ending) = (outcome.id, outcome.ending);
-        let Some(attempt) = self.try_mut(id, outcome.attempt).filter(|t| t.out) else {
+        let attempt = self.attempt_mut(id, outcome.attempt);
+        let Some(attempt) = attempt.filter(|attempt| attempt.in_flight) else {
             return;
         };
-        let own = attempt.plan.host == attempt.plan.source;
-        attempt.out = false;
+        let no_fill = attempt.route.host == attempt.route.source;
+        attempt.in_flight = false;
         attempt.may_have_run = !ending.never_ran();
         attempt.failed = ending != Ending::Miss;
         let attempt = *attempt;
-        self.learn(now, outcome, &attempt);
-        let lacks = ending == Ending::Miss && (attempt.held_only || own);
-        (self.accesses.get_mut(&id).into_iter()).for_each(|access| access.lacking |= lacks);
-        self.touched.insert(id);
+        self.assess_outcome(now, outcome, &attempt);
+        let not_cached = ending == Ending::Miss && (attempt.only_if_cached || no_fill);
+        (self.requests.get_mut(&id).into_iter())
+            .for_each(|request| request.not_cached |= not_cached);
+        self.to_process.insert(id);
         if outcome.request_closed {
             self.close(id);
         }
     }
 
-    /// Tells cache, parent and origin faults apart, by the note or by who else was heard since.
-    fn learn(&mut self, now: Timestamp, outcome: &Outcome, attempt: &Try) {
-        use {Ending::*, Verdict::*};
-        let (ending, took) = (outcome.ending, outcome.elapsed);
-        let access = &self.accesses[&outcome.id];
-        let (send, size_kb) = (access.send, access.arrival.size_kb);
-        let Plan { host, source, .. } = attempt.plan;
-        let own = host == source;
+    /// Updates the statistics by an outcome and records it with the hosts that it says something about. Faults of the
+    /// cache, the parent and the origin are distinguished by the note, or by which hosts have answered since.
+    fn assess_outcome(&mut self, now: Timestamp, outcome: &Outcome, attempt: &AttemptState) {
+        use {Assessment::*, Ending::*};
+        let (ending, elapsed) = (outcome.ending, outcome.elapsed);
+        let request = &self.requests[&outcome.id];
+        let (transfer_seconds, size_kb) = (request.transfer_seconds, request.arrival.size_kb);
+        let Route { host, source, .. } = attempt.route;
+        let no_fill = host == source;
         let answered = matches!(ending, Done | Error | Full | Miss);
         let hit = matches!(outcome.note, Note::Hit | Note::Stale);
-        let filled = size_kb.is_none() || took > TimeSpan::from_secs_f64(send) + HOP;
-        let per = |span: TimeSpan| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
-        let per_byte = per(took);
+        let was_filled = size_kb.is_none()
+            || elapsed > TimeSpan::from_secs_f64(transfer_seconds) + ANSWER_OVERHEAD;
+        let per_size = |span: TimeSpan| span.0 as f64 / size_kb.map_or(1.0, |kb| kb + 100.0);
+        let elapsed_per_size = per_size(elapsed);
         let latency = outcome
             .first_byte_latency
-            .map_or(per_byte, |waited| waited.0 as f64);
-        let alone = TimeSpan::from_secs_f64(send * self.stretch(now, &self.hosts[&host])) + HOP;
-        let of_cache = self.hosts[&host].role == Role::Cache;
-        self.at_caches.add(now, if of_cache { -1.0 } else { 0.0 });
+            .map_or(elapsed_per_size, |latency| latency.0 as f64);
+        let slowdown = self.predicted_slowdown(now, &self.hosts[&host]);
+        let predicted_hit = TimeSpan::from_secs_f64(transfer_seconds * slowdown) + ANSWER_OVERHEAD;
+        let at_cache = self.hosts[&host].role == Role::Cache;
+        self.cache_attempts
+            .add(now, if at_cache { -1.0 } else { 0.0 });
         if let Some(host) = self.hosts.get_mut(&host) {
-            host.out -= 1;
-            host.heard = if answered { now } else { host.heard };
-            host.done += send * f64::from(u8::from(ending == Done));
-            let at_full_pace = host.busy.is_some_and(|(busy, _)| busy < AT_EASE);
-            if hit && of_cache && size_kb.is_none() && at_full_pace {
-                let (sum, n) = &mut self.sending[usize::from(access.arrival.class.0)];
-                (*sum, *n) = (*sum + took.as_secs_f64(), *n + 1.0);
+            host.in_flight -= 1;
+            host.last_seen_at = if answered { now } else { host.last_seen_at };
+            host.sent_seconds += transfer_seconds * f64::from(u8::from(ending == Done));
+            let at_full_rate = host
+                .utilization
+                .is_some_and(|(utilization, _)| utilization < FULL_RATE_UTILIZATION);
+            if hit && at_cache && size_kb.is_none() && at_full_rate {
+                let (sum, n) = &mut self.transfer_totals[usize::from(request.arrival.class.0)];
+                (*sum, *n) = (*sum + elapsed.as_secs_f64(), *n + 1.0);
             }
-            if hit && of_cache {
-                let (ratio, before) = (took.0 as f64 / alone.0 as f64, host.slowness(now));
+            if hit && at_cache {
+                let (ratio, before) = (
+                    elapsed.0 as f64 / predicted_hit.0 as f64,
+                    host.slowness(now),
+                );
                 host.slowness = (before + (ratio - before) * SLOWNESS_GAIN, now);
             }
         }
-        self.fills.add(now, -attempt.missing);
-        if ending == Done && attempt.missing > 0.0 && outcome.note != Note::NotReported {
-            self.missing += (f64::from(u8::from(!hit)) - self.missing) * MISSING_GAIN;
+        self.fills.add(now, -attempt.fill_probability);
+        if ending == Done && attempt.fill_probability > 0.0 && outcome.note != Note::NotReported {
+            self.fill_share += (f64::from(u8::from(!hit)) - self.fill_share) * FILL_SHARE_GAIN;
         }
-        let told = outcome.load.link_utilization.filter(|_| of_cache);
-        self.link_told = told.unwrap_or(self.link_told);
-        if let Some(source) = self.hosts.get_mut(&source).filter(|_| of_cache && !own) {
-            source.done += send * f64::from(u8::from(ending == Done && !hit));
+        let reported = outcome.load.link_utilization.filter(|_| at_cache);
+        self.link_utilization = reported.unwrap_or(self.link_utilization);
+        let fill_source = self.hosts.get_mut(&source);
+        if let Some(source) = fill_source.filter(|_| at_cache && !no_fill) {
+            source.sent_seconds += transfer_seconds * f64::from(u8::from(ending == Done && !hit));
             if hit {
-                source.allowance.0 += source.cost(now, send);
+                source.slow_start_budget.0 += source.budget_cost(now, transfer_seconds);
             } else if matches!(ending, Done | TimedOut) {
-                self.waits.add((took - alone).0 as f64);
+                self.fill_waits.add((elapsed - predicted_hit).0 as f64);
             }
         }
         let good = |latency| Some(Good(latency));
-        let untold = self.terms.note_level != NoteLevel::All;
-        let (bad, vague, crowded) = (Some(Bad), Some(Vague), Some(Crowded));
+        let notes_are_partial = self.settings.note_level != NoteLevel::All;
+        let (failed, ambiguous, overloaded) = (Some(Failed), Some(Ambiguous), Some(Overloaded));
         let alive = good(None).filter(|_| answered);
         let (of_host, of_source, of_origin) = match (ending, outcome.note) {
             (Error | ConnectionLost, _) if !outcome.client_proven => (None, None, None),
             (Done, Note::Filled) => (alive, good(Some(latency)), None),
-            (Done, Note::FilledByOrigin) if attempt.blamed => (alive, good(None), vague),
+            (Done, Note::FilledByOrigin) if attempt.counted_overdue => {
+                (alive, good(None), ambiguous)
+            }
             (Done, Note::FilledByOrigin) => (alive, good(None), good(Some(latency))),
-            (_, Note::OriginFailed) => (alive, None, crowded),
-            (_, Note::SourceRefused) => (alive, crowded, None),
-            (_, Note::SourceLost) => (alive, bad, None),
-            (Full, _) if own && !of_cache => (crowded, None, None),
-            (Done, _) if own && attempt.blamed => (vague, None, None),
-            // Within its prediction no hit is slow: how many times quicker others were is chance there.
-            (Done, _) if own => (good(Some(per_byte.max(per(alone)))), None, None),
-            (Done, Note::NotReported) if filled => (alive, good(size_kb.map(|_| latency)), None),
-            (Error, Note::NotReported) if !own && self.origin_hides(attempt) => (alive, None, None),
-            // Either may be at fault, or one drains before the list tells: who answers others ends its run.
-            (Error, Note::NotReported) if !own && untold => (vague, vague, None),
-            (Full, Note::NotReported) if !own => (vague, vague, None),
-            (ConnectionLost, _) => (vague, None, None),
-            (NoConnection, _) | (Error, Note::NotReported) => (bad, None, None),
+            (_, Note::OriginFailed) => (alive, None, overloaded),
+            (_, Note::SourceRefused) => (alive, overloaded, None),
+            (_, Note::SourceLost) => (alive, failed, None),
+            (Full, _) if no_fill && !at_cache => (overloaded, None, None),
+            (Done, _) if no_fill && attempt.counted_overdue => (ambiguous, None, None),
+            // A hit within its prediction is not slow, however much faster others were: that differs by chance.
+            (Done, _) if no_fill => (
+                good(Some(elapsed_per_size.max(per_size(predicted_hit)))),
+                None,
+                None,
+            ),
+            (Done, Note::NotReported) if was_filled => {
+                (alive, good(size_kb.map(|_| latency)), None)
+            }
+            (Error, Note::NotReported) if !no_fill && self.may_be_origin_fault(attempt) => {
+                (alive, None, None)
+            }
+            // Either host may have failed, or one drains before the list says so. A good answer from the healthy one
+            // resets its consecutive failures.
+            (Error, Note::NotReported) if !no_fill && notes_are_partial => {
+                (ambiguous, ambiguous, None)
+            }
+            (Full, Note::NotReported) if !no_fill => (ambiguous, ambiguous, None),
+            (ConnectionLost, _) => (ambiguous, None, None),
+            (NoConnection, _) | (Error, Note::NotReported) => (failed, None, None),
             _ => (alive, None, None),
         };
         let origin = self.origin.filter(|_| of_origin.is_some());
         let both = [(host, of_host), (source, of_source)];
-        for (id, verdict) in both.into_iter().take(if own { 1 } else { 2 }) {
-            if Some(id) != origin && (verdict.is_some() || attempt.trial_of == Some(id)) {
-                self.judge(now, id, verdict, attempt);
+        for (id, assessment) in both.into_iter().take(if no_fill { 1 } else { 2 }) {
+            if Some(id) != origin && (assessment.is_some() || attempt.trial_of == Some(id)) {
+                self.record_assessment(now, id, assessment, attempt);
             }
         }
-        (origin.into_iter()).for_each(|id| self.judge(now, id, of_origin, attempt));
+        (origin.into_iter()).for_each(|id| self.record_assessment(now, id, of_origin, attempt));
     }
 
-    /// An overdue hand-off is its host's fault if nothing was heard from it since, else its source's if it
-    /// was not either, or not lately while another parent was, else an origin's that served none well since.
-    fn blame(&mut self, now: Timestamp, id: RequestId) {
-        let late = |t: &&mut Try| t.out && !t.blamed && now >= t.overdue_at;
-        let tries = self.accesses.get_mut(&id).map(|access| &mut access.tries);
-        let Some(attempt) = tries.and_then(|tries| tries.iter_mut().find(late)) else {
+    /// Records an overdue attempt of this request as a failure: of its host if that has answered nothing since the
+    /// attempt was sent; else of its source if that has answered nothing either, or nothing recently while another parent
+    /// has; else of the origin if that has answered nothing well since.
+    fn assess_overdue(&mut self, now: Timestamp, id: RequestId) {
+        let is_overdue = |attempt: &&mut AttemptState| {
+            attempt.in_flight && !attempt.counted_overdue && now >= attempt.overdue_at
+        };
+        let attempts = self
+            .requests
+            .get_mut(&id)
+            .map(|request| &mut request.attempts);
+        let Some(attempt) = attempts.and_then(|attempts| attempts.iter_mut().find(is_overdue))
+        else {
             return;
         };
-        attempt.blamed = true;
+        attempt.counted_overdue = true;
         let attempt = *attempt;
-        let Plan { host, source, .. } = attempt.plan;
-        let lately = attempt.sent + now.since(attempt.sent).mul_f64(0.5);
-        let quiet = |id: &HostId| self.hosts[id].heard <= lately;
-        let others = !self.parents.iter().all(quiet);
-        let alone = others && quiet(&source) && self.parents.contains(&source);
-        let silent = |id: HostId| self.hosts[&id].heard <= attempt.sent && Some(id) != self.origin;
-        let unwell = |id: &HostId| self.hosts[id].breaker.well <= attempt.sent;
-        if silent(host) {
-            self.judge(now, host, Some(Verdict::Bad), &attempt);
-        } else if (alone || silent(source)) && !self.origin_hides(&attempt) {
-            self.judge(now, source, Some(Verdict::Bad), &attempt);
-        } else if let Some(origin) = self.origin.filter(unwell) {
-            let crowded = Some(Verdict::Crowded).filter(|_| !attempt.held_only);
-            self.judge(now, origin, crowded, &attempt);
-        }
-    }
-
-    /// A fetch behind the source may hang on a sick origin: then the source is not to blame.
-    fn origin_hides(&self, attempt: &Try) -> bool {
-        let phase = self.origin.map(|id| self.hosts[&id].breaker.phase);
-        phase.is_some_and(|phase| phase != Phase::Closed) && !attempt.held_only
-    }
-
-    fn judge(&mut self, now: Timestamp, id: HostId, verdict: Option<Verdict>, attempt: &Try) {
+        let Route { host, source, .. } = attempt.route;
+        let recently = attempt.sent_at + now.since(attempt.sent_at).mul_f64(0.5);
+        let is_quiet = |id: &HostId| self.hosts[id].last_seen_at <= recently;
+        let a_parent_answers = !self.parents.iter().all(is_quiet);
+        let only_source_quiet =
+            a_parent_answers && is_quiet(&source) && self.parents.contains(&source);
+        let is_silent =
+            |id: HostId| self.hosts[&id].last_seen_at <= attempt.sent_at && Some(id) != self.origin;
+        let not_good_since = |id: &HostId| self.hosts[id].breaker.last_good_at <= attempt.sent_at;
+        if is_silent(host) {
+            self.record_assessment(now, host, Some(Assessment::Failed), &attempt);
+        } else if (only_source_quiet || is_silent(source)) && !self.may_be_origin_fault(&attempt) {
+            self.record_assessment(now, source, Some(Assessment::Failed), &attempt);
+        } else if let Some(origin) = self.origin.filter(not_good_since) {
+            let overloaded = Some(Assessment::Overloaded).filter(|_| !attempt.only_if_cached);
+            self.record_assessment(now, origin, overloaded, &attempt);
+        }
+    }
+
+    /// Whether an unhealthy origin may explain the failure of an attempt, because its source may have waited for the origin.
+    fn may_be_origin_fault(&self, attempt: &AttemptState) -> bool {
+        let state = self.origin.map(|id| self.hosts[&id].breaker.state);
+        state.is_some_and(|state| state != BreakerState::Closed) && !attempt.only_if_cached
+    }
+
+    /// Records what an outcome says about a host with its breaker, which may open or close by it.
+    fn record_assessment(
+        &mut self,
+        now: Timestamp,
+        id: HostId,
+        assessment: Option<Assessment>,
+        attempt: &AttemptState,
+    ) {
         let role = self.hosts[&id].role;
-        let pooled = &mut self.pooled[role as usize];
+        let role_latencies = &mut self.latencies_by_role[role as usize];
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
-        let before = host.sick();
+        let was_unhealthy = host.is_unhealthy();
         let mut latency = None;
-        if let Some(Verdict::Good(told)) = verdict {
-            (host.heard, latency) = (now, told);
-        }
-        let usual = host.breaker.usual.above(20).or(pooled.above(20));
-        let limit = usual.map_or(f64::MAX, |usual| SLOW * usual);
-        let weighs = match verdict {
-            Some(Verdict::Good(_)) => u32::from(latency.is_some_and(|latency| latency > limit)),
-            Some(Verdict::Vague) => 2,
+        if let Some(Assessment::Good(known_latency)) = assessment {
+            (host.last_seen_at, latency) = (now, known_latency);
+        }
+        let usual = host
+            .breaker
+            .usual_latencies
+            .quantile_above(20)
+            .or(role_latencies.quantile_above(20));
+        let limit = usual.map_or(f64::MAX, |usual| SLOW_LATENCY_FACTOR * usual);
+        let weight = match assessment {
+            Some(Assessment::Good(_)) => u32::from(latency.is_some_and(|latency| latency > limit)),
+            Some(Assessment::Ambiguous) => 2,
             _ => 4,
         };
-        latency.into_iter().for_each(|latency| pooled.add(latency));
-        host.breaker.pending.extend(latency.filter(|_| !before));
-        let soon = latency.is_none_or(|latency| latency <= TRIAL_WITHIN.0 as f64);
-        if attempt.trial_of == Some(id) && host.breaker.phase == Phase::Trial {
-            let next = match verdict {
-                // It told nothing of this host, which stays open for the next trial.
-                None => Phase::Open(now),
-                Some(Verdict::Good(_)) if soon => Phase::Ramp(FIRST_SHARE, now + DOUBLING, true),
-                _ => Phase::Open(now + OPEN_FOR),
+        latency
+            .into_iter()
+            .for_each(|latency| role_latencies.add(latency));
+        host.breaker
+            .pending_latencies
+            .extend(latency.filter(|_| !was_unhealthy));
+        let in_trial_time = latency.is_none_or(|latency| latency <= TRIAL_TIMEOUT.0 as f64);
+        if attempt.trial_of == Some(id) && host.breaker.state == BreakerState::Trial {
+            let next = match assessment {
+                // The outcome says nothing about this host, which stays open for the next trial.
+                None => BreakerState::Open(now),
+                Some(Assessment::Good(_)) if in_trial_time => {
+                    BreakerState::Ramp(INITIAL_SHARE, now + SHARE_DOUBLING_INTERVAL, true)
+                }
+                _ => BreakerState::Open(now + OPEN_DURATION),
             };
-            host.breaker.turn(now, next);
-        } else if verdict.is_some() && !before {
-            let crowded = verdict == Some(Verdict::Crowded) || weighs < 4 && role == Role::Origin;
-            host.breaker.judge(now, weighs, crowded);
-        }
-        if before != host.sick() {
-            let what = if before { "back by trial" } else { "open" };
-            self.crossings.on_breaker_change(now, host.entry, !before);
-            let text = format!("{role:?} {:x} breaker {what}", id.0);
+            host.breaker.enter(now, next);
+        } else if assessment.is_some() && !was_unhealthy {
+            let overloaded =
+                assessment == Some(Assessment::Overloaded) || weight < 4 && role == Role::Origin;
+            host.breaker.record(now, weight, overloaded);
+        }
+        if was_unhealthy != host.is_unhealthy() {
+            let change = if was_unhealthy {
+                "back by trial"
+            } else {
+                "open"
+            };
+            self.crossings
+                .on_breaker_change(now, host.entry, !was_unhealthy);
+            let text = format!("{role:?} {:x} breaker {change}", id.0);
             self.actions.push(Action::Log { text });
-            self.touched.extend(self.accesses.keys());
+            self.to_process.extend(self.requests.keys());
         }
     }
 
-    /// Emits the difference between what should be out, held and timed and what is.
+    /// Decides about every request that needs it and returns all actions since the last call.
     pub fn take_actions(&mut self, now: Timestamp) -> Vec<Action> {
-        while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
-            self.timed.remove(&(at, id));
-            self.touched.insert(id);
+        while let Some(&(at, id)) = self.scheduled.first().filter(|(at, _)| *at <= now) {
+            self.scheduled.remove(&(at, id));
+            self.to_process.insert(id);
         }
-        while let Some(id) = self.touched.pop_first() {
-            self.blame(now, id);
-            while self.accesses.get(&id).is_some_and(|access| !access.ended) {
+        while let Some(id) = self.to_process.pop_first() {
+            self.assess_overdue(now, id);
+            while self
+                .requests
+                .get(&id)
+                .is_some_and(|request| !request.closed)
+            {
                 match self.next_step(now, id) {
-                    Step::Send(plan) => self.send(now, id, plan),
-                    Step::Withdraw(no) => self.withdraw(id, no),
-                    Step::GiveUp(why) => self.give_up(now, id, why),
-                    Step::Wait(until) => {
-                        self.timed.insert((until, id));
+                    NextStep::Send(route) => self.send(now, id, route),
+                    NextStep::Cancel(index) => self.cancel(id, index),
+                    NextStep::GiveUp(reason) => self.give_up(now, id, reason),
+                    NextStep::Wait(until) => {
+                        self.scheduled.insert((until, id));
                         break;
                     }
                 }
             }
-            let over = |access: &Request| access.ended && access.tries.iter().all(|t| !t.out);
-            if self.accesses.get(&id).is_some_and(over) {
-                self.accesses.remove(&id);
+            let is_over = |request: &Request| {
+                request.closed && request.attempts.iter().all(|attempt| !attempt.in_flight)
+            };
+            if self.requests.get(&id).is_some_and(is_over) {
+                self.requests.remove(&id);
             }
         }
-        self.probe(now);
-        let probe = Some(self.probe_at).filter(|_| self.terms.probes_enabled);
-        let timed = self.timed.first().map(|&(at, _)| at);
-        let next = timed.into_iter().chain(probe).min();
-        if let Some(at) = next.filter(|&at| self.armed.is_none_or(|armed| at < armed)) {
+        self.send_probe(now);
+        let probe_at = Some(self.next_probe_at).filter(|_| self.settings.probes_enabled);
+        let scheduled_at = self.scheduled.first().map(|&(at, _)| at);
+        let next = scheduled_at.into_iter().chain(probe_at).min();
+        if let Some(at) = next.filter(|&at| self.timer_set_for.is_none_or(|set_for| at < set_for)) {
             let timer = TimerId(0);
-            self.armed = Some(at);
+            self.timer_set_for = Some(at);
             self.actions.push(Action::SetTimer { at, timer });
         }
         std::mem::take(&mut self.actions)
     }
 
-    fn next_step(&mut self, now: Timestamp, id: RequestId) -> Step {
-        let access = &self.accesses[&id];
-        if now >= access.limit {
-            return Step::GiveUp(GiveUpReason::DeadlinePassed);
+    fn next_step(&mut self, now: Timestamp, id: RequestId) -> NextStep {
+        let request = &self.requests[&id];
+        if now >= request.deadline {
+            return NextStep::GiveUp(GiveUpReason::DeadlinePassed);
         }
-        if let Some(no) = access.tries.iter().position(|attempt| attempt.out) {
-            let attempt = access.tries[no];
+        if let Some(index) = request
+            .attempts
+            .iter()
+            .position(|attempt| attempt.in_flight)
+        {
+            let attempt = request.attempts[index];
             if now < attempt.overdue_at {
-                return Step::Wait(attempt.overdue_at.min(access.limit));
+                return NextStep::Wait(attempt.overdue_at.min(request.deadline));
             }
-            let lost = [attempt.plan.host, attempt.plan.source].map(|id| self.hosts[&id].sick());
-            let lost = lost.contains(&true) || self.origin_hides(&attempt);
-            let again = self.terms.may_cancel && self.track(access).effect == Effect::Idempotent;
-            if lost && again && !attempt.withdrawn && attempt.trial_of.is_none() {
-                return Step::Withdraw(no);
+            let unhealthy =
+                [attempt.route.host, attempt.route.source].map(|id| self.hosts[&id].is_unhealthy());
+            let is_hopeless = unhealthy.contains(&true) || self.may_be_origin_fault(&attempt);
+            let may_move =
+                self.settings.may_cancel && self.class(request).effect == Effect::Idempotent;
+            if is_hopeless && may_move && !attempt.not_cancellable && attempt.trial_of.is_none() {
+                return NextStep::Cancel(index);
             }
-            return Step::Wait(access.limit);
+            return NextStep::Wait(request.deadline);
         }
-        if access.tries.len() >= self.terms.max_attempts {
-            return Step::GiveUp(GiveUpReason::AttemptsUsed);
+        if request.attempts.len() >= self.settings.max_attempts {
+            return NextStep::GiveUp(GiveUpReason::AttemptsUsed);
         }
-        let last = (access.tries.last()).filter(|last| Some(last.plan.host) == self.origin);
-        let again = last.map_or(now, |last| last.sent + ORIGIN_WAIT);
-        if now < again {
-            return Step::Wait(again.min(access.limit));
+        let last_at_origin =
+            (request.attempts.last()).filter(|last| Some(last.route.host) == self.origin);
+        let retry_at = last_at_origin.map_or(now, |last| last.sent_at + ORIGIN_RETRY_INTERVAL);
+        if now < retry_at {
+            return NextStep::Wait(retry_at.min(request.deadline));
         }
-        match self.plan(now, id) {
-            Ok(plan) => Step::Send(plan),
-            Err(why) => Step::GiveUp(why),
+        match self.choose_route(now, id) {
+            Ok(route) => NextStep::Send(route),
+            Err(reason) => NextStep::GiveUp(reason),
         }
     }
 
-    fn in_hash_order(&self, access: &Request, role: Role) -> Vec<HostId> {
-        // Parts spread over caches, or a long object crowds one; its fills still meet at one parent.
+    /// The caches or the parents in the hash order of the request's object.
+    fn in_hash_order(&self, request: &Request, role: Role) -> Vec<HostId> {
+        // The parts of an object are spread over the caches, so that a long object does not overload one; they fill from
+        // the same parent.
         let (hosts, part) = match role {
-            Role::Cache => (&self.caches, access.arrival.part),
+            Role::Cache => (&self.caches, request.arrival.part),
             _ => (&self.parents, 0),
         };
         let score = |id: &HostId| {
-            let size = Some(self.hosts[id].size).filter(|_| self.terms.capacities_reported);
-            let spread = point(access.arrival.object, part, *id, 1);
-            (-spread.max(1e-12).ln() / size.unwrap_or(1.0).max(0.01), *id)
+            let capacity =
+                Some(self.hosts[id].capacity).filter(|_| self.settings.capacities_reported);
+            let hash = hash_to_unit(request.arrival.object, part, *id, 1);
+            (
+                -hash.max(1e-12).ln() / capacity.unwrap_or(1.0).max(0.01),
+                *id,
+            )
         };
         let mut order: Vec<_> = hosts.iter().map(score).collect();
         order.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    fn open_to(&self, now: Timestamp, access: &Request, id: HostId) -> bool {
+    /// Whether the breaker and the slow-start capacity of a host admit this request, and no earlier attempt failed there.
+    fn admits(&self, now: Timestamp, request: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let share = match host.role {
-            Role::Origin if self.track(access).is_write => host.breaker.share().ceil(),
-            // There a share is one of bytes: what is large is left out first.
-            Role::Origin => host.breaker.share().powf(access.send / self.mean_send()),
-            _ => host.breaker.share().min(host.warmth(now)),
+            Role::Origin if self.class(request).is_write => host.breaker.admitted_share().ceil(),
+            // The share of an origin counts bytes: large requests are excluded first.
+            Role::Origin => host
+                .breaker
+                .admitted_share()
+                .powf(request.transfer_seconds / self.mean_transfer()),
+            _ => host
+                .breaker
+                .admitted_share()
+                .min(host.slow_start_capacity(now)),
         };
-        let within = point(access.arrival.object, access.arrival.part, id, 2) < share;
-        let failed = host.role != Role::Origin && access.failed_at(id);
-        !failed && (within || host.breaker.wants_trial(now))
+        let in_share = hash_to_unit(request.arrival.object, request.arrival.part, id, 2) < share;
+        let failed = host.role != Role::Origin && request.has_failed_at(id);
+        !failed && (in_share || host.breaker.wants_trial(now))
     }
 
-    fn plan(&mut self, now: Timestamp, id: RequestId) -> Result<Plan, GiveUpReason> {
+    fn choose_route(&mut self, now: Timestamp, id: RequestId) -> Result<Route, GiveUpReason> {
         for id in self.caches.iter().chain(&self.parents).chain(&self.origin) {
             let host = self.hosts.get_mut(id);
             host.into_iter().for_each(|host| host.breaker.advance(now));
         }
-        let access = &self.accesses[&id];
-        let (written, origin) = (self.track(access).is_write, self.origin);
-        let open = origin.filter(|&id| self.open_to(now, access, id));
-        if access.lacking && origin.is_none_or(|id| !self.hosts[&id].sick()) {
+        let request = &self.requests[&id];
+        let (is_write, origin) = (self.class(request).is_write, self.origin);
+        let open_origin = origin.filter(|&id| self.admits(now, request, id));
+        if request.not_cached && origin.is_none_or(|id| !self.hosts[&id].is_unhealthy()) {
             return Err(GiveUpReason::NotCached);
         }
-        if (access.lacking || written) && self.terms.allows_direct {
-            let plan = open.map(|host| Plan { host, source: host });
-            return plan.ok_or(GiveUpReason::OriginUnavailable);
+        if (request.not_cached || is_write) && self.settings.allows_direct {
+            let route = open_origin.map(|host| Route { host, source: host });
+            return route.ok_or(GiveUpReason::OriginUnavailable);
         }
-        let cache = self.pick_cache(now, access);
-        if written {
-            let plan = cache.zip(open).map(|(host, source)| Plan { host, source });
-            return plan.ok_or(GiveUpReason::OriginUnavailable);
+        let cache = self.pick_cache(now, request);
+        if is_write {
+            let route = cache
+                .zip(open_origin)
+                .map(|(host, source)| Route { host, source });
+            return route.ok_or(GiveUpReason::OriginUnavailable);
         }
-        let source = self.pick_source(now, access, cache);
-        // With no cache to go to, an access passes them by, straight to where it would be filled.
-        let no_use = |id| self.hosts[&id].sick() || !self.has_budget(now, id, self.work(access));
-        let lost = |id: &HostId| access.failed_at(*id) || no_use(*id);
+        let source = self.pick_source(now, request, cache);
+        // If no cache can be used, a request goes directly to the source that would have filled one.
+        let is_unusable = |id| {
+            self.hosts[&id].is_unhealthy() || !self.has_budget(now, id, self.charged_work(request))
+        };
+        let is_lost = |id: &HostId| request.has_failed_at(*id) || is_unusable(*id);
         let Some(host) = cache else {
-            let straight =
-                source.filter(|_| self.terms.allows_direct && self.caches.iter().all(lost));
-            let host = straight.ok_or(GiveUpReason::NoHostInTime)?;
-            let source = open.unwrap_or(host);
-            return Ok(Plan { host, source });
+            let direct =
+                source.filter(|_| self.settings.allows_direct && self.caches.iter().all(is_lost));
+            let host = direct.ok_or(GiveUpReason::NoHostInTime)?;
+            let source = open_origin.unwrap_or(host);
+            return Ok(Route { host, source });
         };
         let source = source.unwrap_or(host);
-        Ok(Plan { host, source })
+        Ok(Route { host, source })
     }
 
-    /// The first open parent, or the origin where none is, if a fill from there would be in time.
+    /// The first parent in hash order that can be used, or else the origin, if a fill from there would be in time.
     fn pick_source(
         &self,
         now: Timestamp,
-        access: &Request,
+        request: &Request,
         cache: Option<HostId>,
     ) -> Option<HostId> {
-        let has_room = |id: &HostId| {
+        let is_usable = |id: &HostId| {
             let (host, source) = (cache.unwrap_or(*id), *id);
-            let fits = || self.fits(now, access, Plan { host, source });
-            self.open_to(now, access, source) && self.has_budget(now, source, access.send) && fits()
+            let has_room = || self.crossing_has_room(now, request, Route { host, source });
+            self.admits(now, request, source)
+                && self.has_budget(now, source, request.transfer_seconds)
+                && has_room()
         };
-        let parents = self.in_hash_order(access, Role::Parent);
-        let parent = parents.into_iter().find(has_room);
-        let source = parent.or(self.origin.filter(has_room))?;
-        let crowd = TimeSpan::from_secs_f64(access.send * self.link_crowd().max(1.0)) + FILL_WAIT;
-        (now + crowd <= access.due).then_some(source)
+        let parents = self.in_hash_order(request, Role::Parent);
+        let parent = parents.into_iter().find(is_usable);
+        let source = parent.or(self.origin.filter(is_usable))?;
+        let fill_time = TimeSpan::from_secs_f64(
+            request.transfer_seconds * self.predicted_link_utilization().max(1.0),
+        ) + FILL_OVERHEAD;
+        (now + fill_time <= request.target).then_some(source)
     }
 
-    /// Fills on the zone's link over those that fit at the pace of an answer.
-    fn link_crowd(&self) -> f64 {
-        let carries = self
-            .terms
+    /// The fills on the zone's link with one more, over those that fit at the rate of an answer.
+    fn predicted_link_utilization(&self) -> f64 {
+        let link_kb_per_s = self
+            .settings
             .link_kb_per_s
-            .filter(|_| !self.terms.link_load_reported);
-        let each = self.fills.usual * (self.fills.now + 1.0) / (self.fills.usual + 1.0);
-        let under_way = (each + 1.0) * seats(&self.terms) * self.terms.stream_kb_per_s;
-        carries.map_or(self.link_told / FILL_PACE, |carries| under_way / carries)
+            .filter(|_| !self.settings.link_load_reported);
+        let per_dispatcher =
+            self.fills.average * (self.fills.current + 1.0) / (self.fills.average + 1.0);
+        let fill_kb_per_s = (per_dispatcher + 1.0)
+            * dispatchers_in_zone(&self.settings)
+            * self.settings.stream_kb_per_s;
+        link_kb_per_s.map_or(
+            self.link_utilization / MIN_FILL_RATE_FACTOR,
+            |link_kb_per_s| fill_kb_per_s / link_kb_per_s,
+        )
     }
 
-    /// How much slower than alone an answer from a cache is predicted to be. What others have there is
-    /// the own average, corrected by the own number now the more, the more are usual: less is chance.
-    fn stretch(&self, now: Timestamp, host: &Host) -> f64 {
+    /// How many times longer than alone an answer from this host is predicted to take. The attempts of other dispatchers
+    /// there are estimated by this dispatcher's average, corrected by its current number; the correction is stronger the
+    /// higher the average is, because small numbers vary by chance.
+    fn predicted_slowdown(&self, now: Timestamp, host: &Host) -> f64 {
         if host.role != Role::Cache {
             return 1.0;
         }
-        let (own, size) = (f64::from(host.out), host.size);
-        let usual = self.at_caches.usual * size / self.zone_size.max(0.5);
-        let others = usual * (own + 1.0) / (usual + 1.0) * (host.dispatchers - 1.0);
-        let crowd = (own + others + 1.0) / (size * host.warmth(now)).max(0.5);
-        1.0 + (crowd - 1.0).max(0.0) * host.crowd_told()
-    }
-
-    /// The first cache in order with room and, by told sizes, time, else the least crowded, if that is in time.
-    fn pick_cache(&self, now: Timestamp, access: &Request) -> Option<HostId> {
-        let mut caches = self.in_hash_order(access, Role::Cache);
-        caches.retain(|id| self.has_budget(now, *id, self.work(access)));
-        let stretch = |id: &HostId| self.stretch(now, &self.hosts[id]);
-        let slow = |id: &HostId| stretch(id) * self.hosts[id].slowness(now);
-        let margin = access.arrival.size_kb.map_or(GUESS_MARGIN, |_| 1.0);
-        let told = self.terms.capacities_reported && access.arrival.size_kb.is_some();
-        let takes = |id: &HostId| TimeSpan::from_secs_f64(access.send * stretch(id) * margin) + HOP;
-        let timely = |id: &HostId| self.track(access).is_write || now + takes(id) <= access.due;
-        let near = |id: &HostId| slow(id) <= SPILL_AT && (!told || timely(id));
-        let first = |id: &&HostId| near(id) && self.open_to(now, access, **id);
-        let usable = |id: &&HostId| !access.failed_at(**id) && !self.hosts[id].sick();
-        let crowd = |a: &&HostId, b: &&HostId| stretch(a).total_cmp(&stretch(b));
-        let least = || caches.iter().filter(usable).min_by(crowd);
-        let host = caches.iter().find(first).or_else(least);
-        host.copied().filter(timely)
-    }
-
-    /// Rule 2: whether what may have run allows a hand-off to this host.
-    fn may_run_again(&self, now: Timestamp, access: &Request, host: HostId) -> bool {
-        let of = |id| (self.hosts[&id].entry.zone, self.hosts[&id].entry.cell);
-        let own = access.tries.iter().filter(|t| t.out || t.may_have_run);
-        let own = own.map(|t| EarlierAttempt {
-            place: Some(of(t.plan.host)),
-            sent: t.sent,
-            out: t.out,
+        let (own, capacity) = (f64::from(host.in_flight), host.capacity);
+        let average = self.cache_attempts.average * capacity / self.zone_capacity.max(0.5);
+        let others = average * (own + 1.0) / (average + 1.0) * (host.dispatchers - 1.0);
+        let load = (own + others + 1.0) / (capacity * host.slow_start_capacity(now)).max(0.5);
+        1.0 + (load - 1.0).max(0.0) * host.queueing_weight()
+    }
+
+    /// The first cache in hash order that admits the request and is fast enough, or else the one with the least load;
+    /// `None` if the answer from there would be late. Where capacities and the size are known, the first also has to be
+    /// in time.
+    fn pick_cache(&self, now: Timestamp, request: &Request) -> Option<HostId> {
+        let mut caches = self.in_hash_order(request, Role::Cache);
+        caches.retain(|id| self.has_budget(now, *id, self.charged_work(request)));
+        let load_slowdown = |id: &HostId| self.predicted_slowdown(now, &self.hosts[id]);
+        let slowdown = |id: &HostId| load_slowdown(id) * self.hosts[id].slowness(now);
+        let margin = request
+            .arrival
+            .size_kb
+            .map_or(ESTIMATED_SIZE_MARGIN, |_| 1.0);
+        let is_predictable = self.settings.capacities_reported && request.arrival.size_kb.is_some();
+        let duration = |id: &HostId| {
+            TimeSpan::from_secs_f64(request.transfer_seconds * load_slowdown(id) * margin)
+                + ANSWER_OVERHEAD
+        };
+        let is_in_time =
+            |id: &HostId| self.class(request).is_write || now + duration(id) <= request.target;
+        let is_fast = |id: &HostId| {
+            slowdown(id) <= MAX_SLOWDOWN_BEFORE_SPILL && (!is_predictable || is_in_time(id))
+        };
+        let is_preferred = |id: &&HostId| is_fast(id) && self.admits(now, request, **id);
+        let is_usable =
+            |id: &&HostId| !request.has_failed_at(**id) && !self.hosts[id].is_unhealthy();
+        let by_load = |a: &&HostId, b: &&HostId| load_slowdown(a).total_cmp(&load_slowdown(b));
+        let least_loaded = || caches.iter().filter(is_usable).min_by(by_load);
+        let host = caches.iter().find(is_preferred).or_else(least_loaded);
+        host.copied().filter(is_in_time)
+    }
+
+    /// Rule 2: whether an attempt may go to this host after those that may have run.
+    fn may_repeat_at(&self, now: Timestamp, request: &Request, host: HostId) -> bool {
+        let location = |id| (self.hosts[&id].entry.zone, self.hosts[&id].entry.cell);
+        let own = request
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.in_flight || attempt.may_have_run);
+        let own = own.map(|attempt| EarlierAttempt {
+            location: Some(location(attempt.route.host)),
+            sent_at: attempt.sent_at,
+            in_flight: attempt.in_flight,
         });
-        let others = self.crossings.earlier_attempt(access.arrival.id);
-        let others = others.map(|earlier| EarlierAttempt {
-            place: earlier.location,
-            sent: earlier.first_sent,
-            out: false,
+        let of_peers = self.crossings.earlier_attempt(request.arrival.id);
+        let of_peers = of_peers.map(|earlier| EarlierAttempt {
+            location: earlier.location,
+            sent_at: earlier.first_sent,
+            in_flight: false,
         });
-        let effect = self.track(access).effect;
-        permits::may_repeat(now, effect, own.chain(others), of(host)).is_ok()
+        let effect = self.class(request).effect;
+        permits::may_repeat(now, effect, own.chain(of_peers), location(host)).is_ok()
     }
 
-    /// Rule 5: the oldest copy that will do, given the latest purge of the object or its group.
-    fn oldest(&self, now: Timestamp, access: &Request, stale: bool) -> Option<TimeSpan> {
-        let track = self.track(access);
-        let since = self
-            .purges_of(now, access)
+    /// Rule 5: the highest age of a copy that may be served, by the latest purge of the object or its group and, where a
+    /// stale copy is accepted or there was a purge, by the class.
+    fn max_copy_age(
+        &self,
+        now: Timestamp,
+        request: &Request,
+        accepts_stale: bool,
+    ) -> Option<TimeSpan> {
+        let class = self.class(request);
+        let since_purge = self
+            .active_purges(now, request)
             .map(|purge| now.since(purge.at))
             .min();
-        let grace = track.stale_grace.mul_f64(f64::from(u8::from(stale)));
-        let aged = track.fresh_for.filter(|_| stale || since.is_some());
-        let aged = aged.map(|fresh| fresh + grace);
-        since.into_iter().chain(aged).min()
-    }
-
-    /// The way between zones that a plan takes, if any.
-    fn crossing(&self, access: &Request, plan: Plan) -> Option<Crossing> {
-        let (own, Plan { host, source }) = (self.terms.zone, plan);
-        let [at, fill] = [host, source].map(|id| self.hosts[&id].entry.zone);
-        // What another zone's host fills for itself crosses no more than its answer does.
-        let straight = at != own;
-        let (source, from) = if straight { (host, at) } else { (source, fill) };
-        let (arrival, attempt) = (access.arrival, AttemptNo(access.tries.len() as u8));
-        let usual = access.send * self.terms.stream_kb_per_s;
-        (from != own).then(|| Crossing {
+        let grace = class
+            .stale_grace
+            .mul_f64(f64::from(u8::from(accepts_stale)));
+        let by_class = class
+            .fresh_for
+            .filter(|_| accepts_stale || since_purge.is_some());
+        let by_class = by_class.map(|fresh_for| fresh_for + grace);
+        since_purge.into_iter().chain(by_class).min()
+    }
+
+    /// The crossing between zones that a route causes, if any.
+    fn crossing(&self, request: &Request, route: Route) -> Option<Crossing> {
+        let (own_zone, Route { host, source }) = (self.settings.zone, route);
+        let [host_zone, source_zone] = [host, source].map(|id| self.hosts[&id].entry.zone);
+        // A host in another zone fills over there; only its answer crosses.
+        let is_direct = host_zone != own_zone;
+        let (source, from) = if is_direct {
+            (host, host_zone)
+        } else {
+            (source, source_zone)
+        };
+        let (arrival, attempt) = (request.arrival, AttemptNo(request.attempts.len() as u8));
+        let usual_kb = request.transfer_seconds * self.settings.stream_kb_per_s;
+        (from != own_zone).then(|| Crossing {
             arrival,
             attempt,
             host,
             source,
             from,
-            to: own,
-            kb: arrival.size_kb.unwrap_or(usual),
-            join: self.terms.joins_fills && !straight && !self.track(access).is_write,
+            to: own_zone,
+            kb: arrival.size_kb.unwrap_or(usual_kb),
+            join: self.settings.joins_fills && !is_direct && !self.class(request).is_write,
         })
     }
 
-    /// Whether the links between zones have room for it.
-    fn fits(&self, now: Timestamp, access: &Request, plan: Plan) -> bool {
-        let way = self.crossing(access, plan);
-        way.is_none_or(|way| self.crossings.has_room(now, &way))
+    /// Whether the links between zones have room for an attempt on this route.
+    fn crossing_has_room(&self, now: Timestamp, request: &Request, route: Route) -> bool {
+        let crossing = self.crossing(request, route);
+        crossing.is_none_or(|crossing| self.crossings.has_room(now, &crossing))
     }
 
-    /// The one gate that every hand-off passes, with each rule at its own place.
-    fn passes(&self, now: Timestamp, access: &Request, plan: &Plan) -> bool {
-        let (host, source) = (&self.hosts[&plan.host], &self.hosts[&plan.source]);
-        let own = plan.host == plan.source;
-        // Rule 1: nothing goes out for an access that has ended or whose client has given up.
+    /// The check that every attempt passes before it is sent; each rule is checked once.
+    fn passes(&self, now: Timestamp, request: &Request, route: &Route) -> bool {
+        let (host, source) = (&self.hosts[&route.host], &self.hosts[&route.source]);
+        let no_fill = route.host == route.source;
+        // Rule 1: nothing is sent for a request that is closed or past its deadline.
         let facts = SendFacts {
-            answered: access.ended,
+            answered: request.closed,
             client_closed: None,
-            deadline: access.limit,
+            deadline: request.deadline,
             repeat_by: None,
         };
-        let open = permits::may_send(now, &facts).is_ok();
+        let may_send = permits::may_send(now, &facts).is_ok();
         // Rule 3: neither host nor source may drain or be gone.
-        let kept = permits::may_use(host.ready(), source.ready()).is_ok();
-        let cold = self.has_budget(now, plan.host, self.work(access));
-        let cold = cold && (own || self.has_budget(now, plan.source, access.send));
-        let may = open && kept && cold && self.may_run_again(now, access, plan.host);
-        may && self.fits(now, access, *plan)
+        let may_use = permits::may_use(host.is_ready(), source.is_ready()).is_ok();
+        let in_budget = self.has_budget(now, route.host, self.charged_work(request));
+        let in_budget =
+            in_budget && (no_fill || self.has_budget(now, route.source, request.transfer_seconds));
+        let is_permitted =
+            may_send && may_use && in_budget && self.may_repeat_at(now, request, route.host);
+        is_permitted && self.crossing_has_room(now, request, *route)
     }
 
-    fn send(&mut self, now: Timestamp, id: RequestId, plan: Plan) {
-        let access = &self.accesses[&id];
-        if !self.passes(now, access, &plan) {
+    fn send(&mut self, now: Timestamp, id: RequestId, route: Route) {
+        let request = &self.requests[&id];
+        if !self.passes(now, request, &route) {
             return self.give_up(now, id, GiveUpReason::NotPermitted);
         }
-        let written = self.track(access).is_write;
-        if self.seen.len() >= SEEN {
-            self.seen.clear();
+        let is_write = self.class(request).is_write;
+        if self.seen_parts.len() >= MAX_SEEN_PARTS {
+            self.seen_parts.clear();
         }
-        let seen = !written
+        let seen_before = !is_write
             && !self
-                .seen
-                .insert((access.arrival.object, access.arrival.part));
-        let way = self.crossing(access, plan);
-        let (track, host) = (self.track(access), &self.hosts[&plan.host]);
-        let (own, of_cache) = (plan.host == plan.source, host.role == Role::Cache);
-        // Where nothing fills it, a stale copy will do. Fetches behind a sick origin would fill the places.
-        let stale = own && of_cache;
-        let closed_to = |id: HostId| !self.open_to(now, access, id);
-        let held_only = !own && of_cache && self.origin.is_some_and(closed_to);
+                .seen_parts
+                .insert((request.arrival.object, request.arrival.part));
+        let crossing = self.crossing(request, route);
+        let (class, host) = (self.class(request), &self.hosts[&route.host]);
+        let (no_fill, at_cache) = (route.host == route.source, host.role == Role::Cache);
+        // Without a fill, a stale copy is accepted.
+        let accepts_stale = no_fill && at_cache;
+        // Fetches that wait for an unhealthy origin would occupy the fill slots.
+        let is_excluded = |id: HostId| !self.admits(now, request, id);
+        let only_if_cached = !no_fill && at_cache && self.origin.is_some_and(is_excluded);
         let fill = Fill {
-            source: plan.source,
-            rank: u8::from(!written) + u8::from(seen),
-            max_age: self.oldest(now, access, stale),
-            join: self.terms.joins_fills && !own,
-            only_if_cached: held_only,
-            revalidate: track.fresh_for.is_some() && !stale,
+            source: route.source,
+            rank: u8::from(!is_write) + u8::from(seen_before),
+            max_age: self.max_copy_age(now, request, accepts_stale),
+            join: self.settings.joins_fills && !no_fill,
+            only_if_cached,
+            revalidate: class.fresh_for.is_some() && !accepts_stale,
         };
         let fill = Some(fill).filter(|_| host.role != Role::Origin);
-        let sending = TimeSpan::from_secs_f64(access.send * self.stretch(now, host)) + HOP;
-        let usual = self.waits.above(2).map_or(0.0, |wait| wait * USUAL_WAITS);
-        let wait = track
+        let transfer =
+            TimeSpan::from_secs_f64(request.transfer_seconds * self.predicted_slowdown(now, host))
+                + ANSWER_OVERHEAD;
+        let fill_wait = self
+            .fill_waits
+            .quantile_above(2)
+            .map_or(0.0, |wait| wait * OVERDUE_FILL_WAITS);
+        let wait = class
             .target
-            .mul_f64(WAIT_OF_DUE)
-            .max(TimeSpan(usual as u64));
-        let overdue_at = now + sending.mul_f64(PATIENCE) + wait;
-        let fills = if of_cache { self.missing } else { 1.0 };
-        let none = written || own && of_cache;
-        let missing = if none { 0.0 } else { fills };
-        let (work, mean) = (self.work(access), self.mean_send());
-        let charges = [(plan.host, work, 1), (plan.source, access.send, 0)];
+            .mul_f64(OVERDUE_TARGET_SHARE)
+            .max(TimeSpan(fill_wait as u64));
+        let overdue_at = now + transfer.mul_f64(OVERDUE_TRANSFER_FACTOR) + wait;
+        let fill_share = if at_cache { self.fill_share } else { 1.0 };
+        let never_fills = is_write || no_fill && at_cache;
+        let fill_probability = if never_fills { 0.0 } else { fill_share };
+        let (work, mean_transfer) = (self.charged_work(request), self.mean_transfer());
+        let charges = [
+            (route.host, work, 1),
+            (route.source, request.transfer_seconds, 0),
+        ];
         let mut trial_of = None;
-        for (id, work, out) in charges.into_iter().take(if own { 1 } else { 2 }) {
+        for (id, work, in_flight) in charges.into_iter().take(if no_fill { 1 } else { 2 }) {
             if let Some(host) = self.hosts.get_mut(&id) {
-                host.allowance = (host.allowance(now, mean) - host.cost(now, work), now);
-                host.out += out;
+                host.slow_start_budget = (
+                    host.refilled_budget(now, mean_transfer) - host.budget_cost(now, work),
+                    now,
+                );
+                host.in_flight += in_flight;
                 if trial_of.is_none() && host.breaker.wants_trial(now) {
-                    host.breaker.phase = Phase::Trial;
+                    host.breaker.state = BreakerState::Trial;
                     trial_of = Some(id);
                 }
             }
         }
-        self.at_caches.add(now, if of_cache { 1.0 } else { 0.0 });
-        self.fills.add(now, missing);
-        if let Some(access) = self.accesses.get_mut(&id) {
-            access.tries.push(Try {
-                plan,
-                held_only,
-                sent: now,
+        self.cache_attempts
+            .add(now, if at_cache { 1.0 } else { 0.0 });
+        self.fills.add(now, fill_probability);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts.push(AttemptState {
+                route,
+                only_if_cached,
+                sent_at: now,
                 overdue_at,
-                out: true,
+                in_flight: true,
                 trial_of,
-                missing,
-                ..Try::default()
+                fill_probability,
+                ..AttemptState::default()
             });
         }
-        way.iter().for_each(|way| self.crossings.on_sent(now, way));
-        let (actions, host) = (&mut self.actions, plan.host);
+        crossing
+            .iter()
+            .for_each(|crossing| self.crossings.on_sent(now, crossing));
+        let (actions, host) = (&mut self.actions, route.host);
         actions.push(Action::Attempt(Attempt { id, host, fill }));
     }
 
-    /// How long a client that is refused stays away, spread by chance; `None` where it can't be told.
-    pub fn retry_after(&mut self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
-        let longest = self.terms.max_retry_after?;
-        let full = self.crossings.retry_after(now, track);
-        let usual = full.map_or(DEFAULT_RETRY_AFTER, |full| full.max(DEFAULT_RETRY_AFTER));
-        Some(usual.mul_f64(0.75 + 0.5 * self.chance.f64()).min(longest))
+    /// When a refused client of this class should retry, randomized; `None` where clients can't be told.
+    pub fn retry_after(&mut self, now: Timestamp, class: ClassId) -> Option<TimeSpan> {
+        let max = self.settings.max_retry_after?;
+        let by_limits = self.crossings.retry_after(now, class);
+        let mean = by_limits.map_or(DEFAULT_RETRY_AFTER, |by_limits| {
+            by_limits.max(DEFAULT_RETRY_AFTER)
+        });
+        Some(mean.mul_f64(0.75 + 0.5 * self.rng.f64()).min(max))
     }
 
-    /// The final answer where nothing more can be done: a rejection where trying again is harmless.
+    /// Gives the final answer to a request for which nothing more can be done: a refusal if a retry is harmless, else a
+    /// failure.
     fn give_up(&mut self, now: Timestamp, id: RequestId, reason: GiveUpReason) {
-        let access = &self.accesses[&id];
-        let ran = access.tries.iter().any(|t| t.out || t.may_have_run);
-        let ran = ran || self.crossings.earlier_attempt(id).is_some();
-        let harmless = permits::may_refuse(self.track(access).effect, ran);
-        let track = access.arrival.class;
-        let retry_after = self.retry_after(now, track);
-        self.actions.push(match harmless {
+        let request = &self.requests[&id];
+        let may_have_run = request
+            .attempts
+            .iter()
+            .any(|attempt| attempt.in_flight || attempt.may_have_run);
+        let may_have_run = may_have_run || self.crossings.earlier_attempt(id).is_some();
+        let may_refuse = permits::may_refuse(self.class(request).effect, may_have_run);
+        let class = request.arrival.class;
+        let retry_after = self.retry_after(now, class);
+        self.actions.push(match may_refuse {
             true => Action::Refuse {
                 id,
                 retry_after,
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,161 +1,189 @@
-//! The design's breaker, one for each cache, parent and origin: a sliding window of first-byte latencies, a time open, one
-//! trial, then a rising share.
+//! The circuit breaker that each cache, parent and origin has: it opens by a sliding window of outcomes, stays open for a
+//! time, admits one trial, and then a share of the requests that doubles until it is closed.
 
 use crate::units::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
 
-/// The design's window, in slots of a second.
-pub(crate) const WINDOW_SLOTS: u64 = 10;
-/// A window of fewer fills says nothing.
-pub(crate) const LEAST_FILLS: u32 = 10;
-/// How long a host stays open at first. Longer starves a healed host, shorter costs trials.
-pub(crate) const OPEN_FOR: TimeSpan = TimeSpan::from_secs(10);
-/// A trial's first byte must come within this; the share it leads to, and how soon that doubles.
-pub(crate) const TRIAL_WITHIN: TimeSpan = TimeSpan::from_secs(1);
-pub(crate) const FIRST_SHARE: f64 = 0.05;
-pub(crate) const DOUBLING: TimeSpan = TimeSpan::from_secs(2);
-/// Failures in a row open a breaker from this weight on, or leave a crowded host this part of its share:
-/// a hard one has 4, one overdue, lost or maybe another's 2, a slow one 1. Lower acts on chance, higher late.
-pub(crate) const RUN_ACTS: u32 = 10;
-pub(crate) const CROWD_KEEPS: f64 = 0.25;
-/// Each bin of a histogram is so many times as wide as the one before.
-pub(crate) const BIN: f64 = 1.7;
+/// Length of the sliding window, in slots of one second.
+pub(crate) const WINDOW_SECONDS: u64 = 10;
+/// The window is only judged if it has at least this many outcomes.
+pub(crate) const MIN_WINDOW_OUTCOMES: u32 = 10;
+/// How long a breaker stays open before a trial. Longer starves a recovered host, shorter costs more trials.
+pub(crate) const OPEN_DURATION: TimeSpan = TimeSpan::from_secs(10);
+/// The first byte of a trial must arrive within this time.
+pub(crate) const TRIAL_TIMEOUT: TimeSpan = TimeSpan::from_secs(1);
+/// The share of requests that is admitted after a successful trial.
+pub(crate) const INITIAL_SHARE: f64 = 0.05;
+/// Time between two doublings of that share.
+pub(crate) const SHARE_DOUBLING_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
+/// Consecutive failures whose weights add up to this open a breaker, or reduce the share of an overloaded host. A certain
+/// failure weighs 4; one that is overdue, lost or possibly another host's weighs 2; a slow answer 1. Lower reacts to
+/// chance, higher reacts late.
+pub(crate) const FAILURE_WEIGHT_LIMIT: u32 = 10;
+/// Factor by which the share of an overloaded host is reduced.
+pub(crate) const OVERLOAD_SHARE_FACTOR: f64 = 0.25;
+/// Ratio of the widths of two adjacent histogram bins.
+pub(crate) const BIN_RATIO: f64 = 1.7;
 
-/// A coarse histogram of microseconds: each bin is `BIN` times as wide as the one before; wider blurs.
+/// A coarse histogram of values in microseconds: each bin is `BIN_RATIO` times as wide as the one before. Wider bins would
+/// be less precise.
 #[derive(Default)]
 pub(crate) struct Histogram([u32; 32]);
 
 impl Histogram {
     pub(crate) fn add(&mut self, value: f64) {
-        let bin = value.max(1.0).log(BIN) as usize;
+        let bin = value.max(1.0).log(BIN_RATIO) as usize;
         self.0[bin.min(31)] += 1;
         if self.0.iter().sum::<u32>() >= 500 {
             self.0.iter_mut().for_each(|n| *n /= 2);
         }
     }
 
-    /// The upper edge of the bin that one in so many lies above; `None` when too little is heard.
-    pub(crate) fn above(&self, one_in: u32) -> Option<f64> {
+    /// The upper edge of the bin above which one in `one_in` values lies; `None` with fewer than 20 values.
+    pub(crate) fn quantile_above(&self, one_in: u32) -> Option<f64> {
         let total: u32 = self.0.iter().sum();
-        let mut left = total - total / one_in;
+        let mut remaining = total - total / one_in;
         for (bin, &n) in self.0.iter().enumerate().filter(|_| total >= 20) {
-            if n >= left {
-                return Some(BIN.powi(bin as i32 + 1));
+            if n >= remaining {
+                return Some(BIN_RATIO.powi(bin as i32 + 1));
             }
-            left -= n;
+            remaining -= n;
         }
         None
     }
 }
 
+/// The state of a breaker.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) enum Phase {
+pub(crate) enum BreakerState {
+    /// All requests are admitted.
     #[default]
     Closed,
+    /// None is admitted before this time; then one trial is.
     Open(Timestamp),
+    /// A trial is in flight; no other request is admitted.
     Trial,
-    /// The share, when it doubles next, and whether all went well since it last did.
+    /// The admitted share, the time of its next doubling, and whether no failures forbid that doubling.
     Ramp(f64, Timestamp, bool),
 }
 
+/// What an outcome says about a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Verdict {
+pub(crate) enum Assessment {
+    /// It answered well, with this first-byte latency where it is known.
     Good(Option<f64>),
-    /// It or another failed.
-    Vague,
-    /// It has more to do than it can, but is not sick.
-    Crowded,
-    Bad,
+    /// Either this host or another one failed.
+    Ambiguous,
+    /// It is overloaded, but otherwise healthy.
+    Overloaded,
+    /// It failed.
+    Failed,
 }
 
-/// The outcomes of one second.
+/// The number of outcomes in one second.
 #[derive(Default)]
-pub(crate) struct Slot {
+pub(crate) struct WindowSlot {
     second: u64,
     good: u32,
     failed: u32,
 }
 
-/// The design's breaker, one for each cache, parent and origin.
+/// The breaker of one host.
 #[derive(Default)]
 pub(crate) struct Breaker {
-    pub(crate) slots: VecDeque<Slot>,
-    pub(crate) usual: Histogram,
-    pub(crate) pending: Vec<f64>,
-    pub(crate) phase: Phase,
-    pub(crate) run: u32,
-    pub(crate) well: Timestamp,
+    /// The sliding window, oldest slot first.
+    pub(crate) slots: VecDeque<WindowSlot>,
+    /// The usual first-byte latencies of the host.
+    pub(crate) usual_latencies: Histogram,
+    /// Latencies of the current second; they become usual unless too many outcomes in the window failed.
+    pub(crate) pending_latencies: Vec<f64>,
+    pub(crate) state: BreakerState,
+    /// Sum of the weights of consecutive failures.
+    pub(crate) failure_weight: u32,
+    /// Time of the last good outcome or change of state.
+    pub(crate) last_good_at: Timestamp,
 }
 
 impl Breaker {
-    pub(crate) fn counts(&self) -> (u32, u32) {
-        let add = |sum: (u32, u32), slot: &Slot| (sum.0 + slot.good, sum.1 + slot.failed);
+    /// The numbers of good and failed outcomes in the window.
+    pub(crate) fn window_counts(&self) -> (u32, u32) {
+        let add = |sum: (u32, u32), slot: &WindowSlot| (sum.0 + slot.good, sum.1 + slot.failed);
         self.slots.iter().fold((0, 0), add)
     }
 
+    /// Moves the window and the ramp on to `now`.
     pub(crate) fn advance(&mut self, now: Timestamp) {
         let second = now.0 / 1_000_000;
         if self.slots.back().is_none_or(|last| last.second != second) {
-            let (good, failed) = self.counts();
-            let pending = std::mem::take(&mut self.pending);
+            let (good, failed) = self.window_counts();
+            let pending = std::mem::take(&mut self.pending_latencies);
             if failed * 10 <= good {
-                let usual = &mut self.usual;
+                let usual = &mut self.usual_latencies;
                 pending.into_iter().for_each(|latency| usual.add(latency));
             }
-            self.slots.push_back(Slot {
+            self.slots.push_back(WindowSlot {
                 second,
-                ..Slot::default()
+                ..WindowSlot::default()
             });
         }
-        self.slots.retain(|old| old.second + WINDOW_SLOTS > second);
-        if let Phase::Ramp(share, step, clean) = &mut self.phase {
-            while now >= *step {
-                *share *= if *clean { 2.0 } else { 1.0 };
-                (*step, *clean) = (*step + DOUBLING, true);
+        self.slots
+            .retain(|slot| slot.second + WINDOW_SECONDS > second);
+        if let BreakerState::Ramp(share, doubles_at, may_double) = &mut self.state {
+            while now >= *doubles_at {
+                *share *= if *may_double { 2.0 } else { 1.0 };
+                (*doubles_at, *may_double) = (*doubles_at + SHARE_DOUBLING_INTERVAL, true);
             }
             if *share >= 1.0 {
-                self.phase = Phase::Closed;
+                self.state = BreakerState::Closed;
             }
         }
     }
 
-    pub(crate) fn share(&self) -> f64 {
-        match self.phase {
-            Phase::Closed => 1.0,
-            Phase::Ramp(share, ..) => share,
-            Phase::Open(_) | Phase::Trial => 0.0,
+    /// The share of requests that is admitted.
+    pub(crate) fn admitted_share(&self) -> f64 {
+        match self.state {
+            BreakerState::Closed => 1.0,
+            BreakerState::Ramp(share, ..) => share,
+            BreakerState::Open(_) | BreakerState::Trial => 0.0,
         }
     }
 
+    /// Whether the next request may be the trial.
     pub(crate) fn wants_trial(&self, now: Timestamp) -> bool {
-        matches!(self.phase, Phase::Open(until) if now >= until)
+        matches!(self.state, BreakerState::Open(until) if now >= until)
     }
 
-    /// Counts an outcome: 0 is a good one, else how much it weighs in a run of failures.
-    pub(crate) fn judge(&mut self, now: Timestamp, weighs: u32, crowded: bool) {
+    /// Counts an outcome: a good one if `weight` is 0, otherwise a failure of that weight. `overloaded`: if this trips the
+    /// breaker, the share is reduced instead of set to 0.
+    pub(crate) fn record(&mut self, now: Timestamp, weight: u32, overloaded: bool) {
         self.advance(now);
-        let bad = weighs > 0;
-        self.run = if bad { self.run + weighs } else { 0 };
-        self.well = if bad { self.well } else { now };
+        let is_failure = weight > 0;
+        self.failure_weight = if is_failure {
+            self.failure_weight + weight
+        } else {
+            0
+        };
+        self.last_good_at = if is_failure { self.last_good_at } else { now };
         if let Some(slot) = self.slots.back_mut() {
-            slot.good += u32::from(!bad);
-            slot.failed += u32::from(bad);
+            slot.good += u32::from(!is_failure);
+            slot.failed += u32::from(is_failure);
         }
-        let (good, failed) = self.counts();
-        let failing = good + failed >= LEAST_FILLS && failed > good;
-        let cut = (self.share() * CROWD_KEEPS).max(FIRST_SHARE);
-        if self.run >= RUN_ACTS || failing {
-            // A crowd is thinned out: without any, the next host would be crowded.
-            let thinned = Phase::Ramp(cut, now + DOUBLING, true);
-            let open = Phase::Open(now + OPEN_FOR);
-            self.turn(now, if crowded { thinned } else { open });
-        } else if let Phase::Ramp(.., clean) = &mut self.phase {
-            *clean &= self.run * 2 < RUN_ACTS;
+        let (good, failed) = self.window_counts();
+        let mostly_failing = good + failed >= MIN_WINDOW_OUTCOMES && failed > good;
+        let reduced_share = (self.admitted_share() * OVERLOAD_SHARE_FACTOR).max(INITIAL_SHARE);
+        if self.failure_weight >= FAILURE_WEIGHT_LIMIT || mostly_failing {
+            // An overloaded host keeps a part of its requests: if all moved on, they would overload the next host.
+            let reduced = BreakerState::Ramp(reduced_share, now + SHARE_DOUBLING_INTERVAL, true);
+            let open = BreakerState::Open(now + OPEN_DURATION);
+            self.enter(now, if overloaded { reduced } else { open });
+        } else if let BreakerState::Ramp(.., may_double) = &mut self.state {
+            *may_double &= self.failure_weight * 2 < FAILURE_WEIGHT_LIMIT;
         }
     }
 
-    pub(crate) fn turn(&mut self, now: Timestamp, phase: Phase) {
-        (self.phase, self.run, self.well) = (phase, 0, now);
+    /// Enters a state with an empty window.
+    pub(crate) fn enter(&mut self, now: Timestamp, state: BreakerState) {
+        (self.state, self.failure_weight, self.last_good_at) = (state, 0, now);
         self.slots.clear();
     }
 }
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -1,19 +1,26 @@
-//! What is known of one host: its breaker, how crowded and how warm it is, and what it may still be given while it is cold.
+//! What a dispatcher knows of one host: its breaker, its load, its slow-start capacity, and the budget of work that this
+//! dispatcher may still send it during slow start.
 
-use super::breaker::{Breaker, Phase};
+use super::breaker::{Breaker, BreakerState};
 use crate::interface::{HostEntry, HostState, SlowStart};
 use crate::units::{TimeSpan, Timestamp};
 
-/// Part of a cold host's told limit that all use together. Higher risks it, lower warms it later.
-pub(crate) const COLD_USE: f64 = 0.4;
-pub(crate) const SAVED: f64 = 1.5; // such parts that are saved up: higher risks it in a crowd, lower leaves them unused
-/// How soon averages over time are half forgotten.
-pub(crate) const HALVES: TimeSpan = TimeSpan::from_secs(2);
-/// Up to AT_EASE hits come at full pace; a reckoned crowd counts in part.
-pub(crate) const AT_EASE: f64 = 0.6;
-pub(crate) const ALL_IN_USE: f64 = 0.95;
-pub(crate) const FREE_COUNTS: f64 = 0.4;
+/// Part of a cold host's overload limit that all dispatchers together use. Higher risks overloading it, lower loads it
+/// later.
+pub(crate) const SLOW_START_USE: f64 = 0.4;
+/// Upper limit of a dispatcher's budget for a cold host, in its shares of one overload window. Higher risks overload when
+/// many dispatchers send at once, lower leaves capacity unused.
+pub(crate) const MAX_SAVED_BUDGET: f64 = 1.5;
+/// Half-life of averages over time.
+pub(crate) const AVERAGE_HALF_LIFE: TimeSpan = TimeSpan::from_secs(2);
+/// Up to this reported utilization a host sends hits at full rate.
+pub(crate) const FULL_RATE_UTILIZATION: f64 = 0.6;
+/// From this reported utilization on, the estimated queueing at a host counts in full.
+pub(crate) const SATURATED_UTILIZATION: f64 = 0.95;
+/// The part of the estimated queueing that counts at a host that reports free capacity.
+pub(crate) const MIN_QUEUEING_WEIGHT: f64 = 0.4;
 
+/// What a host does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Cache,
@@ -21,93 +28,120 @@
     Origin,
 }
 
-/// How much of something is out now, and how much usually was lately.
+/// A current amount and its average over time, with half-life `AVERAGE_HALF_LIFE`.
 #[derive(Default)]
-pub(crate) struct Level {
-    pub(crate) now: f64,
-    pub(crate) usual: f64,
-    reckoned_at: Timestamp,
+pub(crate) struct AveragedLevel {
+    pub(crate) current: f64,
+    pub(crate) average: f64,
+    updated_at: Timestamp,
 }
 
-impl Level {
+impl AveragedLevel {
+    /// Brings the average up to `now`, then changes the current amount.
     pub(crate) fn add(&mut self, now: Timestamp, change: f64) {
-        let passed = now.since(self.reckoned_at).as_secs_f64();
-        let kept = 0.5f64.powf(passed / HALVES.as_secs_f64());
-        self.usual = self.now + (self.usual - self.now) * kept;
-        self.now = (self.now + change).max(0.0);
-        self.reckoned_at = now;
+        let elapsed = now.since(self.updated_at).as_secs_f64();
+        let decay = 0.5f64.powf(elapsed / AVERAGE_HALF_LIFE.as_secs_f64());
+        self.average = self.current + (self.average - self.current) * decay;
+        self.current = (self.current + change).max(0.0);
+        self.updated_at = now;
     }
 }
 
+/// A host of the list, with what this dispatcher has observed of it.
 pub(crate) struct Host {
     pub(crate) entry: HostEntry,
     pub(crate) role: Role,
-    pub(crate) cold: SlowStart,
+    pub(crate) slow_start: SlowStart,
+    /// Number of dispatchers that use this host.
     pub(crate) dispatchers: f64,
     pub(crate) breaker: Breaker,
-    pub(crate) heard: Timestamp,
-    /// How many times longer than predicted hits here took lately, and when that was last told.
+    /// When it last answered.
+    pub(crate) last_seen_at: Timestamp,
+    /// Smoothed ratio of the elapsed to the predicted time of hits here, and when it was updated.
     pub(crate) slowness: (f64, Timestamp),
-    pub(crate) out: u32,
-    pub(crate) size: f64, // how many answers it can send at full pace, as told or else as learnt
-    /// How busy it last said it was, when, and what it has sent for this dispatcher since, in seconds.
-    pub(crate) busy: Option<(f64, Timestamp)>,
-    pub(crate) done: f64,
-    pub(crate) left: Timestamp, // when it last left the list
-    /// What is left of what it may be given while it is cold, and when that was reckoned.
-    pub(crate) allowance: (f64, Timestamp),
+    /// Number of this dispatcher's attempts in flight here.
+    pub(crate) in_flight: u32,
+    /// Number of answers that it sends at full rate at once, as reported or else as estimated.
+    pub(crate) capacity: f64,
+    /// The utilization that it last reported, and when.
+    pub(crate) utilization: Option<(f64, Timestamp)>,
+    /// What it has sent for this dispatcher since then, in seconds of sending at full rate.
+    pub(crate) sent_seconds: f64,
+    /// When it last left the list.
+    pub(crate) left_list_at: Timestamp,
+    /// This dispatcher's remaining slow-start budget for it, in shares of one overload window, and when it was updated.
+    /// Negative: overdrawn.
+    pub(crate) slow_start_budget: (f64, Timestamp),
 }
 
 impl Host {
-    pub(crate) fn ready(&self) -> bool {
+    /// Whether it may be given new requests.
+    pub(crate) fn is_ready(&self) -> bool {
         self.entry.state == HostState::Ready
     }
 
-    pub(crate) fn list_as(&mut self, now: Timestamp, state: HostState) {
-        let leaves = state == HostState::Gone && self.entry.state != HostState::Gone;
-        self.left = if leaves { now } else { self.left };
+    /// Takes over its state from a host list.
+    pub(crate) fn set_state(&mut self, now: Timestamp, state: HostState) {
+        let leaves_list = state == HostState::Gone && self.entry.state != HostState::Gone;
+        self.left_list_at = if leaves_list { now } else { self.left_list_at };
         self.entry.state = state;
     }
 
-    pub(crate) fn sick(&self) -> bool {
-        matches!(self.breaker.phase, Phase::Open(_) | Phase::Trial)
+    /// Whether its breaker admits nothing.
+    pub(crate) fn is_unhealthy(&self) -> bool {
+        matches!(
+            self.breaker.state,
+            BreakerState::Open(_) | BreakerState::Trial
+        )
     }
 
-    /// How far a crowd that is reckoned there slows its answers: less where it last said that much is free,
-    /// because what waits for fills sends nothing yet.
-    pub(crate) fn crowd_told(&self) -> f64 {
-        let crowd = |busy: f64| (busy - AT_EASE) / (ALL_IN_USE - AT_EASE);
-        (self.busy).map_or(1.0, |(busy, _)| crowd(busy).clamp(FREE_COUNTS, 1.0))
+    /// The part of the estimated queueing here that counts: less if the host last reported free capacity, because requests
+    /// that wait for fills send nothing yet.
+    pub(crate) fn queueing_weight(&self) -> f64 {
+        let weight = |utilization: f64| {
+            (utilization - FULL_RATE_UTILIZATION) / (SATURATED_UTILIZATION - FULL_RATE_UTILIZATION)
+        };
+        (self.utilization).map_or(1.0, |(utilization, _)| {
+            weight(utilization).clamp(MIN_QUEUEING_WEIGHT, 1.0)
+        })
     }
 
+    /// How many times longer than predicted hits here take, at least 1; old observations decay.
     pub(crate) fn slowness(&self, now: Timestamp) -> f64 {
-        let halvings = now.since(self.slowness.1).as_secs_f64() / HALVES.as_secs_f64();
-        1.0 + (self.slowness.0 - 1.0).max(0.0) * 0.5f64.powf(halvings)
+        let half_lives = now.since(self.slowness.1).as_secs_f64() / AVERAGE_HALF_LIFE.as_secs_f64();
+        1.0 + (self.slowness.0 - 1.0).max(0.0) * 0.5f64.powf(half_lives)
     }
 
-    /// The part of its capacity that it can surely give now.
-    pub(crate) fn warmth(&self, now: Timestamp) -> f64 {
-        let warm_after = self.cold.duration.as_secs_f64().max(0.001);
-        let risen = |at| now.since(at).as_secs_f64() / warm_after;
-        self.cold.initial_capacity
-            + (1.0 - self.cold.initial_capacity) * self.entry.started.map_or(1.0, risen).min(1.0)
+    /// The share of its full capacity that it is certain to have now.
+    pub(crate) fn slow_start_capacity(&self, now: Timestamp) -> f64 {
+        let duration = self.slow_start.duration.as_secs_f64().max(0.001);
+        let progress = |started| now.since(started).as_secs_f64() / duration;
+        self.slow_start.initial_capacity
+            + (1.0 - self.slow_start.initial_capacity)
+                * self.entry.started.map_or(1.0, progress).min(1.0)
     }
 
-    /// Work as a part of what this dispatcher may give it within the span of rule 4 while it is cold.
-    pub(crate) fn cost(&self, now: Timestamp, work: f64) -> f64 {
-        let told = self.cold.overload_factor * self.cold.overload_window.as_secs_f64();
-        work * self.among() / (told * COLD_USE * self.warmth(now) * self.size)
+    /// Work as a fraction of what rule 4 lets this dispatcher send during one overload window of slow start.
+    pub(crate) fn budget_cost(&self, now: Timestamp, work: f64) -> f64 {
+        let limit = self.slow_start.overload_factor * self.slow_start.overload_window.as_secs_f64();
+        work * self.shared_by()
+            / (limit * SLOW_START_USE * self.slow_start_capacity(now) * self.capacity)
     }
 
-    pub(crate) fn among(&self) -> f64 {
-        self.cold.shared_by.unwrap_or(self.dispatchers)
+    /// Among how many dispatchers the load that it can bear is divided.
+    pub(crate) fn shared_by(&self) -> f64 {
+        self.slow_start.shared_by.unwrap_or(self.dispatchers)
     }
 
-    /// Where parts are less than a call of mean work, who does not use its turn has let it pass to another.
-    pub(crate) fn allowance(&self, now: Timestamp, mean: f64) -> f64 {
-        let span = self.cold.overload_window.as_secs_f64().max(0.001);
-        let saved = self.allowance.0 + now.since(self.allowance.1).as_secs_f64() / span - SAVED;
-        let turn = self.cost(now, mean).max(1.0);
-        SAVED + saved - turn * (saved / turn).ceil().max(0.0)
+    /// The slow-start budget at `now`, refilled by one share per overload window. Where a share is smaller than a request
+    /// of mean work, a dispatcher whose budget exceeds its maximum loses the work of whole requests: its turn has passed
+    /// to another dispatcher.
+    pub(crate) fn refilled_budget(&self, now: Timestamp, mean_work: f64) -> f64 {
+        let window = self.slow_start.overload_window.as_secs_f64().max(0.001);
+        let excess = self.slow_start_budget.0
+            + now.since(self.slow_start_budget.1).as_secs_f64() / window
+            - MAX_SAVED_BUDGET;
+        let turn = self.budget_cost(now, mean_work).max(1.0);
+        MAX_SAVED_BUDGET + excess - turn * (excess / turn).ceil().max(0.0)
     }
 }
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -1,31 +1,33 @@
-//! Whether something may be sent, repeated, refused, closed or answered now.
+//! Whether an attempt may be sent, repeated or refused, and a connection closed, at this moment.
 //!
-//! Each rule is written once, as a function of plain facts, with the reason where the answer is no. The decisions ask
-//! before they act. The sockets ask again in the instant of the act, because facts change while a request waits for a
-//! connection or for room in a buffer, and count what they find to have been done against a rule.
+//! Each rule is written once, as a function of its inputs, and returns the reason of a denial. The dispatcher checks the
+//! rules when it decides. The code that writes to sockets checks them again right before it writes, because the inputs
+//! change while a request waits for a connection or for room in a buffer, and it counts violations that it finds.
 
 use crate::interface::Effect;
 use crate::units::{CellId, TimeSpan, Timestamp, ZoneId};
 
-/// A client that has ended its side of the connection counts as gone after this: what it sent just before may still begin,
-/// as nobody can tell a close from a half-close. The operators allow 0.1 s; the rest is for the way to the host.
+/// A client that has closed its side of the connection counts as gone after this time. Until then, attempts of what it sent
+/// just before may start, because a close and a half-close look the same. The operators allow 0.1 s; the rest is for the
+/// network delay to the host.
 pub const CLIENT_GONE_AFTER: TimeSpan = TimeSpan::from_millis(50);
-/// By how much a deadline that is passed on may exceed what the client has left by the time it is written.
+/// By how much the deadline that is passed on may exceed the client's remaining time when it is written.
 pub const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(100);
 
-/// Why something may not be done now.
+/// Why an action is not allowed now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The request has its final answer, or its client cancelled it.
     Answered,
     /// The client has closed its connection.
     ClientGone,
+    /// The deadline of the request has passed.
     DeadlinePassed,
-    /// What may have run before is no longer known as a repeat.
+    /// An earlier attempt may have run, and a repeat of it is no longer recognised.
     RepeatWindowOver,
-    /// It may have run, and must not run twice.
+    /// An earlier attempt may have run, and the request must not run twice.
     MayHaveRun,
-    /// It may have run where a repeat is not recognised.
+    /// An earlier attempt may have run at a host whose repeats are not recognised here.
     OtherRepeatGroup,
     /// The host drains or is gone.
     HostNotReady,
@@ -34,7 +36,7 @@
 }
 
 impl Denial {
-    /// One word for logs and counters.
+    /// The name of the reason in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             Denial::Answered => "answered",
@@ -49,24 +51,25 @@
     }
 }
 
-/// Whether a further request may be taken, with so many open and at most so many allowed.
-pub fn may_take(open: usize, most: usize) -> bool {
-    open < most
+/// Whether another request may be accepted while `pending` of at most `max` are.
+pub fn may_take(pending: usize, max: usize) -> bool {
+    pending < max
 }
 
-/// What decides whether an attempt of a request may begin.
+/// What decides whether an attempt of a request may start.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// It has its final answer, was cancelled, or its client's connection is over.
+    /// The request has its final answer, was cancelled, or its client's connection has ended.
     pub answered: bool,
-    /// When its client ended its side of the connection.
+    /// When the client closed its side of the connection.
     pub client_closed: Option<Timestamp>,
+    /// The request's deadline.
     pub deadline: Timestamp,
-    /// Until when a repeat of what may have run is recognised.
+    /// Until when a repeat of an attempt that may have run is recognised.
     pub repeat_by: Option<Timestamp>,
 }
 
-/// Whether the first byte of an attempt may go out now.
+/// Whether the first byte of an attempt may be sent now.
 ///
 /// ```
 /// use trailproxy::policy::permits::{Denial, SendFacts, may_send};
@@ -91,22 +94,22 @@
     if now >= facts.deadline {
         return Err(Denial::DeadlinePassed);
     }
-    if facts.repeat_by.is_some_and(|by| now >= by) {
+    if facts.repeat_by.is_some_and(|repeat_by| now >= repeat_by) {
         return Err(Denial::RepeatWindowOver);
     }
     Ok(())
 }
 
-/// The operators' own bound for a client that has closed, which no attempt may begin behind.
-const CLIENT_GONE_AT_MOST: TimeSpan = TimeSpan::from_millis(100);
+/// The operators' bound on the time after a client's close in which an attempt may still start.
+const MAX_START_AFTER_CLIENT_CLOSE: TimeSpan = TimeSpan::from_millis(100);
 
-/// Whether an attempt that began now broke a rule, by the operators' own bounds. The check behind the act.
+/// Whether an attempt that started now violated a rule, by the operators' bounds. It is checked after the attempt started.
 pub fn begun_against_a_rule(now: Timestamp, facts: &SendFacts) -> bool {
-    let gone = |closed: Timestamp| now > closed + CLIENT_GONE_AT_MOST;
+    let gone = |closed: Timestamp| now > closed + MAX_START_AFTER_CLIENT_CLOSE;
     facts.answered || now > facts.deadline || facts.client_closed.is_some_and(gone)
 }
 
-/// Whether a host, and whatever fills a miss there, may be given anything new.
+/// Whether a host and the source that fills a miss there may be given new requests.
 pub fn may_use(host_ready: bool, source_ready: bool) -> Result<(), Denial> {
     match (host_ready, source_ready) {
         (false, _) => Err(Denial::HostNotReady),
@@ -115,16 +118,18 @@
     }
 }
 
-/// An attempt that is out, or may have run.
+/// An attempt that is in flight or may have run.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
     /// Where it went; `None`: it may have gone anywhere.
-    pub place: Option<(ZoneId, CellId)>,
-    pub sent: Timestamp,
-    pub out: bool,
+    pub location: Option<(ZoneId, CellId)>,
+    /// When it was sent.
+    pub sent_at: Timestamp,
+    /// Whether it has not ended yet.
+    pub in_flight: bool,
 }
 
-/// Whether a further attempt may go to a place, after these.
+/// Whether a request may be sent to a location after these attempts.
 pub fn may_repeat(
     now: Timestamp,
     effect: Effect,
@@ -133,14 +138,14 @@
 ) -> Result<(), Denial> {
     for attempt in earlier {
         match effect {
-            // It is withdrawn before it goes out again: never two at once.
-            Effect::Idempotent if attempt.out => return Err(Denial::MayHaveRun),
+            // An attempt is cancelled before the next one is sent: there are never two at once.
+            Effect::Idempotent if attempt.in_flight => return Err(Denial::MayHaveRun),
             Effect::Idempotent => {}
             Effect::NonIdempotent => return Err(Denial::MayHaveRun),
-            Effect::Keyed { group, .. } if !group.covers(attempt.place, to) => {
+            Effect::Keyed { group, .. } if !group.covers(attempt.location, to) => {
                 return Err(Denial::OtherRepeatGroup);
             }
-            Effect::Keyed { window, .. } if now >= attempt.sent + window => {
+            Effect::Keyed { window, .. } if now >= attempt.sent_at + window => {
                 return Err(Denial::RepeatWindowOver);
             }
             Effect::Keyed { .. } => {}
@@ -149,7 +154,7 @@
     Ok(())
 }
 
-/// Whether a refusal, which tells the client that trying again is harmless, may be given.
+/// Whether a request may be refused, which tells the client that a retry is harmless.
 pub fn may_refuse(effect: Effect, may_have_run: bool) -> bool {
     use crate::interface::RepeatGroup;
     match effect {
@@ -159,12 +164,12 @@
     }
 }
 
-/// The deadline to pass on with an attempt that is written now: what the client has left.
+/// The time span to pass on as the deadline of an attempt that is written now: the client's remaining time.
 pub fn deadline_to_pass(now: Timestamp, deadline: Timestamp) -> TimeSpan {
     deadline.since(now)
 }
 
-/// Whether an attempt may still go out with the deadline that was written into it some time ago.
+/// Whether an attempt may still be sent with the deadline that was written into it at `written_at`.
 pub fn deadline_still_holds(now: Timestamp, written_at: Timestamp) -> bool {
     now.since(written_at) < DEADLINE_SLACK
 }
@@ -172,13 +177,13 @@
 /// What decides whether a client's connection may be closed.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseFacts {
-    /// Requests of it that have no answer yet.
+    /// Number of its requests that have no answer yet.
     pub owed: usize,
-    /// Answers that are not wholly written.
+    /// Number of answers that are not completely written.
     pub unwritten: usize,
 }
 
-/// Whether closing a client's connection now breaks no promise.
+/// Whether a client's connection can be closed now without losing an answer.
 pub fn may_close(facts: &CloseFacts) -> bool {
     facts.owed == 0 && facts.unwritten == 0
 }
--- a/src/policy/refusals.rs
+++ b/src/policy/refusals.rs
@@ -1,31 +1,31 @@
-//! Why a request gets no answer but a refusal or a failure, and when its client had better come back.
+//! Why a request is refused or failed, and when a refused client should retry.
 
 use crate::units::TimeSpan;
 
-/// How long a client that was refused stays away, where nothing else says how long.
+/// When a refused client should retry, if nothing else determines it.
 pub const DEFAULT_RETRY_AFTER: TimeSpan = TimeSpan::from_millis(500);
 
-/// Why nothing more is tried for a request.
+/// Why no further attempt is made for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum GiveUpReason {
     /// Its deadline has passed.
     DeadlinePassed,
     /// It has had as many attempts as the settings allow.
     AttemptsUsed,
-    /// Who was asked does not hold the object, and no fill is possible.
+    /// The hosts that were asked don't hold the object, and no fill is possible.
     NotCached,
-    /// It runs at the origin alone, and that is shut.
+    /// It can only run at the origin, and the breaker of the origin excludes it.
     OriginUnavailable,
-    /// No host that is open would answer in time within its budget.
+    /// No admitted host would answer in time within its slow-start budget.
     NoHostInTime,
-    /// A rule forbids the attempt that would come next.
+    /// A rule forbids the next attempt.
     NotPermitted,
-    /// As many requests are open as the settings allow.
+    /// As many requests are pending as the settings allow.
     TableFull,
 }
 
 impl GiveUpReason {
-    /// One word for logs and counters.
+    /// The name of the reason in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             GiveUpReason::DeadlinePassed => "deadline_passed",
--- a/src/policy/stamps.rs
+++ b/src/policy/stamps.rs
@@ -1,19 +1,19 @@
-//! How old another machine's time stamp is at least.
+//! Lower bounds of the age of time stamps that come from other machines.
 //!
-//! The own wall clock may be wrong by hours, and so may one of the clocks that stamps come from. An age is therefore taken
-//! to be no longer than two witnesses allow: the own clock, and the newest stamp heard so far with the time that has run
-//! since, which is where the stamps' own clock has got to at least. An age that is too short is safe: a purge binds for
-//! longer, and a host counts as cold for longer, each for a bounded time.
+//! The own wall clock may be wrong by hours, and so may any clock that stamps come from. Two bounds limit an age: the own
+//! clock, and the newest stamp received so far plus the time since, which the stamping clock has reached at least. The
+//! smaller age is used. An age that is too small is safe: a purge stays in force for longer, and a host counts as cold for
+//! longer, each for a bounded time.
 
 use crate::units::{TimeSpan, Timestamp};
 
-/// The stamps heard so far, as far as they bound the time.
+/// What the stamps received so far say about the clock that makes them.
 ///
 /// ```
 /// use trailproxy::policy::stamps::Stamps;
 /// use trailproxy::units::{Timestamp, TimeSpan};
 /// let (stamp, hour) = (Timestamp(10_000_000_000), TimeSpan::from_secs(3_600));
-/// // The own clock is an hour ahead: what was stamped just now is not an hour old.
+/// // The own clock is an hour ahead: a stamp that was made just now is not an hour old.
 /// let mut stamps = Stamps::default();
 /// let now = stamp + hour;
 /// stamps.heard(now, stamp);
@@ -24,31 +24,34 @@
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stamps {
-    /// The stamp that was furthest ahead when it was heard, and when that was by the own clock.
-    furthest: Option<(Timestamp, Timestamp)>,
+    /// The stamp that was furthest ahead when it was received, and the time of receipt on the own clock.
+    newest: Option<(Timestamp, Timestamp)>,
 }
 
 impl Stamps {
-    /// A stamp came.
+    /// Takes note of a stamp that was received now.
     pub fn heard(&mut self, now: Timestamp, stamp: Timestamp) {
-        if self.reached(now).is_none_or(|reached| stamp > reached) {
-            self.furthest = Some((stamp, now));
+        if self
+            .min_stamp_clock(now)
+            .is_none_or(|reached| stamp > reached)
+        {
+            self.newest = Some((stamp, now));
         }
     }
 
-    /// Where the clock of the stamps has got to at least.
-    fn reached(&self, now: Timestamp) -> Option<Timestamp> {
-        let (stamp, heard) = self.furthest?;
-        Some(stamp + now.since(heard))
+    /// The earliest time that the clock of the stamps can show now.
+    fn min_stamp_clock(&self, now: Timestamp) -> Option<Timestamp> {
+        let (stamp, received_at) = self.newest?;
+        Some(stamp + now.since(received_at))
     }
 
-    /// How long ago a stamp was made, at least.
+    /// Lower bound of the time since a stamp was made.
     pub fn least_age(&self, now: Timestamp, stamp: Timestamp) -> TimeSpan {
-        let reached = self.reached(now).unwrap_or(stamp);
+        let reached = self.min_stamp_clock(now).unwrap_or(stamp);
         reached.min(now).since(stamp)
     }
 
-    /// When by the own clock that was, at the latest.
+    /// The latest time on the own clock at which a stamp can have been made.
     pub fn latest(&self, now: Timestamp, stamp: Timestamp) -> Timestamp {
         now - self.least_age(now, stamp)
     }
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -1,6 +1,7 @@
-//! What the errors of system calls mean, and whether a call is made again.
+//! What the errors of system calls mean, and whether a call is repeated.
 //!
-//! One table for each kind of call. What is not in a table counts as lasting. The numbers are those of Linux.
+//! There is one table for each kind of call. Errors that are not in a table are permanent. The error numbers are those of
+//! Linux.
 
 use crate::units::TimeSpan;
 use libc::{
@@ -9,25 +10,25 @@
     ENONET, ENOPROTOOPT, ENOSPC, EOPNOTSUPP, EPERM, EPROTO, ESTALE,
 };
 
-/// How long a call waits that found the system out of memory, buffers or descriptors.
+/// Delay before a call is repeated that failed for lack of memory, buffers or descriptors.
 pub const LACK_PASSES: TimeSpan = TimeSpan::from_millis(5);
-/// How long a connection that failed for a reason on this side waits to be dialled again.
+/// Delay before a connection is opened again that failed for a reason on this side.
 pub const DIAL_AGAIN: TimeSpan = TimeSpan::from_millis(10);
 
-/// What a read or a write on a connection that failed does next.
+/// What to do after a failed read or write on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
-    /// The same call again, at once.
+    /// Repeat the call at once.
     Again,
-    /// Again once the connection is ready for it.
+    /// Repeat the call when the connection is ready for it.
     WhenReady,
-    /// Again after [`LACK_PASSES`]: the system lacks something for the moment.
+    /// Repeat the call after [`LACK_PASSES`]: the system lacks a resource for the moment.
     Later,
-    /// The connection is over.
+    /// The connection is broken.
     Broken,
 }
 
-/// What the error of a read or a write means.
+/// What to do after a read or a write failed with this error.
 pub fn of_stream(errno: i32) -> StreamError {
     match errno {
         EINTR => StreamError::Again,
@@ -37,20 +38,20 @@
     }
 }
 
-/// What an accept that failed does next.
+/// What to do after a failed accept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptError {
-    /// The next one at once: this one was interrupted, or its connection has failed before it was taken.
+    /// Accept the next connection at once: the call was interrupted, or its connection failed before it was accepted.
     Next,
-    /// Nobody waits.
+    /// No connection is pending.
     NobodyWaits,
-    /// Again after [`LACK_PASSES`]: whoever waits goes on waiting.
+    /// Accept again after [`LACK_PASSES`]: pending connections stay pending.
     Later,
-    /// The listener is of no use.
+    /// The listener is broken.
     Broken,
 }
 
-/// What the error of an accept means: Linux also passes on what was pending on the new connection.
+/// What to do after an accept failed with this error. Linux also returns errors that were pending on the new connection.
 pub fn of_accept(errno: i32) -> AcceptError {
     match errno {
         EAGAIN => AcceptError::NobodyWaits,
@@ -61,16 +62,16 @@
     }
 }
 
-/// Whose failure it is that no connection came up.
+/// Which side caused the failure of a connect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// This side lacks something for the moment: it says nothing of the host.
+    /// This side, for lack of a resource: the error says nothing about the host.
     Ours,
-    /// The host refuses, or can't be reached.
+    /// The host refuses connections or can't be reached.
     Theirs,
 }
 
-/// What the error of a connect, or of the socket made for it, means.
+/// Which side caused this error of a connect, or of the creation of its socket.
 pub fn of_connect(errno: i32) -> ConnectError {
     match errno {
         EINTR | EAGAIN | EALREADY | EINPROGRESS | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC
@@ -79,7 +80,8 @@
     }
 }
 
-/// How long a step of the start is tried that fails with this error: others must be ready within ten seconds of it.
+/// How long a step of the start-up that fails with this error is repeated: the other processes must be ready within ten
+/// seconds of it.
 ///
 /// ```
 /// use trailproxy::policy::system_errors::start_tries_for;
@@ -89,17 +91,21 @@
 /// ```
 pub fn start_tries_for(errno: i32) -> TimeSpan {
     match errno {
-        EINTR | EAGAIN | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC | EIO => START_LACKS_FOR,
-        // A predecessor may be about to end, a network about to come up, a file about to be put in its place.
+        EINTR | EAGAIN | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC | EIO => {
+            RESOURCE_SHORTAGE_RETRY_PERIOD
+        }
+        // A previous process may be about to end, a network about to come up, a file about to be written.
         EADDRINUSE | EADDRNOTAVAIL | ENOENT | ESTALE => START_IS_TAKEN_FOR,
         _ => TimeSpan::ZERO,
     }
 }
 
-/// A lack of descriptors, buffers or memory passes within this, or the start has failed.
-const START_LACKS_FOR: TimeSpan = TimeSpan::from_secs(20);
-/// An address in use, or a file that is missing, is somebody else's business after this.
+/// How long the start-up waits for a shortage of descriptors, buffers or memory to end before it fails.
+const RESOURCE_SHORTAGE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(20);
+/// How long the start-up waits for an address that is in use, or for a missing file, before it fails: after that, another
+/// process or the operator is responsible for it.
 pub const START_IS_TAKEN_FOR: TimeSpan = TimeSpan::from_secs(2);
-/// Between two tries of a step of the start, growing up to the longest.
+/// Initial delay before a step of the start-up is repeated; it grows up to [`START_AGAIN_AT_MOST`].
 pub const START_AGAIN: TimeSpan = TimeSpan::from_millis(20);
+/// Longest delay before a step of the start-up is repeated.
 pub const START_AGAIN_AT_MOST: TimeSpan = TimeSpan::from_millis(500);
