--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,10 +1,11 @@
-//! What all dispatchers together send to a cold host, swept in virtual time: from one to three hundred, with even
-//! and skewed traffic, sudden crowds, restarts amid the ramp, starts that are told late, large and small requests.
+//! What all dispatchers together send to a cold host, simulated in virtual time: one to three hundred dispatchers, with even
+//! and skewed traffic, sudden bursts, dispatchers that restart during slow start, starts of the host that are reported late,
+//! and large and small requests.
 
-#[allow(dead_code, reason = "the other stories use the rest of it")]
-mod host;
+#[allow(dead_code, reason = "other test files use the rest of it")]
+mod harness;
 
-use host::*;
+use harness::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::interface::*;
 use trailproxy::logic::Dispatcher;
@@ -12,153 +13,171 @@
 
 const COLD: HostId = CACHES[0];
 const START: Timestamp = Timestamp(1_000_000_000);
-/// How long a cold host is watched: as long as it takes to warm up.
-const WATCHED: TimeSpan = TimeSpan::from_secs(30);
+/// How long a cold host is observed: its slow-start duration.
+const OBSERVATION: TimeSpan = TimeSpan::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Traffic {
+    /// All dispatchers get the same, evenly over time.
     Even,
-    /// One in ten gets ten times as much as the others.
+    /// One dispatcher in ten gets ten times as much as the others.
     Skewed,
-    /// Nothing at first, and then all at once.
+    /// Nothing during the first 12 seconds, and then all at once.
     Sudden,
-    /// Ever again nothing for two seconds, then all at once.
+    /// One second of requests at three times the rate, after every eight seconds without any.
     Waves,
 }
 
+/// A simulated scenario.
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    processes: u32,
-    /// Requests of mean work that the cold host bears at its start in the time of the rule.
-    bears: f64,
+    dispatchers: u32,
+    /// Number of requests of mean work that the cold host can bear at its start during one overload window.
+    bearable: f64,
     traffic: Traffic,
-    /// How many times more is asked of it than it bears at its start.
+    /// Requests for the cold host, as a multiple of what it can bear at its start.
     load: f64,
-    /// Every tenth one starts again amid the ramp.
+    /// Every tenth dispatcher restarts during slow start.
     restarts: bool,
-    /// The start is told to each up to two seconds late.
-    told_late: bool,
+    /// Each dispatcher learns of the start of the host up to two seconds late.
+    reported_late: bool,
     /// One request in ten is twelve times as large as the others.
-    sizes: bool,
-    /// All caches are cold, and nothing goes anywhere else.
+    mixed_sizes: bool,
+    /// All caches are cold, and no request goes to other hosts.
     all_cold: bool,
-    /// A planted mistake: each process begins with a whole call.
-    planted: bool,
+    /// An injected fault: each dispatcher sends one request more at the start.
+    injected_fault: bool,
 }
 
-/// What came of a case.
+/// The result of a case.
 #[derive(Clone, Copy, Debug, Default)]
-struct Came {
-    /// The worst share of what the host bears with chance on top, and how often that was over.
+struct CaseResult {
+    /// The highest load in a window, as a share of what the host can bear plus a margin for random variation.
     worst: f64,
-    over: u32,
-    /// Of the work that was asked of the host.
-    given: f64,
-    /// Of the large requests, and of all.
-    large: f64,
-    all: f64,
+    /// Number of windows in which that share was above 1.
+    overloads: u32,
+    /// The share of the work for the host that was sent to it.
+    sent_share: f64,
+    /// The share of the large requests that was sent.
+    large_sent: f64,
+    /// The share of all requests that was sent.
+    all_sent: f64,
 }
 
-/// Who counts from outside: what came to the cold host within the time of the rule.
-struct Outside {
+/// Measures the work that arrives at the cold host within one overload window.
+struct LoadMeter {
     case: Case,
     recent: VecDeque<(Timestamp, f64)>,
     sum: f64,
-    /// The worst share of what it bears with chance on top.
+    /// The highest load in a window, as a share of what the host can bear plus a margin for random variation.
     worst: f64,
-    /// How often, in windows that do not overlap, it was over that.
-    over: u32,
-    last_over: Option<Timestamp>,
-    given: f64,
+    /// Number of windows, which do not overlap, in which that share was above 1.
+    overloads: u32,
+    last_overload: Option<Timestamp>,
+    /// All work so far.
+    total: f64,
 }
 
-impl Outside {
-    fn takes(&mut self, now: Timestamp, work: f64, terms: &DispatcherSettings) {
-        let cold = &terms.cache_slow_start;
+impl LoadMeter {
+    /// The host gets work, in requests of mean work.
+    fn add(&mut self, now: Timestamp, work: f64, settings: &DispatcherSettings) {
+        let slow_start = &settings.cache_slow_start;
         self.recent.push_back((now, work));
         self.sum += work;
-        self.given += work;
+        self.total += work;
         while let Some((_, old)) = self
             .recent
-            .pop_front_if(|(at, _)| now.since(*at) > cold.overload_window)
+            .pop_front_if(|(at, _)| now.since(*at) > slow_start.overload_window)
         {
             self.sum -= old;
         }
-        let age = now.since(START).as_secs_f64() / cold.duration.as_secs_f64();
-        let warmth = cold.initial_capacity + (1.0 - cold.initial_capacity) * age.min(1.0);
-        let n = self.case.bears * warmth / cold.initial_capacity;
-        let may = n + 2.0 * n.sqrt() + 2.0;
-        let share = self.sum / may;
+        let progress = now.since(START).as_secs_f64() / slow_start.duration.as_secs_f64();
+        let capacity =
+            slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress.min(1.0);
+        let n = self.case.bearable * capacity / slow_start.initial_capacity;
+        let max = n + 2.0 * n.sqrt() + 2.0;
+        let share = self.sum / max;
         self.worst = self.worst.max(share);
-        let apart = |at: Timestamp| now.since(at) > cold.overload_window;
-        if share > 1.0 && self.last_over.is_none_or(apart) {
-            self.over += 1;
-            self.last_over = Some(now);
+        let is_new_window = |at: Timestamp| now.since(at) > slow_start.overload_window;
+        if share > 1.0 && self.last_overload.is_none_or(is_new_window) {
+            self.overloads += 1;
+            self.last_overload = Some(now);
         }
     }
 }
 
-/// One dispatcher and what it has out.
-struct Process {
+/// A simulated dispatcher with its attempts in flight.
+struct SimulatedDispatcher {
     dispatcher: Dispatcher,
-    told_at: Timestamp,
-    wakes: BTreeSet<Timestamp>,
-    out: VecDeque<(Timestamp, RequestId, AttemptNo)>,
-    /// In requests of mean work.
+    /// When the start of the cold host is reported to it.
+    reported_at: Timestamp,
+    timers: BTreeSet<Timestamp>,
+    /// Attempts by the time of their end.
+    in_flight: VecDeque<(Timestamp, RequestId, AttemptNo)>,
+    /// The work of each request, in requests of mean work.
     works: BTreeMap<RequestId, f64>,
+    /// Requests per second.
     rate: f64,
 }
 
-fn case_terms(case: Case) -> DispatcherSettings {
-    let mut terms = terms();
-    terms.dispatchers = case.processes;
-    terms.dispatchers_by_zone = vec![0, case.processes];
-    terms.cache_slow_start.duration = WATCHED;
-    terms.allows_direct = !case.all_cold;
-    // Of no matter here: nothing is late, and the link has room.
-    // What is guessed before any is seen is twice the mean.
-    terms.classes.truncate(1);
-    terms.classes[0].target = TimeSpan::from_secs_f64(mean_work(case, &terms) * 4.0);
-    terms.classes[0].target_stretch = 50.0;
-    terms
+fn case_settings(case: Case) -> DispatcherSettings {
+    let mut settings = settings();
+    settings.dispatchers = case.dispatchers;
+    settings.dispatchers_by_zone = vec![0, case.dispatchers];
+    settings.cache_slow_start.duration = OBSERVATION;
+    settings.allows_direct = !case.all_cold;
+    // Targets and the link don't matter here: nothing is late, and the link has room. The size that the dispatcher assumes
+    // before the first request is twice the mean.
+    settings.classes.truncate(1);
+    settings.classes[0].target = TimeSpan::from_secs_f64(mean_work(case, &settings) * 4.0);
+    settings.classes[0].target_stretch = 50.0;
+    settings
 }
 
-/// The mean work of a request, in seconds of sending at full pace.
-fn mean_work(case: Case, terms: &DispatcherSettings) -> f64 {
-    let cold = &terms.cache_slow_start;
-    let told = cold.overload_factor
-        * cold.initial_capacity
-        * cold.overload_window.as_secs_f64()
+/// The mean work of a request, in seconds of sending at full rate.
+fn mean_work(case: Case, settings: &DispatcherSettings) -> f64 {
+    let slow_start = &settings.cache_slow_start;
+    let limit = slow_start.overload_factor
+        * slow_start.initial_capacity
+        * slow_start.overload_window.as_secs_f64()
         * entry(COLD).capacity;
-    told / case.bears
+    limit / case.bearable
 }
 
-fn entries(case: Case, now: Timestamp, told: bool) -> Vec<HostEntry> {
+/// The host list. `start_reported`: whether it says when cold hosts started.
+fn entries(case: Case, now: Timestamp, start_reported: bool) -> Vec<HostEntry> {
     let all = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
     let is_cold = |host| host == COLD || case.all_cold && CACHES.contains(&host);
-    let of = |&host: &HostId| HostEntry {
-        started: Some(START).filter(|_| is_cold(host) && told && now >= START),
-        stamp: Some(START).filter(|_| is_cold(host) && told && now >= START),
+    let entry_of = |&host: &HostId| HostEntry {
+        started: Some(START).filter(|_| is_cold(host) && start_reported && now >= START),
+        stamp: Some(START).filter(|_| is_cold(host) && start_reported && now >= START),
         ..entry(host)
     };
-    all.map(of).collect()
+    all.map(entry_of).collect()
 }
 
-fn begin(case: Case, terms: &DispatcherSettings, seed: u64, now: Timestamp, rate: f64) -> Process {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let mut dispatcher = Dispatcher::new(Standalone, terms.clone(), seed);
-    let late = if case.told_late {
-        chance.f64() * 2.0
+/// Starts a dispatcher with its first host list.
+fn start_dispatcher(
+    case: Case,
+    settings: &DispatcherSettings,
+    seed: u64,
+    now: Timestamp,
+    rate: f64,
+) -> SimulatedDispatcher {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let mut dispatcher = Dispatcher::new(Standalone, settings.clone(), seed);
+    let delay_s = if case.reported_late {
+        rng.f64() * 2.0
     } else {
         0.0
     };
-    let told_at = (START + TimeSpan::from_secs_f64(late)).max(now);
-    let list = entries(case, now, now >= told_at);
+    let reported_at = (START + TimeSpan::from_secs_f64(delay_s)).max(now);
+    let list = entries(case, now, now >= reported_at);
     let kind = HostListKind::Full;
-    // Before it is told, the host is not on its list.
+    // The cold host is not in the list before its start is reported.
     let entries = list
         .into_iter()
-        .filter(|e| e.host != COLD || now >= told_at);
+        .filter(|entry| entry.host != COLD || now >= reported_at);
     dispatcher.handle_event(
         now,
         Event::HostList {
@@ -167,22 +186,23 @@
         },
     );
     dispatcher.take_actions(now);
-    Process {
+    SimulatedDispatcher {
         dispatcher,
-        told_at,
-        wakes: BTreeSet::new(),
-        out: VecDeque::new(),
+        reported_at,
+        timers: BTreeSet::new(),
+        in_flight: VecDeque::new(),
         works: BTreeMap::new(),
         rate,
     }
 }
 
-fn play(case: Case, seed: u64) -> Came {
-    let mut chance = fastrand::Rng::with_seed(seed);
-    let terms = case_terms(case);
-    let mean = mean_work(case, &terms);
-    let span = terms.cache_slow_start.overload_window.as_secs_f64();
-    let n = case.processes as usize;
+/// Simulates a case.
+fn simulate(case: Case, seed: u64) -> CaseResult {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let settings = case_settings(case);
+    let mean = mean_work(case, &settings);
+    let window = settings.cache_slow_start.overload_window.as_secs_f64();
+    let n = case.dispatchers as usize;
     let weights: Vec<f64> = (0..n)
         .map(|i| {
             if case.traffic == Traffic::Skewed && i % 10 == 0 {
@@ -192,54 +212,60 @@
             }
         })
         .collect();
-    let all: f64 = weights.iter().sum();
+    let total_weight: f64 = weights.iter().sum();
     // The caches share the objects evenly.
-    let rate = case.load * case.bears / span * CACHES.len() as f64;
+    let rate = case.load * case.bearable / window * CACHES.len() as f64;
     let before = Timestamp(START.0 - 100_000);
-    let mut processes: Vec<Process> = (0..n)
+    let mut fleet: Vec<SimulatedDispatcher> = (0..n)
         .map(|i| {
-            begin(
+            start_dispatcher(
                 case,
-                &terms,
+                &settings,
                 seed << 16 | i as u64,
                 before,
-                rate * weights[i] / all,
+                rate * weights[i] / total_weight,
             )
         })
         .collect();
-    let mut outside = Outside {
+    let mut meter = LoadMeter {
         case,
         recent: VecDeque::new(),
         sum: 0.0,
         worst: 0.0,
-        over: 0,
-        last_over: None,
-        given: 0.0,
+        overloads: 0,
+        last_overload: None,
+        total: 0.0,
     };
-    let (mut now, mut next_id, mut wanted) = (before, 0, 0.0);
-    // Asked, and sent on.
-    let (mut large_ones, mut all_ones) = ([0.0; 2], [0.0; 2]);
+    let (mut now, mut next_id, mut requested_work) = (before, 0, 0.0);
+    // Numbers of requests that arrived and that were sent.
+    let (mut large_requests, mut all_requests) = ([0.0; 2], [0.0; 2]);
     let step = TimeSpan::from_millis(10);
     let restart_at = START + TimeSpan::from_secs(5);
-    while now < START + WATCHED {
-        let was = now;
+    while now < START + OBSERVATION {
+        let previous = now;
         now = now + step;
-        for (i, process) in processes.iter_mut().enumerate() {
-            if case.restarts && i % 10 == 0 && was < restart_at && now >= restart_at {
-                *process = begin(case, &terms, seed << 20 | i as u64, now, process.rate);
+        for (i, member) in fleet.iter_mut().enumerate() {
+            if case.restarts && i % 10 == 0 && previous < restart_at && now >= restart_at {
+                *member =
+                    start_dispatcher(case, &settings, seed << 20 | i as u64, now, member.rate);
             }
             let mut events = Vec::new();
-            if was < process.told_at && now >= process.told_at {
+            if previous < member.reported_at && now >= member.reported_at {
                 let (kind, entries) = (HostListKind::Full, entries(case, now, true));
                 events.push(Event::HostList { kind, entries });
-                if case.planted {
-                    outside.takes(now, 1.0, &terms);
+                if case.injected_fault {
+                    meter.add(now, 1.0, &settings);
                 }
             }
-            let later = process.wakes.split_off(&Timestamp(now.0 + 1));
-            let due = std::mem::replace(&mut process.wakes, later);
-            events.extend(due.iter().map(|_| Event::TimerFired { timer: TimerId(0) }));
-            while let Some((_, id, attempt)) = process.out.pop_front_if(|(at, ..)| *at <= now) {
+            let later = member.timers.split_off(&Timestamp(now.0 + 1));
+            let fired = std::mem::replace(&mut member.timers, later);
+            events.extend(
+                fired
+                    .iter()
+                    .map(|_| Event::TimerFired { timer: TimerId(0) }),
+            );
+            while let Some((_, id, attempt)) = member.in_flight.pop_front_if(|(at, ..)| *at <= now)
+            {
                 let elapsed = TimeSpan::from_millis(40);
                 let (ending, note) = (Ending::Done, Note::Hit);
                 events.push(Event::Outcome(Outcome {
@@ -256,34 +282,34 @@
                 }));
             }
             let since = now.since(START).as_secs_f64();
-            let on = match case.traffic {
+            let rate_factor = match case.traffic {
                 Traffic::Even | Traffic::Skewed => 1.0,
                 Traffic::Sudden => f64::from(u8::from(since > 12.0)),
                 Traffic::Waves => 3.0 * f64::from(u8::from(since % 9.0 >= 8.0)),
             };
-            let mut arrivals = process.rate * on * step.as_secs_f64();
-            while chance.f64() < arrivals {
+            let mut arrivals = member.rate * rate_factor * step.as_secs_f64();
+            while rng.f64() < arrivals {
                 arrivals -= 1.0;
                 next_id += 1;
-                let large = case.sizes && chance.f64() < 0.1;
-                // The mean of both is the mean.
-                let size = match (case.sizes, large) {
+                let large = case.mixed_sizes && rng.f64() < 0.1;
+                // The mean of both sizes is 1.
+                let size = match (case.mixed_sizes, large) {
                     (false, _) => 1.0,
                     (true, false) => 1.0 / 2.1,
                     (true, true) => 12.0 / 2.1,
                 };
-                wanted += size * mean / CACHES.len() as f64;
-                process.works.insert(RequestId(next_id), size);
-                all_ones[0] += 1.0;
-                large_ones[0] += f64::from(u8::from(large));
+                requested_work += size * mean / CACHES.len() as f64;
+                member.works.insert(RequestId(next_id), size);
+                all_requests[0] += 1.0;
+                large_requests[0] += f64::from(u8::from(large));
                 events.push(Event::Arrived(Arrival {
                     id: RequestId(next_id),
                     time_left: TimeSpan::from_secs(60),
                     class: READS,
-                    object: ObjectId(chance.u64(..)),
+                    object: ObjectId(rng.u64(..)),
                     group: GroupId(0),
                     part: 0,
-                    size_kb: Some(size * mean * terms.stream_kb_per_s),
+                    size_kb: Some(size * mean * settings.stream_kb_per_s),
                 }));
             }
             if events.is_empty() {
@@ -291,65 +317,67 @@
             }
             events
                 .into_iter()
-                .for_each(|event| process.dispatcher.handle_event(now, event));
-            for action in process.dispatcher.take_actions(now) {
+                .for_each(|event| member.dispatcher.handle_event(now, event));
+            for action in member.dispatcher.take_actions(now) {
                 match action {
                     Action::Attempt(attempt) => {
                         let done = now + TimeSpan::from_millis(40);
-                        process.out.push_back((done, attempt.id, AttemptNo(0)));
-                        let work = process.works[&attempt.id];
-                        all_ones[1] += 1.0;
-                        large_ones[1] += f64::from(u8::from(work > 1.0));
+                        member.in_flight.push_back((done, attempt.id, AttemptNo(0)));
+                        let work = member.works[&attempt.id];
+                        all_requests[1] += 1.0;
+                        large_requests[1] += f64::from(u8::from(work > 1.0));
                         if attempt.host == COLD {
-                            outside.takes(now, work, &terms);
+                            meter.add(now, work, &settings);
                         }
                     }
                     Action::SetTimer { at, .. } => {
-                        process.wakes.insert(at);
+                        member.timers.insert(at);
                     }
                     _ => {}
                 }
             }
         }
     }
-    let share = |of: [f64; 2]| of[1] / of[0].max(1.0);
-    Came {
-        worst: outside.worst,
-        over: outside.over,
-        given: outside.given * mean / wanted,
-        large: share(large_ones),
-        all: share(all_ones),
+    let sent_share = |counts: [f64; 2]| counts[1] / counts[0].max(1.0);
+    CaseResult {
+        worst: meter.worst,
+        overloads: meter.overloads,
+        sent_share: meter.total * mean / requested_work,
+        large_sent: sent_share(large_requests),
+        all_sent: sent_share(all_requests),
     }
 }
 
-const CALM: Case = Case {
-    processes: 30,
-    bears: 12.0,
+/// A case without faults, with even traffic.
+const BASE_CASE: Case = Case {
+    dispatchers: 30,
+    bearable: 12.0,
     traffic: Traffic::Even,
     load: 20.0,
     restarts: false,
-    told_late: false,
-    sizes: false,
+    reported_late: false,
+    mixed_sizes: false,
     all_cold: false,
-    planted: false,
+    injected_fault: false,
 };
 
-fn cases(loads: &[f64], processes: &[u32], bears: &[f64], traffic: &[Traffic]) -> Vec<Case> {
+/// All combinations of these values, each without and with restarts, late reports and mixed sizes.
+fn cases(loads: &[f64], dispatchers: &[u32], bearable: &[f64], traffic: &[Traffic]) -> Vec<Case> {
     let mut all = Vec::new();
     for &load in loads {
-        for &processes in processes {
-            for &bears in bears {
+        for &dispatchers in dispatchers {
+            for &bearable in bearable {
                 for &traffic in traffic {
-                    for troubles in 0..4 {
+                    for variant in 0..4 {
                         all.push(Case {
-                            processes,
-                            bears,
+                            dispatchers,
+                            bearable,
                             traffic,
                             load,
-                            restarts: troubles % 2 == 1,
-                            told_late: troubles >= 2,
-                            sizes: troubles == 3,
-                            ..CALM
+                            restarts: variant % 2 == 1,
+                            reported_late: variant >= 2,
+                            mixed_sizes: variant == 3,
+                            ..BASE_CASE
                         });
                     }
                 }
@@ -359,96 +387,113 @@
     all
 }
 
-/// The share of runs in which it was over, and the worst.
-fn sum(runs: &[(Case, Came)]) -> (f64, f64) {
-    let over = runs.iter().filter(|(_, came)| came.over > 0).count();
-    let worst = runs.iter().map(|(_, came)| came.worst).fold(0.0, f64::max);
-    (over as f64 / runs.len() as f64, worst)
+/// The share of runs in which the host was overloaded, and the highest load.
+fn summarize(runs: &[(Case, CaseResult)]) -> (f64, f64) {
+    let overloaded = runs
+        .iter()
+        .filter(|(_, result)| result.overloads > 0)
+        .count();
+    let worst = runs
+        .iter()
+        .map(|(_, result)| result.worst)
+        .fold(0.0, f64::max);
+    (overloaded as f64 / runs.len() as f64, worst)
 }
 
-fn played(cases: Vec<Case>, seeds: u64) -> Vec<(Case, Came)> {
-    let play = |case: Case| (1..=seeds).map(move |seed| (case, play(case, seed)));
-    cases.into_iter().flat_map(play).collect()
+/// Simulates every case with every seed.
+fn simulate_all(cases: Vec<Case>, seeds: u64) -> Vec<(Case, CaseResult)> {
+    let run = |case: Case| (1..=seeds).map(move |seed| (case, simulate(case, seed)));
+    cases.into_iter().flat_map(run).collect()
 }
 
 #[test]
-fn all_together_send_a_cold_host_no_more_than_it_bears() {
-    let crowds = [Traffic::Sudden, Traffic::Waves];
-    let mut cases = cases(&[20.0], &[3, 20, 30], &[12.0], &crowds);
-    cases.extend(self::cases(&[20.0], &[300], &[60.0], &crowds[1..]));
-    let (share, worst) = sum(&played(cases, 1));
+fn all_dispatchers_together_do_not_overload_a_cold_host() {
+    let bursts = [Traffic::Sudden, Traffic::Waves];
+    let mut cases = cases(&[20.0], &[3, 20, 30], &[12.0], &bursts);
+    cases.extend(self::cases(&[20.0], &[300], &[60.0], &bursts[1..]));
+    let (share, worst) = summarize(&simulate_all(cases, 1));
     assert!(
         share <= 0.05 && worst <= 1.1,
-        "over in {share} of runs, worst {worst}"
+        "overloaded in {share} of runs, worst {worst}"
     );
 }
 
 #[test]
-fn one_whole_call_more_from_each_process_is_found() {
-    let planted = [1, 2, 3].map(|seed| {
-        let (traffic, planted) = (Traffic::Sudden, true);
-        play(
+fn one_request_more_from_each_dispatcher_is_detected() {
+    let results = [1, 2, 3].map(|seed| {
+        let (traffic, injected_fault) = (Traffic::Sudden, true);
+        simulate(
             Case {
                 traffic,
-                planted,
-                ..CALM
+                injected_fault,
+                ..BASE_CASE
             },
             seed,
         )
     });
-    assert!(planted.iter().all(|came| came.over > 0), "{planted:?}");
+    assert!(
+        results.iter().all(|result| result.overloads > 0),
+        "{results:?}"
+    );
 }
 
 #[test]
-fn large_requests_get_their_share_of_cold_hosts() {
-    let (sizes, all_cold) = (true, true);
-    for (processes, bears, load) in [
+fn large_requests_are_not_starved_by_slow_start() {
+    let (mixed_sizes, all_cold) = (true, true);
+    for (dispatchers, bearable, load) in [
         (1, 12.0, 0.4),
         (1, 3.0, 0.4),
         (20, 12.0, 0.4),
         (20, 12.0, 2.0),
     ] {
-        let came = play(
+        let result = simulate(
             Case {
-                processes,
-                bears,
+                dispatchers,
+                bearable,
                 load,
-                sizes,
+                mixed_sizes,
                 all_cold,
-                ..CALM
+                ..BASE_CASE
             },
             1,
         );
-        let what = format!("{processes}, {bears}, {load}: {came:?}");
-        assert!(came.large >= came.all / 2.0, "{what}");
-        assert!(came.worst <= 1.1, "{what}");
+        let message = format!("{dispatchers}, {bearable}, {load}: {result:?}");
+        assert!(result.large_sent >= result.all_sent / 2.0, "{message}");
+        assert!(result.worst <= 1.1, "{message}");
     }
 }
 
 #[test]
-#[ignore = "all cases with two seeds each, for figures"]
+#[ignore = "prints the figures of all cases with two seeds each"]
 fn figures() {
-    let (loads, processes, bears) = ([0.5, 20.0], [1, 3, 20, 30, 300], [1.5, 12.0, 60.0]);
+    let (loads, dispatchers, bearable) = ([0.5, 20.0], [1, 3, 20, 30, 300], [1.5, 12.0, 60.0]);
     let traffic = [
         Traffic::Even,
         Traffic::Skewed,
         Traffic::Sudden,
         Traffic::Waves,
     ];
-    let runs = played(cases(&loads, &processes, &bears, &traffic), 2);
-    let (share, worst) = sum(&runs);
-    println!("{} runs, over in {share:.4}, worst {worst:.2}", runs.len());
+    let runs = simulate_all(cases(&loads, &dispatchers, &bearable, &traffic), 2);
+    let (share, worst) = summarize(&runs);
+    println!(
+        "{} runs, overloaded in {share:.4}, worst {worst:.2}",
+        runs.len()
+    );
     for load in loads {
-        for processes in processes {
-            for bears in bears {
-                let of = |(case, _): &&(Case, Came)| {
-                    (case.processes, case.load, case.bears) == (processes, load, bears)
+        for dispatchers in dispatchers {
+            for bearable in bearable {
+                let matches_case = |(case, _): &&(Case, CaseResult)| {
+                    (case.dispatchers, case.load, case.bearable) == (dispatchers, load, bearable)
                 };
-                let of: Vec<_> = runs.iter().filter(of).copied().collect();
-                let (share, worst) = sum(&of);
-                let given = of.iter().map(|(_, came)| came.given).sum::<f64>() / of.len() as f64;
+                let matching: Vec<_> = runs.iter().filter(matches_case).copied().collect();
+                let (share, worst) = summarize(&matching);
+                let sent_share = matching
+                    .iter()
+                    .map(|(_, result)| result.sent_share)
+                    .sum::<f64>()
+                    / matching.len() as f64;
                 println!(
-                    "load {load}, {processes} processes, bears {bears}: over in {share:.3}, worst {worst:.2}, given {given:.2}"
+                    "load {load}, {dispatchers} dispatchers, bearable {bearable}: overloaded in {share:.3}, worst {worst:.2}, sent {sent_share:.2}"
                 );
             }
         }
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,77 +1,81 @@
-//! The decisions beside a full link: what they ask, and that no rule bends for it.
+//! The dispatcher with limits on the traffic between zones: what it asks of them, and that no rule is relaxed when a link
+//! is full.
 
-#[allow(dead_code, reason = "the other stories use the rest of it")]
-mod host;
+#[allow(dead_code, reason = "other test files use the rest of it")]
+mod harness;
 
-use host::*;
+use harness::*;
 use std::cell::RefCell;
 use std::rc::Rc;
 use trailproxy::interface::*;
 use trailproxy::logic::Dispatcher;
 use trailproxy::units::*;
 
-/// A link that has room for what it is told to, and notes what it is asked.
+/// Limits with a scripted answer that record their calls.
 #[derive(Clone, Default)]
-struct Gate(Rc<RefCell<Notes>>);
+struct ScriptedLimits(Rc<RefCell<LimitsState>>);
 
 #[derive(Default)]
-struct Notes {
+struct LimitsState {
+    /// No crossing has room.
     full: bool,
+    /// No crossing from these sources has room.
     full_from: Vec<HostId>,
-    away: Option<TimeSpan>,
+    retry_after: Option<TimeSpan>,
     sent: Vec<Crossing>,
-    heard: usize,
+    events: usize,
 }
 
-impl PeerKnowledge for Gate {}
+impl PeerKnowledge for ScriptedLimits {}
 
-impl CrossingLimits for Gate {
+impl CrossingLimits for ScriptedLimits {
     fn on_event(&mut self, _now: Timestamp, _event: &Event) {
-        self.0.borrow_mut().heard += 1;
+        self.0.borrow_mut().events += 1;
     }
 
     fn has_room(&self, _now: Timestamp, crossing: &Crossing) -> bool {
-        let notes = self.0.borrow();
-        !notes.full && !notes.full_from.contains(&crossing.source)
+        let state = self.0.borrow();
+        !state.full && !state.full_from.contains(&crossing.source)
     }
 
     fn on_sent(&mut self, _now: Timestamp, crossing: &Crossing) {
         self.0.borrow_mut().sent.push(*crossing);
     }
 
-    fn retry_after(&self, _now: Timestamp, _track: ClassId) -> Option<TimeSpan> {
-        self.0.borrow().away
+    fn retry_after(&self, _now: Timestamp, _class: ClassId) -> Option<TimeSpan> {
+        self.0.borrow().retry_after
     }
 }
 
-struct Desk {
-    gate: Gate,
-    dispatcher: Dispatcher<Gate>,
+/// A dispatcher with scripted limits, in virtual time.
+struct LimitedDispatcher {
+    limits: ScriptedLimits,
+    dispatcher: Dispatcher<ScriptedLimits>,
     now: Timestamp,
-    next: u64,
+    last_id: u64,
 }
 
-impl Desk {
-    fn new(terms: DispatcherSettings) -> Desk {
-        let gate = Gate::default();
-        let mut dispatcher = Dispatcher::new(gate.clone(), terms, 1);
+impl LimitedDispatcher {
+    fn new(settings: DispatcherSettings) -> LimitedDispatcher {
+        let limits = ScriptedLimits::default();
+        let mut dispatcher = Dispatcher::new(limits.clone(), settings, 1);
         let now = Timestamp(1_000_000_000);
         let hosts = CACHES.iter().chain(&PARENTS).chain([&ORIGIN]);
         let entries = hosts.map(|&host| entry(host)).collect();
         let kind = HostListKind::Full;
         dispatcher.handle_event(now, Event::HostList { kind, entries });
         dispatcher.take_actions(now);
-        Desk {
-            gate,
+        LimitedDispatcher {
+            limits,
             dispatcher,
             now,
-            next: 0,
+            last_id: 0,
         }
     }
 
-    fn arrive(&mut self, class: ClassId, object: u64) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
+    fn request(&mut self, class: ClassId, object: u64) -> (RequestId, Vec<Action>) {
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         let arrival = Arrival {
             id,
             time_left: TimeSpan::from_secs(3),
@@ -86,11 +90,12 @@
         (id, self.dispatcher.take_actions(self.now))
     }
 
-    fn end(&mut self, id: RequestId, no: u8, ending: Ending, note: Note) -> Vec<Action> {
+    /// An attempt of a request ends after 10 ms.
+    fn end_attempt(&mut self, id: RequestId, index: u8, ending: Ending, note: Note) -> Vec<Action> {
         self.now = self.now + ms(10);
         let outcome = Outcome {
             id,
-            attempt: AttemptNo(no),
+            attempt: AttemptNo(index),
             ending,
             elapsed: ms(10),
             request_closed: ending == Ending::Done,
@@ -106,7 +111,7 @@
     }
 }
 
-fn handed(actions: &[Action]) -> Option<Attempt> {
+fn sent_attempt(actions: &[Action]) -> Option<Attempt> {
     actions.iter().find_map(|action| match action {
         Action::Attempt(attempt) => Some(attempt.clone()),
         _ => None,
@@ -114,34 +119,37 @@
 }
 
 #[test]
-fn a_fill_that_goes_out_is_told_once_with_its_way() {
-    let mut desk = Desk::new(terms());
-    let (id, actions) = desk.arrive(READS, 5);
-    let attempt = handed(&actions).expect("a hand-off");
-    let notes = desk.gate.0.borrow();
-    let [way] = notes.sent[..] else {
-        panic!("{:?}", notes.sent);
+fn a_sent_fill_is_reported_once_with_its_crossing() {
+    let mut limited = LimitedDispatcher::new(settings());
+    let (id, actions) = limited.request(READS, 5);
+    let attempt = sent_attempt(&actions).expect("an attempt");
+    let state = limited.limits.0.borrow();
+    let [crossing] = state.sent[..] else {
+        panic!("{:?}", state.sent);
     };
-    assert_eq!((way.arrival.id, way.attempt), (id, AttemptNo(0)));
-    assert_eq!((way.from, way.to, way.kb), (ZoneId(0), ZoneId(1), 40.0));
+    assert_eq!((crossing.arrival.id, crossing.attempt), (id, AttemptNo(0)));
     assert_eq!(
-        (way.host, Some(way.source)),
+        (crossing.from, crossing.to, crossing.kb),
+        (ZoneId(0), ZoneId(1), 40.0)
+    );
+    assert_eq!(
+        (crossing.host, Some(crossing.source)),
         (attempt.host, attempt.fill.map(|fill| fill.source))
     );
-    assert!(way.join && notes.heard >= 2);
+    assert!(crossing.join && state.events >= 2);
 }
 
 #[test]
-fn past_a_full_way_the_next_parent_is_asked() {
-    let mut desk = Desk::new(terms());
-    let (_, actions) = desk.arrive(READS, 5);
-    let first = handed(&actions)
+fn the_next_parent_is_used_where_the_crossing_to_the_first_is_full() {
+    let mut limited = LimitedDispatcher::new(settings());
+    let (_, actions) = limited.request(READS, 5);
+    let first = sent_attempt(&actions)
         .and_then(|h| h.fill)
         .expect("a fill")
         .source;
-    desk.gate.0.borrow_mut().full_from.push(first);
-    let (_, actions) = desk.arrive(READS, 5);
-    let next = handed(&actions)
+    limited.limits.0.borrow_mut().full_from.push(first);
+    let (_, actions) = limited.request(READS, 5);
+    let next = sent_attempt(&actions)
         .and_then(|h| h.fill)
         .expect("a fill")
         .source;
@@ -149,35 +157,35 @@
 }
 
 #[test]
-fn over_a_full_link_the_cache_gives_what_it_holds_however_stale_within_grace() {
-    let mut desk = Desk::new(terms());
-    desk.gate.0.borrow_mut().full = true;
-    let (id, actions) = desk.arrive(READS, 5);
-    let attempt = handed(&actions).expect("a hand-off");
-    let fill = attempt.fill.expect("told how old a copy may be");
+fn behind_a_full_link_the_cache_serves_copies_that_are_stale_within_grace() {
+    let mut limited = LimitedDispatcher::new(settings());
+    limited.limits.0.borrow_mut().full = true;
+    let (id, actions) = limited.request(READS, 5);
+    let attempt = sent_attempt(&actions).expect("an attempt");
+    let fill = attempt.fill.expect("a maximum age of copies");
     assert_eq!(fill.source, attempt.host);
     // Fresh for 8 s and 20 s of grace.
     assert_eq!(fill.max_age, Some(TimeSpan::from_secs(28)));
-    assert!(desk.gate.0.borrow().sent.is_empty());
-    let actions = desk.end(id, 0, Ending::Done, Note::Stale);
-    assert!(handed(&actions).is_none());
+    assert!(limited.limits.0.borrow().sent.is_empty());
+    let actions = limited.end_attempt(id, 0, Ending::Done, Note::Stale);
+    assert!(sent_attempt(&actions).is_none());
 }
 
 #[test]
-fn what_is_not_held_is_rejected_at_once_with_the_time_that_the_link_needs() {
-    let mut desk = Desk::new(DispatcherSettings {
+fn a_miss_behind_a_full_link_is_refused_with_the_retry_time_of_the_link() {
+    let mut limited = LimitedDispatcher::new(DispatcherSettings {
         max_retry_after: Some(TimeSpan::from_secs(10)),
-        ..terms()
+        ..settings()
     });
     {
-        let mut notes = desk.gate.0.borrow_mut();
-        (notes.full, notes.away) = (true, Some(TimeSpan::from_secs(4)));
+        let mut state = limited.limits.0.borrow_mut();
+        (state.full, state.retry_after) = (true, Some(TimeSpan::from_secs(4)));
     }
-    let (id, _) = desk.arrive(READS, 5);
-    let actions = desk.end(id, 0, Ending::Miss, Note::NotReported);
+    let (id, _) = limited.request(READS, 5);
+    let actions = limited.end_attempt(id, 0, Ending::Miss, Note::NotReported);
     let [
         Action::Refuse {
-            retry_after: Some(away),
+            retry_after: Some(retry_after),
             ..
         },
     ] = actions[..]
@@ -185,30 +193,31 @@
         panic!("{actions:?}");
     };
     assert!(
-        (TimeSpan::from_secs(3)..=TimeSpan::from_secs(5)).contains(&away),
-        "{away:?}"
+        (TimeSpan::from_secs(3)..=TimeSpan::from_secs(5)).contains(&retry_after),
+        "{retry_after:?}"
     );
 }
 
 #[test]
-fn a_binding_access_that_may_have_run_is_aborted_and_never_rejected_for_a_full_link() {
-    let mut desk = Desk::new(terms());
-    let (id, actions) = desk.arrive(ORDERS, 5);
-    assert!(handed(&actions).is_some());
-    desk.gate.0.borrow_mut().full = true;
-    desk.end(id, 0, Ending::ConnectionLost, Note::NotReported);
-    // It is looked at again a little after the origin failed.
-    desk.now = desk.now + ms(100);
-    desk.dispatcher
-        .handle_event(desk.now, Event::TimerFired { timer: TimerId(0) });
-    let actions = desk.dispatcher.take_actions(desk.now);
+fn a_non_idempotent_request_that_may_have_run_fails_and_is_not_refused_behind_a_full_link() {
+    let mut limited = LimitedDispatcher::new(settings());
+    let (id, actions) = limited.request(ORDERS, 5);
+    assert!(sent_attempt(&actions).is_some());
+    limited.limits.0.borrow_mut().full = true;
+    limited.end_attempt(id, 0, Ending::ConnectionLost, Note::NotReported);
+    // The request waits for the retry interval of the origin.
+    limited.now = limited.now + ms(100);
+    limited
+        .dispatcher
+        .handle_event(limited.now, Event::TimerFired { timer: TimerId(0) });
+    let actions = limited.dispatcher.take_actions(limited.now);
     assert!(
         actions
             .iter()
             .any(|action| matches!(action, Action::Fail { .. })),
         "{actions:?}"
     );
-    let (_, actions) = desk.arrive(ORDERS, 6);
+    let (_, actions) = limited.request(ORDERS, 6);
     assert!(
         matches!(actions[..], [Action::Refuse { .. }]),
         "{actions:?}"
@@ -216,31 +225,32 @@
 }
 
 #[test]
-fn nothing_straight_from_another_zone_goes_over_a_full_link_either() {
-    let mut desk = Desk::new(terms());
+fn direct_requests_to_another_zone_are_limited_as_well() {
+    let mut limited = LimitedDispatcher::new(settings());
     let entries = CACHES.map(|host| HostEntry {
         state: HostState::Gone,
         ..entry(host)
     });
     let (kind, entries) = (HostListKind::Delta, entries.to_vec());
-    desk.dispatcher
-        .handle_event(desk.now, Event::HostList { kind, entries });
-    let (_, actions) = desk.arrive(READS, 5);
-    let way = desk
-        .gate
+    limited
+        .dispatcher
+        .handle_event(limited.now, Event::HostList { kind, entries });
+    let (_, actions) = limited.request(READS, 5);
+    let crossing = limited
+        .limits
         .0
         .borrow()
         .sent
         .last()
         .copied()
-        .expect("it crosses");
-    assert!(handed(&actions).is_some_and(|attempt| attempt.host == way.host));
+        .expect("a crossing");
+    assert!(sent_attempt(&actions).is_some_and(|attempt| attempt.host == crossing.host));
     assert_eq!(
-        (way.source, way.from, way.to),
-        (way.host, ZoneId(0), ZoneId(1))
+        (crossing.source, crossing.from, crossing.to),
+        (crossing.host, ZoneId(0), ZoneId(1))
     );
-    desk.gate.0.borrow_mut().full = true;
-    let (_, actions) = desk.arrive(READS, 6);
+    limited.limits.0.borrow_mut().full = true;
+    let (_, actions) = limited.request(READS, 6);
     assert!(
         matches!(actions[..], [Action::Refuse { .. }]),
         "{actions:?}"
@@ -248,21 +258,23 @@
 }
 
 #[test]
-fn a_link_that_never_says_no_changes_no_decision() {
-    let mut desk = Desk::new(terms());
-    let mut stage = Stage::new(terms());
+fn limits_that_always_have_room_change_no_decision() {
+    let mut limited = LimitedDispatcher::new(settings());
+    let mut harness = Harness::new(settings());
     for object in 1..200 {
-        let (id, actions) = desk.arrive(READS, object);
-        let other = stage.arrive(READS, object);
+        let (id, actions) = limited.request(READS, object);
+        let reference = harness.request(READS, object);
         assert_eq!(
-            handed(&actions).map(|h| h.host),
-            Some(stage.last(other).host)
+            sent_attempt(&actions).map(|h| h.host),
+            Some(harness.last_attempt(reference).host)
         );
         assert_eq!(
-            handed(&actions).and_then(|h| h.fill).map(|f| f.source),
-            Some(stage.source(other))
+            sent_attempt(&actions)
+                .and_then(|h| h.fill)
+                .map(|f| f.source),
+            Some(harness.last_source(reference))
         );
-        desk.end(id, 0, Ending::Done, Note::Filled);
-        stage.answer(other, Ending::Done, Note::Filled, ms(10));
+        limited.end_attempt(id, 0, Ending::Done, Note::Filled);
+        harness.end_attempt(reference, Ending::Done, Note::Filled, ms(10));
     }
 }
--- a/tests/system_errors.rs
+++ b/tests/system_errors.rs
@@ -1,4 +1,4 @@
-//! What each error means that Linux documents for the calls of the dispatcher.
+//! The meaning of each error that Linux documents for the system calls of the dispatcher.
 
 use libc::*;
 use trailproxy::policy::system_errors::{
@@ -38,7 +38,7 @@
         (EAGAIN, AcceptError::NobodyWaits),
         (EINTR, AcceptError::Next),
         (ECONNABORTED, AcceptError::Next),
-        // What was pending on the new connection.
+        // Errors that were pending on the new connection.
         (ENETDOWN, AcceptError::Next),
         (EPROTO, AcceptError::Next),
         (ENOPROTOOPT, AcceptError::Next),
@@ -47,7 +47,7 @@
         (EHOSTUNREACH, AcceptError::Next),
         (EOPNOTSUPP, AcceptError::Next),
         (ENETUNREACH, AcceptError::Next),
-        // A firewall forbids it.
+        // A firewall rule forbids the connection.
         (EPERM, AcceptError::Next),
         (EMFILE, AcceptError::Later),
         (ENFILE, AcceptError::Later),
@@ -63,8 +63,8 @@
 }
 
 #[test]
-fn errors_of_connect_and_of_its_socket() {
-    let ours = [
+fn errors_of_connect_and_socket() {
+    let local = [
         EINTR,
         EAGAIN,
         EALREADY,
@@ -78,7 +78,7 @@
         ENETUNREACH,
         ENETDOWN,
     ];
-    let theirs = [
+    let remote = [
         ECONNREFUSED,
         ECONNRESET,
         ETIMEDOUT,
@@ -87,30 +87,31 @@
         EPERM,
         EPROTOTYPE,
     ];
-    for errno in ours {
+    for errno in local {
         assert_eq!(of_connect(errno), ConnectError::Ours, "errno {errno}");
     }
-    for errno in theirs {
+    for errno in remote {
         assert_eq!(of_connect(errno), ConnectError::Theirs, "errno {errno}");
     }
 }
 
 #[test]
-fn errors_of_the_start() {
-    let passing = [EINTR, EAGAIN, EMFILE, ENFILE, ENOBUFS, ENOMEM, EIO];
-    let others = [EADDRINUSE, EADDRNOTAVAIL, ENOENT];
-    let lasting = [EACCES, EPERM, EINVAL, EAFNOSUPPORT, EISDIR, ENOTDIR];
-    for errno in passing {
-        let tried = start_tries_for(errno);
-        let in_time = TimeSpan::from_secs(10) <= tried && tried <= TimeSpan::from_secs(30);
-        assert!(in_time, "errno {errno}");
+fn errors_at_start_up() {
+    let temporary = [EINTR, EAGAIN, EMFILE, ENFILE, ENOBUFS, ENOMEM, EIO];
+    let waits_for_others = [EADDRINUSE, EADDRNOTAVAIL, ENOENT];
+    let permanent = [EACCES, EPERM, EINVAL, EAFNOSUPPORT, EISDIR, ENOTDIR];
+    for errno in temporary {
+        let retry_period = start_tries_for(errno);
+        let is_long_enough =
+            TimeSpan::from_secs(10) <= retry_period && retry_period <= TimeSpan::from_secs(30);
+        assert!(is_long_enough, "errno {errno}");
     }
-    for errno in others {
-        let tried = start_tries_for(errno);
-        let short = TimeSpan::ZERO < tried && tried < TimeSpan::from_secs(10);
-        assert!(short, "errno {errno}");
+    for errno in waits_for_others {
+        let retry_period = start_tries_for(errno);
+        let is_short = TimeSpan::ZERO < retry_period && retry_period < TimeSpan::from_secs(10);
+        assert!(is_short, "errno {errno}");
     }
-    for errno in lasting {
+    for errno in permanent {
         assert_eq!(start_tries_for(errno), TimeSpan::ZERO, "errno {errno}");
     }
 }
