--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -8,7 +8,7 @@
 use crate::msgpack::{self, Fault, Value};
 use crate::pulse::Pulse;
 use crate::ring::Ring;
-use crate::system_calls::{self, LACK_PASSES, Transfer, errno};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer, errno};
 use crate::trace::Trace;
 use local_channel::mpsc;
 use slog::{Logger, debug};
@@ -448,7 +448,7 @@
 
     /// The system lacks something for the moment: the connection is left alone for a while.
     fn rest(&mut self) {
-        self.rests_until = Some(Instant::now() + LACK_PASSES);
+        self.rests_until = Some(Instant::now() + RESOURCE_RETRY_DELAY);
     }
 
     fn reply(&mut self, number: u32, reply: Reply) {
--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -8,7 +8,7 @@
 use crate::pulse::Silence;
 use crate::resp;
 use crate::ring::Ring;
-use crate::system_calls::{self, LACK_PASSES, Transfer};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer};
 use local_channel::mpsc;
 use slog::{info, warn};
 use std::collections::{BTreeMap, VecDeque};
@@ -204,7 +204,7 @@
 
     /// The system lacks something for the moment: the connection is left alone for a while.
     fn rest(&mut self) {
-        self.rests_until = Some(Instant::now() + LACK_PASSES);
+        self.rests_until = Some(Instant::now() + RESOURCE_RETRY_DELAY);
     }
 
     /// Behind a silence of the whole process, clients that have closed or cancelled in it are heard first: nothing is to
--- a/crates/trailproxyd/src/list.rs
+++ b/crates/trailproxyd/src/list.rs
@@ -4,7 +4,7 @@
 use crate::http::Response;
 use crate::messages::*;
 use crate::sse::Events;
-use crate::system_calls::{self, LACK_PASSES, Transfer};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer};
 use local_channel::mpsc;
 use serde_json::Value;
 use slog::{Logger, info, warn};
@@ -219,7 +219,7 @@
             match system_calls::write(&stream, unsent) {
                 Transfer::Bytes(n) => unsent = &unsent[n..],
                 Transfer::NotReady => {}
-                Transfer::Lacking => sleep(LACK_PASSES).await,
+                Transfer::Lacking => sleep(RESOURCE_RETRY_DELAY).await,
                 Transfer::Broken(e) => return Err(broken(e)),
             }
         }
@@ -236,7 +236,7 @@
                 Transfer::Bytes(n) => n,
                 Transfer::NotReady => continue,
                 Transfer::Lacking => {
-                    sleep(LACK_PASSES).await;
+                    sleep(RESOURCE_RETRY_DELAY).await;
                     continue;
                 }
                 Transfer::Broken(e) => return Err(broken(e)),
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -4,7 +4,7 @@
 //! over its bytes and no more.
 
 use crate::messages::{FromPeers, Inbound, InboundSender, ToPeers};
-use crate::system_calls::{LACK_PASSES, errno};
+use crate::system_calls::{RESOURCE_RETRY_DELAY, errno};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::cell::Cell;
@@ -79,7 +79,7 @@
             Ok((size, SocketAddr::V4(from))) => (size, from),
             // The system lacks something for the moment.
             Err(e) if of_stream(errno(&e)) == StreamError::Later => {
-                tokio::time::sleep(LACK_PASSES).await;
+                tokio::time::sleep(RESOURCE_RETRY_DELAY).await;
                 continue;
             }
             // An error is another's: a port that nobody listens on any more tells so here.
--- a/crates/trailproxyd/src/system_calls.rs
+++ b/crates/trailproxyd/src/system_calls.rs
@@ -9,7 +9,8 @@
 use trailproxy::policy::system_errors::{self, StreamError, of_stream};
 
 /// How long a connection rests for which the system lacked something.
-pub const LACK_PASSES: Duration = Duration::from_micros(system_errors::LACK_PASSES.0);
+pub const RESOURCE_RETRY_DELAY: Duration =
+    Duration::from_micros(system_errors::RESOURCE_RETRY_DELAY.0);
 
 /// The system counts since the connection was made, or since it was started itself, where no data has come yet.
 const LONGEST_SINCE: Duration = Duration::from_secs(3_600);
@@ -80,7 +81,7 @@
     let there = socket2::SockRef::from(stream).recv_with_flags(&mut first, flags);
     if there.is_ok() {
         // It is about to be told; the bound is for what can't be.
-        let _ = timeout(LACK_PASSES, stream.readable()).await;
+        let _ = timeout(RESOURCE_RETRY_DELAY, stream.readable()).await;
     }
 }
 
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -11,7 +11,7 @@
 };
 
 /// Delay before a call is repeated that failed for lack of memory, buffers or descriptors.
-pub const LACK_PASSES: TimeSpan = TimeSpan::from_millis(5);
+pub const RESOURCE_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(5);
 /// Delay before a connection is opened again that failed for a reason on this side.
 pub const DIAL_AGAIN: TimeSpan = TimeSpan::from_millis(10);
 
@@ -22,7 +22,7 @@
     Again,
     /// Repeat the call when the connection is ready for it.
     WhenReady,
-    /// Repeat the call after [`LACK_PASSES`]: the system lacks a resource for the moment.
+    /// Repeat the call after [`RESOURCE_RETRY_DELAY`]: the system lacks a resource for the moment.
     Later,
     /// The connection is broken.
     Broken,
@@ -45,7 +45,7 @@
     Next,
     /// No connection is pending.
     NobodyWaits,
-    /// Accept again after [`LACK_PASSES`]: pending connections stay pending.
+    /// Accept again after [`RESOURCE_RETRY_DELAY`]: pending connections stay pending.
     Later,
     /// The listener is broken.
     Broken,
