--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -22,7 +22,7 @@
 const TOGETHER: usize = 2;
 
 /// How long a dial waits that failed for a reason of this side.
-const DIAL_AGAIN: Duration = Duration::from_micros(system_errors::DIAL_AGAIN.0);
+const DIAL_RETRY_DELAY: Duration = Duration::from_micros(system_errors::DIAL_RETRY_DELAY.0);
 
 /// One connection, as its pool knows it.
 struct Line {
@@ -500,6 +500,6 @@
             return Err(error);
         }
         lacking.set(true);
-        sleep(DIAL_AGAIN).await;
+        sleep(DIAL_RETRY_DELAY).await;
     }
 }
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -13,7 +13,7 @@
 /// Delay before a call is repeated that failed for lack of memory, buffers or descriptors.
 pub const RESOURCE_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(5);
 /// Delay before a connection is opened again that failed for a reason on this side.
-pub const DIAL_AGAIN: TimeSpan = TimeSpan::from_millis(10);
+pub const DIAL_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(10);
 
 /// What to do after a failed read or write on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
