--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -8,7 +8,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind, set_hook, take_hook};
 use std::time::{Duration, Instant};
 use trailproxy::policy::system_errors::{
-    START_AGAIN, START_AGAIN_AT_MOST, START_IS_TAKEN_FOR, start_tries_for,
+    ADDRESS_IN_USE_RETRY_PERIOD, INITIAL_STARTUP_RETRY_DELAY, MAX_STARTUP_RETRY_DELAY,
+    startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
@@ -34,8 +35,8 @@
     /// For how long the step is tried that fails so.
     fn tries_for(&self) -> Duration {
         let span = match self {
-            StepError::System(_, error) => start_tries_for(errno(error)),
-            StepError::HalfWritten(_) => START_IS_TAKEN_FOR,
+            StepError::System(_, error) => startup_retry_period(errno(error)),
+            StepError::HalfWritten(_) => ADDRESS_IN_USE_RETRY_PERIOD,
             StepError::Unfit(_) => TimeSpan::ZERO,
         };
         Duration::from_micros(span.0)
@@ -52,7 +53,7 @@
     fn new() -> Tries {
         Tries {
             began: Instant::now(),
-            pause: Duration::from_micros(START_AGAIN.0),
+            pause: Duration::from_micros(INITIAL_STARTUP_RETRY_DELAY.0),
         }
     }
 
@@ -68,7 +69,7 @@
             return Err(format!("{text}, tried for {seconds:.1} s"));
         }
         let pause = self.pause;
-        let longest = Duration::from_micros(START_AGAIN_AT_MOST.0);
+        let longest = Duration::from_micros(MAX_STARTUP_RETRY_DELAY.0);
         self.pause = (pause * 2).min(longest);
         Ok((pause, format!("{text}, tried for {seconds:.1} s so far")))
     }
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -84,18 +84,18 @@
 /// seconds of it.
 ///
 /// ```
-/// use trailproxy::policy::system_errors::start_tries_for;
+/// use trailproxy::policy::system_errors::startup_retry_period;
 /// use trailproxy::units::TimeSpan;
-/// assert!(start_tries_for(libc::ENFILE) > start_tries_for(libc::EADDRINUSE));
-/// assert_eq!(start_tries_for(libc::EACCES), TimeSpan::ZERO);
+/// assert!(startup_retry_period(libc::ENFILE) > startup_retry_period(libc::EADDRINUSE));
+/// assert_eq!(startup_retry_period(libc::EACCES), TimeSpan::ZERO);
 /// ```
-pub fn start_tries_for(errno: i32) -> TimeSpan {
+pub fn startup_retry_period(errno: i32) -> TimeSpan {
     match errno {
         EINTR | EAGAIN | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC | EIO => {
             RESOURCE_SHORTAGE_RETRY_PERIOD
         }
         // A previous process may be about to end, a network about to come up, a file about to be written.
-        EADDRINUSE | EADDRNOTAVAIL | ENOENT | ESTALE => START_IS_TAKEN_FOR,
+        EADDRINUSE | EADDRNOTAVAIL | ENOENT | ESTALE => ADDRESS_IN_USE_RETRY_PERIOD,
         _ => TimeSpan::ZERO,
     }
 }
@@ -104,8 +104,8 @@
 const RESOURCE_SHORTAGE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(20);
 /// How long the start-up waits for an address that is in use, or for a missing file, before it fails: after that, another
 /// process or the operator is responsible for it.
-pub const START_IS_TAKEN_FOR: TimeSpan = TimeSpan::from_secs(2);
-/// Initial delay before a step of the start-up is repeated; it grows up to [`START_AGAIN_AT_MOST`].
-pub const START_AGAIN: TimeSpan = TimeSpan::from_millis(20);
+pub const ADDRESS_IN_USE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(2);
+/// Initial delay before a step of the start-up is repeated; it grows up to [`MAX_STARTUP_RETRY_DELAY`].
+pub const INITIAL_STARTUP_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(20);
 /// Longest delay before a step of the start-up is repeated.
-pub const START_AGAIN_AT_MOST: TimeSpan = TimeSpan::from_millis(500);
+pub const MAX_STARTUP_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(500);
--- a/tests/system_errors.rs
+++ b/tests/system_errors.rs
@@ -2,7 +2,7 @@
 
 use libc::*;
 use trailproxy::policy::system_errors::{
-    AcceptError, ConnectError, StreamError, of_accept, of_connect, of_stream, start_tries_for,
+    AcceptError, ConnectError, StreamError, of_accept, of_connect, of_stream, startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
@@ -101,17 +101,17 @@
     let waits_for_others = [EADDRINUSE, EADDRNOTAVAIL, ENOENT];
     let permanent = [EACCES, EPERM, EINVAL, EAFNOSUPPORT, EISDIR, ENOTDIR];
     for errno in temporary {
-        let retry_period = start_tries_for(errno);
+        let retry_period = startup_retry_period(errno);
         let is_long_enough =
             TimeSpan::from_secs(10) <= retry_period && retry_period <= TimeSpan::from_secs(30);
         assert!(is_long_enough, "errno {errno}");
     }
     for errno in waits_for_others {
-        let retry_period = start_tries_for(errno);
+        let retry_period = startup_retry_period(errno);
         let is_short = TimeSpan::ZERO < retry_period && retry_period < TimeSpan::from_secs(10);
         assert!(is_short, "errno {errno}");
     }
     for errno in permanent {
-        assert_eq!(start_tries_for(errno), TimeSpan::ZERO, "errno {errno}");
+        assert_eq!(startup_retry_period(errno), TimeSpan::ZERO, "errno {errno}");
     }
 }
