--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
-use trailproxy::policy::system_errors::{StreamError, of_stream};
+use trailproxy::policy::system_errors::{StreamError, classify_stream_error};
 use trailproxy_peers::decide::messages::Address;
 use trailproxy_peers::wire::{MOST_BYTES, Seal, Unread};
 
@@ -78,7 +78,7 @@
         let (size, from) = match socket.recv_from(&mut bytes).await {
             Ok((size, SocketAddr::V4(from))) => (size, from),
             // The system lacks something for the moment.
-            Err(e) if of_stream(errno(&e)) == StreamError::Later => {
+            Err(e) if classify_stream_error(errno(&e)) == StreamError::RetryLater => {
                 tokio::time::sleep(RESOURCE_RETRY_DELAY).await;
                 continue;
             }
--- a/crates/trailproxyd/src/system_calls.rs
+++ b/crates/trailproxyd/src/system_calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use trailproxy::policy::system_errors::{self, StreamError, of_stream};
+use trailproxy::policy::system_errors::{self, StreamError, classify_stream_error};
 
 /// How long a connection rests for which the system lacked something.
 pub const RESOURCE_RETRY_DELAY: Duration =
@@ -42,11 +42,11 @@
             Ok(moved) => return Transfer::Bytes(moved),
             Err(error) => error,
         };
-        match of_stream(errno(&error)) {
-            StreamError::Again => {}
+        match classify_stream_error(errno(&error)) {
+            StreamError::RetryNow => {}
             StreamError::WhenReady => return Transfer::NotReady,
-            StreamError::Later => return Transfer::Lacking,
-            StreamError::Broken => return Transfer::Broken(error),
+            StreamError::RetryLater => return Transfer::Lacking,
+            StreamError::Permanent => return Transfer::Broken(error),
         }
     }
 }
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -19,22 +19,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamError {
     /// Repeat the call at once.
-    Again,
+    RetryNow,
     /// Repeat the call when the connection is ready for it.
     WhenReady,
     /// Repeat the call after [`RESOURCE_RETRY_DELAY`]: the system lacks a resource for the moment.
-    Later,
+    RetryLater,
     /// The connection is broken.
-    Broken,
+    Permanent,
 }
 
 /// What to do after a read or a write failed with this error.
-pub fn of_stream(errno: i32) -> StreamError {
+pub fn classify_stream_error(errno: i32) -> StreamError {
     match errno {
-        EINTR => StreamError::Again,
+        EINTR => StreamError::RetryNow,
         EAGAIN => StreamError::WhenReady,
-        ENOBUFS | ENOMEM => StreamError::Later,
-        _ => StreamError::Broken,
+        ENOBUFS | ENOMEM => StreamError::RetryLater,
+        _ => StreamError::Permanent,
     }
 }
 
--- a/tests/system_errors.rs
+++ b/tests/system_errors.rs
@@ -2,33 +2,34 @@
 
 use libc::*;
 use trailproxy::policy::system_errors::{
-    AcceptError, ConnectError, StreamError, of_accept, of_connect, of_stream, startup_retry_period,
+    AcceptError, ConnectError, StreamError, classify_stream_error, of_accept, of_connect,
+    startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
 #[test]
 fn errors_of_reads_and_writes() {
     let table = [
-        (EINTR, StreamError::Again),
+        (EINTR, StreamError::RetryNow),
         (EAGAIN, StreamError::WhenReady),
         (EWOULDBLOCK, StreamError::WhenReady),
-        (ENOBUFS, StreamError::Later),
-        (ENOMEM, StreamError::Later),
-        (ECONNRESET, StreamError::Broken),
-        (ECONNREFUSED, StreamError::Broken),
-        (EPIPE, StreamError::Broken),
-        (ETIMEDOUT, StreamError::Broken),
-        (EHOSTUNREACH, StreamError::Broken),
-        (ENETUNREACH, StreamError::Broken),
-        (ENETDOWN, StreamError::Broken),
-        (ENOTCONN, StreamError::Broken),
-        (EIO, StreamError::Broken),
-        (EBADF, StreamError::Broken),
-        (EFAULT, StreamError::Broken),
-        (EINVAL, StreamError::Broken),
+        (ENOBUFS, StreamError::RetryLater),
+        (ENOMEM, StreamError::RetryLater),
+        (ECONNRESET, StreamError::Permanent),
+        (ECONNREFUSED, StreamError::Permanent),
+        (EPIPE, StreamError::Permanent),
+        (ETIMEDOUT, StreamError::Permanent),
+        (EHOSTUNREACH, StreamError::Permanent),
+        (ENETUNREACH, StreamError::Permanent),
+        (ENETDOWN, StreamError::Permanent),
+        (ENOTCONN, StreamError::Permanent),
+        (EIO, StreamError::Permanent),
+        (EBADF, StreamError::Permanent),
+        (EFAULT, StreamError::Permanent),
+        (EINVAL, StreamError::Permanent),
     ];
     for (errno, meaning) in table {
-        assert_eq!(of_stream(errno), meaning, "errno {errno}");
+        assert_eq!(classify_stream_error(errno), meaning, "errno {errno}");
     }
 }
 
