--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -20,7 +20,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::policy::permits::{self, CloseFacts};
-use trailproxy::policy::system_errors::{AcceptError, of_accept};
+use trailproxy::policy::system_errors::{AcceptError, classify_accept_error};
 use trailproxy::units::*;
 
 /// Open requests on one connection, by the protocol: one that asks for more is closed, and all that it
@@ -93,7 +93,7 @@
             Err(e) => {
                 count(&shared.counts.accepts_failed);
                 debug!(shared.log, "accept failed"; "why" => %e);
-                if of_accept(errno(&e)) != AcceptError::Next {
+                if classify_accept_error(errno(&e)) != AcceptError::Next {
                     sleep(ACCEPT_AGAIN).await;
                 }
             }
@@ -121,10 +121,10 @@
             }
             Err(error) => error,
         };
-        match of_accept(errno(&error)) {
-            AcceptError::NobodyWaits | AcceptError::Broken => return,
+        match classify_accept_error(errno(&error)) {
+            AcceptError::NonePending | AcceptError::Permanent => return,
             AcceptError::Next => count(&shared.counts.accepts_failed),
-            AcceptError::Later => {
+            AcceptError::RetryLater => {
                 count(&shared.counts.accepts_failed);
                 sleep(ACCEPT_AGAIN).await;
             }
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -44,21 +44,21 @@
     /// Accept the next connection at once: the call was interrupted, or its connection failed before it was accepted.
     Next,
     /// No connection is pending.
-    NobodyWaits,
+    NonePending,
     /// Accept again after [`RESOURCE_RETRY_DELAY`]: pending connections stay pending.
-    Later,
+    RetryLater,
     /// The listener is broken.
-    Broken,
+    Permanent,
 }
 
 /// What to do after an accept failed with this error. Linux also returns errors that were pending on the new connection.
-pub fn of_accept(errno: i32) -> AcceptError {
+pub fn classify_accept_error(errno: i32) -> AcceptError {
     match errno {
-        EAGAIN => AcceptError::NobodyWaits,
+        EAGAIN => AcceptError::NonePending,
         EINTR | ECONNABORTED | EPROTO | EPERM | ENETDOWN | ENOPROTOOPT | EHOSTDOWN | ENONET
         | EHOSTUNREACH | EOPNOTSUPP | ENETUNREACH => AcceptError::Next,
-        EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC => AcceptError::Later,
-        _ => AcceptError::Broken,
+        EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC => AcceptError::RetryLater,
+        _ => AcceptError::Permanent,
     }
 }
 
--- a/tests/system_errors.rs
+++ b/tests/system_errors.rs
@@ -2,8 +2,8 @@
 
 use libc::*;
 use trailproxy::policy::system_errors::{
-    AcceptError, ConnectError, StreamError, classify_stream_error, of_accept, of_connect,
-    startup_retry_period,
+    AcceptError, ConnectError, StreamError, classify_accept_error, classify_stream_error,
+    of_connect, startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
@@ -36,7 +36,7 @@
 #[test]
 fn errors_of_accept() {
     let table = [
-        (EAGAIN, AcceptError::NobodyWaits),
+        (EAGAIN, AcceptError::NonePending),
         (EINTR, AcceptError::Next),
         (ECONNABORTED, AcceptError::Next),
         // Errors that were pending on the new connection.
@@ -50,16 +50,16 @@
         (ENETUNREACH, AcceptError::Next),
         // A firewall rule forbids the connection.
         (EPERM, AcceptError::Next),
-        (EMFILE, AcceptError::Later),
-        (ENFILE, AcceptError::Later),
-        (ENOBUFS, AcceptError::Later),
-        (ENOMEM, AcceptError::Later),
-        (EBADF, AcceptError::Broken),
-        (EINVAL, AcceptError::Broken),
-        (ENOTSOCK, AcceptError::Broken),
+        (EMFILE, AcceptError::RetryLater),
+        (ENFILE, AcceptError::RetryLater),
+        (ENOBUFS, AcceptError::RetryLater),
+        (ENOMEM, AcceptError::RetryLater),
+        (EBADF, AcceptError::Permanent),
+        (EINVAL, AcceptError::Permanent),
+        (ENOTSOCK, AcceptError::Permanent),
     ];
     for (errno, meaning) in table {
-        assert_eq!(of_accept(errno), meaning, "errno {errno}");
+        assert_eq!(classify_accept_error(errno), meaning, "errno {errno}");
     }
 }
 
