--- a/crates/trailproxyd/src/servers.rs
+++ b/crates/trailproxyd/src/servers.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 use trailproxy::interface::*;
-use trailproxy::policy::system_errors::{self, ConnectError, of_connect};
+use trailproxy::policy::system_errors::{self, ConnectError, classify_connect_error};
 use trailproxy::units::*;
 
 /// So many attempts share a connection before another is dialled, as descriptors allow. More are lost
@@ -496,7 +496,7 @@
             Ok(stream) => return Ok(stream),
             Err(error) => error,
         };
-        if of_connect(errno(&error)) == ConnectError::Theirs {
+        if classify_connect_error(errno(&error)) == ConnectError::Remote {
             return Err(error);
         }
         lacking.set(true);
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -66,17 +66,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectError {
     /// This side, for lack of a resource: the error says nothing about the host.
-    Ours,
+    Local,
     /// The host refuses connections or can't be reached.
-    Theirs,
+    Remote,
 }
 
 /// Which side caused this error of a connect, or of the creation of its socket.
-pub fn of_connect(errno: i32) -> ConnectError {
+pub fn classify_connect_error(errno: i32) -> ConnectError {
     match errno {
         EINTR | EAGAIN | EALREADY | EINPROGRESS | EMFILE | ENFILE | ENOBUFS | ENOMEM | ENOSPC
-        | EADDRINUSE | EADDRNOTAVAIL | ENETUNREACH | ENETDOWN => ConnectError::Ours,
-        _ => ConnectError::Theirs,
+        | EADDRINUSE | EADDRNOTAVAIL | ENETUNREACH | ENETDOWN => ConnectError::Local,
+        _ => ConnectError::Remote,
     }
 }
 
--- a/tests/system_errors.rs
+++ b/tests/system_errors.rs
@@ -2,8 +2,8 @@
 
 use libc::*;
 use trailproxy::policy::system_errors::{
-    AcceptError, ConnectError, StreamError, classify_accept_error, classify_stream_error,
-    of_connect, startup_retry_period,
+    AcceptError, ConnectError, StreamError, classify_accept_error, classify_connect_error,
+    classify_stream_error, startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
@@ -89,10 +89,18 @@
         EPROTOTYPE,
     ];
     for errno in local {
-        assert_eq!(of_connect(errno), ConnectError::Ours, "errno {errno}");
+        assert_eq!(
+            classify_connect_error(errno),
+            ConnectError::Local,
+            "errno {errno}"
+        );
     }
     for errno in remote {
-        assert_eq!(of_connect(errno), ConnectError::Theirs, "errno {errno}");
+        assert_eq!(
+            classify_connect_error(errno),
+            ConnectError::Remote,
+            "errno {errno}"
+        );
     }
 }
 
