--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -29,7 +29,7 @@
         let purged = Event::Purged {
             object,
             group,
-            age: self.state.stamps.least_age(now, stamp),
+            age: self.state.stamps.min_age(now, stamp),
             stamp: Some(stamp),
         };
         self.handle_event(now, purged);
@@ -38,7 +38,7 @@
     /// Records the timestamps of an entry, which bound how far the clocks are apart.
     fn record_stamps(&mut self, now: Timestamp, entry: &JournalEntry) {
         for stamp in entry.stamps() {
-            self.state.stamps.heard(now, stamp);
+            self.state.stamps.observe(now, stamp);
         }
     }
 
@@ -58,7 +58,8 @@
                 hosts_changed = true;
                 for host in &mut hosts {
                     let stamp = host.entry.stamp;
-                    host.entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
+                    host.entry.started =
+                        stamp.map(|stamp| self.state.stamps.latest_local_time(now, stamp));
                 }
                 self.pools.list(kind, &hosts);
                 for _ in 0..unreadable {
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -61,7 +61,7 @@
         };
         if let Some((state, stamp)) = restriction {
             (entry.state, entry.stamp) = (state, stamp);
-            entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
+            entry.started = stamp.map(|stamp| self.state.stamps.latest_local_time(now, stamp));
         }
         info!(self.log, "host restricted"; "host" => format!("{:x}", host.0), "by_others" => restriction.is_some());
         let (kind, entries) = (HostListKind::Delta, vec![entry]);
--- a/src/policy/stamps.rs
+++ b/src/policy/stamps.rs
@@ -16,11 +16,11 @@
 /// // The own clock is an hour ahead: a stamp that was made just now is not an hour old.
 /// let mut stamps = Stamps::default();
 /// let now = stamp + hour;
-/// stamps.heard(now, stamp);
-/// assert_eq!(stamps.least_age(now, stamp), TimeSpan::ZERO);
+/// stamps.observe(now, stamp);
+/// assert_eq!(stamps.min_age(now, stamp), TimeSpan::ZERO);
 /// // Another stamp, five seconds newer, shows that the first was five seconds old.
-/// stamps.heard(now, stamp + TimeSpan::from_secs(5));
-/// assert_eq!(stamps.least_age(now, stamp), TimeSpan::from_secs(5));
+/// stamps.observe(now, stamp + TimeSpan::from_secs(5));
+/// assert_eq!(stamps.min_age(now, stamp), TimeSpan::from_secs(5));
 /// ```
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Stamps {
@@ -30,7 +30,7 @@
 
 impl Stamps {
     /// Takes note of a stamp that was received now.
-    pub fn heard(&mut self, now: Timestamp, stamp: Timestamp) {
+    pub fn observe(&mut self, now: Timestamp, stamp: Timestamp) {
         if self
             .min_stamp_clock(now)
             .is_none_or(|reached| stamp > reached)
@@ -46,13 +46,13 @@
     }
 
     /// Lower bound of the time since a stamp was made.
-    pub fn least_age(&self, now: Timestamp, stamp: Timestamp) -> TimeSpan {
+    pub fn min_age(&self, now: Timestamp, stamp: Timestamp) -> TimeSpan {
         let reached = self.min_stamp_clock(now).unwrap_or(stamp);
         reached.min(now).since(stamp)
     }
 
     /// The latest time on the own clock at which a stamp can have been made.
-    pub fn latest(&self, now: Timestamp, stamp: Timestamp) -> Timestamp {
-        now - self.least_age(now, stamp)
+    pub fn latest_local_time(&self, now: Timestamp, stamp: Timestamp) -> Timestamp {
+        now - self.min_age(now, stamp)
     }
 }
