--- a/crates/trailproxyd/src/link.rs
+++ b/crates/trailproxyd/src/link.rs
@@ -312,7 +312,7 @@
         self.shared
             .trace
             .begun(&sending.request, sending.id, self.id);
-        let late = permits::begun_against_a_rule(clock.timestamp(now), &sending.send_facts(clock));
+        let late = permits::started_in_violation(clock.timestamp(now), &sending.send_facts(clock));
         must(!late, &self.shared.counts.broken_began_late);
         let passed_on = self.deadline_holds(now);
         must(passed_on, &self.shared.counts.broken_deadline_passed_on);
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -104,7 +104,7 @@
 const MAX_START_AFTER_CLIENT_CLOSE: TimeSpan = TimeSpan::from_millis(100);
 
 /// Whether an attempt that started now violated a rule, by the operators' bounds. It is checked after the attempt started.
-pub fn begun_against_a_rule(now: Timestamp, facts: &SendFacts) -> bool {
+pub fn started_in_violation(now: Timestamp, facts: &SendFacts) -> bool {
     let gone = |closed: Timestamp| now > closed + MAX_START_AFTER_CLIENT_CLOSE;
     facts.answered || now > facts.deadline || facts.client_closed.is_some_and(gone)
 }
