--- a/src/logic.rs
+++ b/src/logic.rs
@@ -314,7 +314,7 @@
         known.filter(move |purge| now.since(purge.at) < retention)
     }
 
-    /// Rule 5, by stamps alone: whether a copy with the stamp `minted` may answer an attempt. A host whose clock is wrong,
+    /// Rule 5, by stamps alone: whether a copy with the stamp `copy_stamp` may answer an attempt. A host whose clock is wrong,
     /// or that ignores the maximum age, may answer with a copy from before a purge whose message was received before the
     /// attempt was sent.
     pub fn admits_copy(
@@ -322,7 +322,7 @@
         now: Timestamp,
         id: RequestId,
         attempt: AttemptNo,
-        minted: Timestamp,
+        copy_stamp: Timestamp,
     ) -> bool {
         let Some(request) = self.requests.get(&id) else {
             return true;
@@ -332,7 +332,7 @@
         let known_when_sent =
             |purge: &&Purge| sent_at.is_some_and(|sent_at| purge.received_at <= sent_at);
         let mut relevant = self.active_purges(now, request).filter(known_when_sent);
-        relevant.all(|purge| purge.stamp.is_none_or(|stamp| minted > stamp))
+        relevant.all(|purge| purge.stamp.is_none_or(|stamp| copy_stamp > stamp))
     }
 
     fn on_host_list(&mut self, now: Timestamp, kind: HostListKind, entries: Vec<HostEntry>) {
