--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -44,7 +44,7 @@
 /// A client is owed a word or a close within 3 s: by then its message must be whole.
 const WHOLE_WITHIN: Duration = Duration::from_millis(2500);
 /// A client that ends its side is taken to have gone after this: what it sent just before still begins.
-const GONE_AFTER: Duration = Duration::from_micros(permits::CLIENT_GONE_AFTER.0);
+const GONE_AFTER: Duration = Duration::from_micros(permits::CLIENT_CLOSE_GRACE.0);
 /// One that is idle for too long is told so by a half-close, and has so long to end its side: a close at once would
 /// reset what it may be sending in that moment, and answers on their way with it.
 const ENDS_WITHIN: Duration = Duration::from_millis(500);
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -10,7 +10,7 @@
 /// A client that has closed its side of the connection counts as gone after this time. Until then, attempts of what it sent
 /// just before may start, because a close and a half-close look the same. The operators allow 0.1 s; the rest is for the
 /// network delay to the host.
-pub const CLIENT_GONE_AFTER: TimeSpan = TimeSpan::from_millis(50);
+pub const CLIENT_CLOSE_GRACE: TimeSpan = TimeSpan::from_millis(50);
 /// By how much the deadline that is passed on may exceed the client's remaining time when it is written.
 pub const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(100);
 
@@ -87,7 +87,7 @@
     if facts.answered {
         return Err(Denial::Answered);
     }
-    let gone = |closed: Timestamp| now >= closed + CLIENT_GONE_AFTER;
+    let gone = |closed: Timestamp| now >= closed + CLIENT_CLOSE_GRACE;
     if facts.client_closed.is_some_and(gone) {
         return Err(Denial::ClientGone);
     }
