--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,5 @@
-//! Input and output of a dispatcher, independent of any protocol: settings, events, actions, and the traits through which
-//! it consults limits on traffic between zones and the knowledge of other dispatchers.
+//! Input and output of a dispatcher, independent of any protocol: settings, events, actions, and the traits through
+//! which it consults limits on traffic between zones and the knowledge of other dispatchers.
 
 use crate::policy::refusals::GiveUpReason;
 use crate::units::*;
@@ -151,7 +151,8 @@
     },
     /// A client sent a request.
     Arrived(Arrival),
-    /// The response of a streamed attempt has started and is passed on to the client: the attempt is no longer cancelled.
+    /// The response of a streamed attempt has started and is passed on to the client: the attempt is no longer
+    /// cancelled.
     ResponseStarted { id: RequestId, attempt: AttemptNo },
     /// An attempt ended.
     Outcome(Outcome),
@@ -199,8 +200,8 @@
     pub kind: KindId,
     /// When its process started, on the caller's clock. `None`: long ago.
     pub started: Option<Timestamp>,
-    /// The same, as stamped by another machine's clock: it distinguishes two processes of one host and is never compared
-    /// with a local time.
+    /// The same, as stamped by another machine's clock: it distinguishes two processes of one host and is never
+    /// compared with a local time.
     pub stamp: Option<Timestamp>,
     /// Number of answers that it sends at full rate at once.
     pub capacity: f64,
@@ -399,8 +400,8 @@
 
 /// Limits on the traffic between zones.
 ///
-/// An implementation only forbids or counts a route; the dispatcher chooses it. The check that every attempt passes asks it
-/// about each attempt whose source and reader are in different zones.
+/// An implementation only forbids or counts a route; the dispatcher chooses it. The check that every attempt passes
+/// asks it about each attempt whose source and reader are in different zones.
 pub trait CrossingLimits {
     /// Called with every event, before the dispatcher handles it.
     fn on_event(&mut self, _now: Timestamp, _event: &Event) {}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! trailproxy decides where objects are served, kept and filled from.
 //!
-//! [`logic::Dispatcher`] consumes the events of [`interface`] and returns actions. It opens no socket and reads no clock,
-//! so it can be used behind any protocol and in simulations.
+//! [`logic::Dispatcher`] consumes the events of [`interface`] and returns actions. It opens no socket and reads no
+//! clock, so it can be used behind any protocol and in simulations.
 
 pub mod interface;
 pub mod logic;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -25,8 +25,8 @@
 use crate::units::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A first-byte latency above this many times the usual 95th percentile is a failure. The design says 3; a histogram bin
-/// adds a factor of up to 1.7.
+/// A first-byte latency above this many times the usual 95th percentile is a failure. The design says 3; a histogram
+/// bin adds a factor of up to 1.7.
 const SLOW_LATENCY_FACTOR: f64 = 2.0;
 /// Up to this predicted slowdown a request stays at the first cache in hash order. Lower loses hits, higher loses time.
 const MAX_SLOWDOWN_BEFORE_SPILL: f64 = 3.0;
@@ -37,8 +37,8 @@
 /// Time that a fill takes besides its transfer.
 const FILL_OVERHEAD: TimeSpan = TimeSpan::from_millis(100);
 /// An attempt is overdue after this many times its predicted transfer time plus a wait: the longer of
-/// `OVERDUE_TARGET_SHARE` of the class's target and `OVERDUE_FILL_WAITS` median waits for a fill. Lower reports slow hosts
-/// as failed, higher keeps requests at silent hosts.
+/// `OVERDUE_TARGET_SHARE` of the class's target and `OVERDUE_FILL_WAITS` median waits for a fill. Lower reports slow
+/// hosts as failed, higher keeps requests at silent hosts.
 const OVERDUE_TRANSFER_FACTOR: f64 = 1.5;
 /// The share of the class's target that an attempt may wait before it is overdue.
 const OVERDUE_TARGET_SHARE: f64 = 0.6;
@@ -314,9 +314,9 @@
         known.filter(move |purge| now.since(purge.at) < retention)
     }
 
-    /// Rule 5, by stamps alone: whether a copy with the stamp `copy_stamp` may answer an attempt. A host whose clock is wrong,
-    /// or that ignores the maximum age, may answer with a copy from before a purge whose message was received before the
-    /// attempt was sent.
+    /// Rule 5, by stamps alone: whether a copy with the stamp `copy_stamp` may answer an attempt. A host whose clock is
+    /// wrong, or that ignores the maximum age, may answer with a copy from before a purge whose message was received
+    /// before the attempt was sent.
     pub fn admits_copy(
         &self,
         now: Timestamp,
@@ -387,8 +387,8 @@
             let reported = Some(entry.capacity).filter(|_| self.settings.capacities_reported);
             host.capacity = reported.unwrap_or(samples.0 / samples.1);
             if previous_stamp != Some(entry.stamp) {
-                // A new process is not held responsible for the failures of the previous one. Each dispatcher starts with
-                // a random debt, or all would send to it at the same moment.
+                // A new process is not held responsible for the failures of the previous one. Each dispatcher starts
+                // with a random debt, or all would send to it at the same moment.
                 host.breaker = Breaker::default();
                 host.slow_start_budget =
                     (-self.rng.f64() * host.budget_cost(now, mean_transfer), now);
@@ -416,7 +416,8 @@
 
     /// Takes over the load that a probed host reported: the utilization of the link and of the host itself.
     fn on_probed(&mut self, now: Timestamp, id: HostId, ending: Ending, load: Load) {
-        // A failed probe is not counted against the host: hosts answer few probes at once, and one may wait behind requests.
+        // A failed probe is not counted against the host: hosts answer few probes at once, and one may wait behind
+        // requests.
         let answered = |_: &&mut Host| ending == Ending::Done;
         let Some(host) = self.hosts.get_mut(&id).filter(answered) else {
             return;
@@ -457,8 +458,8 @@
         }
     }
 
-    /// Replaces the settings by others with the same classes, zone and effects. Pending requests, the host list with its
-    /// rules, purges and breakers are kept; what was measured in another unit is measured anew.
+    /// Replaces the settings by others with the same classes, zone and effects. Pending requests, the host list with
+    /// its rules, purges and breakers are kept; what was measured in another unit is measured anew.
     pub fn apply_settings(&mut self, now: Timestamp, settings: DispatcherSettings) {
         let units = |settings: &DispatcherSettings| {
             (settings.stream_kb_per_s, settings.capacities_reported)
@@ -729,8 +730,8 @@
     }
 
     /// Records an overdue attempt of this request as a failure: of its host if that has answered nothing since the
-    /// attempt was sent; else of its source if that has answered nothing either, or nothing recently while another parent
-    /// has; else of the origin if that has answered nothing well since.
+    /// attempt was sent; else of its source if that has answered nothing either, or nothing recently while another
+    /// parent has; else of the origin if that has answered nothing well since.
     fn assess_overdue(&mut self, now: Timestamp, id: RequestId) {
         let is_overdue = |attempt: &&mut AttemptState| {
             attempt.in_flight && !attempt.counted_overdue && now >= attempt.overdue_at
@@ -764,7 +765,8 @@
         }
     }
 
-    /// Whether an unhealthy origin may explain the failure of an attempt, because its source may have waited for the origin.
+    /// Whether an unhealthy origin may explain the failure of an attempt, because its source may have waited for the
+    /// origin.
     fn may_be_origin_fault(&self, attempt: &AttemptState) -> bool {
         let state = self.origin.map(|id| self.hosts[&id].breaker.state);
         state.is_some_and(|state| state != BreakerState::Closed) && !attempt.only_if_cached
@@ -918,8 +920,8 @@
 
     /// The caches or the parents in the hash order of the request's object.
     fn in_hash_order(&self, request: &Request, role: Role) -> Vec<HostId> {
-        // The parts of an object are spread over the caches, so that a long object does not overload one; they fill from
-        // the same parent.
+        // The parts of an object are spread over the caches, so that a long object does not overload one; they fill
+        // from the same parent.
         let (hosts, part) = match role {
             Role::Cache => (&self.caches, request.arrival.part),
             _ => (&self.parents, 0),
@@ -938,7 +940,8 @@
         order.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Whether the breaker and the slow-start capacity of a host admit this request, and no earlier attempt failed there.
+    /// Whether the breaker and the slow-start capacity of a host admit this request, and no earlier attempt failed
+    /// there.
     fn admits(&self, now: Timestamp, request: &Request, id: HostId) -> bool {
         let host = &self.hosts[&id];
         let share = match host.role {
@@ -1037,9 +1040,9 @@
         )
     }
 
-    /// How many times longer than alone an answer from this host is predicted to take. The attempts of other dispatchers
-    /// there are estimated by this dispatcher's average, corrected by its current number; the correction is stronger the
-    /// higher the average is, because small numbers vary by chance.
+    /// How many times longer than alone an answer from this host is predicted to take. The attempts of other
+    /// dispatchers there are estimated by this dispatcher's average, corrected by its current number; the correction is
+    /// stronger the higher the average is, because small numbers vary by chance.
     fn predicted_slowdown(&self, now: Timestamp, host: &Host) -> f64 {
         if host.role != Role::Cache {
             return 1.0;
@@ -1104,8 +1107,8 @@
         permits::may_repeat(now, effect, own.chain(of_peers), location(host)).is_ok()
     }
 
-    /// Rule 5: the highest age of a copy that may be served, by the latest purge of the object or its group and, where a
-    /// stale copy is accepted or there was a purge, by the class.
+    /// Rule 5: the highest age of a copy that may be served, by the latest purge of the object or its group and, where
+    /// a stale copy is accepted or there was a purge, by the class.
     fn max_copy_age(
         &self,
         now: Timestamp,
--- a/src/policy/breaker.rs
+++ b/src/policy/breaker.rs
@@ -1,5 +1,5 @@
-//! The circuit breaker that each cache, parent and origin has: it opens by a sliding window of outcomes, stays open for a
-//! time, admits one trial, and then a share of the requests that doubles until it is closed.
+//! The circuit breaker that each cache, parent and origin has: it opens by a sliding window of outcomes, stays open for
+//! a time, admits one trial, and then a share of the requests that doubles until it is closed.
 
 use crate::units::{TimeSpan, Timestamp};
 use std::collections::VecDeque;
@@ -16,17 +16,17 @@
 pub(crate) const INITIAL_SHARE: f64 = 0.05;
 /// Time between two doublings of that share.
 pub(crate) const SHARE_DOUBLING_INTERVAL: TimeSpan = TimeSpan::from_secs(2);
-/// Consecutive failures whose weights add up to this open a breaker, or reduce the share of an overloaded host. A certain
-/// failure weighs 4; one that is overdue, lost or possibly another host's weighs 2; a slow answer 1. Lower reacts to
-/// chance, higher reacts late.
+/// Consecutive failures whose weights add up to this open a breaker, or reduce the share of an overloaded host. A
+/// certain failure weighs 4; one that is overdue, lost or possibly another host's weighs 2; a slow answer 1. Lower
+/// reacts to chance, higher reacts late.
 pub(crate) const FAILURE_WEIGHT_LIMIT: u32 = 10;
 /// Factor by which the share of an overloaded host is reduced.
 pub(crate) const OVERLOAD_SHARE_FACTOR: f64 = 0.25;
 /// Ratio of the widths of two adjacent histogram bins.
 pub(crate) const BIN_RATIO: f64 = 1.7;
 
-/// A coarse histogram of values in microseconds: each bin is `BIN_RATIO` times as wide as the one before. Wider bins would
-/// be less precise.
+/// A coarse histogram of values in microseconds: each bin is `BIN_RATIO` times as wide as the one before. Wider bins
+/// would be less precise.
 #[derive(Default)]
 pub(crate) struct Histogram([u32; 32]);
 
@@ -153,8 +153,8 @@
         matches!(self.state, BreakerState::Open(until) if now >= until)
     }
 
-    /// Counts an outcome: a good one if `weight` is 0, otherwise a failure of that weight. `overloaded`: if this trips the
-    /// breaker, the share is reduced instead of set to 0.
+    /// Counts an outcome: a good one if `weight` is 0, otherwise a failure of that weight. `overloaded`: if this trips
+    /// the breaker, the share is reduced instead of set to 0.
     pub(crate) fn record(&mut self, now: Timestamp, weight: u32, overloaded: bool) {
         self.advance(now);
         let is_failure = weight > 0;
--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher knows of one host: its breaker, its load, its slow-start capacity, and the budget of work that this
-//! dispatcher may still send it during slow start.
+//! What a dispatcher knows of one host: its breaker, its load, its slow-start capacity, and the budget of work that
+//! this dispatcher may still send it during slow start.
 
 use super::breaker::{Breaker, BreakerState};
 use crate::interface::{HostEntry, HostState, SlowStart};
@@ -8,8 +8,8 @@
 /// Part of a cold host's overload limit that all dispatchers together use. Higher risks overloading it, lower loads it
 /// later.
 pub(crate) const SLOW_START_USE: f64 = 0.4;
-/// Upper limit of a dispatcher's budget for a cold host, in its shares of one overload window. Higher risks overload when
-/// many dispatchers send at once, lower leaves capacity unused.
+/// Upper limit of a dispatcher's budget for a cold host, in its shares of one overload window. Higher risks overload
+/// when many dispatchers send at once, lower leaves capacity unused.
 pub(crate) const MAX_SAVED_BUDGET: f64 = 1.5;
 /// Half-life of averages over time.
 pub(crate) const AVERAGE_HALF_LIFE: TimeSpan = TimeSpan::from_secs(2);
@@ -95,8 +95,8 @@
         )
     }
 
-    /// The part of the estimated queueing here that counts: less if the host last reported free capacity, because requests
-    /// that wait for fills send nothing yet.
+    /// The part of the estimated queueing here that counts: less if the host last reported free capacity, because
+    /// requests that wait for fills send nothing yet.
     pub(crate) fn queueing_weight(&self) -> f64 {
         let weight = |utilization: f64| {
             (utilization - FULL_RATE_UTILIZATION) / (SATURATED_UTILIZATION - FULL_RATE_UTILIZATION)
@@ -133,9 +133,9 @@
         self.slow_start.shared_by.unwrap_or(self.dispatchers)
     }
 
-    /// The slow-start budget at `now`, refilled by one share per overload window. Where a share is smaller than a request
-    /// of mean work, a dispatcher whose budget exceeds its maximum loses the work of whole requests: its turn has passed
-    /// to another dispatcher.
+    /// The slow-start budget at `now`, refilled by one share per overload window. Where a share is smaller than a
+    /// request of mean work, a dispatcher whose budget exceeds its maximum loses the work of whole requests: its turn
+    /// has passed to another dispatcher.
     pub(crate) fn refilled_budget(&self, now: Timestamp, mean_work: f64) -> f64 {
         let window = self.slow_start.overload_window.as_secs_f64().max(0.001);
         let excess = self.slow_start_budget.0
--- a/src/policy/permits.rs
+++ b/src/policy/permits.rs
@@ -1,15 +1,16 @@
 //! Whether an attempt may be sent, repeated or refused, and a connection closed, at this moment.
 //!
-//! Each rule is written once, as a function of its inputs, and returns the reason of a denial. The dispatcher checks the
-//! rules when it decides. The code that writes to sockets checks them again right before it writes, because the inputs
-//! change while a request waits for a connection or for room in a buffer, and it counts violations that it finds.
+//! Each rule is written once, as a function of its inputs, and returns the reason of a denial. The dispatcher checks
+//! the rules when it decides. The code that writes to sockets checks them again right before it writes, because the
+//! inputs change while a request waits for a connection or for room in a buffer, and it counts violations that it
+//! finds.
 
 use crate::interface::Effect;
 use crate::units::{CellId, TimeSpan, Timestamp, ZoneId};
 
-/// A client that has closed its side of the connection counts as gone after this time. Until then, attempts of what it sent
-/// just before may start, because a close and a half-close look the same. The operators allow 0.1 s; the rest is for the
-/// network delay to the host.
+/// A client that has closed its side of the connection counts as gone after this time. Until then, attempts of what it
+/// sent just before may start, because a close and a half-close look the same. The operators allow 0.1 s; the rest is
+/// for the network delay to the host.
 pub const CLIENT_CLOSE_GRACE: TimeSpan = TimeSpan::from_millis(50);
 /// By how much the deadline that is passed on may exceed the client's remaining time when it is written.
 pub const DEADLINE_SLACK: TimeSpan = TimeSpan::from_millis(100);
@@ -103,7 +104,8 @@
 /// The operators' bound on the time after a client's close in which an attempt may still start.
 const MAX_START_AFTER_CLIENT_CLOSE: TimeSpan = TimeSpan::from_millis(100);
 
-/// Whether an attempt that started now violated a rule, by the operators' bounds. It is checked after the attempt started.
+/// Whether an attempt that started now violated a rule, by the operators' bounds. It is checked after the attempt
+/// started.
 pub fn started_in_violation(now: Timestamp, facts: &SendFacts) -> bool {
     let gone = |closed: Timestamp| now > closed + MAX_START_AFTER_CLIENT_CLOSE;
     facts.answered || now > facts.deadline || facts.client_closed.is_some_and(gone)
--- a/src/policy/stamps.rs
+++ b/src/policy/stamps.rs
@@ -1,9 +1,9 @@
 //! Lower bounds of the age of time stamps that come from other machines.
 //!
-//! The own wall clock may be wrong by hours, and so may any clock that stamps come from. Two bounds limit an age: the own
-//! clock, and the newest stamp received so far plus the time since, which the stamping clock has reached at least. The
-//! smaller age is used. An age that is too small is safe: a purge stays in force for longer, and a host counts as cold for
-//! longer, each for a bounded time.
+//! The own wall clock may be wrong by hours, and so may any clock that stamps come from. Two bounds limit an age: the
+//! own clock, and the newest stamp received so far plus the time since, which the stamping clock has reached at least.
+//! The smaller age is used. An age that is too small is safe: a purge stays in force for longer, and a host counts as
+//! cold for longer, each for a bounded time.
 
 use crate::units::{TimeSpan, Timestamp};
 
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -1,7 +1,7 @@
 //! What the errors of system calls mean, and whether a call is repeated.
 //!
-//! There is one table for each kind of call. Errors that are not in a table are permanent. The error numbers are those of
-//! Linux.
+//! There is one table for each kind of call. Errors that are not in a table are permanent. The error numbers are those
+//! of Linux.
 
 use crate::units::TimeSpan;
 use libc::{
@@ -51,7 +51,8 @@
     Permanent,
 }
 
-/// What to do after an accept failed with this error. Linux also returns errors that were pending on the new connection.
+/// What to do after an accept failed with this error. Linux also returns errors that were pending on the new
+/// connection.
 pub fn classify_accept_error(errno: i32) -> AcceptError {
     match errno {
         EAGAIN => AcceptError::NonePending,
@@ -102,8 +103,8 @@
 
 /// How long the start-up waits for a shortage of descriptors, buffers or memory to end before it fails.
 const RESOURCE_SHORTAGE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(20);
-/// How long the start-up waits for an address that is in use, or for a missing file, before it fails: after that, another
-/// process or the operator is responsible for it.
+/// How long the start-up waits for an address that is in use, or for a missing file, before it fails: after that,
+/// another process or the operator is responsible for it.
 pub const ADDRESS_IN_USE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(2);
 /// Initial delay before a step of the start-up is repeated; it grows up to [`MAX_STARTUP_RETRY_DELAY`].
 pub const INITIAL_STARTUP_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(20);
--- a/src/units.rs
+++ b/src/units.rs
@@ -127,7 +127,8 @@
 }
 
 impl HostId {
-    /// The id of the host with this name: the same in every dispatcher and after every restart, whatever the host's address.
+    /// The id of the host with this name: the same in every dispatcher and after every restart, whatever the host's
+    /// address.
     ///
     /// ```
     /// use trailproxy::units::HostId;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
-//! What all dispatchers together send to a cold host, simulated in virtual time: one to three hundred dispatchers, with even
-//! and skewed traffic, sudden bursts, dispatchers that restart during slow start, starts of the host that are reported late,
-//! and large and small requests.
+//! What all dispatchers together send to a cold host, simulated in virtual time: one to three hundred dispatchers, with
+//! even and skewed traffic, sudden bursts, dispatchers that restart during slow start, starts of the host that are
+//! reported late, and large and small requests.
 
 #[allow(dead_code, reason = "other test files use the rest of it")]
 mod harness;
@@ -126,8 +126,8 @@
     settings.dispatchers_by_zone = vec![0, case.dispatchers];
     settings.cache_slow_start.duration = OBSERVATION;
     settings.allows_direct = !case.all_cold;
-    // Targets and the link don't matter here: nothing is late, and the link has room. The size that the dispatcher assumes
-    // before the first request is twice the mean.
+    // Targets and the link don't matter here: nothing is late, and the link has room. The size that the dispatcher
+    // assumes before the first request is twice the mean.
     settings.classes.truncate(1);
     settings.classes[0].target = TimeSpan::from_secs_f64(mean_work(case, &settings) * 4.0);
     settings.classes[0].target_stretch = 50.0;
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! The dispatcher with limits on the traffic between zones: what it asks of them, and that no rule is relaxed when a link
-//! is full.
+//! The dispatcher with limits on the traffic between zones: what it asks of them, and that no rule is relaxed when a
+//! link is full.
 
 #[allow(dead_code, reason = "other test files use the rest of it")]
 mod harness;
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -13,7 +13,8 @@
     }
 }
 
-/// Gives the first parent a history of fast fills that is older than the breaker's window; returns 40 more of its objects.
+/// Gives the first parent a history of fast fills that is older than the breaker's window; returns 40 more of its
+/// objects.
 fn objects_after_fast_fills(harness: &mut Harness) -> Vec<u64> {
     let objects = harness.objects_with_parent(PARENTS[0], 1000, 70);
     fill_all(harness, &objects[..30], ms(30));
@@ -387,8 +388,8 @@
     assert!(refused > 20, "{refused}");
 }
 
-/// The first cache of a large request, and the host that it is sent to, if any. `load` small requests keep that cache so
-/// busy that the large request would be late there and small ones would not.
+/// The first cache of a large request, and the host that it is sent to, if any. `load` small requests keep that cache
+/// so busy that the large request would be late there and small ones would not.
 fn route_of_large_request(capacities_reported: bool, load: usize) -> (HostId, Option<HostId>) {
     let mut harness = Harness::new(DispatcherSettings {
         capacities_reported,
@@ -408,8 +409,8 @@
 fn a_large_request_that_would_be_late_at_its_first_cache_goes_to_another() {
     let (first, sent_to) = route_of_large_request(true, 21);
     assert!(sent_to.is_some_and(|host| host != first), "{sent_to:?}");
-    // Where capacities are estimated (here at half of the reported ones), so is the load: the request is not moved for its
-    // target, and is refused if its first cache would be late.
+    // Where capacities are estimated (here at half of the reported ones), so is the load: the request is not moved for
+    // its target, and is refused if its first cache would be late.
     let (_, sent_to) = route_of_large_request(false, 10);
     assert_eq!(sent_to, None);
 }
@@ -795,8 +796,8 @@
         }
         senders += u32::from(seconds > before);
     }
-    // A capacity of 60, a quarter of it at the start and rising, overloaded at twice that for a second: 30 s of sending.
-    // One fill from each dispatcher would be 40 s. The share of one dispatcher is 0.06 s, less than one fill.
+    // A capacity of 60, a quarter of it at the start and rising, overloaded at twice that for a second: 30 s of
+    // sending. One fill from each dispatcher would be 40 s. The share of one dispatcher is 0.06 s, less than one fill.
     assert!(seconds > 5.0 && seconds < 25.0, "{seconds}");
     assert!(senders < 150, "{senders}");
 }
@@ -1050,7 +1051,8 @@
     assert!(harness.log_lines.is_empty(), "{:?}", harness.log_lines);
 }
 
-/// Where fills usually take longer than the wait that is derived from the target, that alone is no failure of the origin.
+/// Where fills usually take longer than the wait that is derived from the target, that alone is no failure of the
+/// origin.
 #[test]
 fn fills_that_are_always_slow_do_not_reduce_the_share_of_the_origin() {
     let mut harness = Harness::new(DispatcherSettings {
--- a/tests/harness/mod.rs
+++ b/tests/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A test harness around one dispatcher: it feeds in host lists, requests and outcomes in virtual time, fires the timers
-//! that the dispatcher sets, and records its actions.
+//! A test harness around one dispatcher: it feeds in host lists, requests and outcomes in virtual time, fires the
+//! timers that the dispatcher sets, and records its actions.
 
 use std::collections::BTreeMap;
 use trailproxy::interface::*;
@@ -20,7 +20,8 @@
     TimeSpan::from_millis(ms)
 }
 
-/// Settings of a single dispatcher in zone 1, with three classes: reads, keyed changes, and orders that must not run twice.
+/// Settings of a single dispatcher in zone 1, with three classes: reads, keyed changes, and orders that must not run
+/// twice.
 pub fn settings() -> DispatcherSettings {
     let reads = ClassSettings {
         target: ms(400),
