--- a/src/interface.rs
+++ b/src/interface.rs
@@ -390,7 +390,9 @@
     pub host: HostId,
     /// What fills the host; the host itself where it is in another zone and asked directly.
     pub source: HostId,
+    /// The zone that the data leaves.
     pub from: ZoneId,
+    /// The zone that the data enters.
     pub to: ZoneId,
     /// Amount that may cross, in KB of 1,024 bytes: the size of the answer, or the usual size in its class.
     pub kb: f64,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -9,7 +9,7 @@
 //! mechanisms: a budget for cold hosts in slow start, admission only if the target time can be met, spilling to another
 //! cache, detection of overdue attempts, protection of the origin, ranks for keeping objects, and probes of load.
 //!
-//! Five rules must never be broken. Comments refer to them by number:
+//! Comments refer to these rules by number:
 //!
 //! 1. Nothing is sent for a request that has its final answer, whose client is gone or whose deadline has passed.
 //! 2. Nothing is repeated that may have run, unless its class allows the repeat at that host and time.
