--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -11,7 +11,7 @@
 use crate::resp;
 use crate::ring::Ring;
 use crate::stall_detector::Stall;
-use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer};
 use local_channel::mpsc;
 use slog::{info, warn};
 use std::collections::{BTreeMap, VecDeque};
@@ -225,7 +225,7 @@
 
     /// Pauses reading and writing because the system is short of a resource.
     fn pause(&mut self) {
-        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
+        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_DELAY);
     }
 
     /// After a stall of the whole process, lets the client connections run first: clients may have closed or revoked
@@ -336,7 +336,7 @@
         self.shared
             .trace
             .attempt_begun(&attempt.request, attempt.id, self.id);
-        let late = permits::begun_against_a_rule(clock.timestamp(now), &attempt.send_facts(clock));
+        let late = permits::started_in_violation(clock.timestamp(now), &attempt.send_facts(clock));
         check_invariant(!late, &self.shared.counts.broken_began_late);
         let deadline_holds = self.deadline_holds(now);
         check_invariant(
--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -7,7 +7,7 @@
 use crate::http::Response;
 use crate::messages::*;
 use crate::sse::EventParser;
-use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer};
 use local_channel::mpsc;
 use serde_json::Value;
 use slog::{Logger, info, warn};
@@ -230,7 +230,7 @@
             match system_calls::write(&stream, unsent) {
                 Transfer::Bytes(n) => unsent = &unsent[n..],
                 Transfer::NotReady => {}
-                Transfer::ResourceShortage => sleep(RESOURCE_RETRY_INTERVAL).await,
+                Transfer::ResourceShortage => sleep(RESOURCE_RETRY_DELAY).await,
                 Transfer::Failed(e) => return Err(failed(e)),
             }
         }
@@ -247,7 +247,7 @@
                 Transfer::Bytes(n) => n,
                 Transfer::NotReady => continue,
                 Transfer::ResourceShortage => {
-                    sleep(RESOURCE_RETRY_INTERVAL).await;
+                    sleep(RESOURCE_RETRY_DELAY).await;
                     continue;
                 }
                 Transfer::Failed(e) => return Err(failed(e)),
--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -8,7 +8,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind, set_hook, take_hook};
 use std::time::{Duration, Instant};
 use trailproxy::policy::system_errors::{
-    START_AGAIN, START_AGAIN_AT_MOST, START_IS_TAKEN_FOR, start_tries_for,
+    ADDRESS_IN_USE_RETRY_PERIOD, INITIAL_STARTUP_RETRY_DELAY, MAX_STARTUP_RETRY_DELAY,
+    startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
@@ -35,8 +36,8 @@
     /// For how long a step that failed in this way is retried.
     fn retry_time(&self) -> Duration {
         let retry_time = match self {
-            StepError::System(_, error) => start_tries_for(errno(error)),
-            StepError::HalfWritten(_) => START_IS_TAKEN_FOR,
+            StepError::System(_, error) => startup_retry_period(errno(error)),
+            StepError::HalfWritten(_) => ADDRESS_IN_USE_RETRY_PERIOD,
             StepError::Invalid(_) => TimeSpan::ZERO,
         };
         Duration::from_micros(retry_time.0)
@@ -53,7 +54,7 @@
     fn new() -> Retries {
         Retries {
             started_at: Instant::now(),
-            pause: Duration::from_micros(START_AGAIN.0),
+            pause: Duration::from_micros(INITIAL_STARTUP_RETRY_DELAY.0),
         }
     }
 
@@ -70,7 +71,7 @@
             return Err(format!("{text}, tried for {seconds:.1} s"));
         }
         let pause = self.pause;
-        let max_pause = Duration::from_micros(START_AGAIN_AT_MOST.0);
+        let max_pause = Duration::from_micros(MAX_STARTUP_RETRY_DELAY.0);
         self.pause = (pause * 2).min(max_pause);
         Ok((pause, format!("{text}, tried for {seconds:.1} s so far")))
     }
