--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -11,7 +11,7 @@
 use crate::msgpack::{self, ParseError, Value};
 use crate::ring::Ring;
 use crate::stall_detector::StallDetector;
-use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer, errno};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer, errno};
 use crate::trace::Trace;
 use local_channel::mpsc;
 use slog::{Logger, debug};
@@ -23,7 +23,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::policy::permits::{self, CloseFacts};
-use trailproxy::policy::system_errors::{AcceptError, of_accept};
+use trailproxy::policy::system_errors::{AcceptError, classify_accept_error};
 use trailproxy::units::*;
 
 /// The number of open requests on one connection that the protocol allows. A connection that sends more is closed and all
@@ -50,7 +50,7 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A client that closes its sending direction is taken to have gone after this time. Until then the requests that it sent
 /// just before the close are still started.
-const CLIENT_GONE_TIMEOUT: Duration = Duration::from_micros(permits::CLIENT_GONE_AFTER.0);
+const CLIENT_GONE_TIMEOUT: Duration = Duration::from_micros(permits::CLIENT_CLOSE_GRACE.0);
 /// An idle connection is closed by a half-close first, and the client has this time to close its side. An immediate close
 /// would reset a request that the client may be sending, and answers in transit with it.
 const HALF_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -105,7 +105,7 @@
             Err(e) => {
                 count(&shared.counts.accepts_failed);
                 debug!(shared.log, "accept failed"; "why" => %e);
-                if of_accept(errno(&e)) != AcceptError::Next {
+                if classify_accept_error(errno(&e)) != AcceptError::Next {
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
@@ -133,10 +133,10 @@
             }
             Err(error) => error,
         };
-        match of_accept(errno(&error)) {
-            AcceptError::NobodyWaits | AcceptError::Broken => return,
+        match classify_accept_error(errno(&error)) {
+            AcceptError::NonePending | AcceptError::Permanent => return,
             AcceptError::Next => count(&shared.counts.accepts_failed),
-            AcceptError::Later => {
+            AcceptError::RetryLater => {
                 count(&shared.counts.accepts_failed);
                 sleep(ACCEPT_RETRY_INTERVAL).await;
             }
@@ -497,7 +497,7 @@
 
     /// Pauses reading and writing because the system is short of a resource.
     fn pause(&mut self) {
-        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
+        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_DELAY);
     }
 
     /// Queues the answer to a request, unless the client has revoked the request.
--- a/crates/trailproxyd/src/host_pools.rs
+++ b/crates/trailproxyd/src/host_pools.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 use trailproxy::interface::*;
-use trailproxy::policy::system_errors::{self, ConnectError, of_connect};
+use trailproxy::policy::system_errors::{self, ConnectError, classify_connect_error};
 use trailproxy::units::*;
 
 /// The number of attempts that share a connection before another one is dialled, as descriptors allow. With more, one
@@ -25,7 +25,7 @@
 const TARGET_ATTEMPTS_PER_CONNECTION: usize = 2;
 
 /// How long a dial pauses after it failed because of a shortage on this side.
-const DIAL_RETRY_INTERVAL: Duration = Duration::from_micros(system_errors::DIAL_AGAIN.0);
+const DIAL_RETRY_DELAY: Duration = Duration::from_micros(system_errors::DIAL_RETRY_DELAY.0);
 
 /// One connection as its pool knows it.
 struct PooledConnection {
@@ -555,10 +555,10 @@
             Ok(stream) => return Ok(stream),
             Err(error) => error,
         };
-        if of_connect(errno(&error)) == ConnectError::Theirs {
+        if classify_connect_error(errno(&error)) == ConnectError::Remote {
             return Err(error);
         }
         local_shortage.set(true);
-        sleep(DIAL_RETRY_INTERVAL).await;
+        sleep(DIAL_RETRY_DELAY).await;
     }
 }
--- a/crates/trailproxyd/src/system_calls.rs
+++ b/crates/trailproxyd/src/system_calls.rs
@@ -7,10 +7,11 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use trailproxy::policy::system_errors::{self, StreamError, of_stream};
+use trailproxy::policy::system_errors::{self, StreamError, classify_stream_error};
 
 /// How long a connection pauses after a call failed because the system was short of a resource.
-pub const RESOURCE_RETRY_INTERVAL: Duration = Duration::from_micros(system_errors::LACK_PASSES.0);
+pub const RESOURCE_RETRY_DELAY: Duration =
+    Duration::from_micros(system_errors::RESOURCE_RETRY_DELAY.0);
 
 /// Where no data was received yet, the system counts from the creation of the connection or from its own boot. A longer
 /// time span is therefore not taken for the age of data.
@@ -23,7 +24,7 @@
     /// The call would block.
     NotReady,
     /// The system is short of a resource for the moment. The connection remains usable, but its readiness is not
-    /// signalled again, so the caller has to retry after [`RESOURCE_RETRY_INTERVAL`].
+    /// signalled again, so the caller has to retry after [`RESOURCE_RETRY_DELAY`].
     ResourceShortage,
     /// The connection is broken.
     Failed(io::Error),
@@ -45,11 +46,11 @@
             Ok(moved) => return Transfer::Bytes(moved),
             Err(error) => error,
         };
-        match of_stream(errno(&error)) {
-            StreamError::Again => {}
+        match classify_stream_error(errno(&error)) {
+            StreamError::RetryNow => {}
             StreamError::WhenReady => return Transfer::NotReady,
-            StreamError::Later => return Transfer::ResourceShortage,
-            StreamError::Broken => return Transfer::Failed(error),
+            StreamError::RetryLater => return Transfer::ResourceShortage,
+            StreamError::Permanent => return Transfer::Failed(error),
         }
     }
 }
@@ -84,7 +85,7 @@
     let there = socket2::SockRef::from(stream).recv_with_flags(&mut first, flags);
     if there.is_ok() {
         // The runtime is about to notice it. The timeout covers readiness that is never signalled.
-        let _ = timeout(RESOURCE_RETRY_INTERVAL, stream.readable()).await;
+        let _ = timeout(RESOURCE_RETRY_DELAY, stream.readable()).await;
     }
 }
 
