--- a/crates/trailproxyd/src/accounts.rs
+++ b/crates/trailproxyd/src/accounts.rs
@@ -1,9 +1,8 @@
-//! Reports on traffic between zones: a log line for each reporting interval, alerts when traffic
-//! rises, and a file of Prometheus text.
+//! Reports on traffic between zones: a log line for each reporting interval, alerts when traffic rises, and a file of
+//! Prometheus text.
 //!
-//! A thread of its own writes the file, and runs only if a file is configured. A slow disk
-//! therefore delays no request: a report that is due while the one before is still being written is
-//! skipped.
+//! A thread of its own writes the file, and runs only if a file is configured. A slow disk therefore delays no request:
+//! a report that is due while the one before is still being written is skipped.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
--- a/crates/trailproxyd/src/budgets_runtime.rs
+++ b/crates/trailproxyd/src/budgets_runtime.rs
@@ -1,5 +1,5 @@
-//! Budgets that are divided among the dispatchers of the fleet, while they are switched on: their
-//! decisions, with messages as bytes.
+//! Budgets that are divided among the dispatchers of the fleet, while they are switched on: their decisions, with
+//! messages as bytes.
 
 use slog::{Logger, info, warn};
 use trailproxy::interface::*;
--- a/crates/trailproxyd/src/checks.rs
+++ b/crates/trailproxyd/src/checks.rs
@@ -1,5 +1,5 @@
-//! Counters, and the invariants of the process: a broken invariant panics in debug builds and is
-//! counted in release builds. All counters are logged at intervals.
+//! Counters, and the invariants of the process: a broken invariant panics in debug builds and is counted in release
+//! builds. All counters are logged at intervals.
 
 use std::cell::Cell;
 use trailproxy::policy::refusals::GiveUpReason;
@@ -106,8 +106,8 @@
     broken_two_finals,
     /// An attempt was to start for a request that had its final answer.
     broken_sent_after_end,
-    /// The first byte of an attempt was sent although its request had its final answer, its
-    /// deadline had passed, or its client had closed for longer than the operators allow.
+    /// The first byte of an attempt was sent although its request had its final answer, its deadline had passed, or its
+    /// client had closed for longer than the operators allow.
     broken_began_late,
     /// A time to the deadline was sent that had been computed too long before.
     broken_deadline_passed_on,
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -67,8 +67,8 @@
         let name = source.and_then(|source| self.pools.host_name(source));
         let named = name.is_some() == source.is_some();
         check_invariant(named, &self.counts.broken_unknown_host);
-        // A repeat group recognises a repeat only within its window, and the wait for a connection
-        // may outlast that window.
+        // A repeat group recognises a repeat only within its window, and the wait for a connection may outlast that
+        // window.
         let earlier = request.attempts.iter();
         let sent_times = earlier
             .clone()
@@ -108,8 +108,8 @@
         self.pools.submit(attempt);
     }
 
-    /// The answer as it counts here: an answer from a copy that a purge forbids counts as an error,
-    /// because the host did not apply the purge.
+    /// The answer as it counts here: an answer from a copy that a purge forbids counts as an error, because the host
+    /// did not apply the purge.
     fn without_purged_copy(&self, now: Timestamp, id: AttemptId, answer: Answer) -> Answer {
         let admits = |issued_at| {
             self.decisions
--- a/crates/trailproxyd/src/dispatch/clients.rs
+++ b/crates/trailproxyd/src/dispatch/clients.rs
@@ -41,10 +41,9 @@
         requests.map(|(&request, &id)| (request, id)).collect()
     }
 
-    /// Handles a client that has closed its side of the connection. It may have gone or may still
-    /// read; the dispatcher cannot tell. Attempts that have begun may end and are answered. Nothing
-    /// new begins: attempts that are not written yet are cancelled, and a request between two
-    /// attempts fails.
+    /// Handles a client that has closed its side of the connection. It may have gone or may still read; the dispatcher
+    /// cannot tell. Attempts that have begun may end and are answered. Nothing new begins: attempts that are not
+    /// written yet are cancelled, and a request between two attempts fails.
     pub(super) fn on_client_half_closed(&mut self, now: Timestamp, client: ClientId) {
         if let Some(known) = self.state.clients.get_mut(&client) {
             known.half_closed = true;
@@ -64,8 +63,8 @@
         self.state.clients.get(&request.client_request.id.client)
     }
 
-    /// Sends a reply to the client, if it is still connected. A client counts as proven once one of
-    /// its requests was served.
+    /// Sends a reply to the client, if it is still connected. A client counts as proven once one of its requests was
+    /// served.
     pub(super) fn send_reply(&mut self, request: ClientRequestId, reply: Reply) {
         if let Some(client) = self.state.clients.get_mut(&request.client) {
             client.proven |= matches!(reply, Reply::Served(_) | Reply::NotModified);
--- a/crates/trailproxyd/src/dispatch/journal.rs
+++ b/crates/trailproxyd/src/dispatch/journal.rs
@@ -7,8 +7,8 @@
 use trailproxy::units::{AttemptNo, GroupId, ObjectId, Timestamp};
 
 impl Dispatch {
-    /// Handles the entries that are known at the start. The timestamps of all entries are recorded
-    /// first, because they bound the age of each entry.
+    /// Handles the entries that are known at the start. The timestamps of all entries are recorded first, because they
+    /// bound the age of each entry.
     pub(super) fn load_known_entries(&mut self, now: Timestamp, entries: Vec<JournalEntry>) {
         for entry in &entries {
             self.record_stamps(now, entry);
@@ -87,8 +87,8 @@
                 }
             }
         }
-        // Attempts that still wait for a connection or for room are cancelled; attempts that have
-        // begun to be written continue.
+        // Attempts that still wait for a connection or for room are cancelled; attempts that have begun to be written
+        // continue.
         for (&request, pending) in &self.state.requests {
             let purged = match purged {
                 Some((Some(object), _)) => pending.client_request.object == object,
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
-//! The task that owns the decisions. It takes all queued events, applies them in one step and
-//! carries out the resulting actions. It keeps the open requests and the timers.
+//! The task that owns the decisions. It takes all queued events, applies them in one step and carries out the resulting
+//! actions. It keeps the open requests and the timers.
 
 mod attempts;
 mod clients;
@@ -82,8 +82,7 @@
 pub struct Dispatch {
     /// Decides which host gets each attempt and when a request is given up.
     pub decisions: Dispatcher<Subsystems>,
-    /// Reports on traffic between zones, with the settings and the seed from which the subsystems
-    /// are built.
+    /// Reports on traffic between zones, with the settings and the seed from which the subsystems are built.
     pub accounts: Option<(Accounts, DispatcherSettings, u64)>,
     /// The connections to hosts.
     pub pools: HostPools,
@@ -105,9 +104,8 @@
     requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests without a final answer, by client and number.
     client_requests: BTreeMap<ClientRequestId, RequestId>,
-    /// Ids of open requests, under which hosts send their answers, and ids that were open so
-    /// recently that a host may still know them: a host would treat a second request under such an
-    /// id as another copy of the first.
+    /// Ids of open requests, under which hosts send their answers, and ids that were open so recently that a host may
+    /// still know them: a host would treat a second request under such an id as another copy of the first.
     references: BTreeSet<Rc<str>>,
     /// Ids of removed requests, each with the time until which it stays reserved.
     retired_references: VecDeque<(Timestamp, Rc<str>)>,
@@ -152,8 +150,8 @@
         }
     }
 
-    /// Runs until the process is asked to end and every request is answered and every client has
-    /// closed, or the time for that is over.
+    /// Runs until the process is asked to end and every request is answered and every client has closed, or the time
+    /// for that is over.
     pub async fn run(
         mut self,
         known_entries: Vec<JournalEntry>,
@@ -173,8 +171,7 @@
                 self.report();
             }
             if let Some(requested_at) = self.state.shutdown_requested_at {
-                // Idle clients are told now, although others may still wait for hosts that hang for
-                // long.
+                // Idle clients are told now, although others may still wait for hosts that hang for long.
                 if now >= requested_at + SHUTDOWN_ACCEPT_TIME && !self.state.clients_told_to_finish
                 {
                     self.state.clients_told_to_finish = true;
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -11,9 +11,8 @@
 use trailproxy::units::{RequestId, TimeSpan, Timestamp};
 
 impl Dispatch {
-    /// Cancels the attempts of a request that are not written yet, also where the settings do not
-    /// allow the cancellation of attempts that are. Returns whether any attempt of the request was
-    /// pending.
+    /// Cancels the attempts of a request that are not written yet, also where the settings do not allow the
+    /// cancellation of attempts that are. Returns whether any attempt of the request was pending.
     pub(super) fn cancel_unsent(&mut self, request: RequestId) -> bool {
         let pending = self.state.requests.get(&request);
         let mut any_pending = false;
@@ -27,9 +26,8 @@
         any_pending
     }
 
-    /// Takes a new request: refuses it if the table is full, fails it if its id is in use, and
-    /// otherwise hands it to the decisions, or first to the subsystem that knows earlier attempts
-    /// under its key.
+    /// Takes a new request: refuses it if the table is full, fails it if its id is in use, and otherwise hands it to
+    /// the decisions, or first to the subsystem that knows earlier attempts under its key.
     pub(super) fn on_request(&mut self, now: Timestamp, client_request: ClientRequest) {
         count(&self.counts.accesses);
         let max_open = self.pools.shared.bounds.max_open;
@@ -117,8 +115,8 @@
         }
     }
 
-    /// Removes a request that is closed and has no pending attempt. Its id stays reserved for as
-    /// long as a host may still know the request.
+    /// Removes a request that is closed and has no pending attempt. Its id stays reserved for as long as a host may
+    /// still know the request.
     pub(super) fn remove_if_finished(&mut self, now: Timestamp, id: RequestId) {
         let max_deadline = self.pools.shared.bounds.longest_limit;
         let finished = |request: &PendingRequest| {
@@ -128,9 +126,9 @@
             && let Some(request) = self.state.requests.remove(&id)
         {
             let reference = request.client_request.reference.clone();
-            // No host keeps a request longer than its own deadline or the longest deadline of any
-            // class. The second bound matters because a client may state a wait of an hour, and
-            // that must not keep all ids that end behind it.
+            // No host keeps a request longer than its own deadline or the longest deadline of any class. The second
+            // bound matters because a client may state a wait of an hour, and that must not keep all ids that end
+            // behind it.
             let until = request.deadline.min(now + max_deadline) + max_deadline;
             self.state.retired_references.push_back((until, reference));
             let max_open = self.pools.shared.bounds.max_open;
@@ -142,8 +140,8 @@
         }
     }
 
-    /// Tells the subsystems shared with other dispatchers how a request with a key ended. `done`:
-    /// the body that was served, if any.
+    /// Tells the subsystems shared with other dispatchers how a request with a key ended. `done`: the body that was
+    /// served, if any.
     pub(super) fn report_outcome(&mut self, now: Timestamp, id: RequestId, done: Option<&[u8]>) {
         let subsystems = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -1,5 +1,5 @@
-//! Applies the settings and the sections of the operator's file: each subsystem is switched on,
-//! changed or switched off.
+//! Applies the settings and the sections of the operator's file: each subsystem is switched on, changed or switched
+//! off.
 
 use super::Dispatch;
 use crate::operator::{OperatorConfig, ResolvedPeers, longest_window};
@@ -24,9 +24,9 @@
 use trailproxy_zones::{Rules, Zones};
 
 impl Dispatch {
-    /// Applies other settings that have the same classes, zone, host kinds and bounds. Open
-    /// requests continue. The budgets of traffic between zones start again when the operator's
-    /// file, which is read after the settings, is applied.
+    /// Applies other settings that have the same classes, zone, host kinds and bounds. Open requests continue. The
+    /// budgets of traffic between zones start again when the operator's file, which is read after the settings, is
+    /// applied.
     pub(super) fn apply_settings(
         &mut self,
         now: Timestamp,
@@ -61,9 +61,8 @@
         Ok(())
     }
 
-    /// Applies the section `peers`. A section that differs from the present one ends the present
-    /// state and starts again. If the socket of the new section cannot be opened, the former one is
-    /// closed all the same.
+    /// Applies the section `peers`. A section that differs from the present one ends the present state and starts
+    /// again. If the socket of the new section cannot be opened, the former one is closed all the same.
     pub(super) fn apply_peers_section(
         &mut self,
         section: Option<Box<ResolvedPeers>>,
@@ -136,8 +135,8 @@
         Ok(())
     }
 
-    /// Applies the section `store`. A section that differs from the present one starts again with a
-    /// new connection, and requests that waited for the store continue.
+    /// Applies the section `store`. A section that differs from the present one starts again with a new connection, and
+    /// requests that waited for the store continue.
     pub(super) fn apply_store_section(&mut self, section: Option<Box<StoreConfig>>) {
         let now = self.clock.timestamp(Instant::now());
         let Some((_, settings, seed)) = &self.accounts else {
@@ -152,8 +151,7 @@
             let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
             match config.rules(min_retention, settings.purge_propagation) {
                 Ok(rules) => {
-                    // Differs between any two processes; otherwise one would take records of the
-                    // other for its own.
+                    // Differs between any two processes; otherwise one would take records of the other for its own.
                     let process_number =
                         *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -1,5 +1,5 @@
-//! Applies what the subsystems report: requests that may continue, answers from records, and hosts
-//! that other dispatchers know to be restricted.
+//! Applies what the subsystems report: requests that may continue, answers from records, and hosts that other
+//! dispatchers know to be restricted.
 
 use super::Dispatch;
 use crate::buffered::CountedBytes;
@@ -47,8 +47,7 @@
         }
     }
 
-    /// Applies the state that other dispatchers report of a host. `None`: the state in the own host
-    /// list applies again.
+    /// Applies the state that other dispatchers report of a host. `None`: the state in the own host list applies again.
     pub(super) fn apply_host_restriction(
         &mut self,
         now: Timestamp,
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -36,8 +36,8 @@
             .unwrap_or_else(|| Instant::now() + REPORT_INTERVAL)
     }
 
-    /// Handles everything that is due by now: waits for connections, ids whose reservation is over,
-    /// deadlines and timers.
+    /// Handles everything that is due by now: waits for connections, ids whose reservation is over, deadlines and
+    /// timers.
     pub(super) fn advance_timers(&mut self, now: Timestamp) {
         self.pools.expire(self.clock.instant(now));
         while let Some((_, id)) = self
@@ -65,8 +65,7 @@
                 self.pools.cancel(attempt);
                 self.on_attempt_ended(now, attempt, None, Answer::without_body(Ending::TimedOut));
             }
-            // The decisions give the final answer when this event or their own timer makes them
-            // look again.
+            // The decisions give the final answer when this event or their own timer makes them look again.
             self.handle_event(now, Event::TimerFired { timer: TimerId(0) });
         }
         while let Some(&(at, timer)) = self.state.timers.first().filter(|(at, _)| *at <= now) {
--- a/crates/trailproxyd/src/held_requests.rs
+++ b/crates/trailproxyd/src/held_requests.rs
@@ -1,5 +1,5 @@
-//! Requests held back until a shared subsystem has reported earlier attempts under their keys, and
-//! events of these subsystems for the task that owns the decisions.
+//! Requests held back until a shared subsystem has reported earlier attempts under their keys, and events of these
+//! subsystems for the task that owns the decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::interface::*;
@@ -14,8 +14,8 @@
     AnsweredFromRecord(RequestId, Vec<u8>),
     /// An event for the decisions.
     Event(Event),
-    /// Other dispatchers restrict a host: it counts as in this state, and as started then. `None`:
-    /// the state in the host list of this dispatcher applies again.
+    /// Other dispatchers restrict a host: it counts as in this state, and as started then. `None`: the state in the
+    /// host list of this dispatcher applies again.
     Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
--- a/crates/trailproxyd/src/logging.rs
+++ b/crates/trailproxyd/src/logging.rs
@@ -1,5 +1,4 @@
-//! The log on standard output. A thread of its own writes it, continues after failed writes, and
-//! delays no other task.
+//! The log on standard output. A thread of its own writes it, continues after failed writes, and delays no other task.
 
 use slog::{Drain, Level, Never, OwnedKVList, Record, b, record};
 use slog_async::{Async, AsyncGuard, OverflowStrategy};
@@ -8,8 +7,7 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// How many lines may wait for the log thread. Further lines are dropped and their number is
-/// logged.
+/// How many lines may wait for the log thread. Further lines are dropped and their number is logged.
 const MAX_QUEUED_LINES: usize = 4096;
 /// How long the last lines may take to be written: the reader of the log may have stopped reading.
 const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(300);
@@ -30,8 +28,7 @@
 /// Waits until the last lines are written, for a limited time.
 pub fn finish(guard: AsyncGuard) {
     let (done, finished) = channel();
-    // If no thread can be started, the guard is not dropped: dropping it here could wait without
-    // end.
+    // If no thread can be started, the guard is not dropped: dropping it here could wait without end.
     let guard = ManuallyDrop::new(guard);
     let thread = std::thread::Builder::new().spawn(move || {
         drop(ManuallyDrop::into_inner(guard));
@@ -42,8 +39,8 @@
     }
 }
 
-/// A drain that continues after a failed write, because a full disk or a reader that is gone may be
-/// temporary. The number of lost lines is logged with the next line that is written.
+/// A drain that continues after a failed write, because a full disk or a reader that is gone may be temporary. The
+/// number of lost lines is logged with the next line that is written.
 struct PersistentDrain<D> {
     lines: D,
     /// Lines lost since the last one that was written.
--- a/crates/trailproxyd/src/main.rs
+++ b/crates/trailproxyd/src/main.rs
@@ -1,5 +1,5 @@
-//! A trailproxy dispatcher as a process: it serves clients, fetches from cache hosts, parents and
-//! the origin, and follows the journal service.
+//! A trailproxy dispatcher as a process: it serves clients, fetches from cache hosts, parents and the origin, and
+//! follows the journal service.
 
 mod accounts;
 mod budgets_runtime;
--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -1,6 +1,5 @@
-//! Messages between the tasks of the process: from clients, hosts, the journal service, the store
-//! and other dispatchers to the task that owns the decisions, and back. They are independent of the
-//! wire formats.
+//! Messages between the tasks of the process: from clients, hosts, the journal service, the store and other dispatchers
+//! to the task that owns the decisions, and back. They are independent of the wire formats.
 
 use crate::buffered::CountedBytes;
 use crate::operator::OperatorConfig;
@@ -82,16 +81,15 @@
     pub held_etag: Option<String>,
     /// The bytes that a write carries.
     pub body: Vec<u8>,
-    /// Whether it has its final answer or its client has gone, so that no attempt of it may begin.
-    /// Whichever task finds that out first sets this, and a connection checks it before it writes,
-    /// so that a message that still waits in a queue cannot come too late.
+    /// Whether it has its final answer or its client has gone, so that no attempt of it may begin. Whichever task finds
+    /// that out first sets this, and a connection checks it before it writes, so that a message that still waits in a
+    /// queue cannot come too late.
     pub closed: Rc<Cell<bool>>,
     /// The state of its client's connection, checked in the same way.
     pub client: Rc<ClientState>,
 }
 
-/// The state of a client connection, which every task checks before it begins an attempt for that
-/// client.
+/// The state of a client connection, which every task checks before it begins an attempt for that client.
 #[derive(Default)]
 pub struct ClientState {
     /// When the client closed its side of the connection.
@@ -106,8 +104,7 @@
     Requested(ClientRequest),
     /// It cancelled a request.
     Cancelled(ClientRequestId),
-    /// It sends nothing more and may have gone. Attempts that have begun may end; no new one
-    /// begins.
+    /// It sends nothing more and may have gone. Attempts that have begun may end; no new one begins.
     HalfClosed(ClientId),
     /// Its connection is closed.
     Closed(ClientId),
@@ -141,8 +138,7 @@
 pub enum ToClient {
     /// The answer to the request with this message number.
     Reply(u32, Reply),
-    /// No more answers come: write what is left, close the sending side and read until the client
-    /// closes.
+    /// No more answers come: write what is left, close the sending side and read until the client closes.
     Finish,
     /// Its connection slot is needed: it closes unless something has arrived by now.
     YieldSlot,
@@ -180,8 +176,8 @@
     pub source: Option<Rc<str>>,
     /// Until when an answer is of use. The host is told the time that is left, in milliseconds.
     pub deadline: Timestamp,
-    /// Until when it may be sent if an earlier attempt may have run: the repeat group recognises a
-    /// repeat only within its window (rule 2).
+    /// Until when it may be sent if an earlier attempt may have run: the repeat group recognises a repeat only within
+    /// its window (rule 2).
     pub repeat_by: Option<Timestamp>,
     /// Connections on which an attempt with the same id was sent before.
     pub avoid_connections: Vec<ConnectionId>,
@@ -223,8 +219,7 @@
     pub first_byte_latency: Option<TimeSpan>,
     /// The values of the load report, in the order that the settings name.
     pub load_report: Vec<f64>,
-    /// The bytes, if the attempt is done. `None` for a done attempt: the copy that the client holds
-    /// is current.
+    /// The bytes, if the attempt is done. `None` for a done attempt: the copy that the client holds is current.
     pub body: Option<CountedBytes>,
     /// When the origin issued this copy, by its timestamp.
     pub issued_at: Option<Timestamp>,
@@ -252,8 +247,7 @@
     Refused,
     /// There was no answer in time.
     TimedOut,
-    /// This process lacked a resource that a connection needs for the whole time, which says
-    /// nothing about the host.
+    /// This process lacked a resource that a connection needs for the whole time, which says nothing about the host.
     LocalShortage,
 }
 
@@ -281,8 +275,8 @@
         ending: Ending,
         report: Vec<f64>,
     },
-    /// Nothing new may be sent on it: it is about to close, or the host owed an answer and sent
-    /// nothing for longer than a dial may take.
+    /// Nothing new may be sent on it: it is about to close, or the host owed an answer and sent nothing for longer than
+    /// a dial may take.
     Unusable {
         host: HostId,
         connection: ConnectionId,
@@ -420,8 +414,8 @@
 }
 
 impl Clock {
-    /// A clock that differs from the system clock by `RELAY_CLOCK`, "milliseconds ahead,millionths
-    /// fast", which trials set.
+    /// A clock that differs from the system clock by `RELAY_CLOCK`, "milliseconds ahead,millionths fast", which trials
+    /// set.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let offset = std::env::var("RELAY_CLOCK").unwrap_or_default();
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -1,6 +1,6 @@
-//! The operator's file. Where it is a script, the program `trailproxy` runs it in a process of its
-//! own and hands the checked sections back as JSON: a script that runs for long or grows large
-//! harms only that process, and no request waits for it.
+//! The operator's file. Where it is a script, the program `trailproxy` runs it in a process of its own and hands the
+//! checked sections back as JSON: a script that runs for long or grows large harms only that process, and no request
+//! waits for it.
 
 use crate::starting::StepError;
 use serde_json::Value;
@@ -26,8 +26,8 @@
 /// How much of the error output of a reader is read.
 const MAX_ERROR_BYTES: u64 = 16 << 10;
 
-/// Where the file is, and the program that reads scripts. A file that ends in `.json` holds the
-/// output of such a program and is read directly.
+/// Where the file is, and the program that reads scripts. A file that ends in `.json` holds the output of such a
+/// program and is read directly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
     /// The file.
@@ -71,8 +71,7 @@
     pub longest_window: TimeSpan,
     /// How long a purge may take to reach all hosts.
     pub purge_propagation: TimeSpan,
-    /// The address at which other dispatchers reach this one, if the environment or the
-    /// configuration names it.
+    /// The address at which other dispatchers reach this one, if the environment or the configuration names it.
     pub peers: Option<String>,
 }
 
@@ -86,8 +85,8 @@
 }
 
 impl Source {
-    /// From `RELAY_OPERATOR` and `RELAY_READER`, or else from `operator` and `reader` in the
-    /// configuration. `None`: there is no such file.
+    /// From `RELAY_OPERATOR` and `RELAY_READER`, or else from `operator` and `reader` in the configuration. `None`:
+    /// there is no such file.
     pub fn from_config(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<Source> {
         let key = |name: &str| json.get(name).and_then(Value::as_str).map(str::to_owned);
         let path = variable("RELAY_OPERATOR").or(key("operator"))?;
@@ -250,8 +249,7 @@
 }
 
 impl ResolvedPeers {
-    /// Checks the section and reads the secret. Records may be kept by the store or by the peers,
-    /// not by both.
+    /// Checks the section and reads the secret. Records may be kept by the store or by the peers, not by both.
     fn resolve(
         config: PeersConfig,
         store: Option<&StoreConfig>,
--- a/crates/trailproxyd/src/peers_runtime.rs
+++ b/crates/trailproxyd/src/peers_runtime.rs
@@ -1,5 +1,5 @@
-//! State held together with the other dispatchers, while it is switched on: its decisions, and how
-//! their actions are carried out.
+//! State held together with the other dispatchers, while it is switched on: its decisions, and how their actions are
+//! carried out.
 
 use crate::held_requests::{HeldRequests, SubsystemEvent};
 use crate::messages::ToPeers;
@@ -25,8 +25,7 @@
     pub socket: Rc<UdpSocket>,
     orders: mpsc::Sender<ToPeers>,
     held: HeldRequests,
-    /// Messages of other dispatchers for other subsystems: sender, number of the subsystem and
-    /// bytes.
+    /// Messages of other dispatchers for other subsystems: sender, number of the subsystem and bytes.
     received: Vec<(PeerId, u8, Vec<u8>)>,
     log: Logger,
 }
@@ -52,8 +51,7 @@
         }
     }
 
-    /// Handles a request with a key: it is held until the other dispatchers have answered, or until
-    /// its target.
+    /// Handles a request with a key: it is held until the other dispatchers have answered, or until its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
         let key = self.key_hasher.key(arrival.class, key);
@@ -189,8 +187,8 @@
                 Action::Send(to, message) => drop(self.orders.send(ToPeers::Send(to, message))),
                 Action::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Action::Purged { object, group, at } => {
-                    // The age follows from the stamp: the task that owns the decisions knows how
-                    // far the clocks are apart.
+                    // The age follows from the stamp: the task that owns the decisions knows how far the clocks are
+                    // apart.
                     self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
@@ -205,8 +203,8 @@
                 } => {
                     let state = match listed {
                         ListedState::Ready => HostState::Ready,
-                        // A host that is gone for others is only drained here until the host list
-                        // of this dispatcher removes it.
+                        // A host that is gone for others is only drained here until the host list of this dispatcher
+                        // removes it.
                         ListedState::Draining | ListedState::Gone => HostState::Draining,
                     };
                     self.held
--- a/crates/trailproxyd/src/peers_socket.rs
+++ b/crates/trailproxyd/src/peers_socket.rs
@@ -1,7 +1,7 @@
 //! The connection to the other dispatchers: datagrams on one UDP socket, on the same thread.
 //!
-//! It only sends and receives. A datagram that cannot be sent at once is lost, as any datagram may
-//! be. A datagram that is not from the fleet costs one checksum over its bytes and nothing more.
+//! It only sends and receives. A datagram that cannot be sent at once is lost, as any datagram may be. A datagram that
+//! is not from the fleet costs one checksum over its bytes and nothing more.
 
 use crate::messages::{FromPeers, Inbound, InboundSender, ToPeers};
 use crate::system_calls::{RESOURCE_RETRY_DELAY, errno};
@@ -88,8 +88,8 @@
                 tokio::time::sleep(RESOURCE_RETRY_DELAY).await;
                 continue;
             }
-            // Any other error concerns a datagram sent earlier: a port on which nobody listens any
-            // more is reported here.
+            // Any other error concerns a datagram sent earlier: a port on which nobody listens any more is reported
+            // here.
             Ok(_) | Err(_) => {
                 tokio::task::yield_now().await;
                 continue;
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -58,8 +58,7 @@
     }
 }
 
-/// Reads the operator's file, if there is one. A file that is being replaced is read again for a
-/// while.
+/// Reads the operator's file, if there is one. A file that is being replaced is read again for a while.
 pub async fn read_operator(
     source: Option<&Source>,
     context: &ValidationContext,
@@ -73,8 +72,8 @@
     retry_async(log_failure, read).await
 }
 
-/// The configuration in force: the file that was read last, with the settings in force, and the
-/// parts of the start settings that new settings must share with them.
+/// The configuration in force: the file that was read last, with the settings in force, and the parts of the start
+/// settings that new settings must share with them.
 pub struct ActiveConfig {
     /// The file that was read last, with the settings in force.
     pub file: Value,
@@ -85,9 +84,8 @@
 }
 
 impl ActiveConfig {
-    /// Why other settings cannot be applied without a restart, if they cannot: open requests and
-    /// known host entries refer to classes, zones and kinds by index, and connections keep their
-    /// limits.
+    /// Why other settings cannot be applied without a restart, if they cannot: open requests and known host entries
+    /// refer to classes, zones and kinds by index, and connections keep their limits.
     fn restart_reason(&self, start: &StartConfig) -> Option<&'static str> {
         let effects = |settings: &DispatcherSettings| {
             settings
@@ -110,10 +108,9 @@
         }
     }
 
-    /// Compares a new file with the one in force. Changes of the journal service apply at once, and
-    /// other settings apply if open requests can continue under them; other changes need a restart.
-    /// Returns where the operator's file is, if the new file names one, which is to be read again
-    /// as well, and the settings to apply.
+    /// Compares a new file with the one in force. Changes of the journal service apply at once, and other settings
+    /// apply if open requests can continue under them; other changes need a restart. Returns where the operator's file
+    /// is, if the new file names one, which is to be read again as well, and the settings to apply.
     fn compare(
         &mut self,
         start: StartConfig,
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -59,8 +59,8 @@
     let (queue, inbound) = mpsc::channel();
     let (counts, buffered) = (Rc::new(Counts::default()), BufferedBytes::default());
     let stall_detector = Rc::new(StallDetector::default());
-    // Clients of ordinary behaviour hold a third of the descriptors. Connections beyond that are
-    // closed when a slot is needed.
+    // Clients of ordinary behaviour hold a third of the descriptors. Connections beyond that are closed when a slot is
+    // needed.
     let max_clients = start.descriptors / 2;
     let class_names = start.bounds.track_names.iter().cloned();
     let shared = Rc::new(clients::ClientsContext {
@@ -150,8 +150,7 @@
         log,
     }));
     let mut dispatch = Dispatch::new(decisions, pools, start.reports, effects);
-    // The random points of the budgets are drawn with another seed than the random choices of the
-    // decisions.
+    // The random points of the budgets are drawn with another seed than the random choices of the decisions.
     dispatch.accounts = Some((accounts, settings, !start.seed));
     dispatch.name = name;
     dispatch.apply_operator_config(config)?;
--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -58,8 +58,7 @@
         }
     }
 
-    /// The pause before the next try, with a message for the log. The error: the step has been
-    /// tried for long enough.
+    /// The pause before the next try, with a message for the log. The error: the step has been tried for long enough.
     fn next_pause(&mut self, error: &StepError) -> Result<(Duration, String), String> {
         let tried = self.started_at.elapsed();
         let (text, seconds) = (error.text(), tried.as_secs_f64());
@@ -109,8 +108,8 @@
     }
 }
 
-/// Runs a step that panics where the system lacks descriptors, threads or memory, and turns the
-/// panic into an error that may be temporary.
+/// Runs a step that panics where the system lacks descriptors, threads or memory, and turns the panic into an error
+/// that may be temporary.
 pub fn without_panic<T>(
     operation: &str,
     step: impl FnOnce() -> io::Result<T>,
@@ -123,9 +122,8 @@
     done.map_err(|error| StepError::System(operation.to_owned(), error))
 }
 
-/// The error behind a panic. Libraries panic with a formatted message, a `String`, when a system
-/// call fails; the error is then the last one of the system. Otherwise a lack of descriptors is
-/// assumed.
+/// The error behind a panic. Libraries panic with a formatted message, a `String`, when a system call fails; the error
+/// is then the last one of the system. Otherwise a lack of descriptors is assumed.
 fn error_of_panic(panic: &(dyn Any + Send)) -> io::Error {
     let last = io::Error::last_os_error();
     match panic.is::<String>() && errno(&last) != 0 {
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -1,5 +1,4 @@
-//! The configuration of a dispatcher at its start: the RELAY_ variables and the JSON file that they
-//! name.
+//! The configuration of a dispatcher at its start: the RELAY_ variables and the JSON file that they name.
 
 use crate::journal_client::Names;
 use crate::messages::JournalEntry;
@@ -71,8 +70,8 @@
     }
 }
 
-/// The line of the setting that a message names. The names of its path are searched one after
-/// another, each behind the one before; an index in the path selects that occurrence in a list.
+/// The line of the setting that a message names. The names of its path are searched one after another, each behind the
+/// one before; an index in the path selects that occurrence in a list.
 fn line_of(text: &str, message: &str) -> Option<usize> {
     let path = message
         .strip_prefix("setting ")?
@@ -96,8 +95,7 @@
     std::env::var(name).ok().filter(|text| !text.is_empty())
 }
 
-/// The value at a path, if there is one. A value of another type is an error that names the
-/// accepted type.
+/// The value at a path, if there is one. A value of another type is an error that names the accepted type.
 fn field_at<'a, T>(
     json: &'a Value,
     path: &str,
--- a/crates/trailproxyd/src/store_connection.rs
+++ b/crates/trailproxyd/src/store_connection.rs
@@ -1,9 +1,8 @@
-//! The connection to the store that dispatchers share: a Redis server, through a client library, on
-//! the same thread.
+//! The connection to the store that dispatchers share: a Redis server, through a client library, on the same thread.
 //!
-//! It only carries out orders: the operations and the times to connect and disconnect come through
-//! a queue from the task that owns the decisions, and results go back through the queue of that
-//! task. Results on a connection that was closed are dropped.
+//! It only carries out orders: the operations and the times to connect and disconnect come through a queue from the
+//! task that owns the decisions, and results go back through the queue of that task. Results on a connection that was
+//! closed are dropped.
 
 use crate::messages::{FromStore, Inbound, InboundSender, ToStore};
 use local_channel::mpsc;
@@ -34,8 +33,8 @@
     mut orders: mpsc::Receiver<ToStore>,
     log: Logger,
 ) {
-    // Number of the present connection. The end of an earlier connection must not be reported as
-    // the end of the present one.
+    // Number of the present connection. The end of an earlier connection must not be reported as the end of the present
+    // one.
     let present = Rc::new(Cell::new(0u64));
     let mut connection: Option<Rc<Connection>> = None;
     let mut logged_reason = String::new();
@@ -87,8 +86,7 @@
     }
 }
 
-/// Connects, loads the scripts and reads the run id of the server, by which its restarts are
-/// recognised.
+/// Connects, loads the scripts and reads the run id of the server, by which its restarts are recognised.
 async fn connect(config: &StoreConfig) -> Result<(Connection, String), String> {
     let password = match config.password_file.as_str() {
         "" => None,
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,5 +1,5 @@
-//! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers
-//! through the store, the peers or the budgets. Each exists only while it is switched on.
+//! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers through the store, the
+//! peers or the budgets. Each exists only while it is switched on.
 
 use crate::budgets_runtime::BudgetsRuntime;
 use crate::held_requests::{HeldRequests, SubsystemEvent};
@@ -30,15 +30,14 @@
     pub peers: Option<PeersRuntime>,
     /// Budgets divided among dispatchers.
     pub budgets: Option<BudgetsRuntime>,
-    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the
-    /// decisions have taken the change.
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the decisions have
+    /// taken the change.
     slow_start_shares: Option<(Option<f64>, Option<f64>)>,
 }
 
 impl Subsystems {
-    /// Handles a request with an idempotency key. `false`: no subsystem keeps records, so that the
-    /// request need not wait. If both the store and the peers keep records, the store is asked, so
-    /// that there is one source of truth.
+    /// Handles a request with an idempotency key. `false`: no subsystem keeps records, so that the request need not
+    /// wait. If both the store and the peers keep records, the store is asked, so that there is one source of truth.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) -> bool {
         match (&mut self.store, &mut self.peers) {
             (Some(store), _) if store.config.records => store.on_request(now, arrival, key),
@@ -63,8 +62,8 @@
             .for_each(|peers| peers.on_attempt_sent(now, id, host));
     }
 
-    /// Handles a request with a key that has its final answer or whose client has gone. The
-    /// decisions may not know the request.
+    /// Handles a request with a key that has its final answer or whose client has gone. The decisions may not know the
+    /// request.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: &Completion) {
         self.store
             .iter_mut()
@@ -113,8 +112,8 @@
         }
     }
 
-    /// Passes messages of other dispatchers to the budgets, lets time pass there, and sends the
-    /// resulting messages, through the peers or otherwise through the store.
+    /// Passes messages of other dispatchers to the budgets, lets time pass there, and sends the resulting messages,
+    /// through the peers or otherwise through the store.
     fn advance_budgets(&mut self, now: Timestamp) {
         let from_peers = self
             .peers
@@ -162,8 +161,8 @@
         }
     }
 
-    /// The identity of this dispatcher among the others, if it can reach them. Through the store,
-    /// the identity is kept for as long as this process runs.
+    /// The identity of this dispatcher among the others, if it can reach them. Through the store, the identity is kept
+    /// for as long as this process runs.
     fn identity(&self, name: &str, new_boot_id: BootId) -> Option<(PeerId, BootId)> {
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
@@ -178,8 +177,7 @@
         through_store.then(|| known.unwrap_or((id, new_boot_id)))
     }
 
-    /// Applies the section about budgets. If the section and the identity are unchanged, the
-    /// present state is kept.
+    /// Applies the section about budgets. If the section and the identity are unchanged, the present state is kept.
     pub fn apply_budgets_section(
         &mut self,
         now: Timestamp,
@@ -233,8 +231,7 @@
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
 
-    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that
-    /// has changed.
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that has changed.
     pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
         self.slow_start_shares.take()
     }
@@ -282,8 +279,7 @@
         }
     }
 
-    /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is
-    /// its first byte.
+    /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is its first byte.
     fn post(&mut self, now: Timestamp, sender: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
         let bytes = [&[subsystem], bytes].concat();
         self.state
@@ -307,8 +303,7 @@
         }
     }
 
-    /// Handles a request that has its final answer or whose client has gone. The decisions may not
-    /// know the request.
+    /// Handles a request that has its final answer or whose client has gone. The decisions may not know the request.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         self.held.forget(id);
         self.state.on_request_ended(now, id, completion);
@@ -416,8 +411,7 @@
     }
 }
 
-/// How a request ended, as far as its attempts tell. A body that is too long for a record is left
-/// out.
+/// How a request ended, as far as its attempts tell. A body that is too long for a record is left out.
 pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Completion {
     match done {
         Some(body) => {
--- a/crates/trailproxyd/src/trace.rs
+++ b/crates/trailproxyd/src/trace.rs
@@ -1,8 +1,7 @@
-//! Logs one line for each step of each request, each close, each retry and each refusal, with the
-//! reason.
+//! Logs one line for each step of each request, each close, each retry and each refusal, with the reason.
 //!
-//! It is off unless `RELAY_TRACE` is `1`: it is meant for the search for faults, not for daily use.
-//! Requests are named by the ids that their clients gave them, which hosts see as well.
+//! It is off unless `RELAY_TRACE` is `1`: it is meant for the search for faults, not for daily use. Requests are named
+//! by the ids that their clients gave them, which hosts see as well.
 
 use crate::messages::{AttemptId, ClientId, ClientRequest, ConnectionId};
 use slog::{Logger, info};
