--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -60,7 +60,9 @@
 
 /// What all client connections share.
 pub struct ClientsContext {
+    /// The dispatcher's queue, which receives the requests.
     pub queue: InboundSender,
+    /// The classes by the method names that clients use.
     pub classes: HashMap<String, ClassId>,
     pub slots: RefCell<ClientSlots>,
     /// The longest deadline of any class: no client waits longer than this for an answer.
@@ -200,7 +202,7 @@
     /// Since when the connection is idle or its next message incomplete, if no request is open.
     unused_since: Instant,
     /// Whether a whole message was received.
-    has_message: bool,
+    has_received_message: bool,
     /// The latest deadline of all requests of this connection.
     latest_deadline: Instant,
     /// The state that pending attempts check before they start.
@@ -258,7 +260,7 @@
             encoded: 0,
             last_progress: now,
             unused_since: now,
-            has_message: false,
+            has_received_message: false,
             latest_deadline: now,
             state: Rc::default(),
             arrived_after,
@@ -318,7 +320,7 @@
     fn slot_use(&self) -> (SlotUse, Instant) {
         match (
             self.open_count(),
-            self.has_message && self.incoming.is_empty(),
+            self.has_received_message && self.incoming.is_empty(),
         ) {
             (1.., _) => (SlotUse::Busy, self.unused_since),
             (0, false) => (
@@ -417,7 +419,7 @@
     /// Reads and handles what was received, including the end of the stream. The number of reads is limited so that other
     /// tasks can run.
     fn read(&mut self) -> Result<(), CloseReason> {
-        let first_read = !self.has_message;
+        let first_read = !self.has_received_message;
         for _ in 0..MAX_READS_PER_TURN {
             if self.eof_at.is_some() {
                 break;
@@ -431,7 +433,7 @@
                     self.state.closed_at.set(Some(closed_at));
                 }
                 Transfer::Bytes(n) => {
-                    if self.has_message && self.incoming.is_empty() {
+                    if self.has_received_message && self.incoming.is_empty() {
                         self.unused_since = Instant::now();
                     }
                     self.incoming.commit(n);
@@ -564,7 +566,7 @@
             };
             self.incoming.consume(n);
             self.min_message_bytes = 1;
-            (self.has_message, self.unused_since) = (true, Instant::now());
+            (self.has_received_message, self.unused_since) = (true, Instant::now());
             if let Message::Request(request) = &mut message {
                 request.arrived_at = self.sent_at(first_read);
                 request.client = self.state.clone();
--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -42,7 +42,7 @@
 enum Packet {
     Attempt(AttemptRequest),
     /// The cancellation of the request with this id.
-    Kill(Rc<str>),
+    Cancel(Rc<str>),
     Probe(ProbeId),
 }
 
@@ -70,24 +70,27 @@
     attempt_in_outgoing: Option<AttemptRequest>,
     /// Whether a byte of the message in `outgoing` was written.
     has_begun: bool,
+    /// When bytes were last written.
     last_write_at: Instant,
+    /// Messages that wait for `outgoing`.
     unsent: VecDeque<Packet>,
-    /// By the id of the request.
+    /// Open attempts, by the id of the request.
     open: BTreeMap<Rc<str>, OpenAttempt>,
     /// The last probe, until it is answered. The result of any earlier probe was reported already.
     probe: Option<ProbeId>,
     /// Cancelled attempts, each with the time by which the host knows.
     cancelled: VecDeque<(Instant, AttemptId)>,
     last_received_at: Instant,
+    /// When an order or bytes of the host were last received. The idle time counts from here.
     last_active_at: Instant,
     /// Whether the connection closes as soon as nothing is open.
     retired: bool,
     /// Whether the pool was told to send nothing new here.
-    unfit_reported: bool,
+    unusable_reported: bool,
     /// Nothing is read or written before this time because the system was short of a resource.
     paused_until: Option<Instant>,
     /// The last stall of the process after which client connections were read first.
-    last_yield_after: Option<Stall>,
+    last_yielded_stall: Option<Stall>,
 }
 
 /// Why the connection ends. The strings are counted and logged by their text.
@@ -120,9 +123,9 @@
             last_received_at: Instant::now(),
             last_active_at: Instant::now(),
             retired: false,
-            unfit_reported: false,
+            unusable_reported: false,
             paused_until: None,
-            last_yield_after: None,
+            last_yielded_stall: None,
             shared,
         }
     }
@@ -150,7 +153,7 @@
         let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
         let in_flight = self.open.len() + self.cancelled.len();
         if !closed_by_host && in_flight > 0 {
-            self.report_unfit();
+            self.report_unusable();
             sleep(CANCEL_TRANSIT_TIME).await;
         }
         for (_, id) in std::mem::take(&mut self.cancelled) {
@@ -197,11 +200,11 @@
     }
 
     /// Tells the pool to send nothing new here. Open attempts may still be answered.
-    fn report_unfit(&mut self) {
-        if !std::mem::replace(&mut self.unfit_reported, true) {
+    fn report_unusable(&mut self) {
+        if !std::mem::replace(&mut self.unusable_reported, true) {
             let (host, connection) = (self.host, self.id);
-            let unfit = FromHost::Unusable { host, connection };
-            let _ = self.shared.queue.send(Inbound::Host(unfit));
+            let unusable = FromHost::Unusable { host, connection };
+            let _ = self.shared.queue.send(Inbound::Host(unusable));
         }
     }
 
@@ -219,7 +222,7 @@
             Packet::Probe(id) => self
                 .shared
                 .probe_ended(id, self.host, Ending::NotSent, vec![]),
-            Packet::Kill(_) => {}
+            Packet::Cancel(_) => {}
         }
     }
 
@@ -234,8 +237,8 @@
         let now = Instant::now();
         self.shared.stall_detector.record_activity(now);
         let stall = self.shared.stall_detector.recent_stall(now);
-        if stall.is_some() && stall != self.last_yield_after {
-            self.last_yield_after = stall;
+        if stall.is_some() && stall != self.last_yielded_stall {
+            self.last_yielded_stall = stall;
             yield_now().await;
         }
     }
@@ -266,7 +269,7 @@
         let next_known_at = self.cancelled.front().map(|at| at.0);
         // A partial answer of which no more arrives for this long would delay the answers to later requests as well.
         let stuck_at = self.last_received_at + self.shared.dial_timeout();
-        let has_partial_answer = !self.incoming.is_empty() && !self.unfit_reported;
+        let has_partial_answer = !self.incoming.is_empty() && !self.unusable_reported;
         if idle && self.retired {
             return Err("retired");
         }
@@ -289,7 +292,7 @@
             }
             _ = sleep(READ_RETRY_INTERVAL), if !may_read => {}
             _ = sleep_until(next_known_at.unwrap_or(self.last_active_at)), if next_known_at.is_some() => {}
-            _ = sleep_until(stuck_at), if has_partial_answer => self.report_unfit(),
+            _ = sleep_until(stuck_at), if has_partial_answer => self.report_unusable(),
             _ = sleep_until(idle_until), if idle => return Err("idle"),
         }
         Ok(())
@@ -384,10 +387,10 @@
             attempt.sent_at.elapsed() > max_silence,
         );
         if silent && too_long {
-            self.report_unfit();
+            self.report_unusable();
         }
         self.open.remove(&reference);
-        self.unsent.push_back(Packet::Kill(reference));
+        self.unsent.push_back(Packet::Cancel(reference));
         self.cancelled
             .push_back((Instant::now() + CANCEL_TRANSIT_TIME, id));
     }
@@ -444,7 +447,7 @@
     fn encode(&mut self, packet: Packet) {
         let mut out = Vec::with_capacity(512);
         match packet {
-            Packet::Kill(reference) => {
+            Packet::Cancel(reference) => {
                 resp::put_array(&mut out, 2);
                 resp::put_word(&mut out, b"KILL");
                 resp::put_word(&mut out, reference.as_bytes());
--- a/crates/trailproxyd/tests/endings.rs
+++ b/crates/trailproxyd/tests/endings.rs
@@ -419,9 +419,9 @@
     pipe.write_all(cluster.config.to_string().as_bytes())
         .expect("read");
     drop(pipe);
-    wait_for("it listens", || TcpStream::connect(address).is_ok());
+    wait_for("the daemon listens", || TcpStream::connect(address).is_ok());
     program.write_config(&cluster.config.to_string());
-    wait_for("it is read again", || {
+    wait_for("the configuration is read again", || {
         program.log_contains("configuration read again")
     });
     let mut client = Client::new(address);
@@ -446,7 +446,7 @@
         cluster.program.log_contains("new configuration refused")
     });
     cluster.program.reload_config(&cluster.config.to_string());
-    wait_for("it is read again", || {
+    wait_for("the configuration is read again", || {
         cluster.program.log_contains("configuration read again")
     });
     request.answer("data", "tag=aa,minted=1", b"kept");
--- a/crates/trailproxyd/tests/harness/mod.rs
+++ b/crates/trailproxyd/tests/harness/mod.rs
@@ -366,7 +366,7 @@
     /// Starts a daemon with additional environment variables and waits until it listens.
     pub fn start_in(config: &Json, address: SocketAddr, environment: &Environment) -> Program {
         let program = Program::spawn_in(config, address, environment);
-        wait_for("it listens", || TcpStream::connect(address).is_ok());
+        wait_for("the daemon listens", || TcpStream::connect(address).is_ok());
         program
     }
 
@@ -483,7 +483,7 @@
     /// Waits until the daemon exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_for("it ends", || {
+        wait_for("the daemon exits", || {
             status = self.child.try_wait().expect("a child");
             status.is_some()
         });
@@ -562,7 +562,7 @@
             .env("RELAY_OPERATOR", operator)
             .stdout(Stdio::null())
             .output()
-            .expect("it runs");
+            .expect("the daemon runs");
         let _ = std::fs::remove_file(config);
         let words = String::from_utf8_lossy(&ended.stderr).into_owned();
         assert_eq!(ended.status.code(), Some(1), "{words}");
--- a/crates/trailproxyd/tests/rare.rs
+++ b/crates/trailproxyd/tests/rare.rs
@@ -100,7 +100,7 @@
     }
     cluster.program.signal("-TERM");
     // By the end of the sleep, the regular accept has stopped and the accepts of the exit have failed as well.
-    wait_for("it is asked to end", || {
+    wait_for("the daemon handles the signal", || {
         cluster.program.log_contains("asked to end")
     });
     std::thread::sleep(Duration::from_millis(1000));
@@ -220,7 +220,7 @@
     let address = free_address();
     let mut program = Program::spawn_logging_to(&cluster.config, address, writer);
     let mut client = None;
-    wait_for("it listens", || {
+    wait_for("the daemon listens", || {
         client = std::net::TcpStream::connect(address).ok();
         client.is_some()
     });
--- a/crates/trailproxyd/tests/sockets.rs
+++ b/crates/trailproxyd/tests/sockets.rs
@@ -687,7 +687,7 @@
             std::fs::write(&path, config).expect("a file");
             command.env("RELAY_CONFIG", &path);
         }
-        let output = command.output().expect("it runs");
+        let output = command.output().expect("the daemon runs");
         let said = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{said}");
         assert!(said.contains(why) && !said.contains("panicked"), "{said}");
--- a/crates/trailproxyd/tests/system_calls.rs
+++ b/crates/trailproxyd/tests/system_calls.rs
@@ -278,11 +278,11 @@
     let environment = Environment::default();
     let half = &text[..text.len() / 2];
     let program = Program::spawn_with_text(half, &cluster.config, address, &environment);
-    wait_for("it has read one half", || {
+    wait_for("the daemon has read one half", || {
         program.log_contains("not started yet")
     });
     program.write_config(&text);
-    wait_for("it listens", || {
+    wait_for("the daemon listens", || {
         std::net::TcpStream::connect(address).is_ok()
     });
 }
@@ -293,11 +293,11 @@
     let cluster = Cluster::new();
     let text = cluster.config.to_string();
     cluster.program.reload_config(&text[..text.len() / 2]);
-    wait_for("it has read one half", || {
+    wait_for("the daemon has read one half", || {
         cluster.program.log_contains("not read yet")
     });
     cluster.program.write_config(&text);
-    wait_for("it has read all", || {
+    wait_for("the daemon has read all", || {
         cluster.program.log_contains("configuration read again")
     });
 }
@@ -328,11 +328,11 @@
     config["operator"] = json!(operator);
     let address = free_address();
     let program = Program::spawn_in(&config, address, &Environment::default());
-    wait_for("it has read one half", || {
+    wait_for("the daemon has read one half", || {
         program.log_contains("operator's file not read yet")
     });
     std::fs::write(&operator, "{}").expect("a file");
-    wait_for("it listens", || {
+    wait_for("the daemon listens", || {
         std::net::TcpStream::connect(address).is_ok()
     });
     let _ = std::fs::remove_file(operator);
