--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -2,34 +2,36 @@
 
 use std::collections::BTreeMap;
 use trailproxy::units::*;
-use trailproxy_budgets::decide::holder::Holder;
-use trailproxy_budgets::decide::voter::Voter;
-use trailproxy_budgets::decide::{Ask, AskNo, Division, HolderId, LifeId, TicketId, VoterId, Word};
+use trailproxy_budgets::decide::holder::LeaseHolder;
+use trailproxy_budgets::decide::voter::LeaseVoter;
+use trailproxy_budgets::decide::{
+    BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId, VoterId,
+};
 
 pub const DAWN: Timestamp = Timestamp(1_000_000_000);
 
 pub fn division(seats: u32) -> Division {
     Division {
-        seats,
-        floors: 0.25,
+        dispatchers: seats,
+        floor_share: 0.25,
         tickets: 64,
         voters: 5,
-        lasts: TimeSpan::from_secs(2),
-        guard: TimeSpan::ZERO,
+        lease_duration: TimeSpan::from_secs(2),
+        guard_time: TimeSpan::ZERO,
     }
 }
 
 #[derive(Clone)]
 pub enum Letter {
-    Ask(usize, usize, Ask),
-    Word(usize, usize, Word),
+    Request(usize, usize, LeaseRequest),
+    Grant(usize, usize, LeaseGrant),
 }
 
 pub struct World {
     pub now: Timestamp,
     pub division: Division,
-    pub voters: Vec<Option<Voter>>,
-    pub holders: Vec<Option<Holder>>,
+    pub voters: Vec<Option<LeaseVoter>>,
+    pub holders: Vec<Option<LeaseHolder>>,
     /// Clocks: faster by this part, and ahead.
     pub clocks: Vec<(f64, u64)>,
     pub paused: Vec<bool>,
@@ -48,7 +50,7 @@
     pub works: Vec<(usize, Timestamp)>,
     pub most_works: usize,
     pub planted: Option<Planted>,
-    pub lives: Vec<LifeId>,
+    pub lives: Vec<BootId>,
 }
 
 /// Mistakes put in on purpose.
@@ -94,7 +96,7 @@
             works: Vec::new(),
             most_works: 0,
             planted: None,
-            lives: vec![LifeId(0); holders],
+            lives: vec![BootId(0); holders],
         };
         (0..5).for_each(|n| world.start_voter(n));
         (0..holders).for_each(|n| world.start(n));
@@ -118,19 +120,19 @@
             Some(Planted::Forgetful) => now - TimeSpan::from_secs(60),
             _ => now,
         };
-        self.voters[nth] = Some(Voter::new(born, self.division));
+        self.voters[nth] = Some(LeaseVoter::new(born, self.division));
     }
 
     pub fn start(&mut self, nth: usize) {
         self.next += 1;
         let (now, seed) = (self.clock(nth), self.chance.u64(..));
-        let (id, life) = (HolderId(nth as u64), LifeId(self.next));
+        let (id, life) = (HolderId(nth as u64), BootId(self.next));
         self.lives[nth] = life;
         let mut division = self.division;
         if self.planted == Some(Planted::NoDrift) {
-            division.lasts = division.lasts.mul_f64(1.06);
+            division.lease_duration = division.lease_duration.mul_f64(1.06);
         }
-        self.holders[nth] = Some(Holder::new(now, division, id, life, seed));
+        self.holders[nth] = Some(LeaseHolder::new(now, division, id, life, seed));
         self.paused[nth] = false;
     }
 
@@ -153,7 +155,7 @@
                 continue;
             };
             let now = self.clock(nth);
-            parts += holder.part(now);
+            parts += holder.fraction(now);
             if self.planted == Some(Planted::FloorTwice) {
                 parts += self.division.floor();
             }
@@ -175,21 +177,21 @@
                 .filter(|entry| entry.key().0 <= self.now)
             {
                 match entry.remove() {
-                    Letter::Ask(holder, voter, ask) => {
+                    Letter::Request(holder, voter, ask) => {
                         let now = self.voter_clock(voter);
                         let word = self.voters[voter]
                             .as_mut()
-                            .and_then(|voter| voter.asked(now, &ask));
+                            .and_then(|voter| voter.on_request(now, &ask));
                         if let Some(word) = word {
-                            self.post(holder, Letter::Word(holder, voter, word));
+                            self.post(holder, Letter::Grant(holder, voter, word));
                         }
                     }
-                    Letter::Word(nth, voter, word) => {
+                    Letter::Grant(nth, voter, word) => {
                         let now = self.clock(nth);
                         if let Some(holder) =
                             self.holders[nth].as_mut().filter(|_| !self.paused[nth])
                         {
-                            holder.told(now, VoterId(voter as u8), &word);
+                            holder.on_grant(now, VoterId(voter as u8), &word);
                         }
                     }
                 }
@@ -199,13 +201,13 @@
                 let Some(holder) = self.holders[nth].as_mut().filter(|_| !self.paused[nth]) else {
                     continue;
                 };
-                holder.needs(now, need, 0.0);
+                holder.set_need(now, need, 0.0);
                 let asked = match self.planted {
                     Some(Planted::FromReceipt) => now + TimeSpan::from_secs(1),
                     _ => now,
                 };
                 for (voter, ask) in holder.advance(asked) {
-                    self.post(nth, Letter::Ask(nth, usize::from(voter.0), ask));
+                    self.post(nth, Letter::Request(nth, usize::from(voter.0), ask));
                 }
             }
             self.forget();
@@ -224,30 +226,30 @@
         let Some(voter) = self.voters[nth].as_mut() else {
             return;
         };
-        let given = voter.stands(now).next();
+        let given = voter.granted_leases(now).next();
         if let Some((ticket, holder)) = given
             && let Some(life) = self.lives.get(holder.0 as usize)
         {
-            let forged = Ask {
-                no: AskNo(u64::MAX),
+            let forged = LeaseRequest {
+                no: RequestNo(u64::MAX),
                 holder,
-                life: *life,
+                boot: *life,
                 renew: Vec::new(),
-                want: Vec::new(),
-                give: vec![ticket],
+                acquire: Vec::new(),
+                release: vec![ticket],
                 need: 64,
-                first: 0,
-                ahead: 64,
+                priority_need: 0,
+                need_with_reserve: 64,
                 weight: 0,
             };
-            voter.asked(now, &forged);
+            voter.on_request(now, &forged);
         }
     }
 
     /// Each begins as much work as its tickets allow; what has begun goes on to its end, whatever becomes of them, also
     /// while its dispatcher is paused.
     pub fn work(&mut self) {
-        let (now, guard) = (self.now, self.division.guard);
+        let (now, guard) = (self.now, self.division.guard_time);
         if guard == TimeSpan::ZERO {
             return;
         }
@@ -268,7 +270,7 @@
     pub fn part(&self, nth: usize) -> f64 {
         self.holders[nth]
             .as_ref()
-            .map_or(0.0, |holder| holder.part(self.clock(nth)))
+            .map_or(0.0, |holder| holder.fraction(self.clock(nth)))
     }
 
     pub fn used(&self) -> f64 {
--- a/crates/capacity-live/src/cost.rs
+++ b/crates/capacity-live/src/cost.rs
@@ -10,12 +10,13 @@
 use std::time::{Duration, Instant};
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_peers::decide::facts::Slot;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{
-    Address, AskNo, Has, Life, MemberUpdate, Message, Note, PeerId, Standing, State,
+    Address, BootId, Completeness, InquiryId, MemberStatus, MemberSummary, MemberUpdate, Message,
+    MessagePart, PeerId,
 };
-use trailproxy_peers::decide::{Action, Peers, Rules};
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::decide::{Action, Peers, PeersSettings};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 /// When the virtual clock begins: any moment far from zero does.
 const BEGIN: Timestamp = Timestamp(1_000_000_000_000);
@@ -106,7 +107,7 @@
     sum_key: [u8; 32],
     chance: fastrand::Rng,
     timers: Timers,
-    answers: Vec<(PeerId, Vec<Note>)>,
+    answers: Vec<(PeerId, Vec<MessagePart>)>,
 }
 
 /// Times each part in a fleet of that size.
@@ -134,16 +135,16 @@
     })
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: false,
-        wait: TimeSpan::from_millis(5),
-        keep: TimeSpan::from_secs(10),
-        purges_last: TimeSpan::from_secs(3),
+        refuse_unconfirmed: false,
+        max_wait: TimeSpan::from_millis(5),
+        record_retention: TimeSpan::from_secs(10),
+        purge_retention: TimeSpan::from_secs(3),
     }
 }
 
@@ -153,18 +154,18 @@
     MemberUpdate {
         id: PeerId::of_name(&format!("other{nth}")),
         address: from_socket(address),
-        life: Life(1),
+        boot_id: BootId(1),
         incarnation: 0,
-        standing: Standing::Alive,
+        status: MemberStatus::Alive,
     }
 }
 
 impl Bench {
     fn new(members: usize, seed: u64) -> Bench {
-        let own = Own {
+        let own = OwnMember {
             id: PeerId::of_name("own"),
             address: from_socket(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 7_946)),
-            life: Life(1),
+            boot_id: BootId(1),
             seeds: Vec::new(),
             topology: None,
         };
@@ -185,12 +186,12 @@
         let (mut ping_at, mut compare_at) = (from, from);
         let (mut now, end) = (from, from + lasts);
         if from == BEGIN {
-            let updates = vec![Note::Updates(self.others.clone())];
+            let updates = vec![MessagePart::MemberUpdates(self.others.clone())];
             self.tell(now, self.others[0].id, updates);
         }
         while now < end {
             let (core, timers) = (&mut self.core, &mut self.timers);
-            let due = timers.next.time(|| core.next());
+            let due = timers.next.time(|| core.next_deadline());
             now = due.min(ping_at).min(compare_at).max(now + TimeSpan(1));
             if due <= now {
                 timers.advance.time(|| core.advance(now));
@@ -198,45 +199,45 @@
             self.collect();
             if ping_at <= now {
                 ping_at = now + PINGED_EVERY;
-                let ping = Note::Ping(AskNo(now.0), self.state());
+                let ping = MessagePart::Ping(InquiryId(now.0), self.state());
                 self.tell_by_anybody(now, ping);
             }
             if compare_at <= now {
                 compare_at = now + COMPARED_EVERY;
-                let sums = self.core.sums().into_iter();
+                let sums = self.core.slot_checksums().into_iter();
                 let sums = sums.take(usize::from(COMPARED_SLOTS)).collect();
-                self.tell_by_anybody(now, Note::Sums(sums));
+                self.tell_by_anybody(now, MessagePart::Checksums(sums));
             }
             self.answer(now);
         }
         now
     }
 
-    fn state(&self) -> State {
-        State {
-            whole: true,
+    fn state(&self) -> MemberSummary {
+        MemberSummary {
+            in_sync: true,
             records: 0,
-            place: 0,
-            roster: self.core.members().roster(),
+            journal_position: 0,
+            membership_checksum: self.core.members().membership_checksum(),
         }
     }
 
-    fn tell_by_anybody(&mut self, now: Timestamp, note: Note) {
+    fn tell_by_anybody(&mut self, now: Timestamp, note: MessagePart) {
         let nth = self.chance.usize(0..self.others.len());
         self.tell(now, self.others[nth].id, vec![note]);
     }
 
     /// The core hears a message, by way of its datagram.
-    fn tell(&mut self, now: Timestamp, from: PeerId, notes: Vec<Note>) {
+    fn tell(&mut self, now: Timestamp, from: PeerId, notes: Vec<MessagePart>) {
         let Some(of) = self.others.iter().find(|other| other.id == from).copied() else {
             return;
         };
         let message = Message {
             from,
-            life: of.life,
+            boot_id: of.boot_id,
             incarnation: of.incarnation,
             stamp: now.0,
-            notes,
+            parts: notes,
         };
         if let Some(bytes) = self.seal.write(&message) {
             let (seal, timers) = (&self.seal, &mut self.timers);
@@ -245,13 +246,15 @@
         }
         let (core, timers) = (&mut self.core, &mut self.timers);
         timers.messages += 1;
-        timers.heard.time(|| core.heard(now, of.address, message));
+        timers
+            .heard
+            .time(|| core.on_message(now, of.address, message));
         self.collect();
     }
 
     /// Takes what the core says, and notes what is answered to it.
     fn collect(&mut self) {
-        for action in self.core.take() {
+        for action in self.core.take_actions() {
             if let Action::Send(to, message) = action {
                 self.timers.messages += 1;
                 let (seal, timers) = (&self.seal, &mut self.timers);
@@ -273,15 +276,15 @@
             return;
         };
         let (id, state) = (of.id, self.state());
-        let answers = message.notes.iter().filter_map(|note| match note {
-            Note::Ping(no, _) => Some(Note::Ack(*no, state)),
-            Note::Sums(sums) => Some(Note::Same {
+        let answers = message.parts.iter().filter_map(|note| match note {
+            MessagePart::Ping(no, _) => Some(MessagePart::Ack(*no, state)),
+            MessagePart::Checksums(sums) => Some(MessagePart::Same {
                 slots: sums.iter().map(|&(slot, _)| slot).collect::<Vec<Slot>>(),
-                has: Has::All,
+                completeness: Completeness::Complete,
             }),
             _ => None,
         });
-        let answers: Vec<Note> = answers.collect();
+        let answers: Vec<MessagePart> = answers.collect();
         if !answers.is_empty() {
             self.answers.push((id, answers));
         }
@@ -299,20 +302,20 @@
         for nth in 1..CHANGES.min(self.others.len()) {
             now = now + TimeSpan::from_millis(200);
             let mut update = self.others[nth];
-            update.standing = Standing::Left;
+            update.status = MemberStatus::Left;
             let first = self.others[0];
             let message = Message {
                 from: first.id,
-                life: first.life,
+                boot_id: first.boot_id,
                 incarnation: first.incarnation,
                 stamp: now.0,
-                notes: vec![Note::Updates(vec![update])],
+                parts: vec![MessagePart::MemberUpdates(vec![update])],
             };
             let (core, timers) = (&mut self.core, &mut self.timers);
             timers
                 .change
-                .time(|| core.heard(now, first.address, message));
-            self.core.take();
+                .time(|| core.on_message(now, first.address, message));
+            self.core.take_actions();
         }
     }
 }
@@ -324,7 +327,7 @@
     let far = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
     let to = far.local_addr()?;
     let (mut sending, mut receiving) = (Timed::default(), Timed::default());
-    let mut buffer = vec![0; MOST_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     for _ in 0..DATAGRAMS {
         sending.time(|| near.send_to(&[0; BYTES], to))?;
         receiving.time(|| far.recv_from(&mut buffer))?;
--- a/crates/capacity/src/fleet/load.rs
+++ b/crates/capacity/src/fleet/load.rs
@@ -8,7 +8,7 @@
 use crate::layout::{Layout, Proximity};
 use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, RecordDecision};
 
 /// How long an upstream takes.
 const UPSTREAM_TAKES: TimeSpan = TimeSpan::from_millis(60);
@@ -153,13 +153,13 @@
             attempted: false,
         };
         self.members[member].open.insert(id, open);
-        let folded = self.folding.key(ClassId(0), &key.to_string());
+        let folded = self.key_hasher.key(ClassId(0), &key.to_string());
         let due = now + self.settings.demand.limit;
-        self.with_peers(member, |peers| peers.come(now, id, folded, due));
+        self.with_peers(member, |peers| peers.on_request(now, id, folded, due));
     }
 
     /// A member's core lets a request go on.
-    pub(super) fn decided(&mut self, member: usize, id: RequestId, verdict: Verdict) {
+    pub(super) fn decided(&mut self, member: usize, id: RequestId, verdict: RecordDecision) {
         let zone = self.layout.members[member].zone;
         let now = self.now;
         let of = &mut self.members[member];
@@ -170,24 +170,24 @@
             return;
         }
         let waited = now.since(open.arrived);
-        let earlier = peers.earlier(id);
-        let granted = peers.granted(id);
+        let earlier = peers.earlier_attempt(id);
+        let granted = peers.is_granted(id);
         let place = (ZoneId(zone as u16), CellId(zone as u16));
         let (outcome, goes) = match verdict {
-            Verdict::Answer(_) => (Outcome::Found, false),
-            Verdict::Go => judge(now, place.0, earlier, granted),
+            RecordDecision::Answer(_) => (Outcome::Found, false),
+            RecordDecision::Proceed => judge(now, place.0, earlier, granted),
         };
         self.requests.decided(open.origin, outcome, waited);
         if !goes {
             of.open.remove(&id);
             let came = match verdict {
-                Verdict::Answer(_) => Came::Done(Some(ANSWER.to_vec())),
-                Verdict::Go => Came::NeverRan,
+                RecordDecision::Answer(_) => Completion::Done(Some(ANSWER.to_vec())),
+                RecordDecision::Proceed => Completion::NeverRan,
             };
-            return peers.ended(now, id, came);
+            return peers.on_request_ended(now, id, came);
         }
         open.attempted = true;
-        peers.hand_off(now, id, place);
+        peers.on_attempt_sent(now, id, place);
         let attempt = Attempt {
             at: now,
             zone,
@@ -206,8 +206,8 @@
             return;
         }
         let now = self.now;
-        let came = Came::Done(Some(ANSWER.to_vec()));
-        self.with_peers(member, |peers| peers.ended(now, request, came));
+        let came = Completion::Done(Some(ANSWER.to_vec()));
+        self.with_peers(member, |peers| peers.on_request_ended(now, request, came));
     }
 
     pub(super) fn next_purge(&mut self) {
@@ -235,7 +235,7 @@
             self.queue.push(now + after, event);
         }
         self.with_peers(member, |peers| {
-            peers.purged(now, Some(object), GroupId(0), now);
+            peers.on_purge(now, Some(object), GroupId(0), now);
         });
     }
 }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -24,11 +24,11 @@
 use std::time::Instant;
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
-use trailproxy_budgets::decide::shares::Act;
-use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
-use trailproxy_peers::decide::{Action, Peers, Stands};
+use trailproxy_budgets::decide::shares::Action as BudgetAction;
+use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, MessagePart, PeerId};
+use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::Folding;
+use trailproxy_shared_store::decide::records::KeyHasher;
 
 /// When virtual time begins.
 const START: Timestamp = Timestamp(1_700_000_000_000_000);
@@ -78,7 +78,7 @@
     voters: Vec<String>,
     by_address: Arc<HashMap<Address, usize>>,
     seal: Seal,
-    folding: Folding,
+    key_hasher: KeyHasher,
     next_request: u64,
     budgets_on: bool,
 }
@@ -106,7 +106,7 @@
             voters: voters.collect(),
             by_address: Arc::new(addresses.collect()),
             seal: Seal::new("capacity", b""),
-            folding: Folding::new("capacity"),
+            key_hasher: KeyHasher::new("capacity"),
             next_request: 0,
             budgets_on: false,
             random,
@@ -128,13 +128,13 @@
             for piece in updates.chunks(UPDATES_IN_MESSAGE) {
                 let message = Message {
                     from: own.id,
-                    life: own.life,
+                    boot_id: own.boot_id,
                     incarnation: own.incarnation,
                     stamp: now.0,
-                    notes: vec![Note::Updates(piece.to_vec())],
+                    parts: vec![MessagePart::MemberUpdates(piece.to_vec())],
                 };
                 let address = own.address;
-                self.with_peers(member, |peers| peers.heard(now, address, message));
+                self.with_peers(member, |peers| peers.on_message(now, address, message));
             }
         }
     }
@@ -152,7 +152,11 @@
     }
 
     fn updates_sent(&self) -> u64 {
-        let sent = |of: &Member| of.traffic.sent_of(&Note::Updates(Vec::new())).messages;
+        let sent = |of: &Member| {
+            of.traffic
+                .sent_of(&MessagePart::MemberUpdates(Vec::new()))
+                .messages
+        };
         self.members.iter().map(sent).sum()
     }
 
@@ -246,7 +250,7 @@
 
     /// Whether all that are up lack nothing and know just each other.
     pub fn is_settled(&self) -> bool {
-        self.up().all(|peers| peers.stands() == Stands::Whole) && self.agrees()
+        self.up().all(|peers| peers.state() == PeerState::InSync) && self.agrees()
     }
 
     /// Whether all that are up know just each other.
@@ -255,10 +259,10 @@
         let Some(first) = self.up().next() else {
             return true;
         };
-        let roster = first.members().roster();
+        let roster = first.members().membership_checksum();
         self.up().all(|peers| {
             let members = peers.members();
-            members.there().count() + 1 == count && members.roster() == roster
+            members.present().count() + 1 == count && members.membership_checksum() == roster
         })
     }
 
@@ -305,7 +309,7 @@
         let now = self.now;
         self.members[to].traffic.received(now, bytes);
         let address = member::address(from);
-        self.with_peers(to, |peers| peers.heard(now, address, message));
+        self.with_peers(to, |peers| peers.on_message(now, address, message));
     }
 
     fn wake(&mut self, member: usize) {
@@ -316,11 +320,19 @@
         of.wakes_at = None;
         let now = self.now;
         let begun = Instant::now();
-        if let Some(peers) = of.peers.as_mut().filter(|peers| peers.next() <= now) {
+        if let Some(peers) = of
+            .peers
+            .as_mut()
+            .filter(|peers| peers.next_deadline() <= now)
+        {
             peers.advance(now);
         }
         let due = |at: Option<Timestamp>| at.is_some_and(|at| at <= now);
-        if let Some(shares) = of.shares.as_mut().filter(|shares| due(shares.next())) {
+        if let Some(shares) = of
+            .shares
+            .as_mut()
+            .filter(|shares| due(shares.next_deadline()))
+        {
             shares.advance(now);
         }
         of.core_time += begun.elapsed();
@@ -346,7 +358,7 @@
             let Some(peers) = &mut self.members[member].peers else {
                 return;
             };
-            let actions = peers.take();
+            let actions = peers.take_actions();
             if actions.is_empty() {
                 break;
             }
@@ -366,12 +378,12 @@
                     self.purges.reached(self.now, object);
                 }
             }
-            Action::Beside(from, of, bytes) => self.beside(member, from, of, &bytes),
-            Action::Restricted { .. }
-            | Action::Freed { .. }
-            | Action::Hinted { .. }
-            | Action::Turned(_)
-            | Action::Member(..) => {}
+            Action::SubsystemMessage(from, of, bytes) => self.beside(member, from, of, &bytes),
+            Action::HostRestricted { .. }
+            | Action::HostRestrictionLifted { .. }
+            | Action::PeerBreakerOpened { .. }
+            | Action::StateChanged(_)
+            | Action::MemberStatusChanged(..) => {}
         }
     }
 
@@ -407,14 +419,14 @@
 
     /// A message of the budgets that came beside others.
     fn beside(&mut self, member: usize, from: PeerId, of: u8, bytes: &[u8]) {
-        if of != trailproxy_budgets::BESIDE {
+        if of != trailproxy_budgets::SUBSYSTEM_ID {
             return;
         }
         let now = self.now;
         let note = trailproxy_budgets::read(bytes);
         let shares = &mut self.members[member].shares;
         if let (Some(shares), Some(note)) = (shares, note) {
-            shares.heard(now, HolderId(from.0), note);
+            shares.on_message(now, HolderId(from.0), note);
         }
     }
 
@@ -425,10 +437,10 @@
         let (Some(peers), Some(shares)) = (&mut of.peers, &mut of.shares) else {
             return;
         };
-        for act in shares.take() {
-            if let Act::Send(to, note) = act {
+        for act in shares.take_actions() {
+            if let BudgetAction::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
-                peers.beside(now, PeerId(to.0), trailproxy_budgets::BESIDE, bytes);
+                peers.send_to_subsystem(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
             }
         }
     }
--- a/crates/shared-store/src/words.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -4,9 +4,9 @@
 //! that its caller trusts and the time, by the server's clock, after which it must do nothing: what is applied long after
 //! its caller gave it up would be a claim, or an item, that nobody counts on.
 
-use crate::decide::news::Word;
-use crate::decide::ops::{Answer, BoxId, Op, Said};
-use crate::decide::records::{Came, Key, Record, Stand};
+use crate::decide::announcements::Announcement;
+use crate::decide::ops::{Answer, MailboxId, Op, OpResult};
+use crate::decide::records::{Completion, Key, Record, RecordStatus};
 use trailproxy::units::*;
 
 /// What a server answers, in no version's form.
@@ -155,7 +155,7 @@
 
 /// What goes to a server: a script, its keys and its arguments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Request {
+pub struct ScriptRequest {
     pub script: Script,
     pub keys: Vec<String>,
     pub args: Vec<Vec<u8>>,
@@ -163,7 +163,7 @@
 
 /// Where all of it stands in the store, and under which epoch it is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Under<'a> {
+pub struct ScriptContext<'a> {
     /// Before every key, so that several installations can share a server.
     pub prefix: &'a str,
     /// One history of one server process, as that names itself.
@@ -177,30 +177,30 @@
     span.0.div_ceil(1_000)
 }
 
-fn word_text(word: Word) -> String {
+fn word_text(word: Announcement) -> String {
     match word {
-        Word::Purged { object, group } => match object {
+        Announcement::Purged { object, group } => match object {
             Some(object) => format!("o:{}", object.0),
             None => format!("g:{}", group.0),
         },
-        Word::Opened { host, started } => format!("b:{}:{started}", host.0),
+        Announcement::Opened { host, started } => format!("b:{}:{started}", host.0),
     }
 }
 
-fn read_word(text: &str) -> Option<Word> {
+fn read_word(text: &str) -> Option<Announcement> {
     let mut parts = text.split(':');
     let kind = parts.next()?;
     let mut number = || parts.next()?.parse::<u64>().ok();
     let word = match kind {
-        "o" => Word::Purged {
+        "o" => Announcement::Purged {
             object: Some(ObjectId(number()?)),
             group: GroupId::default(),
         },
-        "g" => Word::Purged {
+        "g" => Announcement::Purged {
             object: None,
             group: GroupId(u32::try_from(number()?).ok()?),
         },
-        "b" => Word::Opened {
+        "b" => Announcement::Opened {
             host: HostId(number()?),
             started: number()?,
         },
@@ -210,7 +210,7 @@
 }
 
 /// An operation as a script with its keys and arguments.
-pub fn request(op: &Op, under: &Under) -> Request {
+pub fn script_request(op: &Op, under: &ScriptContext) -> ScriptRequest {
     let key = |rest: String| format!("{}{rest}", under.prefix);
     let mut keys = vec![key("epoch".into())];
     let text = |text: String| text.into_bytes();
@@ -220,7 +220,7 @@
     ];
     let record = |of: &Key| key(format!("record:{:032x}", of.0));
     let place = |place: &(ZoneId, CellId)| (place.0.0.to_string(), place.1.0.to_string());
-    let mailbox = |of: &BoxId| key(format!("box:{:016x}", of.0));
+    let mailbox = |of: &MailboxId| key(format!("box:{:016x}", of.0));
     let script = match op {
         Op::Open { proposal, known } => {
             let (epoch, count) = (known.0.to_string(), known.1.to_string());
@@ -232,7 +232,11 @@
             ];
             OPEN
         }
-        Op::Claim { key, token, keep } => {
+        Op::Claim {
+            key,
+            token,
+            retention: keep,
+        } => {
             keys.push(record(key));
             args.extend([token.to_string(), ms(*keep).to_string()].map(text));
             CLAIM
@@ -240,9 +244,9 @@
         Op::Sent {
             key,
             token,
-            place: at,
-            ago,
-            keep,
+            location: at,
+            age: ago,
+            retention: keep,
         } => {
             keys.push(record(key));
             let (zone, cell) = place(at);
@@ -259,16 +263,16 @@
         Op::Ended {
             key,
             token,
-            came,
-            place: at,
-            keep,
+            completion: came,
+            location: at,
+            retention: keep,
         } => {
             keys.push(record(key));
             let (zone, cell) = at.as_ref().map(place).unwrap_or_default();
             let (how, body) = match came {
-                Came::Done(body) => ("done", body.clone()),
-                Came::NeverRan => ("free", None),
-                Came::Unknown => ("unknown", None),
+                Completion::Done(body) => ("done", body.clone()),
+                Completion::NeverRan => ("free", None),
+                Completion::Unknown => ("unknown", None),
             };
             let kept = if body.is_some() { "1" } else { "0" };
             let words = [
@@ -287,22 +291,22 @@
             to,
             from,
             bytes,
-            keep,
+            retention: keep,
         } => {
             keys.push(mailbox(to));
             args.extend([from.0.to_string(), ms(*keep).to_string()].map(text));
             args.push(bytes.clone());
             POST
         }
-        Op::Fetch { own } => {
+        Op::Fetch { mailbox: own } => {
             keys.push(mailbox(own));
             FETCH
         }
-        Op::Tell {
-            word,
-            ago,
-            same,
-            keep,
+        Op::Announce {
+            announcement: word,
+            age: ago,
+            merge_within: same,
+            retention: keep,
         } => {
             keys.extend([key("news".into()), key("told".into())]);
             args.push(text(word_text(*word)));
@@ -311,13 +315,13 @@
             args.extend(spans.map(|span| text(span.to_string())));
             TELL
         }
-        Op::News { after } => {
+        Op::ReadAnnouncements { after } => {
             keys.extend([key("news".into()), key("told".into())]);
             args.push(text(after.to_string()));
             NEWS
         }
     };
-    Request { script, keys, args }
+    ScriptRequest { script, keys, args }
 }
 
 impl Value {
@@ -338,7 +342,7 @@
 }
 
 /// Reads an answer; `None`: it is none of a script's.
-pub fn said(value: &Value) -> Option<Said> {
+pub fn parse_reply(value: &Value) -> Option<OpResult> {
     let Value::List(parts) = value else {
         return None;
     };
@@ -351,13 +355,13 @@
             epoch: epoch.number()?,
             age: span(age)?,
         },
-        ("mine", []) => Answer::Mine,
+        ("mine", []) => Answer::Claimed,
         ("found", [stand, zone, cell, age, body]) => {
             let stand = match stand.text()? {
-                "claimed" => Stand::Claimed,
-                "sent" => Stand::Sent,
-                "done" => Stand::Done,
-                "unknown" => Stand::Unknown,
+                "claimed" => RecordStatus::Claimed,
+                "sent" => RecordStatus::Sent,
+                "done" => RecordStatus::Done,
+                "unknown" => RecordStatus::Unknown,
                 _ => return None,
             };
             let of = |value: &Value| u16::try_from(value.number()?).ok();
@@ -367,8 +371,8 @@
                 _ => None,
             };
             Answer::Found(Record {
-                stand,
-                place: place.map(|(zone, cell)| (ZoneId(zone), CellId(cell))),
+                status: stand,
+                location: place.map(|(zone, cell)| (ZoneId(zone), CellId(cell))),
                 age: span(age)?,
                 body,
             })
@@ -382,22 +386,22 @@
                 let mut parts = word.splitn(3, |&byte| byte == b':');
                 let (_, from, bytes) = (parts.next()?, parts.next()?, parts.next()?);
                 let from = std::str::from_utf8(from).ok()?.parse().ok()?;
-                Some((BoxId(from), bytes.to_vec()))
+                Some((MailboxId(from), bytes.to_vec()))
             };
             Answer::Posted(words.iter().filter_map(word).collect())
         }
         ("news", words) if words.len() % 2 == 0 => {
             let word = |word: &[Value]| Some((read_word(word[0].text()?)?, span(&word[1])?));
             // A word of a newer version is passed over.
-            Answer::News(words.chunks_exact(2).filter_map(word).collect())
+            Answer::Announcements(words.chunks_exact(2).filter_map(word).collect())
         }
-        ("taken", []) => Answer::Taken,
+        ("taken", []) => Answer::Applied,
         ("late", []) => Answer::TooLate,
         ("epoch", []) => Answer::OtherEpoch,
         ("drained", []) => Answer::Drained,
         _ => return None,
     };
-    Some(Said {
+    Some(OpResult {
         answer,
         count: count.number()?,
         clock_ms: clock.number()?,
--- a/crates/trailproxyd/src/accounts.rs
+++ b/crates/trailproxyd/src/accounts.rs
@@ -19,7 +19,7 @@
 use tokio::time::Instant;
 use trailproxy::units::Timestamp;
 use trailproxy_zones::Zones;
-use trailproxy_zones::decide::sheet::{Names, Sheet};
+use trailproxy_zones::decide::config::{Names, ZonesConfig};
 use trailproxy_zones::report::Report;
 
 /// How often the account is brought up to date. Rises are reported within half a second.
@@ -58,7 +58,7 @@
     }
 
     /// Applies a new configuration. The reporting interval is kept between 0.5 s and 1 h.
-    pub fn apply_config(&mut self, config: &Sheet) {
+    pub fn apply_config(&mut self, config: &ZonesConfig) {
         self.report_interval = Duration::from_secs_f64(config.report_s.clamp(0.5, 3_600.0));
         self.report_at = self.report_at.min(Instant::now() + self.report_interval);
         let path = Some(PathBuf::from(&config.metrics)).filter(|path| !path.as_os_str().is_empty());
@@ -178,7 +178,7 @@
             out_of: line.from.clone(),
             into: line.to.clone(),
             tier: line.tier.clone(),
-            track: line.track.clone(),
+            track: line.class.clone(),
             cause: line.cause.clone(),
         };
         bytes
@@ -198,14 +198,14 @@
         saved.get_or_create(&labels).set(budget.saved_kb * 1024.0);
     }
     let refused = Family::<ClassLabels, Counter>::default();
-    for class in &report.turned_away {
-        let track = class.track.clone();
+    for class in &report.refused {
+        let track = class.class.clone();
         refused
             .get_or_create(&ClassLabels { track })
-            .inc_by(class.accesses);
+            .inc_by(class.requests);
     }
     let in_flight = FloatGauge::default();
-    in_flight.set(report.under_way_kb * 1024.0);
+    in_flight.set(report.in_flight_kb * 1024.0);
     let mut registry = Registry::with_prefix("trailproxy");
     let unit = || Unit::Bytes;
     registry.register_with_unit("crossed", "What crossed between zones", unit(), bytes);
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -12,15 +12,15 @@
 use tokio::time::Instant;
 use trailproxy::interface::{CrossingLimits, DispatcherSettings, Event, HostListKind};
 use trailproxy::units::Timestamp;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::PeerId;
-use trailproxy_peers::decide::{Peers, life};
+use trailproxy_peers::decide::{Peers, new_boot_id};
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::Sharing;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
+use trailproxy_shared_store::config::StoreConfig;
+use trailproxy_shared_store::decide::SharedState;
 use trailproxy_terms::Reports;
-use trailproxy_zones::decide::sheet::Sheet as ZonesSheet;
+use trailproxy_zones::decide::config::ZonesConfig;
 use trailproxy_zones::{Rules, Zones};
 
 impl Dispatch {
@@ -53,7 +53,7 @@
             let subsystems = &mut self.decisions.crossings;
             let member = (
                 self.name.as_str(),
-                life(now, *seed ^ u64::from(std::process::id())),
+                new_boot_id(now, *seed ^ u64::from(std::process::id())),
             );
             let section = config.budgets.as_deref();
             subsystems.apply_budgets_section(now, section, member, (settings, *seed), &self.log);
@@ -94,21 +94,21 @@
         };
         let config = &section.config;
         let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, settings.purge_propagation)?;
+        let rules = config.settings(longest, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
-                config.wrong("listen", &found, "a free address of this machine")
+                config.invalid_field("listen", &found, "a free address of this machine")
             })?;
         // Differs between any two processes.
         let seed = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
-        let own = Own {
+        let own = OwnMember {
             id: PeerId::of_name(&self.name),
             address: section.addresses.advertise,
-            life: life(now, seed),
+            boot_id: new_boot_id(now, seed),
             seeds: section.addresses.seeds.clone(),
             topology: section.topology.clone(),
         };
@@ -132,7 +132,7 @@
 
     /// Applies the section `store`. A section that differs from the present one starts again with a
     /// new connection, and requests that waited for the store continue.
-    pub(super) fn apply_store_section(&mut self, section: Option<Box<StoreSheet>>) {
+    pub(super) fn apply_store_section(&mut self, section: Option<Box<StoreConfig>>) {
         let now = self.clock.timestamp(Instant::now());
         let Some((_, settings, seed)) = &self.accounts else {
             return;
@@ -159,8 +159,13 @@
                     ));
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
                     let targets = settings.classes.iter().map(|class| class.target).collect();
-                    let mut client =
-                        StoreClient::new(*config, Sharing::new(now, rules, life), to, targets, log);
+                    let mut client = StoreClient::new(
+                        *config,
+                        SharedState::new(now, rules, life),
+                        to,
+                        targets,
+                        log,
+                    );
                     let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
                     client.on_event(now, &Event::HostList { kind, entries });
                     *shared = Some(client);
@@ -176,7 +181,7 @@
     }
 
     /// Applies the section about traffic between zones. Counts and open crossings are kept.
-    pub(super) fn apply_zones_section(&mut self, section: Option<Box<(ZonesSheet, Rules)>>) {
+    pub(super) fn apply_zones_section(&mut self, section: Option<Box<(ZonesConfig, Rules)>>) {
         let now = self.clock.timestamp(Instant::now());
         let Some((accounts, settings, seed)) = &mut self.accounts else {
             return;
@@ -192,7 +197,7 @@
         accounts.apply_config(&config);
         info!(self.log, "zones are on"; "file" => &config.file, "limits" => rules.limits.len());
         match crossings {
-            Some(zones) => zones.change(now, rules),
+            Some(zones) => zones.apply_rules(now, rules),
             None => {
                 let mut zones = Zones::new(settings, rules, *seed);
                 let kind = HostListKind::Full;
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peered.rs
@@ -10,16 +10,16 @@
 use tokio::net::UdpSocket;
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_peers::decide::facts::Listed;
-use trailproxy_peers::decide::messages::{Address, AskNo, Life, Message, PeerId};
+use trailproxy_peers::decide::facts::ListedState;
+use trailproxy_peers::decide::messages::{Address, BootId, InquiryId, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
-use trailproxy_shared_store::decide::records::{Came, Folding};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher};
 
 /// State held together with the other dispatchers, with the requests that are held for it.
 pub struct PeersRuntime {
     /// The section that is in force.
     pub section: ResolvedPeers,
-    folding: Folding,
+    key_hasher: KeyHasher,
     peers: Peers,
     /// The socket, which a new section with the same address takes over.
     pub socket: Rc<UdpSocket>,
@@ -41,7 +41,7 @@
         log: Logger,
     ) -> PeersRuntime {
         PeersRuntime {
-            folding: Folding::new(&section.config.fleet),
+            key_hasher: KeyHasher::new(&section.config.fleet),
             section,
             peers,
             socket,
@@ -56,38 +56,38 @@
     /// its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
-        let key = self.folding.key(arrival.class, key);
-        self.peers.come(now, arrival.id, key, held_until);
+        let key = self.key_hasher.key(arrival.class, key);
+        self.peers.on_request(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
     /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.held.location_of(host) {
-            self.peers.hand_off(now, id, place);
+            self.peers.on_attempt_sent(now, id, place);
             self.apply_actions();
         }
     }
 
     /// Handles a request that has its final answer or whose client has gone.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.held.forget(id);
-        self.peers.ended(now, id, came);
+        self.peers.on_request_ended(now, id, came);
         self.apply_actions();
     }
 
     /// Handles a message of another dispatcher, or a query from the command line.
     pub fn on_message(&mut self, now: Timestamp, address: Address, message: Message) {
-        if !self.peers.shown(now, address, &message) {
-            self.peers.heard(now, address, message);
+        if !self.peers.on_operator_request(now, address, &message) {
+            self.peers.on_message(now, address, message);
         }
         self.apply_actions();
     }
 
     /// The identity of this dispatcher and of its process among the others.
-    pub fn identity(&self) -> (PeerId, Life) {
+    pub fn identity(&self) -> (PeerId, BootId) {
         let own = self.peers.members().own();
-        (own.id, own.life)
+        (own.id, own.boot_id)
     }
 
     /// Takes the received messages for other subsystems.
@@ -103,13 +103,13 @@
         subsystem: u8,
         bytes: Vec<u8>,
     ) {
-        self.peers.beside(now, to, subsystem, bytes);
+        self.peers.send_to_subsystem(now, to, subsystem, bytes);
         self.apply_actions();
     }
 
     /// Answers a query from the command line.
-    pub fn answer(&mut self, now: Timestamp, address: Address, no: AskNo, text: String) {
-        self.peers.answer(now, address, no, text);
+    pub fn answer(&mut self, now: Timestamp, address: Address, no: InquiryId, text: String) {
+        self.peers.send_operator_reply(now, address, no, text);
         self.apply_actions();
     }
 
@@ -121,25 +121,25 @@
         group: GroupId,
         at: Timestamp,
     ) {
-        self.peers.purged(now, object, group, at);
+        self.peers.on_purge(now, object, group, at);
         self.apply_actions();
     }
 
     /// Handles a change of the host list at this journal position.
     pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], position: u64) {
-        self.peers.listed(now, entries, position);
+        self.peers.on_host_list(now, entries, position);
         self.apply_actions();
     }
 
     /// Handles a breaker that has opened here.
     pub fn on_breaker_opened(&mut self, now: Timestamp, host: HostEntry) {
-        self.peers.opened(now, host);
+        self.peers.on_breaker_opened(now, host);
         self.apply_actions();
     }
 
     /// The attempt that another dispatcher made for this request, if one is known.
     pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
-        self.peers.earlier(id)
+        self.peers.earlier_attempt(id)
     }
 
     /// Handles an event of the decisions.
@@ -149,12 +149,12 @@
 
     /// When it next has something to do.
     pub fn next_deadline(&self) -> Timestamp {
-        self.peers.next()
+        self.peers.next_deadline()
     }
 
     /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
-        if self.peers.next() <= now {
+        if self.peers.next_deadline() <= now {
             self.peers.advance(now);
             self.apply_actions();
         }
@@ -179,12 +179,12 @@
 
     /// Counts and sizes, for the log.
     pub fn summary(&self, now: Timestamp) -> String {
-        self.peers.show(now)
+        self.peers.status_text(now)
     }
 
     /// Carries out the actions of the decisions.
     fn apply_actions(&mut self) {
-        for act in self.peers.take() {
+        for act in self.peers.take_actions() {
             match act {
                 Action::Send(to, message) => drop(self.orders.send(ToPeers::Send(to, message))),
                 Action::Decided { id, verdict } => self.held.on_decided(id, verdict),
@@ -198,29 +198,31 @@
                         stamp: Some(at),
                     }));
                 }
-                Action::Restricted {
+                Action::HostRestricted {
                     host,
                     listed,
                     started,
                 } => {
                     let state = match listed {
-                        Listed::Ready => HostState::Ready,
+                        ListedState::Ready => HostState::Ready,
                         // A host that is gone for others is only drained here until the host list
                         // of this dispatcher removes it.
-                        Listed::Draining | Listed::Gone => HostState::Draining,
+                        ListedState::Draining | ListedState::Gone => HostState::Draining,
                     };
                     self.held
                         .push_event(SubsystemEvent::Restricted(host, Some((state, started))));
                 }
-                Action::Freed { host } => {
+                Action::HostRestrictionLifted { host } => {
                     self.held.push_event(SubsystemEvent::Restricted(host, None))
                 }
-                Action::Hinted { host } => self
+                Action::PeerBreakerOpened { host } => self
                     .held
                     .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
-                Action::Beside(from, of, bytes) => self.received.push((from, of, bytes)),
-                Action::Turned(stands) => info!(self.log, "peers"; "stands" => stands.word()),
-                Action::Member(id, standing) => {
+                Action::SubsystemMessage(from, of, bytes) => self.received.push((from, of, bytes)),
+                Action::StateChanged(stands) => {
+                    info!(self.log, "peers"; "stands" => stands.as_str())
+                }
+                Action::MemberStatusChanged(id, standing) => {
                     info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?standing);
                 }
             }
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers.rs
@@ -14,7 +14,7 @@
 use tokio::net::UdpSocket;
 use trailproxy::policy::system_errors::{StreamError, of_stream};
 use trailproxy_peers::decide::messages::Address;
-use trailproxy_peers::wire::{MOST_BYTES, Seal, Unread};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, ReadError, Seal};
 
 /// How often unreadable datagrams are logged at most.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
@@ -77,7 +77,7 @@
 
 /// Receives datagrams and passes their messages on.
 async fn receive(socket: Rc<UdpSocket>, seal: Seal, queue: InboundSender, log: Logger) {
-    let mut bytes = vec![0; MOST_BYTES + 1];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES + 1];
     let (unreadable, mut reads) = (UnreadableCounts::default(), 0);
     let add = |count: &Cell<u64>, by: usize| count.set(count.get() + by as u64);
     loop {
@@ -117,9 +117,9 @@
             Err(cause) => {
                 add(
                     match cause {
-                        Unread::Foreign => &unreadable.foreign,
-                        Unread::Newer => &unreadable.newer,
-                        Unread::Garbled => &unreadable.garbled,
+                        ReadError::Foreign => &unreadable.foreign,
+                        ReadError::Newer => &unreadable.newer,
+                        ReadError::Garbled => &unreadable.garbled,
                     },
                     1,
                 );
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -34,9 +34,9 @@
         mut terminate,
         mut interrupt,
     } = signals;
-    let names = trailproxy_zones::decide::sheet::Names {
+    let names = trailproxy_zones::decide::config::Names {
         zones: start.bounds.zone_names.clone(),
-        tracks: start.bounds.track_names.clone(),
+        classes: start.bounds.track_names.clone(),
     };
     let context = operator::ValidationContext {
         names: names.clone(),
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::Reply;
-use trailproxy_shared_store::sheet::Sheet;
-use trailproxy_shared_store::words::{Request, SCRIPTS, Value, said};
+use trailproxy_shared_store::scripts::{SCRIPTS, ScriptRequest, Value, parse_reply};
 
 /// How long connecting to the server and loading the scripts may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
 
 /// Carries out orders until the queue of orders is closed.
 pub async fn run(
-    config: Sheet,
+    config: StoreConfig,
     queue: InboundSender,
     mut orders: mpsc::Receiver<ToStore>,
     log: Logger,
@@ -89,7 +89,7 @@
 
 /// Connects, loads the scripts and reads the run id of the server, by which its restarts are
 /// recognised.
-async fn connect(config: &Sheet) -> Result<(Connection, String), String> {
+async fn connect(config: &StoreConfig) -> Result<(Connection, String), String> {
     let password = match config.password_file.as_str() {
         "" => None,
         path => {
@@ -141,7 +141,7 @@
 }
 
 /// Executes one operation. Returns its result, and whether the connection is of no more use.
-async fn execute(connection: &Connection, request: &Request) -> (Reply, bool) {
+async fn execute(connection: &Connection, request: &ScriptRequest) -> (Reply, bool) {
     let mut client = connection.client.clone();
     let hash = connection
         .script_hashes
@@ -155,8 +155,8 @@
         .arg(&request.args);
     let result: redis::RedisResult<redis::Value> = command.query_async(&mut client).await;
     match result {
-        Ok(answer) => match value(answer).as_ref().and_then(said) {
-            Some(said) => (Reply::Said(said), false),
+        Ok(answer) => match value(answer).as_ref().and_then(parse_reply) {
+            Some(said) => (Reply::Result(said), false),
             // No script gives such an answer, so the process that listens there is not the store.
             None => (Reply::Lost, true),
         },
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -9,14 +9,14 @@
 use slog::{Logger, info};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_budgets::BESIDE;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_peers::decide::messages::{Life, Note, PeerId};
-use trailproxy_shared_store::decide::ops::BoxId;
-use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
-use trailproxy_shared_store::decide::{Act, Sharing};
-use trailproxy_shared_store::sheet::Sheet;
-use trailproxy_shared_store::words::{Under, request};
+use trailproxy_budgets::SUBSYSTEM_ID;
+use trailproxy_budgets::config::BudgetsConfig;
+use trailproxy_peers::decide::messages::{BootId, MessagePart, PeerId};
+use trailproxy_shared_store::config::StoreConfig;
+use trailproxy_shared_store::decide::ops::MailboxId;
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MAX_BODY_BYTES};
+use trailproxy_shared_store::decide::{Action, SharedState};
+use trailproxy_shared_store::scripts::{ScriptContext, script_request};
 use trailproxy_zones::Zones;
 
 /// All subsystems that are switched on.
@@ -65,7 +65,7 @@
 
     /// Handles a request with a key that has its final answer or whose client has gone. The
     /// decisions may not know the request.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Completion) {
         self.store
             .iter_mut()
             .for_each(|store| store.on_request_ended(now, id, came.clone()));
@@ -80,7 +80,11 @@
         store
             .into_iter()
             .chain(self.peers.as_ref().map(PeersRuntime::next_deadline))
-            .chain(self.budgets.as_ref().and_then(|on| on.following.next()))
+            .chain(
+                self.budgets
+                    .as_ref()
+                    .and_then(|on| on.following.next_deadline()),
+            )
             .min()
     }
 
@@ -96,8 +100,8 @@
         let Some(peers) = &mut self.peers else {
             return;
         };
-        match received.message.notes[..] {
-            [Note::ShowOf(no, BESIDE)] => {
+        match received.message.parts[..] {
+            [MessagePart::SubsystemStatusRequest(no, SUBSYSTEM_ID)] => {
                 let shown = self
                     .budgets
                     .as_ref()
@@ -124,16 +128,22 @@
         let Some(budgets) = &mut self.budgets else {
             return;
         };
-        for (from, _, bytes) in from_peers.iter().filter(|message| message.1 == BESIDE) {
+        for (from, _, bytes) in from_peers
+            .iter()
+            .filter(|message| message.1 == SUBSYSTEM_ID)
+        {
             budgets.on_message(now, *from, bytes);
         }
         for (from, bytes) in from_store.into_iter().flatten() {
-            if let Some((&BESIDE, bytes)) = bytes.split_first() {
+            if let Some((&SUBSYSTEM_ID, bytes)) = bytes.split_first() {
                 budgets.on_message(now, PeerId(from.0), bytes);
             }
         }
         budgets.advance(now, &mut self.zones);
-        self.slow_start_shares = budgets.following.cold().or(self.slow_start_shares);
+        self.slow_start_shares = budgets
+            .following
+            .take_slow_start_shares()
+            .or(self.slow_start_shares);
         self.send_budget_messages(now);
     }
 
@@ -145,8 +155,8 @@
         let (own, messages) = (budgets.identity().0, budgets.take_messages());
         for (to, bytes) in messages {
             match (&mut self.peers, &mut self.store) {
-                (Some(peers), _) => peers.send_subsystem_message(now, to, BESIDE, bytes),
-                (None, Some(store)) => store.post(now, own, to, BESIDE, &bytes),
+                (Some(peers), _) => peers.send_subsystem_message(now, to, SUBSYSTEM_ID, bytes),
+                (None, Some(store)) => store.post(now, own, to, SUBSYSTEM_ID, &bytes),
                 (None, None) => {}
             }
         }
@@ -154,7 +164,7 @@
 
     /// The identity of this dispatcher among the others, if it can reach them. Through the store,
     /// the identity is kept for as long as this process runs.
-    fn identity(&self, name: &str, new_life: Life) -> Option<(PeerId, Life)> {
+    fn identity(&self, name: &str, new_boot_id: BootId) -> Option<(PeerId, BootId)> {
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
         }
@@ -165,7 +175,7 @@
             .as_ref()
             .map(BudgetsRuntime::identity)
             .filter(|own| own.0 == id);
-        by_store.then(|| known.unwrap_or((id, new_life)))
+        by_store.then(|| known.unwrap_or((id, new_boot_id)))
     }
 
     /// Applies the section about budgets. If the section and the identity are unchanged, the
@@ -173,21 +183,25 @@
     pub fn apply_budgets_section(
         &mut self,
         now: Timestamp,
-        config: Option<&BudgetsSheet>,
-        (name, new_life): (&str, Life),
+        config: Option<&BudgetsConfig>,
+        (name, new_boot_id): (&str, BootId),
         (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.identity(name, new_life);
+        let own = self.identity(name, new_boot_id);
         let Some((config, own)) = config.zip(own) else {
             if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
                 self.slow_start_shares = Some((None, None));
             }
             if let Some(zones) = &mut self.zones {
-                let names: Vec<String> =
-                    zones.dividable().map(|limit| limit.name.clone()).collect();
-                names.iter().for_each(|name| zones.divide(now, name, None));
+                let names: Vec<String> = zones
+                    .divisible_limits()
+                    .map(|limit| limit.name.clone())
+                    .collect();
+                names
+                    .iter()
+                    .for_each(|name| zones.set_part(now, name, None));
             }
             return;
         };
@@ -201,11 +215,11 @@
             self.budgets = Some(runtime);
         }
         if let Some(budgets) = &mut self.budgets {
-            budgets.following.set(now, self.zones.as_ref());
-            budgets.following.again();
+            budgets.following.update_budgets(now, self.zones.as_ref());
+            budgets.following.resend_slow_start_shares();
         }
         if let Some(store) = self.store.as_mut().filter(|_| self.peers.is_none()) {
-            store.sharing.expects(BoxId(own.0.0));
+            store.sharing.open_mailbox(MailboxId(own.0.0));
         }
         self.advance_budgets(now);
     }
@@ -235,29 +249,29 @@
 /// State shared with other dispatchers through the store, with the requests that are held for it.
 pub struct StoreClient {
     /// The section that is in force.
-    pub config: Sheet,
-    folding: Folding,
-    sharing: Sharing,
+    pub config: StoreConfig,
+    key_hasher: KeyHasher,
+    sharing: SharedState,
     orders: mpsc::Sender<ToStore>,
     /// The server process that the connection leads to.
     run_id: String,
     held: HeldRequests,
     /// Messages of other dispatchers for other subsystems, with their senders.
-    received: Vec<(BoxId, Vec<u8>)>,
+    received: Vec<(MailboxId, Vec<u8>)>,
     log: Logger,
 }
 
 impl StoreClient {
     /// `targets`: how long requests wait at most, by class.
     pub fn new(
-        config: Sheet,
-        sharing: Sharing,
+        config: StoreConfig,
+        sharing: SharedState,
         orders: mpsc::Sender<ToStore>,
         targets: Vec<TimeSpan>,
         log: Logger,
     ) -> StoreClient {
         StoreClient {
-            folding: Folding::new(&config.prefix),
+            key_hasher: KeyHasher::new(&config.prefix),
             config,
             sharing,
             orders,
@@ -272,31 +286,32 @@
     /// its first byte.
     fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
         let bytes = [&[subsystem], bytes].concat();
-        self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
+        self.sharing
+            .post_message(now, MailboxId(own.0), MailboxId(to.0), bytes);
         self.apply_actions();
     }
 
     /// Handles a request with a key: it is held until the store has answered, or until its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
-        let key = self.folding.key(arrival.class, key);
-        self.sharing.come(now, arrival.id, key, held_until);
+        let key = self.key_hasher.key(arrival.class, key);
+        self.sharing.on_request(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
     /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
         if let Some(place) = self.held.location_of(host) {
-            self.sharing.hand_off(now, id, place);
+            self.sharing.on_attempt_sent(now, id, place);
             self.apply_actions();
         }
     }
 
     /// Handles a request that has its final answer or whose client has gone. The decisions may not
     /// know the request.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.held.forget(id);
-        self.sharing.ended(now, id, came);
+        self.sharing.on_request_ended(now, id, came);
         self.apply_actions();
     }
 
@@ -310,22 +325,22 @@
         match message {
             FromStore::Connected { run_id } => {
                 self.run_id = run_id;
-                self.sharing.connected(now);
+                self.sharing.on_connected(now);
             }
-            FromStore::Disconnected => self.sharing.broken(now),
-            FromStore::Answered(id, reply) => self.sharing.answered(now, id, reply),
+            FromStore::Disconnected => self.sharing.on_disconnected(now),
+            FromStore::Answered(id, reply) => self.sharing.on_reply(now, id, reply),
         }
         self.apply_actions();
     }
 
     /// When it next has something to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        self.sharing.next()
+        self.sharing.next_deadline()
     }
 
     /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
-        if self.sharing.next().is_some_and(|at| at <= now) {
+        if self.sharing.next_deadline().is_some_and(|at| at <= now) {
             self.sharing.advance(now);
             self.apply_actions();
         }
@@ -338,36 +353,43 @@
 
     /// Counts and sizes, for the log.
     pub fn summary(&self) -> String {
-        let (records, under_way, news) = self.sharing.kept();
+        let (records, under_way, news) = self.sharing.tracked_counts();
         let counts = self.sharing.counts();
-        let trust = self.sharing.trust().word();
+        let trust = self.sharing.trust().as_str();
         format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
     }
 
     /// Carries out the actions of the decisions about shared state.
     fn apply_actions(&mut self) {
-        for act in self.sharing.take() {
+        for act in self.sharing.take_actions() {
             match act {
-                Act::Connect => drop(self.orders.send(ToStore::Connect)),
-                Act::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
-                Act::Ask {
+                Action::Connect => drop(self.orders.send(ToStore::Connect)),
+                Action::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
+                Action::Execute {
                     id,
                     op,
                     epoch,
                     not_after_ms,
                 } => {
                     let (prefix, run) = (self.config.prefix.as_str(), self.run_id.as_str());
-                    let under = Under {
+                    let under = ScriptContext {
                         prefix,
                         run,
                         epoch,
                         not_after_ms,
                     };
-                    let request = Box::new(request(&op, &under));
+                    let request = Box::new(script_request(&op, &under));
                     let _ = self.orders.send(ToStore::Execute(id, request));
                 }
-                Act::Decided { id, verdict } => self.held.on_decided(id, verdict),
-                Act::Purged { object, group, ago } => {
+                Action::Decided {
+                    id,
+                    decision: verdict,
+                } => self.held.on_decided(id, verdict),
+                Action::Purged {
+                    object,
+                    group,
+                    age: ago,
+                } => {
                     self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
@@ -375,12 +397,12 @@
                         stamp: None,
                     }));
                 }
-                Act::Hinted { host } => self
+                Action::PeerBreakerOpened { host } => self
                     .held
                     .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
-                Act::Posted { from, bytes } => self.received.push((from, bytes)),
-                Act::Turned { trust, cause } => {
-                    info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
+                Action::MessageReceived { from, bytes } => self.received.push((from, bytes)),
+                Action::TrustChanged { trust, cause } => {
+                    info!(self.log, "store"; "trust" => trust.as_str(), "why" => cause.as_str());
                 }
             }
         }
@@ -393,7 +415,7 @@
             object, group, age, ..
         } = event
         {
-            self.sharing.purged(now, *object, *group, *age);
+            self.sharing.on_purge(now, *object, *group, *age);
             self.apply_actions();
         }
     }
@@ -401,11 +423,13 @@
 
 /// How a request ended, as far as its attempts tell. A body that is too long for a record is left
 /// out.
-pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Came {
+pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Completion {
     match done {
-        Some(body) => Came::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
-        None if may_have_run => Came::Unknown,
-        None => Came::NeverRan,
+        Some(body) => {
+            Completion::Done(Some(body.to_vec()).filter(|body| body.len() <= MAX_BODY_BYTES))
+        }
+        None if may_have_run => Completion::Unknown,
+        None => Completion::NeverRan,
     }
 }
 
@@ -420,7 +444,7 @@
             .for_each(|peers| peers.on_event(event));
         self.budgets
             .iter_mut()
-            .for_each(|on| on.following.event(now, event));
+            .for_each(|on| on.following.on_event(now, event));
     }
 
     fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
@@ -441,13 +465,13 @@
         let store = self
             .store
             .as_ref()
-            .and_then(|store| store.sharing.earlier(id));
+            .and_then(|store| store.sharing.earlier_attempt(id));
         store.or_else(|| self.peers.as_ref()?.earlier_attempt(id))
     }
 
     fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
         if let Some(store) = self.store.as_mut().filter(|_| open) {
-            store.sharing.opened(now, host);
+            store.sharing.on_breaker_opened(now, host);
             store.apply_actions();
         }
         if let Some(peers) = self.peers.as_mut().filter(|_| open) {
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -278,24 +278,27 @@
     wait_for("budgets", || cluster.program.log_contains("budgets are on"));
     let seal = trailproxy_peers::wire::Seal::new("stories", b"");
     let ask = |at: SocketAddr| {
-        use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId};
+        use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let within = socket.set_read_timeout(Some(Duration::from_millis(300)));
         within.expect("a limit");
         let message = Message {
             from: PeerId(0),
-            life: Life(0),
+            boot_id: BootId(0),
             incarnation: 0,
             stamp: unix_ms() * 1_000,
-            notes: vec![Note::ShowOf(AskNo(7), trailproxy_budgets::BESIDE)],
+            parts: vec![MessagePart::SubsystemStatusRequest(
+                InquiryId(7),
+                trailproxy_budgets::SUBSYSTEM_ID,
+            )],
         };
         let bytes = seal.write(&message).expect("short");
         socket.send_to(&bytes, at).expect("sent");
         let mut received = vec![0; 16 << 10];
         let size = socket.recv(&mut received).ok()?;
         let (message, _) = seal.read(&received[..size]).ok()?;
-        match message.notes.into_iter().next() {
-            Some(Note::Shown(AskNo(7), text)) => Some(text),
+        match message.parts.into_iter().next() {
+            Some(MessagePart::OperatorReply(InquiryId(7), text)) => Some(text),
             _ => None,
         }
     };
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -2,10 +2,10 @@
 
 use proptest::prelude::*;
 use trailproxy::units::*;
-use trailproxy_zones::decide::account::{Account, Cause, Key, Moved, Tier};
-use trailproxy_zones::decide::budget::{Budget, Class, From, Limit};
+use trailproxy_zones::decide::account::{Account, AccountKey, Cause, Tier, Transfer};
+use trailproxy_zones::decide::budget::{BucketKind, Budget, Limit, Priority};
 use trailproxy_zones::decide::merge::merge;
-use trailproxy_zones::report::{Line, Report};
+use trailproxy_zones::report::{Report, ReportLine};
 
 fn at(us: u64) -> Timestamp {
     Timestamp(1_000_000_000 + us)
@@ -32,13 +32,13 @@
         for (gap, kb, first) in steps {
             now += gap;
             budget.advance(at(now));
-            let class = if first { Class::First } else { Class::Plain };
-            match budget.room(at(now), class, kb) {
+            let class = if first { Priority::First } else { Priority::Plain };
+            match budget.bucket_with_room(at(now), class, kb) {
                 Some(from) => {
                     budget.charge(at(now), from, kb);
                     sent += kb;
                 }
-                None => budget.turned_away(at(now), kb),
+                None => budget.on_refused(at(now), kb),
             }
             let may = rate / n * now as f64 / 1e6 + burst / n + 2.0 * 400.0;
             prop_assert!(sent <= may + 1e-6, "{sent} {may}");
@@ -54,7 +54,7 @@
         };
         let mut chance = fastrand::Rng::with_seed(seed);
         let mut budget = Budget::new(limit, 1.0, at(0), &mut chance);
-        let from = if kept { From::Kept } else { From::Common };
+        let from = if kept { BucketKind::Kept } else { BucketKind::Common };
         budget.charge(at(0), from, kb);
         budget.correct(from, -kb);
         prop_assert!(budget.saved_kb().abs() < 1e-6);
@@ -65,17 +65,17 @@
     fn the_seconds_of_an_account_sum_to_its_totals(
         moves in prop::collection::vec((0u64..50_000_000, 0u64..20_000_000, 0.0f64..1e4), 1..100),
     ) {
-        let key = Key { from: ZoneId(0), to: ZoneId(1), tier: Tier::Origin, track: ClassId(0), cause: Cause::First };
+        let key = AccountKey { from: ZoneId(0), to: ZoneId(1), tier: Tier::Origin, class: ClassId(0), cause: Cause::First };
         let mut account = Account::default();
         account.advance(at(0));
         let now = at(58_000_000);
         account.advance(now);
         for &(from, long, kb) in &moves {
             let (from, until) = (at(from), at((from + long).min(57_999_999)));
-            account.book(now, Moved { key, kb, from, until });
+            account.record(now, Transfer { key, kb, from, until });
         }
         let all: f64 = moves.iter().map(|(_, _, kb)| kb).sum();
-        let seconds = account.within(now, TimeSpan::from_secs(60))[&key];
+        let seconds = account.sums_within(now, TimeSpan::from_secs(60))[&key];
         prop_assert!((seconds.kb - all).abs() < 1e-3 * all.max(1.0), "{} {all}", seconds.kb);
         prop_assert_eq!(seconds.moves, moves.len() as u64);
         prop_assert!((account.totals()[&key].kb - all).abs() < 1e-6 * all.max(1.0));
@@ -98,12 +98,12 @@
                 }
                 last = kb;
                 reports.push(Report {
-                    dispatcher: "n".into(), life, at_us: nth * 1_000_000,
-                    lines: vec![Line {
-                        from: "hub".into(), to: "depot".into(), tier: "parent".into(), track: "video".into(),
+                    dispatcher: "n".into(), boot: life, at_us: nth * 1_000_000,
+                    lines: vec![ReportLine {
+                        from: "hub".into(), to: "depot".into(), tier: "parent".into(), class: "video".into(),
                         cause: "first".into(), moves, kb,
                     }],
-                    ways: vec![], budgets: vec![], turned_away: vec![], under_way_kb: 0.0, left_out_kb: 0.0,
+                    routes: vec![], budgets: vec![], refused: vec![], in_flight_kb: 0.0, left_out_kb: 0.0,
                 });
             }
             wanted += last;
