--- a/crates/capacity-live/src/member.rs
+++ b/crates/capacity-live/src/member.rs
@@ -11,13 +11,13 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep_until};
 use trailproxy::units::Timestamp;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{
-    self, Address, Life, MemberUpdate, Message, Note, PeerId,
+    self, Address, BootId, MemberUpdate, Message, MessagePart, PeerId,
 };
-use trailproxy_peers::decide::{Action, Peers, Stands};
+use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::sites::topology;
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 /// So many datagrams are read in a row before another member has its turn.
 const IN_A_ROW: usize = 16;
@@ -97,9 +97,9 @@
 /// Serves one member until its task is aborted.
 pub async fn run(member: Shared) {
     let (socket, clock) = (member.borrow().socket.clone(), member.borrow().clock);
-    let mut buffer = vec![0; MOST_BYTES + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
-        let due = clock.instant(member.borrow().core.next());
+        let due = clock.instant(member.borrow().core.next_deadline());
         tokio::select! {
             biased;
             _ = socket.readable() => {}
@@ -121,10 +121,10 @@
     /// Opens its socket; it knows the seeds only.
     pub async fn open(own: &Hollow, order: &Order, clock: UnixClock) -> io::Result<Member> {
         let socket = UdpSocket::bind(own.address).await?;
-        let name = Own {
+        let name = OwnMember {
             id: PeerId::of_name(&own.name),
             address: from_socket(own.address),
-            life: Life(own.life),
+            boot_id: BootId(own.life),
             seeds: order.seeds.iter().copied().map(from_socket).collect(),
             topology: topology("capacity", &order.sites, from_socket(own.address))
                 .map_err(io::Error::other)?,
@@ -152,19 +152,19 @@
         let now = self.clock.now();
         let message = Message {
             from: first.id,
-            life: first.life,
+            boot_id: first.boot_id,
             incarnation: first.incarnation,
             stamp: now.0,
-            notes: vec![Note::Updates(updates)],
+            parts: vec![MessagePart::MemberUpdates(updates)],
         };
-        self.core.heard(now, first.address, message);
+        self.core.on_message(now, first.address, message);
         self.send();
     }
 
     /// Does what is due.
     fn advance(&mut self) {
         let now = self.clock.now();
-        if self.core.next() <= now {
+        if self.core.next_deadline() <= now {
             self.core.advance(now);
         }
         self.send();
@@ -173,12 +173,15 @@
     /// How many others it counts as alive.
     pub fn alive(&self) -> usize {
         let members = self.core.members();
-        members.all().filter(|(id, _)| members.alive(**id)).count()
+        members
+            .all()
+            .filter(|(id, _)| members.is_reached(**id))
+            .count()
     }
 
     /// Whether it lacks nothing.
     pub fn whole(&self) -> bool {
-        self.core.stands() == Stands::Whole
+        self.core.state() == PeerState::InSync
     }
 
     /// What went between it and a watched address.
@@ -202,14 +205,14 @@
             return;
         };
         let (now, from) = (self.clock.now(), from_socket(from));
-        if !self.core.shown(now, from, &message) {
-            self.core.heard(now, from, message);
+        if !self.core.on_operator_request(now, from, &message) {
+            self.core.on_message(now, from, message);
         }
         self.send();
     }
 
     fn send(&mut self) {
-        for action in self.core.take() {
+        for action in self.core.take_actions() {
             let Action::Send(to, message) = action else {
                 continue;
             };
@@ -241,9 +244,9 @@
     MemberUpdate {
         id: PeerId::of_name(&of.name),
         address: from_socket(of.address),
-        life: Life(of.life),
+        boot_id: BootId(of.life),
         incarnation: 0,
-        standing: messages::Standing::Alive,
+        status: messages::MemberStatus::Alive,
     }
 }
 
--- a/crates/capacity-live/src/question.rs
+++ b/crates/capacity-live/src/question.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 use tokio::time::timeout;
-use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId};
-use trailproxy_peers::wire::{MOST_BYTES, Seal};
+use trailproxy_peers::decide::messages::{BootId, InquiryId, Message, MessagePart, PeerId};
+use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, Seal};
 
 /// An answer that does not come by then is asked for again.
 const ANSWER_WITHIN: Duration = Duration::from_millis(500);
@@ -30,9 +30,9 @@
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     socket.connect(address).await?;
     let seal = Seal::new(FLEET, b"");
-    let mut heard = vec![0; MOST_BYTES + 1];
+    let mut heard = vec![0; MAX_DATAGRAM_BYTES + 1];
     for nth in 0..TRIES {
-        let question = question(AskNo(nth + 1));
+        let question = question(InquiryId(nth + 1));
         let bytes = seal.write(&question).ok_or(io::ErrorKind::InvalidInput)?;
         // Nobody listens there yet: the next try may find it.
         let _ = socket.send(&bytes).await;
@@ -47,21 +47,21 @@
     Err(io::Error::new(io::ErrorKind::TimedOut, why))
 }
 
-fn question(no: AskNo) -> Message {
+fn question(no: InquiryId) -> Message {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     Message {
         from: PeerId(0),
-        life: Life(0),
+        boot_id: BootId(0),
         incarnation: 0,
         stamp: now.map_or(0, |since| since.as_micros() as u64),
-        notes: vec![Note::Show(no)],
+        parts: vec![MessagePart::StatusRequest(no)],
     }
 }
 
 fn answer(seal: &Seal, bytes: &[u8]) -> Option<Standing> {
     let (message, _) = seal.read(bytes).ok()?;
-    match message.notes.first()? {
-        Note::Shown(_, text) => standing(text),
+    match message.parts.first()? {
+        MessagePart::OperatorReply(_, text) => standing(text),
         _ => None,
     }
 }
--- a/crates/capacity/src/figures.rs
+++ b/crates/capacity/src/figures.rs
@@ -331,11 +331,11 @@
     let Some(peers) = &member.peers else {
         return Held::default();
     };
-    let (own, asking, owed, rumours) = peers.kept();
+    let (own, asking, owed, rumours) = peers.pending_counts();
     Held {
         members: peers.members().all().count(),
-        records: peers.facts().records(),
-        common: peers.facts().commons(),
+        records: peers.facts().record_count(),
+        common: peers.facts().common_count(),
         pending: own + asking + owed + rumours,
     }
 }
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -7,116 +7,118 @@
 //! doing.
 
 use super::facts::mix;
-use super::keepers::Located;
 use super::locality::{Distance, Locality, Topology};
-use super::messages::{Address, AskNo, Life, MemberUpdate, Note, PeerId, Standing, State};
+use super::messages::{
+    Address, BootId, InquiryId, MemberStatus, MemberSummary, MemberUpdate, MessagePart, PeerId,
+};
+use super::replicas::Located;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
 /// How often one other is pinged. Shorter costs messages, longer finds a dead one later.
-pub const PERIOD: TimeSpan = TimeSpan::from_millis(400);
+pub const PING_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
 /// A ping that is not answered by then goes by others; one to another region has further to go.
-const DIRECT: TimeSpan = TimeSpan::from_millis(120);
-const DIRECT_FAR: TimeSpan = TimeSpan::from_millis(240);
+const PING_TIMEOUT: TimeSpan = TimeSpan::from_millis(120);
+const PING_TIMEOUT_OTHER_REGION: TimeSpan = TimeSpan::from_millis(240);
 /// A member that has not said where it is for so long is of a form that does not say.
-const LOCATE: TimeSpan = TimeSpan::from_secs(5);
+const LOCALITY_WAIT: TimeSpan = TimeSpan::from_secs(5);
 /// Others that are asked to ping one that does not answer.
-const HELPERS: usize = 3;
+const INDIRECT_PING_HELPERS: usize = 3;
 /// A suspected one has this long to say that it is well, and longer in a large fleet, by the doublings of its number.
-const DOUBT: TimeSpan = TimeSpan::from_millis(900);
-const DOUBT_EACH: TimeSpan = TimeSpan::from_millis(100);
+const SUSPICION_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
+const SUSPICION_TIMEOUT_PER_DOUBLING: TimeSpan = TimeSpan::from_millis(100);
 /// A dead one is remembered for this long, and knocked at.
-const REMEMBER: TimeSpan = TimeSpan::from_secs(3_600);
+const DEAD_MEMBER_RETENTION: TimeSpan = TimeSpan::from_secs(3_600);
 /// How often one that is not there is knocked at.
-const KNOCK: TimeSpan = TimeSpan::from_millis(500);
+const REJOIN_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 /// Updates in one message.
-const UPDATES: usize = 10;
+const MAX_UPDATES_PER_MESSAGE: usize = 10;
 /// Updates in one message of the whole fleet, and how often it is asked for where two know different ones.
-const ROSTER: usize = 24;
-const ROSTER_EVERY: TimeSpan = TimeSpan::from_millis(500);
+const MAX_MEMBERS_PER_MESSAGE: usize = 24;
+const MEMBER_LIST_REQUEST_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
 /// Those lost lately are told with it.
-const LATELY: TimeSpan = TimeSpan::from_secs(30);
+const LOST_MEMBER_REPORT_PERIOD: TimeSpan = TimeSpan::from_secs(30);
 /// A bound on the fleet; more are not taken in.
-pub const MOST: usize = 1_024;
+pub const MAX_MEMBERS: usize = 1_024;
 /// In the first while of its life, a process takes the name from one that had it before.
-const NEW: TimeSpan = TimeSpan::from_secs(3);
+const NAME_TAKEOVER_PERIOD: TimeSpan = TimeSpan::from_secs(3);
 
 #[derive(Clone, Debug)]
 pub struct Member {
     pub update: MemberUpdate,
     /// Since when it stands so.
     pub since: Timestamp,
-    pub state: State,
+    pub state: MemberSummary,
     /// It answers others, and not this one.
     pub one_way: bool,
     /// Where it is, as it says itself.
     locality: Option<Locality>,
     /// When it became known.
-    met: Timestamp,
+    known_since: Timestamp,
     /// Times that its update is still to be passed on.
-    telling: u32,
+    gossip_rounds_left: u32,
 }
 
 impl Member {
     /// Whether it counts as one of the fleet.
-    pub fn there(&self) -> bool {
-        self.update.standing <= Standing::Suspected
+    pub fn is_present(&self) -> bool {
+        self.update.status <= MemberStatus::Suspected
     }
 
     /// Whether it is alive and answers this one.
     pub fn is_reached(&self) -> bool {
-        self.update.standing == Standing::Alive && !self.one_way
+        self.update.status == MemberStatus::Alive && !self.one_way
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Probe {
-    no: AskNo,
+    inquiry_id: InquiryId,
     whom: PeerId,
-    sent: Timestamp,
-    by_others: bool,
+    sent_at: Timestamp,
+    is_indirect: bool,
 }
 
 /// What would else be looked for among all members with each event.
 #[derive(Clone, Debug, Default)]
-struct Index {
+struct MemberIndex {
     suspected: BTreeSet<PeerId>,
     /// Members whose update is still to be passed on.
-    telling: BTreeSet<PeerId>,
+    gossip_rounds_left: BTreeSet<PeerId>,
     /// A sum over whoever is there, as [`Members::roster`] has it.
     there: u64,
 }
 
 /// One part of the sum of who is there, and in which life.
-fn roster_part(update: &MemberUpdate) -> u64 {
-    mix(update.id.0 ^ mix(update.life.0))
+fn member_checksum(update: &MemberUpdate) -> u64 {
+    mix(update.id.0 ^ mix(update.boot_id.0))
 }
 
-impl Index {
-    fn of(members: &BTreeMap<PeerId, Member>) -> Index {
-        let mut index = Index::default();
+impl MemberIndex {
+    fn of(members: &BTreeMap<PeerId, Member>) -> MemberIndex {
+        let mut index = MemberIndex::default();
         members.values().for_each(|member| index.add(member));
         index
     }
 
     fn add(&mut self, member: &Member) {
         let id = member.update.id;
-        if member.update.standing == Standing::Suspected {
+        if member.update.status == MemberStatus::Suspected {
             self.suspected.insert(id);
         }
-        if member.telling > 0 {
-            self.telling.insert(id);
+        if member.gossip_rounds_left > 0 {
+            self.gossip_rounds_left.insert(id);
         }
-        if member.there() {
-            self.there = self.there.wrapping_add(roster_part(&member.update));
+        if member.is_present() {
+            self.there = self.there.wrapping_add(member_checksum(&member.update));
         }
     }
 
     fn remove(&mut self, member: &Member) {
         self.suspected.remove(&member.update.id);
-        self.telling.remove(&member.update.id);
-        if member.there() {
-            self.there = self.there.wrapping_sub(roster_part(&member.update));
+        self.gossip_rounds_left.remove(&member.update.id);
+        if member.is_present() {
+            self.there = self.there.wrapping_sub(member_checksum(&member.update));
         }
     }
 }
@@ -124,22 +126,22 @@
 /// What the members' side wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
-    Send(Address, Vec<Note>),
-    Turned(PeerId, Standing),
+    Send(Address, Vec<MessagePart>),
+    StatusChanged(PeerId, MemberStatus),
     /// A member said where it is.
-    Located,
+    LocalityLearned,
     /// A member is reached by others only, or by this one again.
-    Reach,
+    ReachabilityChanged,
     /// Another process has the same name, and came later: this one keeps quiet.
-    Shadowed,
+    Superseded,
 }
 
 /// Who this is, and how it finds others.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Own {
+pub struct OwnMember {
     pub id: PeerId,
     pub address: Address,
-    pub life: Life,
+    pub boot_id: BootId,
     pub seeds: Vec<Address>,
     /// Where it is among the fleet's zones; `None`: nothing depends on distances.
     pub topology: Option<Topology>,
@@ -149,41 +151,41 @@
 pub struct Members {
     own: MemberUpdate,
     locality: Option<Locality>,
-    born: Timestamp,
+    started_at: Timestamp,
     seeds: Vec<Address>,
     members: BTreeMap<PeerId, Member>,
     /// Who is pinged next in this round.
     round: VecDeque<PeerId>,
     probe: Option<Probe>,
     /// Pings on behalf of others: their number here, whom to tell, their number there.
-    helping: BTreeMap<AskNo, (Address, AskNo, PeerId, Timestamp)>,
-    ping_at: Timestamp,
-    knock_at: Timestamp,
-    knock_next: usize,
-    next_no: u64,
+    relayed_pings: BTreeMap<InquiryId, (Address, InquiryId, PeerId, Timestamp)>,
+    next_ping_at: Timestamp,
+    next_rejoin_at: Timestamp,
+    missing_index: usize,
+    next_inquiry_id: u64,
     /// Not before this is another asked for all that it knows.
-    roster_at: Timestamp,
-    pub shadowed: bool,
+    next_member_list_request_at: Timestamp,
+    pub superseded: bool,
     /// It may be on the smaller side of a cut: what it thinks of the others is told to nobody.
-    cut_off: bool,
-    own_telling: u32,
+    in_minority_partition: bool,
+    own_gossip_rounds_left: u32,
     /// The updates of the message that is being read, to which localities may follow.
-    updated: Vec<(PeerId, Life)>,
-    index: Index,
-    todo: Vec<MemberAction>,
+    last_updates: Vec<(PeerId, BootId)>,
+    index: MemberIndex,
+    actions: Vec<MemberAction>,
 }
 
 impl Members {
-    pub fn new(now: Timestamp, own: Own, chance: &mut fastrand::Rng) -> Members {
+    pub fn new(now: Timestamp, own: OwnMember, rng: &mut fastrand::Rng) -> Members {
         let update = MemberUpdate {
             id: own.id,
             address: own.address,
-            life: own.life,
+            boot_id: own.boot_id,
             incarnation: 0,
-            standing: Standing::Alive,
+            status: MemberStatus::Alive,
         };
         Members {
-            born: now,
+            started_at: now,
             seeds: own
                 .seeds
                 .into_iter()
@@ -194,18 +196,18 @@
             members: BTreeMap::new(),
             round: VecDeque::new(),
             probe: None,
-            helping: BTreeMap::new(),
-            ping_at: now + PERIOD.mul_f64(chance.f64()),
-            knock_at: now,
-            knock_next: chance.usize(0..1_024),
-            next_no: chance.u64(0..1 << 32),
-            roster_at: now,
-            shadowed: false,
-            cut_off: false,
-            own_telling: 0,
-            updated: Vec::new(),
-            index: Index::default(),
-            todo: Vec::new(),
+            relayed_pings: BTreeMap::new(),
+            next_ping_at: now + PING_INTERVAL.mul_f64(rng.f64()),
+            next_rejoin_at: now,
+            missing_index: rng.usize(0..1_024),
+            next_inquiry_id: rng.u64(0..1 << 32),
+            next_member_list_request_at: now,
+            superseded: false,
+            in_minority_partition: false,
+            own_gossip_rounds_left: 0,
+            last_updates: Vec::new(),
+            index: MemberIndex::default(),
+            actions: Vec::new(),
         }
     }
 
@@ -222,12 +224,12 @@
     }
 
     /// Whoever is there, without this one.
-    pub fn there(&self) -> impl Iterator<Item = (PeerId, &Member)> {
+    pub fn present(&self) -> impl Iterator<Item = (PeerId, &Member)> {
         let all = self.members.iter().map(|(&id, member)| (id, member));
-        all.filter(|(_, member)| member.there())
+        all.filter(|(_, member)| member.is_present())
     }
 
-    pub fn alive(&self, id: PeerId) -> bool {
+    pub fn is_reached(&self, id: PeerId) -> bool {
         let member = self.members.get(&id);
         member.is_some_and(Member::is_reached)
     }
@@ -246,8 +248,8 @@
     pub fn located(&self, now: Timestamp) -> (Vec<Located>, Option<Timestamp>) {
         let mut located = vec![(self.own.id, self.locality)];
         let mut again: Option<Timestamp> = None;
-        for (id, member) in self.there() {
-            let until = member.met + LOCATE;
+        for (id, member) in self.present() {
+            let until = member.known_since + LOCALITY_WAIT;
             if self.locality.is_some() && member.locality.is_none() && now < until {
                 again = Some(again.map_or(until, |again| again.min(until)));
             } else {
@@ -264,222 +266,227 @@
     }
 
     /// How long an answer to a ping is waited for.
-    fn direct(&self, whom: PeerId) -> TimeSpan {
-        let far =
-            |(own, other): (Locality, Locality)| own.distance(other) == Distance::BetweenRegions;
+    fn ping_timeout(&self, whom: PeerId) -> TimeSpan {
+        let far = |(own, other): (Locality, Locality)| own.distance(other) == Distance::OtherRegion;
         match self.locality.zip(self.locality(whom)).is_some_and(far) {
-            true => DIRECT_FAR,
-            false => DIRECT,
+            true => PING_TIMEOUT_OTHER_REGION,
+            false => PING_TIMEOUT,
         }
     }
 
     /// A sign of life, with where this one is.
-    fn sign(&self, note: Note) -> Vec<Note> {
-        let located = self.locality.map(Note::Located);
-        [note].into_iter().chain(located).collect()
+    fn with_locality(&self, part: MessagePart) -> Vec<MessagePart> {
+        let located = self.locality.map(MessagePart::SenderLocality);
+        [part].into_iter().chain(located).collect()
     }
 
     /// Updates, with where the members are.
-    fn updates(&self, updates: Vec<MemberUpdate>) -> Vec<Note> {
+    fn updates_with_localities(&self, updates: Vec<MemberUpdate>) -> Vec<MessagePart> {
         let locality = |update: &MemberUpdate| match update.id == self.own.id {
             true => self.locality,
             false => self.locality(update.id),
         };
         let localities: Vec<_> = updates.iter().map(locality).collect();
-        let localities = self.locality.map(|_| Note::Localities(localities));
-        let updates = Note::Updates(updates);
+        let localities = self
+            .locality
+            .map(|_| MessagePart::MemberLocalities(localities));
+        let updates = MessagePart::MemberUpdates(updates);
         [updates].into_iter().chain(localities).collect()
     }
 
     /// Somebody says where a member is.
-    fn locate(&mut self, id: PeerId, life: Option<Life>, locality: Locality) {
+    fn learn_locality(&mut self, id: PeerId, boot_id: Option<BootId>, locality: Locality) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
-        let same = life.is_none_or(|life| life == member.update.life);
+        let same = boot_id.is_none_or(|boot_id| boot_id == member.update.boot_id);
         if same && member.locality != Some(locality) {
             member.locality = Some(locality);
-            self.todo.push(MemberAction::Located);
+            self.actions.push(MemberAction::LocalityLearned);
         }
     }
 
-    pub fn take(&mut self) -> Vec<MemberAction> {
-        std::mem::take(&mut self.todo)
+    pub fn take_actions(&mut self) -> Vec<MemberAction> {
+        std::mem::take(&mut self.actions)
     }
 
     fn doublings(&self) -> u32 {
         usize::BITS - (self.members.len() + 1).leading_zeros()
     }
 
-    fn tells(&self) -> u32 {
+    fn gossip_rounds(&self) -> u32 {
         self.doublings() * 2 + 2
     }
 
-    fn send(&mut self, to: Address, notes: Vec<Note>) {
-        self.todo.push(MemberAction::Send(to, notes));
+    fn send(&mut self, to: Address, parts: Vec<MessagePart>) {
+        self.actions.push(MemberAction::Send(to, parts));
     }
 
-    fn no(&mut self) -> AskNo {
-        self.next_no += 1;
-        AskNo(self.next_no)
+    fn new_inquiry_id(&mut self) -> InquiryId {
+        self.next_inquiry_id += 1;
+        InquiryId(self.next_inquiry_id)
     }
 
     /// It was away: what it waited for says nothing of the others, and they may have given it up.
-    pub fn back(&mut self, now: Timestamp) {
-        (self.probe, self.ping_at, self.knock_at) = (None, now, now);
-        self.helping.clear();
+    pub fn on_pause_ended(&mut self, now: Timestamp) {
+        (self.probe, self.next_ping_at, self.next_rejoin_at) = (None, now, now);
+        self.relayed_pings.clear();
         for member in self.members.values_mut() {
             member.since = now;
             member.one_way = false;
         }
-        self.todo.push(MemberAction::Reach);
+        self.actions.push(MemberAction::ReachabilityChanged);
         self.own.incarnation += 1;
-        self.own_telling = self.tells();
+        self.own_gossip_rounds_left = self.gossip_rounds();
     }
 
     /// Whether it may be on the smaller side of a cut. Afterwards it forgets whom it gave up meanwhile, or it would have all
     /// believe for a moment that they lost each other; whoever is there it hears of from those that it reaches.
-    pub fn cut_off(&mut self, is: bool) {
-        let returns = std::mem::replace(&mut self.cut_off, is) && !is;
-        let reached = |member: &Member| member.update.standing == Standing::Alive;
+    pub fn set_in_minority_partition(&mut self, is: bool) {
+        let returns = std::mem::replace(&mut self.in_minority_partition, is) && !is;
+        let reached = |member: &Member| member.update.status == MemberStatus::Alive;
         if returns && self.members.values().any(reached) {
             let doubted = |update: &MemberUpdate| {
-                matches!(update.standing, Standing::Suspected | Standing::Dead)
+                matches!(update.status, MemberStatus::Suspected | MemberStatus::Dead)
             };
             self.members.retain(|_, member| !doubted(&member.update));
-            self.index = Index::of(&self.members);
+            self.index = MemberIndex::of(&self.members);
             let members = &self.members;
             self.round.retain(|id| members.contains_key(id));
             self.probe = None;
         }
     }
 
-    fn tellable(&self, member: &Member) -> bool {
-        !self.cut_off || matches!(member.update.standing, Standing::Alive | Standing::Left)
+    fn may_gossip(&self, member: &Member) -> bool {
+        !self.in_minority_partition
+            || matches!(
+                member.update.status,
+                MemberStatus::Alive | MemberStatus::Left
+            )
     }
 
     /// A message came from there: it is alive, in this life at least.
-    pub fn heard(
+    pub fn on_message(
         &mut self,
         now: Timestamp,
         from: PeerId,
         address: Address,
-        life: Life,
+        boot_id: BootId,
         incarnation: u32,
     ) {
-        self.updated.clear();
-        let standing = Standing::Alive;
+        self.last_updates.clear();
+        let status = MemberStatus::Alive;
         let update = MemberUpdate {
             id: from,
             address,
-            life,
+            boot_id,
             incarnation,
-            standing,
+            status,
         };
         if let Some(member) = self.members.get(&from)
-            && member.update.standing == Standing::Dead
+            && member.update.status == MemberStatus::Dead
             && member.update.rank() > update.rank()
         {
             // It does not know that it was given up: it says so itself under its next incarnation.
             let told = member.update;
-            self.send(address, vec![Note::Updates(vec![told])]);
+            self.send(address, vec![MessagePart::MemberUpdates(vec![told])]);
         }
-        self.update(now, update);
+        self.apply_update(now, update);
         if let Some(member) = self.members.get_mut(&from)
-            && member.update.standing == Standing::Alive
+            && member.update.status == MemberStatus::Alive
             && member.one_way
         {
-            self.todo.push(MemberAction::Reach);
+            self.actions.push(MemberAction::ReachabilityChanged);
             member.one_way = false;
         }
     }
 
     /// Somebody says something of a member.
-    pub fn update(&mut self, now: Timestamp, update: MemberUpdate) {
+    pub fn apply_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.id == self.own.id {
-            return self.of_self(now, update);
+            return self.on_own_update(now, update);
         }
-        let tells = self.tells();
-        let full = self.members.len() >= MOST;
+        let tells = self.gossip_rounds();
+        let full = self.members.len() >= MAX_MEMBERS;
         match self.members.get_mut(&update.id) {
             Some(known) if update.rank() <= known.update.rank() => {}
             Some(known) => {
                 self.index.remove(known);
-                let before = (known.update.standing, known.update.life);
+                let before = (known.update.status, known.update.boot_id);
                 known.update = update;
-                known.telling = tells;
-                if before != (update.standing, update.life) {
+                known.gossip_rounds_left = tells;
+                if before != (update.status, update.boot_id) {
                     known.since = now;
-                    if before.1 != update.life {
-                        known.state = State::default();
+                    if before.1 != update.boot_id {
+                        known.state = MemberSummary::default();
                     }
-                    self.todo
-                        .push(MemberAction::Turned(update.id, update.standing));
+                    self.actions
+                        .push(MemberAction::StatusChanged(update.id, update.status));
                 }
                 self.index.add(known);
             }
-            None if full || update.standing > Standing::Suspected => {}
+            None if full || update.status > MemberStatus::Suspected => {}
             None => {
                 let member = Member {
                     update,
                     since: now,
-                    state: State::default(),
+                    state: MemberSummary::default(),
                     one_way: false,
                     locality: None,
-                    met: now,
-                    telling: tells,
+                    known_since: now,
+                    gossip_rounds_left: tells,
                 };
                 self.index.add(&member);
                 self.members.insert(update.id, member);
                 // Somewhere in the present round, so that hundreds of newcomers are not pinged last.
-                let place = self.next_no as usize % (self.round.len() + 1);
+                let place = self.next_inquiry_id as usize % (self.round.len() + 1);
                 self.round.insert(place, update.id);
-                self.todo
-                    .push(MemberAction::Turned(update.id, update.standing));
+                self.actions
+                    .push(MemberAction::StatusChanged(update.id, update.status));
             }
         }
     }
 
-    fn of_self(&mut self, now: Timestamp, update: MemberUpdate) {
-        if update.life > self.own.life {
+    fn on_own_update(&mut self, now: Timestamp, update: MemberUpdate) {
+        if update.boot_id > self.own.boot_id {
             // A former life with a clock that went ahead, or one elsewhere that this one takes the name from.
-            let new = now.since(self.born) < NEW;
+            let new = now.since(self.started_at) < NAME_TAKEOVER_PERIOD;
             if update.address == self.own.address || new {
-                self.own.life = Life(update.life.0 + 1);
+                self.own.boot_id = BootId(update.boot_id.0 + 1);
                 self.own.incarnation = 0;
-                self.own_telling = self.tells();
-            } else if !self.shadowed && update.standing <= Standing::Suspected {
-                self.shadowed = true;
-                self.todo.push(MemberAction::Shadowed);
+                self.own_gossip_rounds_left = self.gossip_rounds();
+            } else if !self.superseded && update.status <= MemberStatus::Suspected {
+                self.superseded = true;
+                self.actions.push(MemberAction::Superseded);
             }
-        } else if update.life == self.own.life
+        } else if update.boot_id == self.own.boot_id
             && update.incarnation >= self.own.incarnation
-            && update.standing > Standing::Alive
+            && update.status > MemberStatus::Alive
         {
             self.own.incarnation = update.incarnation + 1;
-            self.own_telling = self.tells();
+            self.own_gossip_rounds_left = self.gossip_rounds();
         }
     }
 
     /// Updates that are to be passed on: what was told least comes first.
-    pub fn gossip(&mut self) -> Vec<Note> {
+    pub fn gossip(&mut self) -> Vec<MessagePart> {
         let mut updates = Vec::new();
-        if self.own_telling > 0 {
-            self.own_telling -= 1;
+        if self.own_gossip_rounds_left > 0 {
+            self.own_gossip_rounds_left -= 1;
             updates.push(self.own);
         }
-        let telling = self.index.telling.iter();
-        let telling = telling.filter_map(|id| self.members.get(id));
-        let mut fresh: Vec<(u32, PeerId)> = telling
-            .filter(|member| self.tellable(member))
-            .map(|member| (u32::MAX - member.telling, member.update.id))
+        let gossip_rounds_left = self.index.gossip_rounds_left.iter();
+        let gossip_rounds_left = gossip_rounds_left.filter_map(|id| self.members.get(id));
+        let mut fresh: Vec<(u32, PeerId)> = gossip_rounds_left
+            .filter(|member| self.may_gossip(member))
+            .map(|member| (u32::MAX - member.gossip_rounds_left, member.update.id))
             .collect();
         fresh.sort_unstable();
-        for (_, id) in fresh.into_iter().take(UPDATES) {
+        for (_, id) in fresh.into_iter().take(MAX_UPDATES_PER_MESSAGE) {
             if let Some(member) = self.members.get_mut(&id) {
-                member.telling -= 1;
-                if member.telling == 0 {
-                    self.index.telling.remove(&id);
+                member.gossip_rounds_left -= 1;
+                if member.gossip_rounds_left == 0 {
+                    self.index.gossip_rounds_left.remove(&id);
                 }
                 updates.push(member.update);
             }
@@ -487,58 +494,63 @@
         if updates.is_empty() {
             return Vec::new();
         }
-        self.updates(updates)
+        self.updates_with_localities(updates)
     }
 
     /// A note about who is there; `false`: it is none of these.
-    pub fn note(
+    pub fn handle_part(
         &mut self,
         now: Timestamp,
         from: PeerId,
         address: Address,
-        note: &Note,
-        own: State,
+        part: &MessagePart,
+        own: MemberSummary,
     ) -> bool {
-        match note {
-            Note::Ping(no, state) => {
-                self.state(now, from, address, *state);
-                self.send(address, self.sign(Note::Ack(*no, own)));
+        match part {
+            MessagePart::Ping(inquiry_id, state) => {
+                self.on_summary(now, from, address, *state);
+                self.send(
+                    address,
+                    self.with_locality(MessagePart::Ack(*inquiry_id, own)),
+                );
             }
-            Note::Ack(no, state) => {
-                self.state(now, from, address, *state);
+            MessagePart::Ack(inquiry_id, state) => {
+                self.on_summary(now, from, address, *state);
                 if self
                     .probe
-                    .is_some_and(|probe| probe.no == *no && probe.whom == from)
+                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == from)
                 {
                     self.probe = None;
                 }
-                if let Some((asker, theirs, whom, _)) = self.helping.remove(no) {
-                    self.send(asker, vec![Note::AckFor(theirs, whom)]);
+                if let Some((asker, theirs, whom, _)) = self.relayed_pings.remove(inquiry_id) {
+                    self.send(asker, vec![MessagePart::IndirectAck(theirs, whom)]);
                 }
             }
-            Note::PingFor(theirs, whom, at) => {
-                if self.helping.len() < MOST {
-                    let no = self.no();
-                    self.helping
-                        .insert(no, (address, *theirs, *whom, now + PERIOD));
-                    self.send(*at, self.sign(Note::Ping(no, own)));
+            MessagePart::IndirectPing(theirs, whom, at) => {
+                if self.relayed_pings.len() < MAX_MEMBERS {
+                    let inquiry_id = self.new_inquiry_id();
+                    self.relayed_pings
+                        .insert(inquiry_id, (address, *theirs, *whom, now + PING_INTERVAL));
+                    self.send(*at, self.with_locality(MessagePart::Ping(inquiry_id, own)));
                 }
             }
-            Note::AckFor(no, whom) => {
+            MessagePart::IndirectAck(inquiry_id, whom) => {
                 if self
                     .probe
-                    .is_some_and(|probe| probe.no == *no && probe.whom == *whom)
+                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == *whom)
                 {
                     self.probe = None;
                     if let Some(member) = self.members.get_mut(whom) {
                         member.one_way = true;
-                        self.todo.push(MemberAction::Reach);
+                        self.actions.push(MemberAction::ReachabilityChanged);
                     }
                 }
             }
-            Note::Join => {
+            MessagePart::MembersRequest => {
                 let told = |member: &&Member| {
-                    self.tellable(member) && (member.there() || now.since(member.since) < LATELY)
+                    self.may_gossip(member)
+                        && (member.is_present()
+                            || now.since(member.since) < LOST_MEMBER_REPORT_PERIOD)
                 };
                 let updates = self
                     .members
@@ -546,25 +558,27 @@
                     .filter(told)
                     .map(|member| member.update);
                 let updates: Vec<MemberUpdate> = updates.chain([self.own]).collect();
-                for piece in updates.chunks(ROSTER) {
-                    self.send(address, self.updates(piece.to_vec()));
+                for piece in updates.chunks(MAX_MEMBERS_PER_MESSAGE) {
+                    self.send(address, self.updates_with_localities(piece.to_vec()));
                 }
             }
-            Note::Updates(updates) => {
-                updates.iter().for_each(|&update| self.update(now, update));
-                self.updated = updates
+            MessagePart::MemberUpdates(updates) => {
+                updates
                     .iter()
-                    .map(|update| (update.id, update.life))
+                    .for_each(|&update| self.apply_update(now, update));
+                self.last_updates = updates
+                    .iter()
+                    .map(|update| (update.id, update.boot_id))
                     .collect();
             }
-            Note::Located(locality) => self.locate(from, None, *locality),
-            Note::Localities(localities) => {
-                let updated = std::mem::take(&mut self.updated);
-                let same = updated.len() == localities.len();
-                let told = updated.into_iter().zip(localities).filter(|_| same);
-                for ((id, life), locality) in told {
+            MessagePart::SenderLocality(locality) => self.learn_locality(from, None, *locality),
+            MessagePart::MemberLocalities(localities) => {
+                let last_updates = std::mem::take(&mut self.last_updates);
+                let same = last_updates.len() == localities.len();
+                let told = last_updates.into_iter().zip(localities).filter(|_| same);
+                for ((id, boot_id), locality) in told {
                     if let Some(locality) = *locality {
-                        self.locate(id, Some(life), locality);
+                        self.learn_locality(id, Some(boot_id), locality);
                     }
                 }
             }
@@ -574,48 +588,52 @@
     }
 
     /// A sum of who is there, and in which life.
-    pub fn roster(&self) -> u64 {
-        self.index.there.wrapping_add(roster_part(&self.own))
+    pub fn membership_checksum(&self) -> u64 {
+        self.index.there.wrapping_add(member_checksum(&self.own))
     }
 
-    fn state(&mut self, now: Timestamp, from: PeerId, address: Address, state: State) {
+    fn on_summary(&mut self, now: Timestamp, from: PeerId, address: Address, state: MemberSummary) {
         if let Some(member) = self.members.get_mut(&from) {
             member.state = state;
         }
         // What goes round by itself would do, and takes long where hundreds come or return at once.
-        if now >= self.roster_at && state.roster != self.roster() {
-            self.roster_at = now + ROSTER_EVERY;
-            self.send(address, vec![Note::Join]);
+        if now >= self.next_member_list_request_at
+            && state.membership_checksum != self.membership_checksum()
+        {
+            self.next_member_list_request_at = now + MEMBER_LIST_REQUEST_INTERVAL;
+            self.send(address, vec![MessagePart::MembersRequest]);
         }
     }
 
     /// It comes back after it left, as another life.
     pub fn join(&mut self) {
-        self.own.standing = Standing::Alive;
-        (self.own.life, self.own.incarnation) = (Life(self.own.life.0 + 1), 0);
+        self.own.status = MemberStatus::Alive;
+        (self.own.boot_id, self.own.incarnation) = (BootId(self.own.boot_id.0 + 1), 0);
     }
 
     /// It leaves in order: all are told at once.
     pub fn leave(&mut self) {
-        self.own.standing = Standing::Left;
+        self.own.status = MemberStatus::Left;
         let all: Vec<Address> = self
-            .there()
+            .present()
             .map(|(_, member)| member.update.address)
             .collect();
         for to in all {
-            self.send(to, vec![Note::Updates(vec![self.own])]);
+            self.send(to, vec![MessagePart::MemberUpdates(vec![self.own])]);
         }
     }
 
-    pub fn next(&self) -> Timestamp {
+    pub fn next_deadline(&self) -> Timestamp {
         let probe = self
             .probe
-            .filter(|probe| !probe.by_others)
-            .map(|probe| probe.sent + self.direct(probe.whom));
-        let doubt = self.doubt();
+            .filter(|probe| !probe.is_indirect)
+            .map(|probe| probe.sent_at + self.ping_timeout(probe.whom));
+        let doubt = self.suspicion_timeout();
         let doubts = self.suspected().map(|member| member.since + doubt);
-        let all = doubts.chain(probe).chain([self.ping_at, self.knock_at]);
-        all.min().unwrap_or(self.ping_at)
+        let all = doubts
+            .chain(probe)
+            .chain([self.next_ping_at, self.next_rejoin_at]);
+        all.min().unwrap_or(self.next_ping_at)
     }
 
     fn suspected(&self) -> impl Iterator<Item = &Member> {
@@ -623,109 +641,123 @@
         suspected.filter_map(|id| self.members.get(id))
     }
 
-    fn doubt(&self) -> TimeSpan {
-        DOUBT + DOUBT_EACH.mul_f64(f64::from(self.doublings()))
+    fn suspicion_timeout(&self) -> TimeSpan {
+        SUSPICION_TIMEOUT + SUSPICION_TIMEOUT_PER_DOUBLING.mul_f64(f64::from(self.doublings()))
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Timestamp, own: State, chance: &mut fastrand::Rng) {
-        let doubt = self.doubt();
+    pub fn advance(&mut self, now: Timestamp, own: MemberSummary, rng: &mut fastrand::Rng) {
+        let doubt = self.suspicion_timeout();
         let dead = self.suspected();
         let dead = dead.filter(|member| now.since(member.since) >= doubt);
         let dead: Vec<MemberUpdate> = dead.map(|member| member.update).collect();
         for update in dead {
-            let standing = Standing::Dead;
-            self.update(now, MemberUpdate { standing, ..update });
+            let status = MemberStatus::Dead;
+            self.apply_update(now, MemberUpdate { status, ..update });
         }
-        self.helping.retain(|_, (.., until)| now < *until);
+        self.relayed_pings.retain(|_, (.., until)| now < *until);
         if let Some(probe) = self.probe {
-            if !probe.by_others && now.since(probe.sent) >= self.direct(probe.whom) {
-                self.by_others(probe, chance);
+            if !probe.is_indirect && now.since(probe.sent_at) >= self.ping_timeout(probe.whom) {
+                self.send_indirect_pings(probe, rng);
             }
-            if now >= self.ping_at {
+            if now >= self.next_ping_at {
                 self.probe = None;
-                self.doubted(now, probe.whom);
+                self.suspect(now, probe.whom);
             }
         }
-        if now >= self.ping_at {
-            self.ping_at = now + PERIOD.mul_f64(0.9 + 0.2 * chance.f64());
-            self.ping(now, own, chance);
+        if now >= self.next_ping_at {
+            self.next_ping_at = now + PING_INTERVAL.mul_f64(0.9 + 0.2 * rng.f64());
+            self.ping(now, own, rng);
         }
-        if now >= self.knock_at {
-            self.knock_at = now + KNOCK.mul_f64(0.75 + 0.5 * chance.f64());
-            self.members
-                .retain(|_, member| member.there() || now.since(member.since) < REMEMBER);
-            self.index = Index::of(&self.members);
-            self.knock(own);
+        if now >= self.next_rejoin_at {
+            self.next_rejoin_at = now + REJOIN_INTERVAL.mul_f64(0.75 + 0.5 * rng.f64());
+            self.members.retain(|_, member| {
+                member.is_present() || now.since(member.since) < DEAD_MEMBER_RETENTION
+            });
+            self.index = MemberIndex::of(&self.members);
+            self.ping_missing_members(own);
         }
     }
 
-    fn by_others(&mut self, probe: Probe, chance: &mut fastrand::Rng) {
-        let by_others = true;
-        self.probe = Some(Probe { by_others, ..probe });
+    fn send_indirect_pings(&mut self, probe: Probe, rng: &mut fastrand::Rng) {
+        let is_indirect = true;
+        self.probe = Some(Probe {
+            is_indirect,
+            ..probe
+        });
         let Some(address) = self.address(probe.whom) else {
             return;
         };
-        let helpers = self.there().filter(|&(id, _)| id != probe.whom);
+        let helpers = self.present().filter(|&(id, _)| id != probe.whom);
         let mut helpers: Vec<Address> = helpers.map(|(_, member)| member.update.address).collect();
-        chance.shuffle(&mut helpers);
-        for to in helpers.into_iter().take(HELPERS) {
-            self.send(to, vec![Note::PingFor(probe.no, probe.whom, address)]);
+        rng.shuffle(&mut helpers);
+        for to in helpers.into_iter().take(INDIRECT_PING_HELPERS) {
+            self.send(
+                to,
+                vec![MessagePart::IndirectPing(
+                    probe.inquiry_id,
+                    probe.whom,
+                    address,
+                )],
+            );
         }
     }
 
-    fn doubted(&mut self, now: Timestamp, whom: PeerId) {
+    fn suspect(&mut self, now: Timestamp, whom: PeerId) {
         let Some(member) = self.members.get(&whom) else {
             return;
         };
-        if member.update.standing == Standing::Alive {
-            let standing = Standing::Suspected;
+        if member.update.status == MemberStatus::Alive {
+            let status = MemberStatus::Suspected;
             let update = MemberUpdate {
-                standing,
+                status,
                 ..member.update
             };
-            self.update(now, update);
+            self.apply_update(now, update);
             // The one that is doubted hears of it first.
-            self.send(update.address, vec![Note::Updates(vec![update])]);
+            self.send(
+                update.address,
+                vec![MessagePart::MemberUpdates(vec![update])],
+            );
         }
     }
 
-    fn ping(&mut self, now: Timestamp, own: State, chance: &mut fastrand::Rng) {
+    fn ping(&mut self, now: Timestamp, own: MemberSummary, rng: &mut fastrand::Rng) {
         loop {
             let Some(whom) = self.round.pop_front() else {
-                let mut all: Vec<PeerId> = self.there().map(|(id, _)| id).collect();
+                let mut all: Vec<PeerId> = self.present().map(|(id, _)| id).collect();
                 if all.is_empty() {
                     return;
                 }
-                chance.shuffle(&mut all);
+                rng.shuffle(&mut all);
                 self.round = all.into();
                 continue;
             };
-            let Some(member) = self.members.get(&whom).filter(|member| member.there()) else {
+            let Some(member) = self.members.get(&whom).filter(|member| member.is_present()) else {
                 continue;
             };
-            let (to, sent, by_others) = (member.update.address, now, false);
-            let no = self.no();
+            let (to, sent_at, is_indirect) = (member.update.address, now, false);
+            let inquiry_id = self.new_inquiry_id();
             self.probe = Some(Probe {
-                no,
+                inquiry_id,
                 whom,
-                sent,
-                by_others,
+                sent_at,
+                is_indirect,
             });
-            return self.send(to, self.sign(Note::Ping(no, own)));
+            return self.send(to, self.with_locality(MessagePart::Ping(inquiry_id, own)));
         }
     }
 
     /// One of those that are not there: a dead one, or an address of the operator's nobody is known at.
-    fn knock(&mut self, own: State) {
+    fn ping_missing_members(&mut self, own: MemberSummary) {
         let there: Vec<Address> = self
-            .there()
+            .present()
             .map(|(_, member)| member.update.address)
             .collect();
         let dead = self
             .members
             .values()
-            .filter(|member| member.update.standing == Standing::Dead);
+            .filter(|member| member.update.status == MemberStatus::Dead);
         let dead = dead.map(|member| (member.update.address, Some(member.update)));
         let seeds = self.seeds.iter().map(|&seed| (seed, None));
         let mut all: Vec<(Address, Option<MemberUpdate>)> = dead.chain(seeds).collect();
@@ -733,13 +765,13 @@
         // Alone, all of them at once are few enough.
         let few = if there.is_empty() { 4 } else { 1 };
         for _ in 0..few.min(all.len()) {
-            self.knock_next = self.knock_next.wrapping_add(1);
-            let (to, update) = all[self.knock_next % all.len()];
-            let no = self.no();
-            let mut notes = self.sign(Note::Ping(no, own));
-            notes.push(Note::Join);
-            notes.extend(update.map(|update| Note::Updates(vec![update])));
-            self.send(to, notes);
+            self.missing_index = self.missing_index.wrapping_add(1);
+            let (to, update) = all[self.missing_index % all.len()];
+            let inquiry_id = self.new_inquiry_id();
+            let mut parts = self.with_locality(MessagePart::Ping(inquiry_id, own));
+            parts.push(MessagePart::MembersRequest);
+            parts.extend(update.map(|update| MessagePart::MemberUpdates(vec![update])));
+            self.send(to, parts);
         }
     }
 }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -3,16 +3,18 @@
 use proptest::prelude::*;
 use trailproxy::units::*;
 use trailproxy_peers::decide::facts::{
-    Claim, Fact, Facts, Lasts, Listed, Place, Stage, Token, merge,
+    Claim, ClaimLocation, Fact, Facts, ListedState, Retention, Stage, Token, merge,
 };
-use trailproxy_peers::decide::messages::{AskNo, Life, Message, Note, PeerId, State};
-use trailproxy_peers::wire::{Seal, Unread, VERSION};
+use trailproxy_peers::decide::messages::{
+    BootId, InquiryId, MemberSummary, Message, MessagePart, PeerId,
+};
+use trailproxy_peers::wire::{ReadError, Seal, VERSION};
 
-fn place() -> impl Strategy<Value = Place> {
+fn place() -> impl Strategy<Value = ClaimLocation> {
     prop_oneof![
-        Just(Place::Untold),
-        (0..3u16).prop_map(|z| Place::At(z, 0)),
-        Just(Place::Anywhere)
+        Just(ClaimLocation::NotReported),
+        (0..3u16).prop_map(|z| ClaimLocation::At(z, 0)),
+        Just(ClaimLocation::Anywhere)
     ]
 }
 
@@ -20,7 +22,7 @@
     prop_oneof![
         Just(Stage::Claimed),
         Just(Stage::Sent),
-        Just(Stage::Free),
+        Just(Stage::Released),
         Just(Stage::Unknown),
         Just(Stage::Done)
     ]
@@ -33,7 +35,7 @@
         token: Token(token),
         at: token * 3 % 40 + 1,
         stage,
-        place,
+        location: place,
         body: body.map(Vec::into_boxed_slice),
     })
 }
@@ -49,21 +51,23 @@
     })
 }
 
-fn listed() -> impl Strategy<Value = Listed> {
+fn listed() -> impl Strategy<Value = ListedState> {
     prop_oneof![
-        Just(Listed::Ready),
-        Just(Listed::Draining),
-        Just(Listed::Gone)
+        Just(ListedState::Ready),
+        Just(ListedState::Draining),
+        Just(ListedState::Gone)
     ]
 }
 
 fn host() -> impl Strategy<Value = Fact> {
-    (0..3u64, 0..3u64, listed(), 0..3u64).prop_map(|(started, place, listed, at)| Fact::Host {
-        host: 1,
-        started,
-        place,
-        listed,
-        at,
+    (0..3u64, 0..3u64, listed(), 0..3u64).prop_map(|(started, journal_position, listed, at)| {
+        Fact::Host {
+            host: 1,
+            started,
+            journal_position,
+            listed,
+            at,
+        }
     })
 }
 
@@ -118,17 +122,17 @@
     /// Members that hold the same facts have the same sums, in whatever order they came.
     #[test]
     fn sums_follow_from_the_facts_alone(mut facts in proptest::collection::vec(one_kind(), 1..6), seed in 0..99u64) {
-        let lasts = Lasts { record: TimeSpan(1_000), purge: TimeSpan(1_000), host: TimeSpan(1_000) };
+        let lasts = Retention { record: TimeSpan(1_000), purge: TimeSpan(1_000), host: TimeSpan(1_000) };
         let mut held = [Facts::new(lasts), Facts::new(lasts)];
         for held in &mut held {
             for fact in facts.iter().flatten() {
-                let _ = held.take(Timestamp(5), fact.clone());
+                let _ = held.insert(Timestamp(5), fact.clone());
             }
             fastrand::Rng::with_seed(seed).shuffle(&mut facts);
         }
         let [one, other] = &mut held;
         for slot in trailproxy_peers::decide::facts::Slot::all() {
-            prop_assert_eq!(one.sum(slot), other.sum(slot));
+            prop_assert_eq!(one.checksum(slot), other.checksum(slot));
         }
     }
 
@@ -136,12 +140,12 @@
     fn no_bytes_are_read_but_those_of_the_fleet(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), at in any::<usize>(), bit in 0..8u8) {
         let seal = Seal::new("fleet", b"secret");
         prop_assert!(seal.read(&bytes).is_err());
-        let mut good = seal.write(&message(vec![Note::Join])).expect("short");
+        let mut good = seal.write(&message(vec![MessagePart::MembersRequest])).expect("short");
         let at = at % good.len();
         good[at] ^= 1 << bit;
         prop_assert!(seal.read(&good).is_err(), "a bit is flipped");
         bytes.truncate(10);
-        prop_assert_eq!(seal.read(&bytes), Err(Unread::Garbled));
+        prop_assert_eq!(seal.read(&bytes), Err(ReadError::Garbled));
     }
 }
 
@@ -161,37 +165,43 @@
     assert_eq!(merge(purge(1), purge(2)), merge(purge(2), purge(1)));
 }
 
-fn message(notes: Vec<Note>) -> Message {
-    let (from, life) = (PeerId(1), Life(2));
+fn message(parts: Vec<MessagePart>) -> Message {
+    let (from, boot_id) = (PeerId(1), BootId(2));
     Message {
         from,
-        life,
+        boot_id,
         incarnation: 3,
         stamp: 4,
-        notes,
+        parts,
     }
 }
 
 #[test]
 fn a_letter_is_read_as_written_and_a_newer_note_is_passed_over() {
     let seal = Seal::new("fleet", b"");
-    let notes = vec![
-        Note::Ping(
-            AskNo(7),
-            State {
-                whole: true,
+    let parts = vec![
+        MessagePart::Ping(
+            InquiryId(7),
+            MemberSummary {
+                in_sync: true,
                 records: 5,
-                place: 9,
-                roster: 1,
+                journal_position: 9,
+                membership_checksum: 1,
             },
         ),
-        Note::Join,
+        MessagePart::MembersRequest,
     ];
-    let written = message(notes);
+    let written = message(parts);
     let bytes = seal.write(&written).expect("short");
     assert_eq!(seal.read(&bytes), Ok((written.clone(), 0)));
-    assert_eq!(Seal::new("other", b"").read(&bytes), Err(Unread::Foreign));
-    assert_eq!(Seal::new("fleet", b"x").read(&bytes), Err(Unread::Foreign));
+    assert_eq!(
+        Seal::new("other", b"").read(&bytes),
+        Err(ReadError::Foreign)
+    );
+    assert_eq!(
+        Seal::new("fleet", b"x").read(&bytes),
+        Err(ReadError::Foreign)
+    );
 }
 
 #[test]
@@ -200,12 +210,16 @@
         token: Token(100 + n),
         at: u64::MAX,
         stage: Stage::Done,
-        place: Place::At(u16::MAX, u16::MAX),
+        location: ClaimLocation::At(u16::MAX, u16::MAX),
         body: Some(vec![0; 512].into()),
     };
     let claims: Vec<Claim> = (0..12).map(claim).collect();
-    let (no, sure) = (AskNo(u64::MAX), true);
-    let bytes = Seal::new("f", b"").write(&message(vec![Note::Stood { no, sure, claims }]));
+    let (inquiry_id, sure) = (InquiryId(u64::MAX), true);
+    let bytes = Seal::new("f", b"").write(&message(vec![MessagePart::ClaimStatus {
+        inquiry_id,
+        sure,
+        claims,
+    }]));
     assert!(bytes.is_some_and(|bytes| bytes.len() < 8_192));
     assert_eq!(VERSION, 1);
 }
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/stories.rs
@@ -5,9 +5,9 @@
 use trailproxy::interface::{HostEntry, HostState};
 use trailproxy::units::*;
 use trailproxy_peers::decide::messages::{
-    AskNo, Life, MemberUpdate, Message, Note, PeerId, Standing,
+    BootId, InquiryId, MemberStatus, MemberUpdate, Message, MessagePart, PeerId,
 };
-use trailproxy_peers::decide::{Action, Rules, Stands};
+use trailproxy_peers::decide::{Action, PeerState, PeersSettings};
 use world::*;
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
@@ -162,7 +162,7 @@
     for n in 0..6 {
         let peers = world.nodes[n].peers.as_ref().expect("up");
         assert_eq!(
-            peers.facts().records(),
+            peers.facts().record_count(),
             0,
             "forgotten, and not brought back"
         );
@@ -257,8 +257,8 @@
     let peers = world.nodes[2].peers.as_ref().expect("up");
     assert_eq!(peers.counts().away, 1);
     assert_ne!(
-        peers.stands(),
-        Stands::Whole,
+        peers.state(),
+        PeerState::InSync,
         "what it kept may have changed"
     );
     let took = world.until(TimeSpan::from_secs(5), |world| {
@@ -314,7 +314,14 @@
 #[test]
 fn all_restarted_one_by_one_lose_nothing() {
     let keep = TimeSpan::from_secs(60);
-    let mut world = World::with(5, 12, Rules { keep, ..rules() });
+    let mut world = World::with(
+        5,
+        12,
+        PeersSettings {
+            record_retention: keep,
+            ..settings()
+        },
+    );
     world.run(TimeSpan::from_secs(70));
     world.ask(0, 7);
     world.purge(0, 9);
@@ -346,10 +353,9 @@
     world.run(TimeSpan::from_secs(6));
     world.start(3);
     world.run(TimeSpan::from_secs(6));
-    let stands =
-        |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.stands());
-    assert_eq!(stands(&world, 2), Some(Stands::Shadowed));
-    assert_ne!(stands(&world, 3), Some(Stands::Shadowed));
+    let stands = |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.state());
+    assert_eq!(stands(&world, 2), Some(PeerState::Superseded));
+    assert_ne!(stands(&world, 3), Some(PeerState::Superseded));
     // The quiet one serves on.
     world.ask(2, 5);
     world.run(SECOND);
@@ -374,7 +380,7 @@
     let others = world.nodes[0].peers.as_ref().expect("up");
     assert!(others.counts().off_clock > 0);
     assert!(
-        !others.members().alive(world.nodes[1].id),
+        !others.members().is_reached(world.nodes[1].id),
         "as one that is not there"
     );
     world.ask(1, 99);
@@ -397,17 +403,17 @@
     };
     for n in 0..3 {
         world.with_peers(n, |peers, now| {
-            peers.listed(now, &[entry(HostState::Ready, None)], 10)
+            peers.on_host_list(now, &[entry(HostState::Ready, None)], 10)
         });
     }
     world.with_peers(0, |peers, now| {
-        peers.listed(now, &[entry(HostState::Draining, None)], 11)
+        peers.on_host_list(now, &[entry(HostState::Draining, None)], 11)
     });
     world.run(SECOND);
     assert_eq!(world.seen.restricted.get(&(2, 5)), Some(&true));
     // The list comes at last, and a later place says that it is ready again.
     world.with_peers(2, |peers, now| {
-        peers.listed(now, &[entry(HostState::Ready, None)], 12)
+        peers.on_host_list(now, &[entry(HostState::Ready, None)], 12)
     });
     world.run(TimeSpan::from_secs(2));
     let one = world.seen.restricted.get(&(1, 5));
@@ -436,7 +442,7 @@
         state: HostState::Ready,
     };
     world.with_peers(4, |peers, _| {
-        peers.opened(DAWN + TimeSpan::from_secs(70), host)
+        peers.on_breaker_opened(DAWN + TimeSpan::from_secs(70), host)
     });
     world.run(TimeSpan::from_secs(2));
     let knows = |world: &World, n: usize| world.seen.purges.contains(&(n, 8));
@@ -447,7 +453,7 @@
     );
     world.with_peers(5, |peers, now| {
         let long_past = now - TimeSpan::from_secs(200);
-        peers.purged(now, Some(ObjectId(1)), GroupId(0), long_past);
+        peers.on_purge(now, Some(ObjectId(1)), GroupId(0), long_past);
     });
     world.run(TimeSpan::from_secs(2));
     assert!(!world.seen.purges.iter().any(|&(_, object)| object == 1));
@@ -462,7 +468,7 @@
         world.ask(0, key);
     }
     world.run(TimeSpan::from_millis(500));
-    let (own, asking, owed, _) = world.nodes[0].peers.as_ref().expect("up").kept();
+    let (own, asking, owed, _) = world.nodes[0].peers.as_ref().expect("up").pending_counts();
     assert!(
         own <= 8_000 && asking <= 2_048 && owed <= 8_192,
         "{own} {asking} {owed}"
@@ -479,12 +485,12 @@
     world.ask(0, 7);
     world.run(SECOND);
     // It says that all are dead, that it is this one, and that the record never was.
-    let lies = |now: Timestamp, notes| Message {
+    let lies = |now: Timestamp, parts| Message {
         from: PeerId(99),
-        life: Life(1),
+        boot_id: BootId(1),
         incarnation: 0,
         stamp: now.0,
-        notes,
+        parts,
     };
     let from = trailproxy_peers::decide::messages::Address {
         ip: [127, 9, 9, 9],
@@ -494,19 +500,19 @@
         let updates = (0..3).map(|m| {
             let member = world.nodes[m].peers.as_ref().expect("up").members().own();
             MemberUpdate {
-                standing: Standing::Dead,
+                status: MemberStatus::Dead,
                 ..*member
             }
         });
         let updates = updates.collect();
-        let message = lies(world.now, vec![Note::Updates(updates)]);
+        let message = lies(world.now, vec![MessagePart::MemberUpdates(updates)]);
         world.inject(n, from, message);
     }
     let took = world.until(TimeSpan::from_secs(5), |world| {
         world.nodes[0]
             .peers
             .as_ref()
-            .is_some_and(|peers| (1..3).all(|m| peers.members().alive(world.nodes[m].id)))
+            .is_some_and(|peers| (1..3).all(|m| peers.members().is_reached(world.nodes[m].id)))
     });
     assert!(
         took.is_some_and(|took| took < TimeSpan::from_secs(3)),
@@ -523,7 +529,14 @@
 #[test]
 fn where_the_operator_has_it_so_what_nobody_is_sure_about_is_refused() {
     let refuse = true;
-    let mut world = World::with(6, 19, Rules { refuse, ..rules() });
+    let mut world = World::with(
+        6,
+        19,
+        PeersSettings {
+            refuse_unconfirmed: refuse,
+            ..settings()
+        },
+    );
     world.run(TimeSpan::from_secs(45));
     world.split(|n| n < 2, true);
     world.run(TimeSpan::from_secs(5));
@@ -560,27 +573,27 @@
     for n in 0..9 {
         let message = Message {
             from: PeerId(99),
-            life: Life(1),
+            boot_id: BootId(1),
             incarnation: 0,
             stamp: world.now.0,
-            notes: vec![Note::Claim {
-                no: AskNo(1),
+            parts: vec![MessagePart::Claim {
+                inquiry_id: InquiryId(1),
                 key: 5 << 120,
                 claim: None,
             }],
         };
         let now = world.clock(n);
         let peers = world.nodes[n].peers.as_mut().expect("up");
-        peers.heard(now, asker, message);
-        let acts = peers.take();
-        let says = |act: &Action| match act {
+        peers.on_message(now, asker, message);
+        let actions = peers.take_actions();
+        let says = |action: &Action| match action {
             Action::Send(_, message) => message
-                .notes
+                .parts
                 .iter()
-                .any(|note| matches!(note, Note::Stood { sure: true, .. })),
+                .any(|part| matches!(part, MessagePart::ClaimStatus { sure: true, .. })),
             _ => false,
         };
-        sure += usize::from(acts.iter().any(says));
+        sure += usize::from(actions.iter().any(says));
     }
     // Whoever asks may be taken for one of the three.
     assert!(
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -1,7 +1,7 @@
 //! Carries out the actions of the decisions: starts attempts and handles how they end.
 
 use super::{AttemptState, Dispatch};
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::messages::{Answer, AttemptId, AttemptRequest, ConnectionId, Reply};
 use slog::{debug, info};
 use trailproxy::interface::{Action, Attempt, Effect, Ending, Event, Outcome};
@@ -27,7 +27,7 @@
                 }
                 Action::Fail { id, reason } => self.on_given_up(now, id, Reply::Failed, reason),
                 Action::Cancel { id, attempt } => {
-                    self.pools.kill(AttemptId {
+                    self.pools.cancel(AttemptId {
                         request: id,
                         attempt,
                     });
@@ -55,7 +55,7 @@
         let Attempt { id, host, fill } = attempt;
         let request = self.state.requests.get_mut(&id);
         let request = request.filter(|request| !request.closed);
-        must(request.is_some(), &self.counts.broken_sent_after_end);
+        check_invariant(request.is_some(), &self.counts.broken_sent_after_end);
         let Some(request) = request else {
             return;
         };
@@ -64,9 +64,9 @@
         let source = fill
             .map(|fill| fill.source)
             .filter(|&source| source != host);
-        let name = source.and_then(|source| self.pools.name(source));
+        let name = source.and_then(|source| self.pools.host_name(source));
         let named = name.is_some() == source.is_some();
-        must(named, &self.counts.broken_unknown_host);
+        check_invariant(named, &self.counts.broken_unknown_host);
         // A repeat group recognises a repeat only within its window, and the wait for a connection
         // may outlast that window.
         let earlier = request.attempts.iter();
@@ -103,8 +103,8 @@
         self.pools
             .shared
             .trace
-            .attempt(&attempt.request, attempt.id, host);
-        self.decisions.crossings.went(now, id, host);
+            .attempt_assigned(&attempt.request, attempt.id, host);
+        self.decisions.crossings.on_attempt_sent(now, id, host);
         self.pools.submit(attempt);
     }
 
@@ -169,7 +169,7 @@
         let request = self.state.requests.get(&id.request);
         if let Some(request) = request {
             let trace = &self.pools.shared.trace;
-            trace.ended(&request.client_request, id, ending, elapsed);
+            trace.attempt_ended(&request.client_request, id, ending, elapsed);
         }
         let request_closed = request.is_none_or(|request| request.closed);
         let client_proven = self
--- a/crates/trailproxyd/src/dispatch/mod.rs
+++ b/crates/trailproxyd/src/dispatch/mod.rs
@@ -11,12 +11,12 @@
 mod timers;
 
 use crate::accounts::Accounts;
-use crate::checks::{Counts, must};
+use crate::checks::{Counts, check_invariant};
+use crate::host_pools::HostPools;
 use crate::messages::{
     ClientId, ClientRequest, ClientRequestId, Clock, ConnectionId, FromHost, Inbound, JournalEntry,
     ToClient, next_queued,
 };
-use crate::servers::Pools;
 use crate::subsystems::Subsystems;
 use local_channel::mpsc;
 use slog::{Logger, info, warn};
@@ -86,7 +86,7 @@
     /// are built.
     pub accounts: Option<(Accounts, DispatcherSettings, u64)>,
     /// The connections to hosts.
-    pub pools: Pools,
+    pub pools: HostPools,
     pub clock: Clock,
     /// How load reports of hosts are read.
     pub reports: Reports,
@@ -134,7 +134,7 @@
     /// Creates the task. `effects`: by class.
     pub fn new(
         decisions: Dispatcher<Subsystems>,
-        pools: Pools,
+        pools: HostPools,
         reports: Reports,
         effects: Vec<Effect>,
     ) -> Dispatch {
@@ -196,7 +196,7 @@
                 .accounts
                 .as_ref()
                 .filter(|_| self.decisions.crossings.zones.is_some());
-            let account_at = accounts.map_or(report_at, |(accounts, ..)| accounts.next());
+            let account_at = accounts.map_or(report_at, |(accounts, ..)| accounts.next_due());
             let until = self.next_wakeup().min(report_at).min(account_at);
             let first = tokio::select! {
                 biased;
@@ -220,14 +220,14 @@
         if owed > 0 {
             warn!(self.log, "ends with answers owed"; "calls" => owed);
         }
-        must(owed == 0, &self.counts.broken_ended_owing);
+        check_invariant(owed == 0, &self.counts.broken_ended_owing);
     }
 
     /// Tells the other dispatchers that this one ends, and leaves time for the messages to be sent.
     async fn leave_fleet(&mut self) {
         let now = self.clock.timestamp(Instant::now());
         let subsystems = &mut self.decisions.crossings;
-        if subsystems.peers.is_some() || subsystems.divided.is_some() {
+        if subsystems.peers.is_some() || subsystems.budgets.is_some() {
             subsystems.leave(now);
             tokio::time::sleep(FINAL_SEND_TIME).await;
         }
@@ -249,13 +249,13 @@
                 ending,
                 report,
             }) => {
-                if self.pools.probed(host, id) {
+                if self.pools.take_probe(host, id) {
                     let load = self.reports.load(&report);
                     self.handle_event(now, Event::Probed { host, ending, load });
                 }
             }
             Inbound::Host(message) => {
-                if let Some((id, connection, answer)) = self.pools.told(message) {
+                if let Some((id, connection, answer)) = self.pools.handle_event(message) {
                     self.on_attempt_ended(now, id, connection, answer);
                 }
             }
@@ -266,10 +266,10 @@
                     warn!(self.log, "operator's file refused"; "why" => why);
                 }
             }
-            Inbound::Peers(message) => self.decisions.crossings.message(now, message),
+            Inbound::Peers(message) => self.decisions.crossings.on_message(now, message),
             Inbound::Store(message) => {
-                if let Some(shared) = &mut self.decisions.crossings.shared {
-                    shared.told(now, message);
+                if let Some(store) = &mut self.decisions.crossings.store {
+                    store.on_store_message(now, message);
                 }
             }
             Inbound::Terminate => {
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -1,9 +1,9 @@
 //! Requests, from their arrival to their one final answer.
 
 use super::{Dispatch, PendingRequest};
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::messages::{AttemptId, ClientRequest, ClientRequestId, Reply};
-use crate::subsystems::came;
+use crate::subsystems::completion;
 use std::rc::Rc;
 use trailproxy::interface::{Arrival, Effect, Event};
 use trailproxy::policy::permits;
@@ -21,7 +21,7 @@
             .into_iter()
             .flat_map(PendingRequest::pending_attempts)
         {
-            self.pools.recall(AttemptId { request, attempt });
+            self.pools.drop_unsent(AttemptId { request, attempt });
             any_pending = true;
         }
         any_pending
@@ -63,7 +63,7 @@
         self.pools
             .shared
             .trace
-            .taken(&client_request, arrival.time_left);
+            .request_read(&client_request, arrival.time_left);
         self.state.deadlines.insert((deadline, id));
         self.state.client_requests.insert(client_request.id, id);
         let keyed = self.effects[usize::from(client_request.class.0)] != Effect::Idempotent;
@@ -78,7 +78,7 @@
                 attempts,
             },
         );
-        let held = key.is_some_and(|key| self.decisions.crossings.come(now, arrival, &key));
+        let held = key.is_some_and(|key| self.decisions.crossings.on_request(now, arrival, &key));
         if !held {
             self.handle_event(now, Event::Arrived(arrival));
         }
@@ -100,14 +100,14 @@
     fn trace_closed(&self, id: RequestId, result: &str, reason: &str) {
         if let Some(request) = self.state.requests.get(&id) {
             let trace = &self.pools.shared.trace;
-            trace.closed(&request.client_request, result, reason);
+            trace.request_closed(&request.client_request, result, reason);
         }
     }
 
     /// Marks a request as closed: no answer is owed any more. Pending attempts may still end.
     pub(super) fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.state.requests.get_mut(&id) {
-            must(!request.closed, &self.counts.broken_two_finals);
+            check_invariant(!request.closed, &self.counts.broken_two_finals);
             request.closed = true;
             request.client_request.closed.set(true);
             self.state
@@ -148,10 +148,10 @@
         let subsystems = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
             && request.client_request.idempotency_key.is_some()
-            && subsystems.knows_keys()
+            && subsystems.shares_outcomes()
         {
             let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-            subsystems.ended(now, id, &came(done, may_have_run));
+            subsystems.on_request_ended(now, id, &completion(done, may_have_run));
         }
     }
 
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -2,19 +2,19 @@
 //! changed or switched off.
 
 use super::Dispatch;
-use crate::operator::{PeersTold, Told, longest_window};
-use crate::peered::Peered;
+use crate::operator::{OperatorConfig, ResolvedPeers, longest_window};
+use crate::peered::PeersRuntime;
 use crate::peers;
 use crate::store;
-use crate::subsystems::Shared;
+use crate::subsystems::StoreClient;
 use local_channel::mpsc;
 use slog::{info, warn};
 use tokio::time::Instant;
 use trailproxy::interface::{CrossingLimits, DispatcherSettings, Event, HostListKind};
 use trailproxy::units::Timestamp;
-use trailproxy_peers::decide::members::Own;
+use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::PeerId;
-use trailproxy_peers::decide::{Peers, life};
+use trailproxy_peers::decide::{Peers, new_boot_id};
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::Sharing;
@@ -44,7 +44,7 @@
     }
 
     /// Applies the operator's file: each subsystem is switched on, changed or switched off.
-    pub fn apply_operator_config(&mut self, config: Told) -> Result<(), String> {
+    pub fn apply_operator_config(&mut self, config: OperatorConfig) -> Result<(), String> {
         self.apply_zones_section(config.zones);
         self.apply_store_section(config.store);
         self.apply_peers_section(config.peers)?;
@@ -53,10 +53,10 @@
             let subsystems = &mut self.decisions.crossings;
             let member = (
                 self.name.as_str(),
-                life(now, *seed ^ u64::from(std::process::id())),
+                new_boot_id(now, *seed ^ u64::from(std::process::id())),
             );
             let section = config.budgets.as_deref();
-            subsystems.budgets(now, section, member, (settings, *seed), &self.log);
+            subsystems.apply_budgets_section(now, section, member, (settings, *seed), &self.log);
         }
         Ok(())
     }
@@ -66,11 +66,11 @@
     /// closed all the same.
     pub(super) fn apply_peers_section(
         &mut self,
-        section: Option<Box<PeersTold>>,
+        section: Option<Box<ResolvedPeers>>,
     ) -> Result<(), String> {
         let now = self.clock.timestamp(Instant::now());
         let present = &mut self.decisions.crossings.peers;
-        if present.as_ref().map(|present| &present.told) == section.as_deref() {
+        if present.as_ref().map(|present| &present.section) == section.as_deref() {
             return Ok(());
         }
         let mut socket = None;
@@ -79,8 +79,8 @@
             // The socket is kept if the address stays the same.
             let listen = section.as_ref().map(|section| section.addresses.listen);
             socket = Some(present.socket.clone())
-                .filter(|_| listen == Some(present.told.addresses.listen));
-            present.end()
+                .filter(|_| listen == Some(present.section.addresses.listen));
+            present.stop()
         });
         for arrival in ended.into_iter().flatten() {
             self.submit_arrival(now, arrival);
@@ -94,21 +94,21 @@
         };
         let config = &section.config;
         let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-        let rules = config.rules(longest, settings.purge_propagation)?;
+        let rules = config.settings(longest, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
             .map_or_else(|| peers::bind(listen), Ok)
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
-                config.wrong("listen", &found, "an address of this machine that is free")
+                config.invalid_field("listen", &found, "a free address of this machine")
             })?;
         // Differs between any two processes.
         let seed = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
-        let own = Own {
+        let own = OwnMember {
             id: PeerId::of_name(&self.name),
             address: section.addresses.advertise,
-            life: life(now, seed),
+            boot_id: new_boot_id(now, seed),
             seeds: section.addresses.seeds.clone(),
             topology: section.topology.clone(),
         };
@@ -118,19 +118,14 @@
         let (to, orders) = mpsc::channel();
         let seal = Seal::new(&config.fleet, &section.secret);
         let queue = self.pools.shared.queue.clone();
-        tokio::task::spawn_local(peers::carry(
-            socket.clone(),
-            seal,
-            queue,
-            orders,
-            log.clone(),
-        ));
+        tokio::task::spawn_local(peers::run(socket.clone(), seal, queue, orders, log.clone()));
         let targets = settings.classes.iter().map(|class| class.target).collect();
         let decisions = Peers::new(now, own, rules, seed);
-        let mut runtime = Peered::new(*section, decisions, (socket, to), targets, log.clone());
-        let (kind, entries) = (HostListKind::Full, self.pools.entries());
-        runtime.listed(now, &entries, self.state.journal_position);
-        runtime.heard(&Event::HostList { kind, entries });
+        let mut runtime =
+            PeersRuntime::new(*section, decisions, (socket, to), targets, log.clone());
+        let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
+        runtime.on_host_list(now, &entries, self.state.journal_position);
+        runtime.on_event(&Event::HostList { kind, entries });
         self.decisions.crossings.peers = Some(runtime);
         Ok(())
     }
@@ -142,7 +137,7 @@
         let Some((_, settings, seed)) = &self.accounts else {
             return;
         };
-        let shared = &mut self.decisions.crossings.shared;
+        let shared = &mut self.decisions.crossings.store;
         if shared.as_ref().map(|shared| &shared.config) == section.as_deref() {
             return;
         }
@@ -156,7 +151,7 @@
                     let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
-                    tokio::task::spawn_local(store::carry(
+                    tokio::task::spawn_local(store::run(
                         *config.clone(),
                         queue,
                         orders,
@@ -165,9 +160,9 @@
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
                     let targets = settings.classes.iter().map(|class| class.target).collect();
                     let mut client =
-                        Shared::new(*config, Sharing::new(now, rules, life), to, targets, log);
-                    let (kind, entries) = (HostListKind::Full, self.pools.entries());
-                    client.heard(now, &Event::HostList { kind, entries });
+                        StoreClient::new(*config, Sharing::new(now, rules, life), to, targets, log);
+                    let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
+                    client.on_event(now, &Event::HostList { kind, entries });
                     *shared = Some(client);
                 }
                 Err(reason) => warn!(self.log, "operator's file refused"; "why" => reason),
@@ -175,7 +170,7 @@
         } else {
             info!(self.log, "store is off");
         }
-        for arrival in ended.into_iter().flat_map(Shared::end) {
+        for arrival in ended.into_iter().flat_map(StoreClient::into_arrivals) {
             self.submit_arrival(now, arrival);
         }
     }
@@ -194,14 +189,14 @@
             return;
         };
         let (config, rules) = *section;
-        accounts.follow(&config);
+        accounts.apply_config(&config);
         info!(self.log, "zones are on"; "file" => &config.file, "limits" => rules.limits.len());
         match crossings {
             Some(zones) => zones.change(now, rules),
             None => {
                 let mut zones = Zones::new(settings, rules, *seed);
                 let kind = HostListKind::Full;
-                let entries = self.pools.entries();
+                let entries = self.pools.host_entries();
                 zones.on_event(now, &Event::HostList { kind, entries });
                 *crossings = Some(zones);
             }
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,17 +1,17 @@
-//! What stands beside the decisions, each part there only while it is switched on: traffic between zones, and what is
-//! shared with other dispatchers.
+//! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers
+//! through the store, the peers or the budgets. Each exists only while it is switched on.
 
-use crate::divided::Divided;
+use crate::divided::BudgetsRuntime;
 use crate::messages::{FromPeers, FromStore, ToStore};
-use crate::peered::Peered;
-use crate::waiting::{Due, Waiting};
+use crate::peered::PeersRuntime;
+use crate::waiting::{HeldRequests, SubsystemEvent};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_budgets::BESIDE;
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_peers::decide::messages::{Life, Note, PeerId};
+use trailproxy_peers::decide::messages::{BootId, MessagePart, PeerId};
 use trailproxy_shared_store::decide::ops::BoxId;
 use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
 use trailproxy_shared_store::decide::{Act, Sharing};
@@ -19,315 +19,344 @@
 use trailproxy_shared_store::words::{Under, request};
 use trailproxy_zones::Zones;
 
+/// All subsystems that are switched on.
 #[derive(Default)]
 pub struct Subsystems {
+    /// Traffic between zones.
     pub zones: Option<Zones>,
-    pub shared: Option<Shared>,
-    pub peers: Option<Peered>,
-    pub divided: Option<Divided>,
-    /// Among how many work for cold hosts is divided from now on, until the decisions are told.
-    cold: Option<(Option<f64>, Option<f64>)>,
+    /// State shared through the store.
+    pub store: Option<StoreClient>,
+    /// State held together with other dispatchers.
+    pub peers: Option<PeersRuntime>,
+    /// Budgets divided among dispatchers.
+    pub budgets: Option<BudgetsRuntime>,
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the
+    /// decisions have taken the change.
+    slow_start_shares: Option<(Option<f64>, Option<f64>)>,
 }
 
 impl Subsystems {
-    /// A request with a key comes; `false`: nobody is asked about it. Where both know records, the store is asked: one
-    /// record has one truth.
-    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) -> bool {
-        match (&mut self.shared, &mut self.peers) {
-            (Some(shared), _) if shared.config.records => shared.come(now, arrival, mark),
-            (_, Some(peers)) if peers.told.config.records => peers.come(now, arrival, mark),
+    /// Handles a request with an idempotency key. `false`: no subsystem keeps records, so that the
+    /// request need not wait. If both the store and the peers keep records, the store is asked, so
+    /// that there is one source of truth.
+    pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) -> bool {
+        match (&mut self.store, &mut self.peers) {
+            (Some(store), _) if store.config.records => store.on_request(now, arrival, key),
+            (_, Some(peers)) if peers.section.config.records => peers.on_request(now, arrival, key),
             _ => return false,
         }
         true
     }
 
-    /// Whether anybody is told what came of requests with keys.
-    pub fn knows_keys(&self) -> bool {
-        self.shared.is_some() || self.peers.is_some()
+    /// Whether any subsystem is told how requests with keys end.
+    pub fn shares_outcomes(&self) -> bool {
+        self.store.is_some() || self.peers.is_some()
     }
 
-    /// An attempt goes out.
-    pub fn went(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        self.shared
+    /// Handles an attempt that is sent.
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
+        self.store
             .iter_mut()
-            .for_each(|shared| shared.sent(now, id, host));
+            .for_each(|store| store.on_attempt_sent(now, id, host));
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.sent(now, id, host));
+            .for_each(|peers| peers.on_attempt_sent(now, id, host));
     }
 
-    /// A request with a key has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
-        self.shared
+    /// Handles a request with a key that has its final answer or whose client has gone. The
+    /// decisions may not know the request.
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
+        self.store
             .iter_mut()
-            .for_each(|shared| shared.ended(now, id, came.clone()));
+            .for_each(|store| store.on_request_ended(now, id, came.clone()));
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.ended(now, id, came.clone()));
+            .for_each(|peers| peers.on_request_ended(now, id, came.clone()));
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
-        let shared = self.shared.as_ref().and_then(Shared::next);
-        shared
+    /// When a subsystem next has something to do.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
+        let store = self.store.as_ref().and_then(StoreClient::next_deadline);
+        store
             .into_iter()
-            .chain(self.peers.as_ref().map(Peered::next))
-            .chain(self.divided.as_ref().and_then(|on| on.following.next()))
+            .chain(self.peers.as_ref().map(PeersRuntime::next_deadline))
+            .chain(self.budgets.as_ref().and_then(|on| on.following.next()))
             .min()
     }
 
+    /// Lets time pass in all subsystems.
     pub fn advance(&mut self, now: Timestamp) {
-        self.shared
-            .iter_mut()
-            .for_each(|shared| shared.advance(now));
+        self.store.iter_mut().for_each(|store| store.advance(now));
         self.peers.iter_mut().for_each(|peers| peers.advance(now));
-        self.divide(now);
+        self.advance_budgets(now);
     }
 
-    /// A message of another dispatcher, or a question from the command line.
-    pub fn message(&mut self, now: Timestamp, told: FromPeers) {
+    /// Handles a message of another dispatcher, or a query from the command line.
+    pub fn on_message(&mut self, now: Timestamp, received: FromPeers) {
         let Some(peers) = &mut self.peers else {
             return;
         };
-        match told.message.notes[..] {
-            [Note::ShowOf(no, BESIDE)] => {
+        match received.message.parts[..] {
+            [MessagePart::SubsystemStatusRequest(no, BESIDE)] => {
                 let shown = self
-                    .divided
+                    .budgets
                     .as_ref()
-                    .map(|divided| divided.following.show(now));
+                    .map(|budgets| budgets.following.show(now));
                 let text = shown.unwrap_or("budgets are off".into());
-                peers.answer(now, told.from, no, text);
+                peers.answer(now, received.from, no, text);
             }
-            _ => peers.message(now, told.from, told.message),
+            _ => peers.on_message(now, received.from, received.message),
         }
     }
 
-    /// Words of others reach the division, and what follows goes out: by the peers' messages, or else by the store.
-    fn divide(&mut self, now: Timestamp) {
-        let words = self.peers.as_mut().map(Peered::words).unwrap_or_default();
-        let posted = self
-            .shared
+    /// Passes messages of other dispatchers to the budgets, lets time pass there, and sends the
+    /// resulting messages, through the peers or otherwise through the store.
+    fn advance_budgets(&mut self, now: Timestamp) {
+        let from_peers = self
+            .peers
+            .as_mut()
+            .map(PeersRuntime::take_subsystem_messages)
+            .unwrap_or_default();
+        let from_store = self
+            .store
             .as_mut()
-            .map(|shared| std::mem::take(&mut shared.posted));
-        let Some(divided) = &mut self.divided else {
+            .map(|store| std::mem::take(&mut store.received));
+        let Some(budgets) = &mut self.budgets else {
             return;
         };
-        for (from, _, bytes) in words.iter().filter(|word| word.1 == BESIDE) {
-            divided.heard(now, *from, bytes);
+        for (from, _, bytes) in from_peers.iter().filter(|message| message.1 == BESIDE) {
+            budgets.on_message(now, *from, bytes);
         }
-        for (from, bytes) in posted.into_iter().flatten() {
+        for (from, bytes) in from_store.into_iter().flatten() {
             if let Some((&BESIDE, bytes)) = bytes.split_first() {
-                divided.heard(now, PeerId(from.0), bytes);
+                budgets.on_message(now, PeerId(from.0), bytes);
             }
         }
-        divided.advance(now, &mut self.zones);
-        self.cold = divided.following.cold().or(self.cold);
-        self.send_words(now);
+        budgets.advance(now, &mut self.zones);
+        self.slow_start_shares = budgets.following.cold().or(self.slow_start_shares);
+        self.send_budget_messages(now);
     }
 
-    fn send_words(&mut self, now: Timestamp) {
-        let Some(divided) = &mut self.divided else {
+    /// Sends the pending messages of the budgets.
+    fn send_budget_messages(&mut self, now: Timestamp) {
+        let Some(budgets) = &mut self.budgets else {
             return;
         };
-        let (own, messages) = (divided.own().0, divided.messages());
+        let (own, messages) = (budgets.identity().0, budgets.take_messages());
         for (to, bytes) in messages {
-            match (&mut self.peers, &mut self.shared) {
-                (Some(peers), _) => peers.send(now, to, BESIDE, bytes),
-                (None, Some(shared)) => shared.post(now, own, to, BESIDE, &bytes),
+            match (&mut self.peers, &mut self.store) {
+                (Some(peers), _) => peers.send_subsystem_message(now, to, BESIDE, bytes),
+                (None, Some(store)) => store.post(now, own, to, BESIDE, &bytes),
                 (None, None) => {}
             }
         }
     }
 
-    /// Who this is to the others, where there is a way to them; by the store it is this process for as long as it runs.
-    fn own(&self, name: &str, fresh: Life) -> Option<(PeerId, Life)> {
+    /// The identity of this dispatcher among the others, if it can reach them. Through the store,
+    /// the identity is kept for as long as this process runs.
+    fn identity(&self, name: &str, new_boot_id: BootId) -> Option<(PeerId, BootId)> {
         if let Some(peers) = &self.peers {
-            return Some(peers.own());
+            return Some(peers.identity());
         }
-        let by_store = self
-            .shared
-            .as_ref()
-            .is_some_and(|shared| shared.config.words);
+        let by_store = self.store.as_ref().is_some_and(|store| store.config.words);
         let id = PeerId::of_name(name);
         let known = self
-            .divided
+            .budgets
             .as_ref()
-            .map(Divided::own)
+            .map(BudgetsRuntime::identity)
             .filter(|own| own.0 == id);
-        by_store.then(|| known.unwrap_or((id, fresh)))
+        by_store.then(|| known.unwrap_or((id, new_boot_id)))
     }
 
-    /// What the operator's file says of budgets: the same section for the same member goes on.
-    pub fn budgets(
+    /// Applies the section about budgets. If the section and the identity are unchanged, the
+    /// present state is kept.
+    pub fn apply_budgets_section(
         &mut self,
         now: Timestamp,
         config: Option<&BudgetsSheet>,
-        (name, fresh): (&str, Life),
-        (terms, seed): (&DispatcherSettings, u64),
+        (name, new_boot_id): (&str, BootId),
+        (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.own(name, fresh);
+        let own = self.identity(name, new_boot_id);
         let Some((config, own)) = config.zip(own) else {
-            if self.divided.take().is_some() {
+            if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
-                self.cold = Some((None, None));
+                self.slow_start_shares = Some((None, None));
             }
             if let Some(zones) = &mut self.zones {
-                let all: Vec<String> = zones.dividable().map(|limit| limit.name.clone()).collect();
-                all.iter().for_each(|name| zones.divide(now, name, None));
+                let names: Vec<String> =
+                    zones.dividable().map(|limit| limit.name.clone()).collect();
+                names.iter().for_each(|name| zones.divide(now, name, None));
             }
             return;
         };
         if !self
-            .divided
+            .budgets
             .as_ref()
-            .is_some_and(|divided| divided.is(config, own))
+            .is_some_and(|budgets| budgets.is_for(config, own))
         {
-            let fresh = Divided::new(now, config.clone(), own, terms, seed, log.clone());
-            self.divided = Some(fresh);
+            let runtime =
+                BudgetsRuntime::new(now, config.clone(), own, settings, seed, log.clone());
+            self.budgets = Some(runtime);
         }
-        if let Some(divided) = &mut self.divided {
-            divided.following.set(now, self.zones.as_ref());
-            divided.following.again();
+        if let Some(budgets) = &mut self.budgets {
+            budgets.following.set(now, self.zones.as_ref());
+            budgets.following.again();
         }
-        if let Some(shared) = self.shared.as_mut().filter(|_| self.peers.is_none()) {
-            shared.sharing.expects(BoxId(own.0.0));
+        if let Some(store) = self.store.as_mut().filter(|_| self.peers.is_none()) {
+            store.sharing.expects(BoxId(own.0.0));
         }
-        self.divide(now);
+        self.advance_budgets(now);
     }
 
-    /// It ends in order: what it holds is given back.
+    /// Leaves the fleet in order when the process ends: leases are given back.
     pub fn leave(&mut self, now: Timestamp) {
-        self.divided
+        self.budgets
             .iter_mut()
-            .for_each(|divided| divided.following.leave(now));
-        self.send_words(now);
+            .for_each(|budgets| budgets.following.leave(now));
+        self.send_budget_messages(now);
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
 
-    /// Among how many work for cold hosts is divided, where that is another now.
-    pub fn cold(&mut self) -> Option<(Option<f64>, Option<f64>)> {
-        self.cold.take()
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that
+    /// has changed.
+    pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
+        self.slow_start_shares.take()
     }
 
-    pub fn take(&mut self) -> Option<Due> {
-        let shared = self.shared.as_mut().and_then(Shared::take);
-        shared.or_else(|| self.peers.as_mut().and_then(Peered::take))
+    /// Takes the next event of a subsystem.
+    pub fn take_event(&mut self) -> Option<SubsystemEvent> {
+        let store = self.store.as_mut().and_then(StoreClient::take_event);
+        store.or_else(|| self.peers.as_mut().and_then(PeersRuntime::take_event))
     }
 }
 
-/// Sharing as long as it is on, with the way to the store and what is held back for it.
-pub struct Shared {
+/// State shared with other dispatchers through the store, with the requests that are held for it.
+pub struct StoreClient {
+    /// The section that is in force.
     pub config: Sheet,
     folding: Folding,
     sharing: Sharing,
-    to: mpsc::Sender<ToStore>,
-    run: String,
-    waiting: Waiting,
-    /// Words of other subsystems, from whom.
-    posted: Vec<(BoxId, Vec<u8>)>,
+    orders: mpsc::Sender<ToStore>,
+    /// The server process that the connection leads to.
+    run_id: String,
+    held: HeldRequests,
+    /// Messages of other dispatchers for other subsystems, with their senders.
+    received: Vec<(BoxId, Vec<u8>)>,
     log: Logger,
 }
 
-impl Shared {
+impl StoreClient {
+    /// `targets`: how long requests wait at most, by class.
     pub fn new(
         config: Sheet,
         sharing: Sharing,
-        to: mpsc::Sender<ToStore>,
-        dues: Vec<TimeSpan>,
+        orders: mpsc::Sender<ToStore>,
+        targets: Vec<TimeSpan>,
         log: Logger,
-    ) -> Shared {
-        Shared {
+    ) -> StoreClient {
+        StoreClient {
             folding: Folding::new(&config.prefix),
             config,
             sharing,
-            to,
-            run: String::new(),
-            waiting: Waiting::new(dues),
-            posted: Vec::new(),
+            orders,
+            run_id: String::new(),
+            held: HeldRequests::new(targets),
+            received: Vec::new(),
             log,
         }
     }
 
-    /// Words of another subsystem for another dispatcher; its number goes before them.
-    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, of: u8, bytes: &[u8]) {
-        let bytes = [&[of], bytes].concat();
+    /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is
+    /// its first byte.
+    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
+        let bytes = [&[subsystem], bytes].concat();
         self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
-        self.act();
+        self.apply_actions();
     }
 
-    /// A request comes: one with a key waits for the store for as long as that may take.
-    pub fn come(&mut self, now: Timestamp, arrival: Arrival, mark: &str) {
-        let due = self.waiting.hold(now, arrival);
-        let key = self.folding.key(arrival.class, mark);
-        self.sharing.come(now, arrival.id, key, due);
-        self.act();
+    /// Handles a request with a key: it is held until the store has answered, or until its target.
+    pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
+        let held_until = self.held.hold(now, arrival);
+        let key = self.folding.key(arrival.class, key);
+        self.sharing.come(now, arrival.id, key, held_until);
+        self.apply_actions();
     }
 
-    pub fn sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.waiting.place(host) {
+    /// Handles an attempt that is sent.
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
+        if let Some(place) = self.held.location_of(host) {
             self.sharing.hand_off(now, id, place);
-            self.act();
+            self.apply_actions();
         }
     }
 
-    /// It has its final answer, or its client left; the decisions may never have heard of it.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
-        self.waiting.forget(id);
+    /// Handles a request that has its final answer or whose client has gone. The decisions may not
+    /// know the request.
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+        self.held.forget(id);
         self.sharing.ended(now, id, came);
-        self.act();
+        self.apply_actions();
     }
 
-    /// Nothing is shared any more: whoever waits goes on.
-    pub fn end(self) -> impl Iterator<Item = Arrival> {
-        self.waiting.end()
+    /// Ends the sharing and returns the requests that waited, which may continue.
+    pub fn into_arrivals(self) -> impl Iterator<Item = Arrival> {
+        self.held.into_arrivals()
     }
 
-    pub fn told(&mut self, now: Timestamp, told: FromStore) {
-        match told {
-            FromStore::Connected { run_id: run } => {
-                self.run = run;
+    /// Handles an event of the connection to the store.
+    pub fn on_store_message(&mut self, now: Timestamp, message: FromStore) {
+        match message {
+            FromStore::Connected { run_id } => {
+                self.run_id = run_id;
                 self.sharing.connected(now);
             }
             FromStore::Disconnected => self.sharing.broken(now),
             FromStore::Answered(id, reply) => self.sharing.answered(now, id, reply),
         }
-        self.act();
+        self.apply_actions();
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    /// When it next has something to do.
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.sharing.next()
     }
 
+    /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
         if self.sharing.next().is_some_and(|at| at <= now) {
             self.sharing.advance(now);
-            self.act();
+            self.apply_actions();
         }
     }
 
-    pub fn take(&mut self) -> Option<Due> {
-        self.waiting.take()
+    /// Takes the next event.
+    pub fn take_event(&mut self) -> Option<SubsystemEvent> {
+        self.held.take_event()
     }
 
-    pub fn figures(&self) -> String {
+    /// Counts and sizes, for the log.
+    pub fn summary(&self) -> String {
         let (records, under_way, news) = self.sharing.kept();
         let counts = self.sharing.counts();
         let trust = self.sharing.trust().word();
         format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
     }
 
-    fn act(&mut self) {
+    /// Carries out the actions of the decisions about shared state.
+    fn apply_actions(&mut self) {
         for act in self.sharing.take() {
             match act {
-                Act::Connect => drop(self.to.send(ToStore::Connect)),
-                Act::Disconnect => drop(self.to.send(ToStore::Disconnect)),
+                Act::Connect => drop(self.orders.send(ToStore::Connect)),
+                Act::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
                 Act::Ask {
                     id,
                     op,
                     epoch,
                     not_after_ms,
                 } => {
-                    let (prefix, run) = (self.config.prefix.as_str(), self.run.as_str());
+                    let (prefix, run) = (self.config.prefix.as_str(), self.run_id.as_str());
                     let under = Under {
                         prefix,
                         run,
@@ -335,11 +364,11 @@
                         not_after_ms,
                     };
                     let request = Box::new(request(&op, &under));
-                    let _ = self.to.send(ToStore::Execute(id, request));
+                    let _ = self.orders.send(ToStore::Execute(id, request));
                 }
-                Act::Decided { id, verdict } => self.waiting.decided(id, verdict),
+                Act::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Act::Purged { object, group, ago } => {
-                    self.waiting.due(Due::Tell(Event::Purged {
+                    self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
                         age: ago,
@@ -347,9 +376,9 @@
                     }));
                 }
                 Act::Hinted { host } => self
-                    .waiting
-                    .due(Due::Tell(Event::PeerBreakerOpened { host })),
-                Act::Posted { from, bytes } => self.posted.push((from, bytes)),
+                    .held
+                    .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
+                Act::Posted { from, bytes } => self.received.push((from, bytes)),
                 Act::Turned { trust, cause } => {
                     info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
                 }
@@ -357,23 +386,25 @@
         }
     }
 
-    pub fn heard(&mut self, now: Timestamp, event: &Event) {
-        self.waiting.heard(event);
+    /// Handles an event of the decisions.
+    pub fn on_event(&mut self, now: Timestamp, event: &Event) {
+        self.held.on_event(event);
         if let Event::Purged {
             object, group, age, ..
         } = event
         {
             self.sharing.purged(now, *object, *group, *age);
-            self.act();
+            self.apply_actions();
         }
     }
 }
 
-/// What came of a request, by what became of its attempts.
-pub fn came(done: Option<&[u8]>, ran: bool) -> Came {
+/// How a request ended, as far as its attempts tell. A body that is too long for a record is left
+/// out.
+pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Came {
     match done {
         Some(body) => Came::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
-        None if ran => Came::Unknown,
+        None if may_have_run => Came::Unknown,
         None => Came::NeverRan,
     }
 }
@@ -381,11 +412,13 @@
 impl CrossingLimits for Subsystems {
     fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.zones.on_event(now, event);
-        self.shared
+        self.store
+            .iter_mut()
+            .for_each(|store| store.on_event(now, event));
+        self.peers
             .iter_mut()
-            .for_each(|shared| shared.heard(now, event));
-        self.peers.iter_mut().for_each(|peers| peers.heard(event));
-        self.divided
+            .for_each(|peers| peers.on_event(event));
+        self.budgets
             .iter_mut()
             .for_each(|on| on.following.event(now, event));
     }
@@ -398,27 +431,27 @@
         self.zones.on_sent(now, crossing);
     }
 
-    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
-        self.zones.retry_after(now, track)
+    fn retry_after(&self, now: Timestamp, class: ClassId) -> Option<TimeSpan> {
+        self.zones.retry_after(now, class)
     }
 }
 
 impl PeerKnowledge for Subsystems {
     fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
-        let shared = self
-            .shared
+        let store = self
+            .store
             .as_ref()
-            .and_then(|shared| shared.sharing.earlier(id));
-        shared.or_else(|| self.peers.as_ref()?.earlier(id))
+            .and_then(|store| store.sharing.earlier(id));
+        store.or_else(|| self.peers.as_ref()?.earlier_attempt(id))
     }
 
     fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
-        if let Some(shared) = self.shared.as_mut().filter(|_| open) {
-            shared.sharing.opened(now, host);
-            shared.act();
+        if let Some(store) = self.store.as_mut().filter(|_| open) {
+            store.sharing.opened(now, host);
+            store.apply_actions();
         }
         if let Some(peers) = self.peers.as_mut().filter(|_| open) {
-            peers.opened(now, host);
+            peers.on_breaker_opened(now, host);
         }
     }
 }
