--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -8,7 +8,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind, set_hook, take_hook};
 use std::time::{Duration, Instant};
 use trailproxy::policy::system_errors::{
-    ADDRESS_IN_USE_RETRY_PERIOD, INITIAL_STARTUP_RETRY_DELAY, MAX_STARTUP_RETRY_DELAY,
+    EXTERNAL_CAUSE_RETRY_PERIOD, INITIAL_STARTUP_RETRY_DELAY, MAX_STARTUP_RETRY_DELAY,
     startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
@@ -37,7 +37,7 @@
     fn retry_time(&self) -> Duration {
         let retry_time = match self {
             StepError::System(_, error) => startup_retry_period(errno(error)),
-            StepError::HalfWritten(_) => ADDRESS_IN_USE_RETRY_PERIOD,
+            StepError::HalfWritten(_) => EXTERNAL_CAUSE_RETRY_PERIOD,
             StepError::Invalid(_) => TimeSpan::ZERO,
         };
         Duration::from_micros(retry_time.0)
--- a/src/policy/system_errors.rs
+++ b/src/policy/system_errors.rs
@@ -96,7 +96,7 @@
             RESOURCE_SHORTAGE_RETRY_PERIOD
         }
         // A previous process may be about to end, a network about to come up, a file about to be written.
-        EADDRINUSE | EADDRNOTAVAIL | ENOENT | ESTALE => ADDRESS_IN_USE_RETRY_PERIOD,
+        EADDRINUSE | EADDRNOTAVAIL | ENOENT | ESTALE => EXTERNAL_CAUSE_RETRY_PERIOD,
         _ => TimeSpan::ZERO,
     }
 }
@@ -105,7 +105,7 @@
 const RESOURCE_SHORTAGE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(20);
 /// How long the start-up waits for an address that is in use, or for a missing file, before it fails: after that,
 /// another process or the operator is responsible for it.
-pub const ADDRESS_IN_USE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(2);
+pub const EXTERNAL_CAUSE_RETRY_PERIOD: TimeSpan = TimeSpan::from_secs(2);
 /// Initial delay before a step of the start-up is repeated; it grows up to [`MAX_STARTUP_RETRY_DELAY`].
 pub const INITIAL_STARTUP_RETRY_DELAY: TimeSpan = TimeSpan::from_millis(20);
 /// Longest delay before a step of the start-up is repeated.
