--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -1,4 +1,5 @@
-//! What the operator's file says of the other dispatchers, as the reader of the script hands it on.
+//! The operator's section `peers`, as the program that evaluates the operator's script passes it
+//! on.
 
 use crate::decide::PeersSettings;
 use crate::decide::locality::Topology;
@@ -7,56 +8,72 @@
 use serde::{Deserialize, Serialize};
 use trailproxy::units::TimeSpan;
 
-/// The section `peers`, checked in its types and ranges by whoever read the script.
+/// The section `peers`. Types and ranges were checked by the program that evaluated the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PeersConfig {
+    /// The file of the section.
     pub file: String,
-    /// Line and column of the section, from 1.
+    /// Line and column of the section in its file, from 1.
     #[serde(rename = "place")]
     pub position: (usize, usize),
+    /// The name of the fleet.
     pub fleet: String,
-    /// A file that holds what only this fleet knows; empty: its name alone tells it from others.
+    /// A file with a secret that only this fleet knows. If it is empty, only the fleet's name
+    /// distinguishes its messages from those of other fleets.
     #[serde(default)]
     pub secret_file: String,
-    /// Where this one is written to; empty where the environment or the configuration says it.
+    /// The address on which this dispatcher listens. Empty if the environment or the configuration
+    /// names it.
     pub listen: String,
-    /// Where others write to it, if that is another address than it listens on; empty: the same.
+    /// The address to which other dispatchers send, if it differs from `listen`. Empty: the same.
     #[serde(default)]
     pub advertise: String,
-    /// Addresses of some others, or of all.
+    /// Addresses of some or all of the other dispatchers.
     pub seeds: Vec<String>,
-    /// An access with a key of which the others can't say that it is new: `send` it as one alone would, or `refuse` it.
+    /// What happens to a keyed request of which the other dispatchers can't confirm that it is new:
+    /// `send` treats it as a dispatcher without peers would, `refuse` refuses it.
     #[serde(default)]
     pub unsure: Unsure,
+    /// The longest time for which a keyed request waits for other dispatchers.
     pub wait_ms: f64,
+    /// How long the record of a key is kept.
     pub keep_s: f64,
+    /// Whether records of keyed requests are shared.
     pub records: bool,
+    /// Whether purges are shared.
     pub purges: bool,
+    /// Whether changes of hosts are shared.
     pub hosts: bool,
+    /// Whether openings of breakers are shared.
     pub hints: bool,
-    /// Where dispatchers are; empty: nothing depends on it.
+    /// The sites of the dispatchers. If it is empty, distances are not taken into account.
     #[serde(default)]
     pub sites: Vec<Site>,
 }
 
-/// What becomes of an access with a key that nobody is sure about.
+/// What happens to a keyed request whose novelty nobody can confirm.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Unsure {
+    /// Send the request.
     #[default]
     Send,
+    /// Refuse the request.
     Refuse,
 }
 
-/// What the section comes to.
+/// The parsed addresses of the section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Addresses {
+    /// The address on which the dispatcher listens.
     pub listen: Address,
+    /// The address to which others send.
     pub advertise: Address,
+    /// The addresses at which other dispatchers are looked for.
     pub seeds: Vec<Address>,
 }
 
-/// An IPv4 address with its port.
+/// Parses an IPv4 address with its port.
 pub fn address(text: &str) -> Option<Address> {
     let at: std::net::SocketAddrV4 = text.parse().ok()?;
     Some(Address {
@@ -66,7 +83,7 @@
 }
 
 impl PeersConfig {
-    /// The message of a field that does not fit.
+    /// The error message for a field with an invalid value.
     pub fn invalid_field(&self, field: &str, found: &str, accepted: &str) -> String {
         let (line, column) = self.position;
         format!(
@@ -75,8 +92,8 @@
         )
     }
 
-    /// Where it listens and whom it looks for; the message names what does not fit. `given`: where the environment or the
-    /// configuration has it listen.
+    /// The addresses of the section, or an error that names the invalid field. `given` is the
+    /// listen address from the environment or the configuration; it takes precedence.
     pub fn addresses(&self, given: Option<&str>) -> Result<Addresses, String> {
         const FORM: &str = "an IPv4 address and a port, as in 10.1.2.3:7946";
         let read = |field: &str, text: &str| {
@@ -110,12 +127,13 @@
         })
     }
 
-    /// Where the dispatcher that others write to at this address is; the message names what does not fit.
+    /// The zones of the fleet and the location of the dispatcher whose advertised address is `own`,
+    /// or an error that names the invalid field.
     pub fn topology(&self, own: Address) -> Result<Option<Topology>, String> {
         sites::topology(&self.file, &self.sites, own)
     }
 
-    /// What only the fleet knows, as its file has it; empty where none is named.
+    /// The fleet's secret from its file; empty if no file is named.
     pub fn secret(&self) -> Result<Vec<u8>, String> {
         let path = self.secret_file.as_str();
         if path.is_empty() {
@@ -132,8 +150,9 @@
         Ok(secret.trim_ascii().to_vec())
     }
 
-    /// The longest of all windows with an outer limit behind it, and the time after which no copy from before a purge is
-    /// left, are the deployment's.
+    /// The settings that follow from the section. The deployment determines `longest_window`, the
+    /// longest repeat window plus the request deadline, and `purges_last`, the time after which no
+    /// copy from before a purge is left.
     pub fn settings(
         &self,
         longest_window: TimeSpan,
