--- a/crates/peers/src/sites.rs
+++ b/crates/peers/src/sites.rs
@@ -1,34 +1,38 @@
-//! Where the fleet's dispatchers are, as the operator's file has it: one section `site` for each place.
+//! Sites of the fleet's dispatchers: the operator's sections `site`.
 
 use crate::decide::locality::{Locality, PeerZoneId, Topology};
 use crate::decide::messages::Address;
 use serde::{Deserialize, Serialize};
 use std::net::Ipv4Addr;
 
-/// The section `site`, checked in its types by whoever read the script.
+/// A section `site`. Types were checked by the program that evaluated the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Site {
-    /// Line and column of the section, from 1.
+    /// Line and column of the section in its file, from 1.
     #[serde(rename = "place")]
     pub position: (usize, usize),
+    /// The name of the site.
     pub name: String,
+    /// The zone of the site.
     pub zone: String,
+    /// The region of the zone.
     pub region: String,
-    /// The dispatchers there: addresses that others write to, or networks of them.
+    /// The dispatchers at this site: addresses to which others send, or networks.
     pub members: Vec<String>,
 }
 
-/// Addresses that a site has.
+/// A range of addresses that belong to a site.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Range {
     first: u32,
     last: u32,
-    /// Only this port; else any.
+    /// The only port that belongs to the range; `None`: every port.
     port: Option<u16>,
 }
 
-/// The forms of a site's members.
-const FORMS: &str = "addresses as in 10.1.2.3 or 10.1.2.3:7946, or networks as in 10.1.2.0/24";
+/// The accepted forms of a site's members, for error messages.
+const MEMBER_FORMS: &str =
+    "addresses as in 10.1.2.3 or 10.1.2.3:7946, or networks as in 10.1.2.0/24";
 
 impl Range {
     fn read(text: &str) -> Option<Range> {
@@ -63,15 +67,15 @@
     }
 }
 
-/// What does not fit, of which section and field.
-struct Misfit<'a> {
+/// An invalid value, with its section and field.
+struct InvalidValue<'a> {
     site: &'a Site,
     field: &'static str,
     found: String,
     accepted: String,
 }
 
-impl Misfit<'_> {
+impl InvalidValue<'_> {
     fn message(&self, file: &str) -> String {
         let ((line, column), field) = (self.site.position, self.field);
         let (found, accepted) = (&self.found, &self.accepted);
@@ -81,24 +85,24 @@
     }
 }
 
-fn ranges(site: &Site) -> Result<Vec<Range>, Misfit<'_>> {
+fn ranges(site: &Site) -> Result<Vec<Range>, InvalidValue<'_>> {
     let read = |text: &String| {
-        Range::read(text).ok_or_else(|| Misfit {
+        Range::read(text).ok_or_else(|| InvalidValue {
             site,
             field: "members",
             found: format!("{text:?}"),
-            accepted: FORMS.into(),
+            accepted: MEMBER_FORMS.into(),
         })
     };
     site.members.iter().map(read).collect()
 }
 
-fn zones_in_one_region(sites: &[Site]) -> Result<(), Misfit<'_>> {
-    for (nth, site) in sites.iter().enumerate() {
-        let other = sites[..nth].iter().find(|other| other.zone == site.zone);
+fn zones_in_one_region(sites: &[Site]) -> Result<(), InvalidValue<'_>> {
+    for (index, site) in sites.iter().enumerate() {
+        let other = sites[..index].iter().find(|other| other.zone == site.zone);
         if let Some(other) = other.filter(|other| other.region != site.region) {
             let (zone, region) = (&site.zone, &other.region);
-            return Err(Misfit {
+            return Err(InvalidValue {
                 site,
                 field: "region",
                 found: format!("{:?}", site.region),
@@ -112,7 +116,7 @@
     Ok(())
 }
 
-fn apart(sites: &[Site]) -> Result<(), Misfit<'_>> {
+fn disjoint_members(sites: &[Site]) -> Result<(), InvalidValue<'_>> {
     let mut all: Vec<Vec<Range>> = Vec::new();
     for site in sites {
         let own = ranges(site)?;
@@ -120,8 +124,8 @@
             let taken = all
                 .iter()
                 .position(|other| other.iter().any(|of| of.overlaps(range)));
-            if let Some(other) = taken.and_then(|nth| sites.get(nth)) {
-                return Err(Misfit {
+            if let Some(other) = taken.and_then(|index| sites.get(index)) {
+                return Err(InvalidValue {
                     site,
                     field: "members",
                     found: format!("{text:?}"),
@@ -137,14 +141,15 @@
     Ok(())
 }
 
-/// A zone is in one region, and no address at two sites.
+/// Checks that each zone is in one region and no address belongs to two sites.
 fn check(file: &str, sites: &[Site]) -> Result<(), String> {
-    let checked = zones_in_one_region(sites).and_then(|()| apart(sites));
-    checked.map_err(|misfit| misfit.message(file))
+    let checked = zones_in_one_region(sites).and_then(|()| disjoint_members(sites));
+    checked.map_err(|invalid| invalid.message(file))
 }
 
-/// Where the dispatcher of this address is among all sites; `None`: the file names none. The message tells what does not
-/// fit: a zone in two regions, a dispatcher at two sites or at none.
+/// The zones of the fleet and the location of the dispatcher with this address; `None` if there are
+/// no sites. It is an error if a zone is in two regions, or a dispatcher is at two sites or at
+/// none; the message names what is invalid.
 pub fn topology(file: &str, sites: &[Site], own: Address) -> Result<Option<Topology>, String> {
     let Some(first) = sites.first() else {
         return Ok(None);
@@ -152,7 +157,7 @@
     check(file, sites)?;
     let Some(site) = site_of(sites, own) else {
         let [a, b, c, d] = own.ip;
-        let misfit = Misfit {
+        let invalid = InvalidValue {
             site: first,
             field: "members",
             found: format!(
@@ -161,18 +166,18 @@
             ),
             accepted: "a site for each dispatcher, or no section site at all".into(),
         };
-        return Err(misfit.message(file));
+        return Err(invalid.message(file));
     };
     let locality = Locality::of_names(&site.name, &site.zone, &site.region);
     let zones = sites.iter().map(|site| PeerZoneId::of_name(&site.zone));
     Ok(Some(Topology::new(locality, zones)))
 }
 
-/// The name of the site of this address.
+/// The site to which an address belongs.
 pub fn site_of(sites: &[Site], own: Address) -> Option<&Site> {
-    let completeness = |site: &&Site| {
+    let contains = |site: &&Site| {
         let ranges = site.members.iter().filter_map(|text| Range::read(text));
         ranges.into_iter().any(|range| range.contains(own))
     };
-    sites.iter().find(completeness)
+    sites.iter().find(contains)
 }
