--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,19 +1,25 @@
-//! Messages as datagrams: postcard, each note by itself, so that one of a newer version is passed over, and a keyed sum
-//! behind, so that nothing of another fleet is read.
+//! Messages as datagrams.
+//!
+//! A datagram is a postcard-encoded head, the parts of the message, each encoded separately after
+//! its length, and a keyed checksum. A reader skips parts of kinds that it does not know, as newer
+//! versions send them. The checksum keeps messages of other fleets out.
 
 use crate::decide::messages::{BootId, Message, MessagePart, PeerId};
 use serde::{Deserialize, Serialize};
 
-/// The form of the head. A note of a kind that is not known is left out by its reader; a head never changes but with this.
+/// The version of the head. The head changes only together with this number; unknown kinds of parts
+/// are skipped without a change of version.
 pub const VERSION: u8 = 1;
-/// No longer datagram is read or written.
+/// The longest datagram that is written or read.
 pub const MAX_DATAGRAM_BYTES: usize = 16 << 10;
-const SUM: usize = 16;
+/// Length of the checksum in bytes.
+const CHECKSUM_BYTES: usize = 16;
 
-/// Tells the messages of one fleet from all others'.
+/// The key with which a fleet authenticates its messages.
 #[derive(Clone)]
 pub struct Seal([u8; 32]);
 
+/// The head of a datagram.
 #[derive(Serialize, Deserialize)]
 struct Head {
     version: u8,
@@ -26,32 +32,34 @@
 /// Why a datagram was not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// Another fleet's, or spoilt on its way.
+    /// It is from another fleet, or was corrupted on its way.
     Foreign,
-    /// Of a version that this one does not know the head of.
+    /// Its head has a version that this program does not know.
     Newer,
+    /// It can't be decoded.
     Garbled,
 }
 
 impl Seal {
-    /// `fleet` names the fleet; `secret` may be empty where nobody else can write to its addresses.
+    /// `fleet` is the fleet's name. `secret` may be empty if nobody else can send to the fleet's
+    /// addresses.
     pub fn new(fleet: &str, secret: &[u8]) -> Seal {
-        let mut words = (fleet.len() as u64).to_le_bytes().to_vec();
-        words.extend(fleet.as_bytes());
-        words.extend(secret);
+        let mut key_material = (fleet.len() as u64).to_le_bytes().to_vec();
+        key_material.extend(fleet.as_bytes());
+        key_material.extend(secret);
         Seal(blake3::derive_key(
             "trailproxy letters between dispatchers, 1",
-            &words,
+            &key_material,
         ))
     }
 
-    fn sum(&self, bytes: &[u8]) -> [u8; SUM] {
-        let mut sum = [0; SUM];
-        sum.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..SUM]);
-        sum
+    fn checksum(&self, bytes: &[u8]) -> [u8; CHECKSUM_BYTES] {
+        let mut checksum = [0; CHECKSUM_BYTES];
+        checksum.copy_from_slice(&blake3::keyed_hash(&self.0, bytes).as_bytes()[..CHECKSUM_BYTES]);
+        checksum
     }
 
-    /// `None`: it is longer than any that is read.
+    /// Encodes a message; `None` if it exceeds [`MAX_DATAGRAM_BYTES`].
     pub fn write(&self, message: &Message) -> Option<Vec<u8>> {
         let head = Head {
             version: VERSION,
@@ -66,18 +74,24 @@
             bytes.extend(u16::try_from(part.len()).ok()?.to_le_bytes());
             bytes.extend(part);
         }
-        bytes.extend(self.sum(&bytes));
+        bytes.extend(self.checksum(&bytes));
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
-    /// The message, and how many of its notes are of kinds that this version does not know.
+    /// Decodes a message. Also returns the number of skipped parts of unknown kinds.
     pub fn read(&self, bytes: &[u8]) -> Result<(Message, usize), ReadError> {
-        let at = bytes.len().checked_sub(SUM).ok_or(ReadError::Garbled)?;
-        let (bytes, sum) = bytes.split_at(at);
-        let right = self.sum(bytes);
-        // Every byte is looked at, so that the time it takes tells nothing.
-        let off = right.iter().zip(sum).fold(0, |off, (a, b)| off | (a ^ b));
-        if off != 0 {
+        let at = bytes
+            .len()
+            .checked_sub(CHECKSUM_BYTES)
+            .ok_or(ReadError::Garbled)?;
+        let (bytes, checksum) = bytes.split_at(at);
+        let expected = self.checksum(bytes);
+        // Every byte is compared, so that the time taken reveals nothing about the checksum.
+        let difference = expected
+            .iter()
+            .zip(checksum)
+            .fold(0, |difference, (a, b)| difference | (a ^ b));
+        if difference != 0 {
             return Err(ReadError::Foreign);
         }
         if bytes.first().is_some_and(|&version| version != VERSION) {
@@ -87,18 +101,18 @@
             postcard::take_from_bytes::<Head>(bytes).map_err(|_| ReadError::Garbled)?;
         let (mut parts, mut unknown) = (Vec::new(), 0);
         while !rest.is_empty() {
-            let Some((size, behind)) = rest.split_first_chunk::<2>() else {
+            let Some((size, rest_after)) = rest.split_first_chunk::<2>() else {
                 return Err(ReadError::Garbled);
             };
             let size = usize::from(u16::from_le_bytes(*size));
-            let Some((part, behind)) = behind.split_at_checked(size) else {
+            let Some((part, rest_after)) = rest_after.split_at_checked(size) else {
                 return Err(ReadError::Garbled);
             };
             match postcard::take_from_bytes::<MessagePart>(part) {
                 Ok((part, _)) => parts.push(part),
                 Err(_) => unknown += 1,
             }
-            rest = behind;
+            rest = rest_after;
         }
         let message = Message {
             from: head.from,
