--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -1,13 +1,17 @@
-//! What one dispatcher holds in common with the others, and how it goes on without them.
+//! State that one dispatcher shares with the others, and how it continues without them.
 //!
-//! [`Peers`] is told what happens and answers with [`Action`]s. An access with a key waits for the others as long as the
-//! operator allows and never longer; any other access waits for nobody. What others say never lets an access do more
-//! than it could alone, and where two say different things the one that allows less holds.
+//! [`Peers`] receives events and answers with [`Action`]s. A keyed request waits for the other
+//! dispatchers at most as long as the operator allows; no other request waits for them. What other
+//! dispatchers report never permits a request more than it could do without them, and of two
+//! contradicting reports the more restrictive one applies.
 //!
-//! Four states: *alone*, nobody else is there; *fetching*, others are there and something that this one keeps is lacking;
-//! *whole*; and *shadowed*, a later process has its name, and this one keeps quiet.
+//! A dispatcher is in one of these states: *alone*, no other dispatcher is present; *fetching*,
+//! others are present and this one lacks data of slots of which it is a replica; *whole*, it has
+//! all of that data; *shadowed*, a later process has taken its name, so that it sends nothing;
+//! *left*, it has left the fleet in order.
 
-/// What the others know to be this one's to keep. A macro of borrowed parts, so that the sync can change meanwhile.
+/// Defines `$view`, a [`ReplicaView`] for this member. It is a macro that borrows single fields, so
+/// that `sync` can be modified at the same time.
 macro_rules! view {
     ($self:ident, $view:ident) => {
         let (members, replicas, own) = (&$self.members, &$self.replicas, $self.members.own().id);
@@ -25,18 +29,26 @@
     };
 }
 
+/// Claims of this dispatcher's own requests.
 pub mod claims;
+/// Shared facts and how copies of them are merged.
 pub mod facts;
 mod keyed;
+/// Sites, zones and regions of members.
 pub mod locality;
+/// Membership of the fleet.
 pub mod members;
+/// Messages between members.
 pub mod messages;
 mod operating;
 mod receiving;
+/// Claims of other zones.
 pub mod relay;
 mod relaying;
+/// Assignment of slots to replicas.
 pub mod replicas;
 mod spreading;
+/// Comparison and synchronisation of copies.
 pub mod sync;
 
 use claims::{ClaimOutcome, Claims};
@@ -51,59 +63,80 @@
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Came, Key, Records, Step, Verdict};
 
-/// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
+/// The most by which a sender's clock may be ahead of a reader's. Messages of members with a larger
+/// difference are not read.
 pub const MAX_CLOCK_SKEW: TimeSpan = TimeSpan::from_millis(750);
-/// How long a message may be on its way beside that: what it says may have been overtaken.
+/// The longest time that a message may be on its way in addition to the clock skew. What an older
+/// message says may be outdated.
 const MAX_MESSAGE_DELAY: TimeSpan = TimeSpan::from_secs(1);
-/// One that was not run for so long was away: others may have given it up.
+/// A dispatcher that was not run for this long was paused: other members may have declared it dead.
 const PAUSE_THRESHOLD: TimeSpan = TimeSpan::from_secs(1);
-/// A host's turn is told for so long, and holds for so long against an own list that is silent.
+/// How long a change of a host is reported, and how long it applies while the own host list does
+/// not mention it.
 pub const HOST_CHANGE_RETENTION: TimeSpan = TimeSpan::from_secs(30);
-/// A hint that is older says nothing.
+/// The age at which a report of an opened breaker is dropped.
 const HINT_RETENTION: TimeSpan = TimeSpan::from_secs(5);
-/// What all hear of by themselves is told by the first after a draw from this, so that hundreds don't tell it at once.
+/// An event that all members learn of by themselves is passed on after a random delay up to this
+/// one, so that hundreds of members do not send it at once.
 const MAX_GOSSIP_DELAY: TimeSpan = TimeSpan::from_millis(300);
-/// How often what is new is told on, and to how many.
+/// How often new facts are passed on.
 const GOSSIP_INTERVAL: TimeSpan = TimeSpan::from_millis(150);
+/// The number of members to which new facts are sent.
 const GOSSIP_FANOUT: usize = 3;
-/// Who keeps what is reckoned anew no more often: hundreds that come at once change it once.
+/// The shortest time between two computations of the replicas: hundreds of members that arrive at
+/// once change the replicas only once.
 const REPLICA_UPDATE_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
-/// Rumours in a message, and remembered at once.
+/// Facts in one gossip message.
 const MAX_FACTS_PER_GOSSIP: usize = 20;
+/// Facts that wait to be passed on.
 const MAX_GOSSIP_ENTRIES: usize = 8_192;
+/// Opened breakers that are remembered.
 const MAX_HINTS: usize = 1_024;
-/// One whose clock is too far off is answered no more often, and so many are remembered.
+/// How often a member whose clock is too far off is answered at most.
 const OFF_CLOCK_REPLY_INTERVAL: TimeSpan = TimeSpan::from_secs(1);
+/// Members with a clock that is too far off that are remembered.
 const MAX_OFF_CLOCK_MEMBERS: usize = 1_024;
 
-/// What is held in common, each by itself, and the bounds that the operator sets.
+/// Which kinds of state are shared, and the limits that the operator sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeersSettings {
+    /// Records of keyed requests are shared.
     pub records: bool,
+    /// Purges are shared.
     pub purges: bool,
+    /// Changes of hosts are shared.
     pub hosts: bool,
+    /// Openings of breakers are shared.
     pub hints: bool,
-    /// An access with a key goes out only where the others have said that it is new, or where a repeat is dropped.
+    /// Whether a keyed request is sent only if the other members confirmed that it is new, or where
+    /// a host drops a repeat of it.
     pub refuse_unconfirmed: bool,
-    /// The longest that an access with a key waits.
+    /// The longest time for which a keyed request waits.
     pub max_wait: TimeSpan,
-    /// How long a record is kept: no shorter than any window and outer limit together.
+    /// How long a record is kept: at least the longest sum of a repeat window and a request
+    /// deadline.
     pub record_retention: TimeSpan,
-    /// After that every copy from before a purge is gone.
+    /// The time after a purge at which every copy from before it is gone.
     pub purge_retention: TimeSpan,
 }
 
-/// How it stands with the others.
+/// The state of this dispatcher among its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
+    /// No other dispatcher is present.
     Alone,
+    /// Data of some slots is still to be fetched.
     Fetching,
+    /// All data of its slots is present.
     InSync,
+    /// A later process has the same name.
     Superseded,
+    /// It left the fleet in order.
     Left,
 }
 
 impl PeerState {
+    /// The name of the state in logs and in the status text.
     pub fn as_str(self) -> &'static str {
         match self {
             PeerState::Alone => "alone",
@@ -115,91 +148,104 @@
     }
 }
 
-/// What is to be done.
+/// An action for the caller of [`Peers`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
+    /// Send a message to an address.
     Send(Address, Message),
-    /// An access that came goes on now.
-    Decided {
-        id: RequestId,
-        verdict: Verdict,
-    },
+    /// A request that was passed to [`Peers::on_request`] continues now.
+    Decided { id: RequestId, verdict: Verdict },
+    /// Another member reported a purge.
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
         at: Timestamp,
     },
-    /// Another's list restricts a host, which this one's does not yet.
+    /// Another member's host list restricts a host that the own list does not restrict yet.
     HostRestricted {
         host: HostId,
         listed: ListedState,
         started: Option<Timestamp>,
     },
-    /// That is over: the own list holds.
-    HostRestrictionLifted {
-        host: HostId,
-    },
-    PeerBreakerOpened {
-        host: HostId,
-    },
+    /// The restriction of a host has ended; the own host list applies.
+    HostRestrictionLifted { host: HostId },
+    /// A breaker opened at another member for this host.
+    PeerBreakerOpened { host: HostId },
+    /// This dispatcher's state changed.
     StateChanged(PeerState),
+    /// The status of another member changed.
     MemberStatusChanged(PeerId, MemberStatus),
-    /// Another subsystem's word from that one.
+    /// A message of another subsystem: the sender, the subsystem's number and the bytes.
     SubsystemMessage(PeerId, u8, Vec<u8>),
 }
 
-/// Counters by the names that the operators' page has for them.
+/// Counters, under the names that the operators' documentation uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
+    /// Messages that were read.
     pub letters_in: u64,
+    /// Messages that were sent.
     pub letters_out: u64,
-    /// Messages not read: from too far off by the clock, from this one's own name.
+    /// Messages that were not read because the sender's clock is too far off.
     pub off_clock: u64,
+    /// Messages that were not read because they bear this member's own name.
     pub own_name: u64,
+    /// Claims that were sent to replicas.
     pub claimed: u64,
+    /// Keyed requests that waited for other members.
     pub waited: u64,
+    /// Waiting requests that enough replicas confirmed to be new.
     pub granted: u64,
+    /// Inquiries that too few replicas could confirm.
     pub unsure: u64,
-    /// Questions to this replica: under keys that another zone has claimed, and while it could not prove that keys are new
-    /// in other zones.
+    /// Claims received as a replica for keys that another zone has claimed.
     pub elsewhere: u64,
+    /// Claims received as a replica while it could not prove that keys are new in other zones.
     pub unproved: u64,
+    /// Requests that wait for an attempt of another member.
     pub joined: u64,
+    /// Requests that were answered from a record.
     pub answered: u64,
+    /// Requests that learned of another member's attempt after they had continued.
     pub found_late: u64,
-    /// Facts that there was no room for.
+    /// Facts that were dropped because there was no room.
     pub full: u64,
+    /// Facts from other members that were new.
     pub news: u64,
+    /// Pauses of this dispatcher.
     pub away: u64,
+    /// Pages that were received.
     pub pieces_in: u64,
+    /// Pages that were sent.
     pub pieces_out: u64,
 }
 
+/// A fact that is being passed on.
 #[derive(Clone, Debug)]
 struct GossipEntry {
     left: u32,
     at: Timestamp,
 }
 
-/// How the own list has a host, and what others' lists make of it.
+/// A host in the own list, and what other members' lists say of it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Host {
     started: u64,
     journal_position: u64,
     listed: Option<ListedState>,
-    /// Until then another's word holds against it.
+    /// The time until which another member's report restricts the host.
     restricted: Option<Timestamp>,
 }
 
-/// One whose clock is too far off for it to be listened to.
+/// A member whose clock is too far off for its messages to be read.
 #[derive(Clone, Copy, Debug)]
 struct OffClock {
     heard: Timestamp,
-    /// When it was last told that this one is there.
+    /// When this member was last sent an answer.
     answered: Timestamp,
 }
 
-/// One dispatcher's part.
+/// The shared state and the decisions of one dispatcher.
 #[derive(Clone, Debug)]
 pub struct Peers {
     settings: PeersSettings,
@@ -208,7 +254,7 @@
     replicas: Replicas,
     facts: Facts,
     sync: SlotSync,
-    /// What other zones claim, where this member says where it is.
+    /// Claims of other zones; `None` if this member does not report its location.
     relays: Option<Relays>,
     records: Records,
     claims: Claims,
@@ -216,25 +262,28 @@
     hints: BTreeMap<(HostId, u64), (Timestamp, u32)>,
     hosts: BTreeMap<HostId, Host>,
     gossip_at: Timestamp,
-    /// When it is to be looked again how many were lost lately, where nothing turns before.
+    /// When the lost members are counted again, unless a change of a member comes first.
     next_partition_check_at: Timestamp,
-    /// When it was last reckoned who keeps what, and when it is to be again.
+    /// When the replicas were last computed.
     replicas_updated_at: Timestamp,
+    /// When the replicas are computed next, if that is scheduled.
     replica_update_due: Option<Timestamp>,
     last_run_at: Timestamp,
     next_inquiry_id: u64,
     journal_position: u64,
     state: PeerState,
-    /// It saw fewer than were lost: what the others did meanwhile is not known here.
+    /// Whether it reaches no more members than it lost: what the lost members do meanwhile is not
+    /// known here.
     in_minority_partition: bool,
     lost: usize,
-    /// Those that are there and can't be listened to.
+    /// Members that are present but whose clocks are too far off.
     off_clock: BTreeMap<PeerId, OffClock>,
     counts: Counts,
     actions: Vec<Action>,
 }
 
 impl Peers {
+    /// A dispatcher that starts at `now`. `seed` seeds its random generator.
     pub fn new(now: Timestamp, own: OwnMember, settings: PeersSettings, seed: u64) -> Peers {
         let mut rng = fastrand::Rng::with_seed(seed);
         let lasts = Retention {
@@ -276,37 +325,44 @@
         peers
     }
 
+    /// The settings with which it runs.
     pub fn settings(&self) -> &PeersSettings {
         &self.settings
     }
 
+    /// The counters.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
+    /// The state of this dispatcher among its peers.
     pub fn state(&self) -> PeerState {
         self.state
     }
 
+    /// The members of the fleet.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
+    /// The facts that this dispatcher holds.
     pub fn facts(&self) -> &Facts {
         &self.facts
     }
 
-    /// Replicas in other zones that this one tells of its zone's claims.
+    /// The number of replicas in other zones to which this one reports claims of its zone.
     pub fn relay_partners(&self) -> usize {
         self.relays.as_ref().map_or(0, Relays::partners)
     }
 
-    /// Groups of records that this member keeps a replica of by zone, and how many of them prove keys to be new.
+    /// The number of slot groups of which this member holds a replica within its zone, and of those
+    /// that prove keys to be new.
     pub fn proving_groups(&self) -> (usize, usize) {
         self.relays.as_ref().map_or((0, 0), Relays::proving_groups)
     }
 
-    /// Accesses, questions, debts and rumours that something is kept of, for a check that it stays bounded.
+    /// The numbers of open claims, inquiries, pending updates, and gossip entries with hints.
+    /// Checks use them to show that they stay bounded.
     pub fn pending_counts(&self) -> (usize, usize, usize, usize) {
         let (own, asking, owed) = self.claims.counts();
         (
@@ -317,7 +373,7 @@
         )
     }
 
-    /// The sum of each slot that this one keeps, for a check that copies are the same.
+    /// The checksum of each slot that this member holds. Checks use them to compare copies.
     pub fn slot_checksums(&mut self) -> Vec<(Slot, u64)> {
         let own = self.members.own().id;
         let slots: Vec<Slot> = Slot::all()
@@ -374,7 +430,7 @@
         }
     }
 
-    /// Time has come to `now`; one that was not run for long learns of it before it does anything else.
+    /// Records that time has advanced to `now`, and handles a pause before anything else is done.
     fn detect_pause(&mut self, now: Timestamp) {
         let away = now.since(self.last_run_at) >= PAUSE_THRESHOLD;
         self.last_run_at = self.last_run_at.max(now);
@@ -383,7 +439,7 @@
         }
         self.counts.away += 1;
         self.members.on_pause_ended(now);
-        // It remembers all that it took part in; what the others did meanwhile it does not know.
+        // It remembers everything in which it took part, but not what the others did meanwhile.
         self.sync.clear_unreachable();
         let others = self.members.all().map(|(&id, _)| id);
         self.sync.add_unreachable(others);
@@ -402,13 +458,13 @@
         );
     }
 
-    /// Who keeps what is to be reckoned anew by then.
+    /// Schedules a computation of the replicas for `at` at the latest.
     fn schedule_replica_update(&mut self, at: Timestamp) {
         let due = self.replica_update_due.map_or(at, |due| due.min(at));
         self.replica_update_due = Some(due);
     }
 
-    /// The fleet as it is known: who keeps what follows from it.
+    /// Computes the replicas from the members that are known now.
     fn update_replicas(&mut self, now: Timestamp) {
         let own = self.members.own().id;
         let (fleet, again) = self.members.located(now);
@@ -420,7 +476,7 @@
             .collect();
         let changed = self.replicas.set_members(now, fleet);
         if changed == Changed::Scope {
-            // What was agreed on among other replicas is not known to these.
+            // The new replicas do not know what the former ones agreed on.
             self.resync_all(now, ResyncReason::New);
         }
         if changed != Changed::Nothing {
@@ -436,7 +492,7 @@
         }
     }
 
-    /// What the members' side wants, and what follows from it.
+    /// Carries out the actions that membership requests, and updates what depends on them.
     fn run_member_actions(&mut self, now: Timestamp) {
         let (mut turned, mut members_changed) = (false, false);
         for todo in self.members.take_actions() {
@@ -478,10 +534,12 @@
         }
     }
 
-    /// Whoever sees no more than were lost since records are kept may be on the smaller side of a cut, and is sure of nothing.
-    /// Whoever was there lacks all that it keeps, from when the others are back: they did without it
-    /// what it can't know, and its "nothing known" counts for nothing until it has compared. At once, and not when it is
-    /// next reckoned who keeps what: between the two it would be the only keeper that it knows, and sure.
+    /// Determines whether this member may be in a minority partition: whether it reaches no more
+    /// members than it lost within the retention of records. In a minority partition it confirms
+    /// nothing. When the partition heals, all slots that it holds have to be compared again: the
+    /// others continued without it, and until the comparison its report that nothing is known does
+    /// not count. This takes effect at once and not with the next computation of replicas; in
+    /// between it would be the only replica that it knows of, and would confirm claims.
     fn update_partition_state(&mut self, now: Timestamp) {
         self.next_partition_check_at = now + REPLICA_UPDATE_INTERVAL;
         let keep = self.settings.record_retention;
@@ -490,7 +548,7 @@
             MemberStatus::Suspected => true,
             _ => member.one_way,
         };
-        // Only those matter that a claim is agreed on with.
+        // Only members that take part in agreeing on claims matter.
         let zone_only = self.replicas.scope() == Scope::Zone;
         let (mut there, mut lost_now) = (1, Vec::new());
         for (&id, member) in self.members.all() {
@@ -526,6 +584,7 @@
             .set_in_minority_partition(in_minority_partition);
     }
 
+    /// The state that follows from membership and synchronisation.
     fn current_state(&self) -> PeerState {
         if self.members.own().status == MemberStatus::Left {
             return PeerState::Left;
@@ -543,7 +602,7 @@
         }
     }
 
-    /// When something is to be done by itself next.
+    /// When [`Peers::advance`] has to be called next.
     pub fn next_deadline(&self) -> Timestamp {
         let relays = self.relays.as_ref().and_then(Relays::next_deadline);
         let timed = [
@@ -566,14 +625,14 @@
         timed.chain(always).min().unwrap_or(self.gossip_at)
     }
 
-    /// Time passes: what is due is done.
+    /// Advances time to `now` and does what is due.
     pub fn advance(&mut self, now: Timestamp) {
         self.detect_pause(now);
         let steps = self.records.advance(now);
         self.run_steps(now, steps);
         self.facts.advance(now);
         self.lift_expired_restrictions(now);
-        // The lost are counted for a while only.
+        // Lost members count only for a limited time.
         if now >= self.next_partition_check_at {
             self.update_partition_state(now);
         }
@@ -593,13 +652,14 @@
         self.run_member_actions(now);
     }
 
-    /// What is to be done now.
+    /// Takes the actions that are due.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 }
 
-/// The life of a process that starts at this moment: later ones are higher, and no two of one moment are the same.
+/// The boot id of a process that starts at `now`. Later processes have higher ids, and the seed
+/// distinguishes processes that start at the same time.
 pub fn new_boot_id(now: Timestamp, seed: u64) -> messages::BootId {
     messages::BootId(now.0 << 8 | mix(seed) & 0xff)
 }
