--- a/crates/peers/src/decide/messages.rs
+++ b/crates/peers/src/decide/messages.rs
@@ -1,8 +1,9 @@
-//! What dispatchers say to each other: messages of a few notes each.
+//! Messages between dispatchers. A message consists of a few parts.
 //!
-//! Every note may be lost, doubled, late or out of order, and means the same then. Points in time are the writer's, in
-//! microseconds of Unix time; a message whose own stamp is too far from the reader's clock is not read at all, so that no
-//! writer's clock is ahead of a reader's by more than [`super::MAX_CLOCK_SKEW`].
+//! Every part may be lost, duplicated, late or out of order, and means the same then. Timestamps
+//! are by the sender's clock, in microseconds of Unix time. A message whose stamp differs too much
+//! from the reader's clock is not read, so no sender's clock is ahead of a reader's by more than
+//! [`super::MAX_CLOCK_SKEW`].
 
 use super::facts::{Claim, Fact, FactId, Slot};
 use super::locality::Locality;
@@ -10,129 +11,147 @@
 use serde::{Deserialize, Serialize};
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// A member of the fleet, by its name.
+/// A member of the fleet, identified by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PeerId(pub u64);
 
 impl PeerId {
+    /// The member with this name.
     pub fn of_name(name: &str) -> PeerId {
         PeerId(trailproxy::units::HostId::of_name(name).0)
     }
 }
 
-/// One process under a name: a later one has a higher number.
+/// The number of one process under a member's name; a later process has a higher number.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct BootId(pub u64);
 
-/// Where a member is written to: IPv4.
+/// The IPv4 address to which a member's messages are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Address {
+    /// The IP address.
     pub ip: [u8; 4],
+    /// The UDP port.
     pub port: u16,
 }
 
-/// How a member stands; what is further down holds against what is further up of the same life and incarnation.
+/// The status of a member. Of two reports for the same boot id and incarnation, the variant further
+/// down applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberStatus {
+    /// It answers.
     Alive,
+    /// It did not answer, and has not refuted this yet.
     Suspected,
+    /// It did not refute a suspicion in time.
     Dead,
+    /// It left the fleet in order.
     Left,
 }
 
-/// What somebody says of a member. The greater of two holds: a later life, then a later incarnation, then [`MemberStatus`].
+/// A report about a member. Of two reports the one with the higher [`MemberUpdate::rank`] applies:
+/// the later boot id, then the later incarnation, then the status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
+    /// The member.
     pub id: PeerId,
+    /// Where its messages are sent.
     pub address: Address,
+    /// The process that the report is about.
     pub boot_id: BootId,
-    /// Raised by the member itself, when it hears that it is doubted.
+    /// Raised by the member itself when it learns that others suspect it.
     pub incarnation: u32,
+    /// The reported status.
     pub status: MemberStatus,
 }
 
 impl MemberUpdate {
+    /// The order by which reports about one member are compared.
     pub fn rank(&self) -> (BootId, u32, MemberStatus) {
         (self.boot_id, self.incarnation, self.status)
     }
 }
 
-/// One question that is answered with its number.
+/// The number of an inquiry; the answer repeats it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct InquiryId(pub u64);
 
-/// How much one knows, told with signs of life.
+/// A summary of what a member knows, sent with pings and their answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberSummary {
+    /// Whether the member is in [`super::PeerState::InSync`].
     pub in_sync: bool,
+    /// The number of records that it holds.
     pub records: u32,
-    /// The last place in the journal.
+    /// The last journal position.
     pub journal_position: u64,
-    /// A sum of who is there, and in which life.
+    /// A checksum of the present members and their boot ids.
     pub membership_checksum: u64,
 }
 
-/// How much of a slot its keeper has.
+/// How complete a replica's copy of a slot is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Completeness {
-    /// Something may be lacking, from any time.
+    /// Facts from any time may be missing.
     Partial,
-    /// All that it took part in, and not what others did while it was cut off.
+    /// It has everything in which it took part, but not what others did while it was partitioned.
     OwnOnly,
+    /// Nothing is missing.
     Complete,
 }
 
+/// A part of a message. The order of the variants is part of the wire format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MessagePart {
+    /// A ping.
     Ping(InquiryId, MemberSummary),
+    /// The answer to a ping.
     Ack(InquiryId, MemberSummary),
-    /// Ping that one for me: I don't reach it.
+    /// Asks the reader to ping a member that the sender does not reach.
     IndirectPing(InquiryId, PeerId, Address),
-    /// It is alive, though you don't reach it.
+    /// The member answered the reader's indirect ping.
     IndirectAck(InquiryId, PeerId),
-    /// Who is there?
+    /// Asks for the list of members.
     MembersRequest,
+    /// Reports about members.
     MemberUpdates(Vec<MemberUpdate>),
-    /// A breaker opened at that moment, for a host that started then (in seconds).
-    BreakerOpened {
-        host: u64,
-        started: u64,
-        at: u64,
-    },
-    /// Facts for whoever keeps them; nothing is answered.
+    /// A breaker opened at `at` for a host that started at `started` (in seconds).
+    BreakerOpened { host: u64, started: u64, at: u64 },
+    /// Facts for members that hold them; they are not acknowledged.
     Gossip(Vec<Fact>),
-    /// I am about to send under this key: what is known of it? `claim` is none where it only looks.
+    /// The sender is about to send a request with this key and asks what is known of the key.
+    /// `claim` is `None` if the sender only asks.
     Claim {
         inquiry_id: InquiryId,
         key: u128,
         claim: Option<Claim>,
     },
-    /// All that is known of the key; `sure`: what is not there never was, for as long as it matters.
+    /// Everything that is known of the key. `sure`: any claim that is not listed does not exist,
+    /// for as long as it would matter.
     ClaimStatus {
         inquiry_id: InquiryId,
         sure: bool,
         claims: Vec<Claim>,
     },
-    /// Facts that the writer wants to be sure of.
+    /// Facts whose storage has to be acknowledged.
     Store(InquiryId, Vec<Fact>),
+    /// The facts of this inquiry are stored.
     Stored(InquiryId),
-    /// Sums of what I have in these slots.
+    /// Checksums of the sender's copies of these slots.
     Checksums(Vec<(Slot, u64)>),
-    /// The same here.
+    /// The sender's copies of these slots are the same.
     Same {
         slots: Vec<Slot>,
         completeness: Completeness,
     },
-    /// Not the same here: I fetch what you have, and you may fetch what I have.
+    /// The sender's copies of these slots differ. The sender fetches the reader's facts, and the
+    /// reader may fetch the sender's.
     Different(Vec<Slot>),
-    /// Give me what you have of a slot, from after that fact on.
-    PageRequest {
-        slot: Slot,
-        after: Option<FactId>,
-    },
-    /// `end`: there is no more of it.
+    /// Asks for facts of a slot, after the given one.
+    PageRequest { slot: Slot, after: Option<FactId> },
+    /// Facts of a slot. `end`: there are no further ones.
     Page {
         slot: Slot,
         after: Option<FactId>,
@@ -140,73 +159,84 @@
         end: bool,
         completeness: Completeness,
     },
-    /// From the command line: how do you stand?
+    /// From the command line: asks for the status text.
     StatusRequest(InquiryId),
-    /// From the command line: leave the fleet and serve alone, or come back to it.
+    /// From the command line: leave the fleet and serve alone (`true`), or join it again (`false`).
     Leave(InquiryId, bool),
+    /// The answer to a request from the command line.
     OperatorReply(InquiryId, String),
-    /// From the command line: how does that subsystem stand?
+    /// From the command line: asks for the status text of a subsystem.
     SubsystemStatusRequest(InquiryId, u8),
-    /// Of another subsystem, which reads it by itself: its number, and its bytes.
+    /// A message of another subsystem: its number, and bytes that it decodes itself.
     Subsystem(u8, Vec<u8>),
-    /// Where the writer is.
+    /// The location of the sender.
     SenderLocality(Locality),
-    /// Where the members of the updates just before are, in their order.
+    /// The locations of the members in the preceding updates, in the same order.
     MemberLocalities(Vec<Option<Locality>>),
-    /// As [`MessagePart::Claim`], of a writer whose zone has replicas of its own, to one of them.
+    /// As [`MessagePart::Claim`], from a member whose zone has its own replicas to one of these.
     ClaimInZone {
         inquiry_id: InquiryId,
         key: u128,
         claim: Option<Claim>,
     },
-    /// What is claimed in the writer's zone.
+    /// Claims made in the sender's zone.
     Relay(Relay),
-    /// As [`MessagePart::Checksums`], of what was last of use within this time only. It is answered in the same way.
+    /// As [`MessagePart::Checksums`], over the facts whose timestamp is in this range only. The
+    /// answers are the same.
     ChecksumsInRange(TimeRange, Vec<(Slot, u64)>),
 }
 
-/// A range of time, from its first moment to the one before the last, by the writer's clock.
+/// A range of timestamps by the sender's clock: `from` is included, `until` is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeRange {
+    /// The first timestamp in the range.
     pub from: u64,
+    /// The first timestamp after the range.
     pub until: u64,
 }
 
 impl TimeRange {
+    /// Whether a timestamp is in the range.
     pub fn contains(&self, at: Timestamp) -> bool {
         (self.from..self.until).contains(&at.0)
     }
 }
 
-/// One replica's log of claims; another one is begun with each process and whenever a member becomes a replica.
+/// A replica's log of claims. A new log starts with each process and whenever a member becomes a
+/// replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogId(pub u32);
 
-/// What was claimed of a group of slots, to a replica in another zone.
+/// Claims in a group of slots, for a replica in another zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Relay {
+    /// The group of slots.
     pub group: GroupNo,
+    /// The sender's log.
     pub log: LogId,
-    /// The number of the first entry here.
+    /// The number of the first entry in this message.
     pub first: u64,
-    /// Whether the log has none before it that matters.
+    /// Whether the log has no earlier entry that matters.
     pub is_first: bool,
-    /// Whether it has none after those here.
+    /// Whether the log has no entry after these.
     pub last: bool,
+    /// The entries, in the order of the log.
     pub entries: Vec<Entry>,
-    /// Whether all that is claimed in the writer's zone is in the log.
+    /// Whether the log contains every claim made in the sender's zone.
     pub complete: bool,
-    /// The stamp of the reader's last relay that came.
+    /// The stamp of the last relay from the reader that arrived.
     pub echo: Option<u64>,
-    /// The reader's log, and the first number of it that has not come.
+    /// The reader's log, and the number of its first entry that has not arrived.
     pub ack: Option<(LogId, u64)>,
-    /// A checksum of the list of zones, and those of it that the writer hears, by their places.
+    /// A checksum of the list of zones.
     pub zones: u32,
+    /// The zones from which the sender receives relays, as a bit set of their positions in the list
+    /// of zones.
     pub reachable_zones: u64,
 }
 
 impl Relay {
-    /// About what it fills of a message, in bytes.
+    /// The approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         const HEAD: usize = 36;
         const ENTRY: usize = Entry::KEY_BYTES + 2;
@@ -219,34 +249,41 @@
 pub struct Entry {
     /// A part of the key.
     pub key: [u8; Entry::KEY_BYTES],
-    /// Its age in steps, doubled; odd where the key is free again.
+    /// Twice the age in steps of [`Entry::AGE_STEP`], plus one if the key was released.
     age: u32,
 }
 
 impl Entry {
+    /// The length of the part of the key.
     pub const KEY_BYTES: usize = 5;
-    /// Ages are told in such steps, so that those of the last seconds fill one byte.
+    /// The resolution of ages. With it, ages of the last few seconds take one byte.
     const AGE_STEP: TimeSpan = TimeSpan::from_millis(50);
 
+    /// An entry for a claim (`claimed`) or a release of this age.
     pub fn new(key: [u8; Entry::KEY_BYTES], age: TimeSpan, claimed: bool) -> Entry {
         let steps = (age.0 / Entry::AGE_STEP.0).min(u64::from(u32::MAX >> 1)) as u32;
         let age = steps << 1 | u32::from(!claimed);
         Entry { key, age }
     }
 
-    /// How long ago, and whether it is claimed.
+    /// The age, and whether the key is claimed.
     pub fn age(&self) -> (TimeSpan, bool) {
         let steps = u64::from(self.age >> 1);
         (TimeSpan(steps * Entry::AGE_STEP.0), self.age & 1 == 0)
     }
 }
 
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
+    /// The sender.
     pub from: PeerId,
+    /// The boot id of the sender.
     pub boot_id: BootId,
+    /// The incarnation of the sender.
     pub incarnation: u32,
-    /// When it was written, by the writer's clock.
+    /// When the message was written, by the sender's clock.
     pub stamp: u64,
+    /// The parts, in the order in which they are handled.
     pub parts: Vec<MessagePart>,
 }
