--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -1,14 +1,17 @@
-//! What is held in common, and what two copies that differ make together.
+//! Shared facts, and how two differing copies of a fact are merged.
 //!
-//! Every kind has one rule by which two copies become one. It does not matter in which order copies come, how often, or
-//! who was asked first; and where both can't be right, what is left allows less.
+//! Each kind of fact has one merge rule. The order and number of merges do not matter. Where two
+//! copies contradict each other, the result is the more restrictive of the two.
 //!
 //! | kind | rule |
 //! | --- | --- |
-//! | a claim, by its token | only its owner writes it, and only forward: the further one holds |
-//! | a record, by its key | all claims of both; beyond [`MAX_CLAIMS_PER_KEY`] it is a run that may have been anywhere |
-//! | a purge, by object or group | the later moment |
-//! | a host's turn, by host | the later start; of one start, the later place in the journal; of one place, the more restricted |
+//! | a claim, by its token | only its owner changes it, and only to later stages: the later stage
+//! applies |
+//! | a record, by its key | all claims of both copies; beyond [`MAX_CLAIMS_PER_KEY`], claims of
+//! attempts that may have run anywhere |
+//! | a purge, by object or group | the later time |
+//! | a change of a host, by host | the later start; of one start, the later journal position; of
+//! one position, the more restricted state |
 
 use super::messages::TimeRange;
 use serde::{Deserialize, Serialize};
@@ -16,50 +19,58 @@
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Record, Stand};
 
-/// A part of all that is held: every member keeps the common ones, and a few each of the others.
+/// A part of all facts. Every member holds the common slots, and a few members hold each of the
+/// others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Slot(pub u16);
 
-/// Records are spread over so many slots, by their keys. More make sums longer, fewer make one differing record dear.
+/// The number of slots for records, which are assigned by key. More slots make lists of checksums
+/// longer; with fewer slots, one differing record causes more data to be fetched.
 pub const RECORD_SLOTS: u16 = 256;
-/// Purges and hosts are spread over so many behind them.
+/// The number of slots for purges and hosts; their numbers follow those of the record slots.
 pub const COMMON_SLOTS: u16 = 8;
 
 impl Slot {
+    /// All slots.
     pub fn all() -> impl Iterator<Item = Slot> {
         (0..RECORD_SLOTS + COMMON_SLOTS).map(Slot)
     }
 
-    /// Whether every member keeps it.
+    /// Whether every member holds the slot.
     pub fn is_common(self) -> bool {
         self.0 >= RECORD_SLOTS
     }
 }
 
-/// One dispatcher's claim on a key: no other has the same token.
+/// Identifies one claim of one dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Token(pub u64);
 
-/// How far its owner has come with it. Two ends of one claim can't be, as its owner writes one; of what a broken peer
-/// makes up the one that allows less holds, so that "free" comes before the other ends.
+/// How far the owner of a claim has come. An owner reports one final stage only. If a faulty peer
+/// reports several, the one that permits less applies; `Released` therefore comes before the other
+/// final stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
-    /// A hand-off may go out any moment, anywhere.
+    /// An attempt may be sent at any time, to any location.
     Claimed,
+    /// An attempt was sent.
     Sent,
-    /// It never ran, and never will.
+    /// The request never ran and never will.
     Released,
-    /// Its owner ended without knowing whether it ran.
+    /// The owner does not know whether the request ran.
     Unknown,
+    /// The request is done.
     Done,
 }
 
-/// Where it may have run.
+/// Where the request may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ClaimLocation {
+    /// No attempt was sent yet.
     NotReported,
     /// A zone and a cell.
     At(u16, u16),
+    /// Any zone and cell.
     Anywhere,
 }
 
@@ -73,31 +84,42 @@
     }
 }
 
+/// The claim of one dispatcher on a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Claim {
+    /// Identifies the claim.
     pub token: Token,
-    /// Before the first hand-off, by the owner's clock; never changed on the way.
+    /// When it was claimed, before the first attempt, by the owner's clock. It never changes.
     pub at: u64,
+    /// How far the request has come.
     pub stage: Stage,
+    /// Where it may have run.
     pub location: ClaimLocation,
-    /// The answer, where it is done and small.
+    /// The answer, if the request is done and the answer is small.
     pub body: Option<Box<[u8]>>,
 }
 
-/// Claims of one key that are told apart. More is one client that comes again everywhere at once.
+/// The number of claims that are distinguished for one key. More occur only when one client repeats
+/// a request everywhere at once.
 pub const MAX_CLAIMS_PER_KEY: usize = 12;
-/// The tokens under which further claims are one: the first of them and the last.
+/// Tokens of the two claims that stand for all claims beyond the limit: the earliest and the
+/// latest.
 const OVERFLOW_TOKENS: [Token; 2] = [Token(0), Token(1)];
 
-/// What is asked of a record of one key.
+/// Identifies a fact.
+/// A shared fact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum FactId {
+    /// The record of a key.
     Record(u128),
+    /// The purge of an object or of a group.
     Purge(Option<u64>, u32),
+    /// The state of a host.
     Host(u64),
 }
 
 impl FactId {
+    /// The slot of the fact.
     pub fn slot(self) -> Slot {
         let common = |n: u64| Slot(RECORD_SLOTS + (mix(n) % u64::from(COMMON_SLOTS)) as u16);
         match self {
@@ -108,37 +130,41 @@
     }
 }
 
-/// How a host stands in the list, from free to restricted.
+/// The state of a host in the host list, in increasing order of restriction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ListedState {
+    /// It takes requests.
     Ready,
+    /// It takes no new requests.
     Draining,
+    /// It is not in the list any more.
     Gone,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Fact {
-    Record {
-        key: u128,
-        claims: Vec<Claim>,
-    },
+    /// The claims on a key.
+    Record { key: u128, claims: Vec<Claim> },
+    /// A purge of an object or group.
     Purge {
         object: Option<u64>,
         group: u32,
-        /// When it happened, as the journal service has it.
+        /// When the purge happened, by the journal service's clock.
         at: u64,
     },
+    /// A change of a host in the host list.
     Host {
         host: u64,
         started: u64,
         journal_position: u64,
         listed: ListedState,
-        /// When the list said so, by the clock of who heard it.
+        /// When the list reported it, by the clock of the member that read the list.
         at: u64,
     },
 }
 
 impl Fact {
+    /// Identifies the fact among all copies.
     pub fn id(&self) -> FactId {
         match self {
             Fact::Record { key, .. } => FactId::Record(*key),
@@ -147,7 +173,7 @@
         }
     }
 
-    /// When it was last of use to anybody, by the clock of who wrote it.
+    /// The latest time at which the fact was of use, by the clock of the member that wrote it.
     pub fn at(&self) -> Timestamp {
         Timestamp(match self {
             Fact::Record { claims, .. } => claims.iter().map(|claim| claim.at).max().unwrap_or(0),
@@ -155,14 +181,14 @@
         })
     }
 
-    /// One digit of the sum of a slot.
+    /// The hash of the fact, which is added to the checksum of its slot.
     fn hash(&self) -> u64 {
         let mut hash = Fnv(0xcbf2_9ce4_8422_2325);
         std::hash::Hash::hash(self, &mut hash);
         mix(hash.0)
     }
 
-    /// What about a message it fills, in bytes.
+    /// The approximate encoded size in bytes.
     pub fn size(&self) -> usize {
         match self {
             Fact::Record { claims, .. } => {
@@ -174,7 +200,7 @@
     }
 }
 
-/// The same in every process and build, which the standard hasher does not promise.
+/// The FNV-1a hash. Unlike the standard hasher it is the same in every process and build.
 struct Fnv(u64);
 
 impl std::hash::Hasher for Fnv {
@@ -189,7 +215,7 @@
     }
 }
 
-/// An even spread of a number.
+/// Mixes the bits of a number so that results are evenly distributed.
 pub fn mix(n: u64) -> u64 {
     let mut x = n.wrapping_add(0x9e37_79b9_7f4a_7c15);
     for factor in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
@@ -198,7 +224,7 @@
     x ^ (x >> 31)
 }
 
-/// The further of two copies of one claim.
+/// Merges two copies of one claim.
 fn merge_claim(one: Claim, other: Claim) -> Claim {
     Claim {
         token: one.token,
@@ -224,7 +250,7 @@
     if by_token.len() <= MAX_CLAIMS_PER_KEY && !many {
         return by_token.into_values().collect();
     }
-    // The first counts for windows, the last for how long the record is held.
+    // The earliest determines repeat windows, the latest how long the record is held.
     let times = || by_token.values().map(|claim| claim.at);
     let ends = [times().min(), times().max()].map(Option::unwrap_or_default);
     let one = |(token, at)| Claim {
@@ -237,7 +263,7 @@
     OVERFLOW_TOKENS.into_iter().zip(ends).map(one).collect()
 }
 
-/// What two copies of one fact make together; the first where they are no copies of one.
+/// Merges two copies of a fact. If they are not copies of one fact, the first is returned.
 pub fn merge(one: Fact, other: Fact) -> Fact {
     match (one, other) {
         (
@@ -282,8 +308,8 @@
     }
 }
 
-/// What the claims of a key say at `now` to somebody who holds `own`: `None`, where no other runs or ran. The age is
-/// the greatest that it can be.
+/// What the claims of a key tell at `now` to the owner of claim `own`; `None` if no other request
+/// runs or ran. The age is the greatest possible one.
 pub fn others(now: Timestamp, claims: &[Claim], own: Option<Token>) -> Option<Record> {
     let others = claims.iter();
     let others: Vec<&Claim> = others
@@ -312,43 +338,49 @@
             ClaimLocation::At(zone, cell) => Some((ZoneId(zone), CellId(cell))),
             ClaimLocation::NotReported | ClaimLocation::Anywhere => None,
         },
-        // The owner's clock may be ahead of the keeper's, and that of the reader's.
+        // The owner's clock may be ahead of the replica's, and that one ahead of the reader's.
         age: now.since(Timestamp(first)) + super::MAX_CLOCK_SKEW.mul_f64(2.0),
         body: body.map(|body| body.into_vec()),
     })
 }
 
-/// For how long facts are held, by kind.
+/// How long facts are held, by kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Retention {
+    /// How long records are held.
     pub record: TimeSpan,
+    /// How long purges are held.
     pub purge: TimeSpan,
+    /// How long changes of hosts are held.
     pub host: TimeSpan,
 }
 
+/// The facts of one slot and its checksum, if that is computed.
 #[derive(Clone, Debug, Default)]
 struct SlotFacts {
     facts: BTreeMap<FactId, Fact>,
     sum: Option<u64>,
 }
 
-/// All that one member holds.
+/// All facts that one member holds.
 #[derive(Clone, Debug)]
 pub struct Facts {
     lasts: Retention,
     slots_held: BTreeMap<Slot, SlotFacts>,
-    /// When each is over; one that was renewed stands here under its former end, too.
+    /// When facts expire. A fact that was renewed is also listed under its earlier expiry.
     ends: std::collections::BTreeSet<(Timestamp, FactId)>,
     records: usize,
     commons: usize,
 }
 
-/// Bounds by number. What does not fit is not taken, and who asks is told that it is not sure; nothing that may still
-/// matter is forgotten for it.
+/// The largest number of records that are held. Further ones are not stored, and whoever claims
+/// their keys is told that nothing is certain; no fact that may still matter is dropped instead.
 pub const MAX_RECORDS: usize = 120_000;
+/// The largest number of purges and hosts that are held.
 pub const MAX_COMMON_FACTS: usize = 16_384;
 
 impl Facts {
+    /// An empty store of facts.
     pub fn new(lasts: Retention) -> Facts {
         Facts {
             lasts,
@@ -368,18 +400,22 @@
         fact.at() + lasts
     }
 
+    /// The number of records.
     pub fn record_count(&self) -> usize {
         self.records
     }
 
+    /// The number of purges and hosts.
     pub fn common_count(&self) -> usize {
         self.commons
     }
 
+    /// The stored copy of a fact.
     pub fn get(&self, id: FactId) -> Option<&Fact> {
         self.slots_held.get(&id.slot())?.facts.get(&id)
     }
 
+    /// The slots that hold facts.
     pub fn slots(&self) -> impl Iterator<Item = Slot> {
         self.slots_held.keys().copied()
     }
@@ -392,9 +428,10 @@
         *counter = counter.saturating_add_signed(by);
     }
 
-    /// Takes a fact in. `Some(true)`: it is news; `Some(false)`: it was known, or is over; `None`: there is no room.
+    /// Stores a fact. `Some(true)`: it was new; `Some(false)`: it was known or has expired; `None`:
+    /// there is no room.
     pub fn insert(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
-        // One from far ahead of any clock would be held for as long.
+        // A fact from far in the future would be held for as long.
         if self.end(&fact) <= now || fact.at() > now + super::MAX_CLOCK_SKEW.mul_f64(2.0) {
             return Some(false);
         }
@@ -424,7 +461,7 @@
         Some(true)
     }
 
-    /// What others keep now is dropped here.
+    /// Drops the facts of a slot that other members hold now.
     pub fn drop_slot(&mut self, slot: Slot) {
         if let Some(held) = self.slots_held.remove(&slot) {
             for id in held.facts.into_keys() {
@@ -433,11 +470,12 @@
         }
     }
 
+    /// When the next fact expires.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.ends.first().map(|&(at, _)| at)
     }
 
-    /// Forgets what is over.
+    /// Drops expired facts.
     pub fn advance(&mut self, now: Timestamp) {
         while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.ends.pop_first();
@@ -454,7 +492,8 @@
         }
     }
 
-    /// The same for the same facts, in whatever order they came.
+    /// The checksum of a slot. It depends on the facts only, not on the order in which they
+    /// arrived.
     pub fn checksum(&mut self, slot: Slot) -> u64 {
         let Some(held) = self.slots_held.get_mut(&slot) else {
             return 0;
@@ -465,7 +504,7 @@
         })
     }
 
-    /// The same, of what was last of use within this time.
+    /// The checksum over the facts of a slot whose timestamp is in a range.
     pub fn checksum_in_range(&self, slot: Slot, range: TimeRange) -> u64 {
         let held = self.slots_held.get(&slot);
         let facts = held.into_iter().flat_map(|held| held.facts.values());
@@ -473,7 +512,8 @@
         facts.map(Fact::hash).fold(0, u64::wrapping_add)
     }
 
-    /// A piece of a slot, of about so many bytes; `true`: it is the last.
+    /// Facts of a slot in order after the given one, about `bytes` long, and whether they are the
+    /// last ones.
     pub fn page(&self, slot: Slot, after: Option<FactId>, bytes: usize) -> (Vec<Fact>, bool) {
         let Some(held) = self.slots_held.get(&slot) else {
             return (Vec::new(), true);
