--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -1,9 +1,11 @@
-//! Own claims on keys: who is asked, whose answers are enough, and what others are owed about them.
+//! Claims on the keys of this dispatcher's own requests: the inquiries about them, and the updates
+//! that replicas still have to receive.
 //!
-//! A claim goes to all keepers of its key at once. It stands when more than half of them say, and are sure, that nobody
-//! else has one; any one that knows of another is enough to be bound by it. Two that claim at the same time see each
-//! other at one keeper at least: the later one yields, the earlier waits for that. What becomes of a claim is told to the
-//! keepers until they have it.
+//! A claim is sent to all replicas of its key at once. It is granted when more than half of them
+//! report with certainty that no other claim exists; a single report of another claim is binding.
+//! Two members that claim a key at the same time see each other's claim at one replica at least:
+//! the later one yields, and the earlier one waits for that. Later stages of a claim are sent to
+//! the replicas until they acknowledge them.
 
 use super::facts::{Claim, ClaimLocation, Fact, FactId, Stage, Token, merge, others};
 use super::messages::{InquiryId, PeerId};
@@ -11,86 +13,97 @@
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Came, Key, Record, Stand};
 
-/// A claim of an access that is open here.
+/// The claim of an own request that is in flight.
 #[derive(Clone, Debug)]
 pub struct OwnClaim {
+    /// The key of the request.
     pub key: Key,
+    /// The claim as it was last sent.
     pub claim: Claim,
-    /// It saw an earlier one before anything went out, and took itself back.
+    /// Whether it was withdrawn because an earlier claim was found before any attempt was sent.
     pub yielded: bool,
 }
 
-/// One round of questions about one key.
+/// One round of inquiries about a key.
 #[derive(Clone, Debug)]
 struct Inquiry {
     id: RequestId,
     asked: Timestamp,
-    /// Who has not answered, and how many have to be sure.
+    /// Replicas that have not answered.
     unanswered: BTreeSet<PeerId>,
-    /// Who is asked as soon as one of the others is not sure.
+    /// Replicas that are asked as soon as one of the others is not certain.
     reserve: Vec<PeerId>,
+    /// How many have to be certain.
     required: usize,
     sure: usize,
     claims: Vec<Claim>,
 }
 
-/// What an answer makes of an access.
+/// What the answers so far mean for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimOutcome {
-    /// Nothing yet.
+    /// Not decided yet.
     Pending,
-    /// No other has it.
+    /// No other member has claimed the key.
     Granted,
-    /// Another has it, or had it, as far as was known when it was asked at that moment.
+    /// Another member claims or claimed the key, according to answers to an inquiry of this time.
     Found(Timestamp, Record),
-    /// All have answered, and too few are sure.
+    /// All replicas have answered, and too few are certain.
     Unsure,
 }
 
-/// What others are to know of a claim, until they have it.
+/// An update of a claim that replicas still have to receive.
 #[derive(Clone, Debug)]
 struct PendingUpdate {
     fact: Fact,
-    /// `None`: whoever keeps it by then.
+    /// The replicas that have not acknowledged it; `None`: the replicas at the time of sending.
     to: Option<BTreeSet<PeerId>>,
     at: Timestamp,
     pause: TimeSpan,
     inquiry_id: InquiryId,
 }
 
-/// Accesses that ask, and facts that are owed, at once. More go without: it is as if the others were not there.
+/// Inquiries in flight at once. Further requests continue as if there were no other members.
 const MAX_INQUIRIES: usize = 2_048;
+/// Updates that are held at once; further ones are dropped.
 const MAX_PENDING_UPDATES: usize = 8_192;
-/// How long an answer is of use, for what has not gone out yet.
+/// How long answers to an inquiry are used for a request that has not been sent.
 const INQUIRY_RETENTION: TimeSpan = TimeSpan::from_secs(4);
-/// What is owed is told again after this, then after twice as long, up to the longest pause; then it is left.
+/// When an update is sent again for the first time. Each delay is twice the one before, up to the
+/// longest; then the update is dropped.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(60);
+/// The longest delay before an update is sent again.
 const MAX_RETRY_DELAY: TimeSpan = TimeSpan::from_secs(4);
 
+/// All claims of own requests.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     own: BTreeMap<RequestId, OwnClaim>,
     inquiries: BTreeMap<InquiryId, Inquiry>,
-    /// Questions that are to go out now, of the reserve.
+    /// Inquiries to replicas in reserve that have to be sent now.
     reserve_inquiries: Vec<(InquiryId, RequestId, PeerId)>,
     pending: BTreeMap<FactId, PendingUpdate>,
     update_deadlines: BTreeSet<(Timestamp, FactId)>,
 }
 
 impl Claims {
+    /// The numbers of claims, inquiries and pending updates.
     pub fn counts(&self) -> (usize, usize, usize) {
         (self.own.len(), self.inquiries.len(), self.pending.len())
     }
 
+    /// The claim of a request.
     pub fn get(&self, id: RequestId) -> Option<&OwnClaim> {
         self.own.get(&id)
     }
 
+    /// Whether another inquiry may be started.
     pub fn has_room(&self) -> bool {
         self.inquiries.len() < MAX_INQUIRIES
     }
 
-    /// The claim of an access, made with the first question for it. `None`: it has yielded, and only looks.
+    /// The claim of a request, created with the first inquiry. `None`: it has yielded, and the
+    /// inquiry only asks.
     pub fn claim(
         &mut self,
         now: Timestamp,
@@ -112,7 +125,7 @@
         (!own.yielded).then(|| own.claim.clone())
     }
 
-    /// A round begins: these are asked, of whom `required` have to be sure.
+    /// Starts a round of inquiries to `whom`, of whom `required` have to be certain.
     pub fn start_inquiry(
         &mut self,
         now: Timestamp,
@@ -122,7 +135,7 @@
         reserve: Vec<PeerId>,
         required: usize,
     ) {
-        // The round before it is over: its answers would count twice.
+        // The previous round has ended; its answers would count twice.
         self.inquiries.retain(|_, inquiries| {
             inquiries.id != id && now.since(inquiries.asked) < INQUIRY_RETENTION
         });
@@ -140,7 +153,7 @@
         );
     }
 
-    /// One that was asked answers.
+    /// Handles an answer to an inquiry.
     pub fn on_claim_status(
         &mut self,
         now: Timestamp,
@@ -150,7 +163,8 @@
         claims: Vec<Claim>,
     ) -> Option<(RequestId, ClaimOutcome)> {
         let inquiries = self.inquiries.get_mut(&inquiry_id)?;
-        // What a former keeper knows binds as well; its "nothing known" says nothing.
+        // What a former replica knows is binding as well, but its report that nothing is known does
+        // not count.
         let counts = inquiries.unanswered.remove(&from);
         inquiries.sure += usize::from(sure && counts);
         let (id, asked, key) = (inquiries.id, inquiries.asked, 0);
@@ -200,13 +214,13 @@
         Some((id, outcome))
     }
 
-    /// The key of an access that asked under this number and is still open.
+    /// The key of a request in flight that started this inquiry.
     pub fn inquired_key(&self, inquiry_id: InquiryId) -> Option<Key> {
         let inquiries = self.inquiries.get(&inquiry_id)?;
         Some(self.own.get(&inquiries.id)?.key)
     }
 
-    /// Who is to be asked in addition, about which claim.
+    /// Takes the additional inquiries to be sent, with their claims.
     pub fn take_reserve_inquiries(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
         let reserve_inquiries = std::mem::take(&mut self.reserve_inquiries);
         let claims = reserve_inquiries
@@ -229,7 +243,8 @@
         }
     }
 
-    /// A hand-off goes out. It is told after `delay`, together with the end where that comes before.
+    /// An attempt of the request is sent. The update is sent after `delay`, together with the end
+    /// of the request if that comes earlier.
     pub fn on_attempt_sent(
         &mut self,
         now: Timestamp,
@@ -242,7 +257,8 @@
             return;
         };
         if own.yielded {
-            // It goes after all, bound by what it saw: under a claim of its own.
+            // The request is sent after all, restricted by the claims that it saw, under a claim of
+            // its own.
             own.yielded = false;
             own.claim.token = token;
         }
@@ -260,13 +276,13 @@
         self.queue_update(now + delay, key, claim);
     }
 
-    /// It has its final answer.
+    /// The request has its final answer.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Came) {
         let Some(own) = self.own.remove(&id).filter(|own| !own.yielded) else {
             return;
         };
         let mut claim = own.claim;
-        // What was answered from another's record is no run of this one's.
+        // A request that was answered from another member's record did not run.
         let ran = claim.location != ClaimLocation::NotReported;
         (claim.stage, claim.body) = match completion {
             Came::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
@@ -302,12 +318,12 @@
         );
     }
 
-    /// What was told is not told again: whoever keeps it compares it with the others that do.
+    /// Drops an update. Replicas receive the fact by comparing their copies instead.
     pub fn drop_update(&mut self, fact: FactId) {
         self.pending.remove(&fact);
     }
 
-    /// Somebody has what was told under this number.
+    /// A member acknowledged the update with this number.
     pub fn on_stored(&mut self, inquiry_id: InquiryId, from: PeerId) {
         let found = self
             .pending
@@ -323,11 +339,13 @@
         }
     }
 
+    /// When the next update is due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.update_deadlines.first().map(|&(at, _)| at)
     }
 
-    /// What is to be told by now, to whom: those who keep it, as `replicas` has them.
+    /// The updates that are due by now, with the replicas to send them to, as `replicas` returns
+    /// them.
     pub fn advance(
         &mut self,
         now: Timestamp,
@@ -350,7 +368,7 @@
                 continue;
             }
             let to = pending.to.get_or_insert_with(|| replicas(id));
-            // Who keeps it now that one of them is gone is told as well, with the next round.
+            // If a replica was replaced, the new one receives the update with the next round.
             if pending.pause > RETRY_DELAY {
                 let present = replicas(id);
                 to.retain(|id| present.contains(id));
