--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -1,13 +1,15 @@
-//! Keyed requests: what others are asked before one goes out, and what becomes of their answers.
+//! Keyed requests: inquiries to other members before a request is sent, and the handling of their
+//! answers.
 
 use super::*;
 
-/// Within a zone an attempt is told to its replicas this late, so that the end of a short one goes with it: until then the
-/// claim binds others as one that may have been sent anywhere.
+/// Within a zone, replicas learn this late that an attempt was sent, so that a short request needs
+/// one update for both the attempt and its end. Until then the claim binds others like that of a
+/// request that may have been sent anywhere.
 const SENT_WITHIN: TimeSpan = TimeSpan::from_millis(100);
 
 impl Peers {
-    /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
+    /// A keyed request arrived. [`Action::Decided`] tells when and how it continues.
     pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
         self.detect_pause(now);
         if !self.settings.records || self.is_silent() {
@@ -25,7 +27,7 @@
         self.run_steps(now, steps);
     }
 
-    /// A hand-off of it goes out.
+    /// An attempt of the request is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
         let token = self.new_token();
         self.records.sent(id, location);
@@ -37,17 +39,17 @@
         self.send_pending_updates(now);
     }
 
-    /// It has its final answer.
+    /// The request has its final answer.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
         self.records.ended(id, &came);
         self.claims.on_request_ended(now, id, came);
         self.send_pending_updates(now);
     }
 
-    /// What another dispatcher did under the key of this access.
+    /// What another member did under the key of this request.
     pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         let unsure = || {
-            // It may have run anywhere, however long ago.
+            // An earlier attempt may have run anywhere, at any time.
             let refused = self.settings.refuse_unconfirmed
                 && !self.is_granted(id)
                 && self.records.key(id).is_some();
@@ -60,7 +62,7 @@
         self.records.earlier(id).or_else(unsure)
     }
 
-    /// Whether the others said that no other has the key of this access.
+    /// Whether enough replicas confirmed that no other member has claimed the key of this request.
     pub fn is_granted(&self, id: RequestId) -> bool {
         self.records.claimed(id)
     }
@@ -69,6 +71,7 @@
         Token(self.rng.u64(16..))
     }
 
+    /// Carries out the steps that the records request.
     pub(super) fn run_steps(&mut self, now: Timestamp, steps: Vec<Step>) {
         for step in steps {
             match step {
@@ -81,6 +84,7 @@
         }
     }
 
+    /// Sends the claim of a request to the replicas of its key.
     pub(super) fn send_claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
         if !self.claims.has_room() {
             let steps = self.records.go(id);
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Of a key's replicas as many as have to be sure, the nearest ones that are reached, and the others in reserve.
+    /// The nearest reached replicas of a key, as many as have to be certain, and the others as a
+    /// reserve.
     fn nearest_replicas(
         &self,
         mut replicas: Vec<PeerId>,
@@ -156,7 +161,8 @@
         self.send_to(now, whom, vec![part]);
     }
 
-    /// A claim at one who keeps its key: what is known of the key, and whether that is all.
+    /// Handles a claim as a replica: returns whether everything about the key is known here, and
+    /// the known claims.
     pub(super) fn on_claim(
         &mut self,
         now: Timestamp,
@@ -165,8 +171,9 @@
         scope: Scope,
     ) -> (bool, Vec<facts::Claim>) {
         let id = FactId::Record(key);
-        // One who does not know that it keeps the key has fetched nothing of it. And whoever draws replicas from another set
-        // of members asks others that this one agrees with nobody.
+        // A member that does not know that it is a replica has fetched nothing of the slot. And a
+        // member that chooses replicas from another set of members asks replicas with whom this one
+        // agrees on nothing.
         let keeps = self.replicas.is_replica(self.members.own().id, id.slot());
         let keeps = keeps && self.replicas.scope() == scope;
         let (proved, mut known) = self.claims_in_other_zones(now, key);
@@ -184,6 +191,7 @@
         (sure, known)
     }
 
+    /// Handles the answer to a claim.
     pub(super) fn on_claim_status(
         &mut self,
         now: Timestamp,
@@ -206,7 +214,7 @@
             ClaimOutcome::Pending => return,
             ClaimOutcome::Granted => {
                 self.counts.granted += u64::from(self.records.waits(id));
-                // One that claimed at the same time has taken its claim back.
+                // A member that claimed the key at the same time has withdrawn its claim.
                 self.records.freed(id);
                 self.records.mine(id)
             }
@@ -227,8 +235,9 @@
         self.send_pending_updates(now);
     }
 
-    /// What others answer is taken into the own copy, where this one keeps one: whoever made the claim may not have known
-    /// of it. In answers within a zone other zones' claims are among them, which are not the own zone's to tell.
+    /// Stores claims from answers in the own copy, if this member is a replica of the key: the
+    /// owner of such a claim may not have known that. Answers within a zone include claims of other
+    /// zones, which are not the own zone's to report.
     fn store_answered_claims(
         &mut self,
         now: Timestamp,
@@ -250,7 +259,7 @@
         }
     }
 
-    /// What keepers are owed goes out, and into the own copy.
+    /// Sends the pending updates to replicas, and applies them to the own copy.
     pub(super) fn send_pending_updates(&mut self, now: Timestamp) {
         let own = self.members.own().id;
         let (replicas, members, next) = (&self.replicas, &self.members, &mut self.next_inquiry_id);
