--- a/crates/peers/src/decide/locality.rs
+++ b/crates/peers/src/decide/locality.rs
@@ -1,4 +1,4 @@
-//! Where members are: sites within zones within regions, as the operator's file has them.
+//! Locations of members: sites within zones within regions, as the operator's file names them.
 
 use serde::{Deserialize, Serialize};
 use trailproxy::units::HostId;
@@ -10,7 +10,7 @@
         pub struct $name(pub u32);
 
         impl $name {
-            /// The same number for a name in every dispatcher.
+            /// The number of a name, the same in every dispatcher.
             pub fn of_name(name: &str) -> $name {
                 $name((HostId::of_name(name).0 >> 32) as u32)
             }
@@ -21,21 +21,25 @@
 named! {
     /// A site: machines less than a millisecond apart.
     SiteId;
-    /// A zone: sites so near that a keyed request can wait for an answer from each.
+    /// A zone of dispatchers: sites so near that a keyed request can wait for an answer from each
+    /// of them.
     PeerZoneId;
-    /// A region: zones that share a continent's network.
+    /// A region: zones that share the network of a continent.
     RegionId;
 }
 
-/// Where one member is.
+/// The location of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Locality {
+    /// The site.
     pub site: SiteId,
+    /// The zone.
     pub zone: PeerZoneId,
+    /// The region.
     pub region: RegionId,
 }
 
-/// How far apart two members are.
+/// The distance of two members: the smallest area that includes both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Distance {
     SameSite,
@@ -45,7 +49,7 @@
 }
 
 impl Locality {
-    /// By the names of the operator's file.
+    /// The location with these names in the operator's file.
     pub fn of_names(site: &str, zone: &str, region: &str) -> Locality {
         Locality {
             site: SiteId::of_name(site),
@@ -54,6 +58,7 @@
         }
     }
 
+    /// The distance to another location.
     pub fn distance(self, other: Locality) -> Distance {
         if self.region != other.region {
             Distance::OtherRegion
@@ -67,15 +72,17 @@
     }
 }
 
-/// All zones of the fleet, and where this member is among them.
+/// All zones of the fleet, and the location of this member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Topology {
+    /// The location of this member.
     pub own: Locality,
     zones: Vec<PeerZoneId>,
 }
 
 impl Topology {
-    /// `zones`: all that the operator's file names, in any order; the own one is added where it is missing.
+    /// `zones` are the zones that the operator's file names, in any order. The own zone is added if
+    /// it is missing.
     pub fn new(own: Locality, zones: impl IntoIterator<Item = PeerZoneId>) -> Topology {
         let mut zones: Vec<PeerZoneId> = zones.into_iter().chain([own.zone]).collect();
         zones.sort_unstable();
@@ -88,13 +95,14 @@
         &self.zones
     }
 
-    /// The zones beside the own one.
+    /// All zones except the own one.
     pub fn other_zones(&self) -> impl Iterator<Item = PeerZoneId> {
         let own = self.own.zone;
         self.zones.iter().copied().filter(move |&zone| zone != own)
     }
 
-    /// Whether these zones are more than half of all. Of two halves the one with the first zone counts as more.
+    /// Whether these zones are more than half of all zones. Of two halves, the one with the first
+    /// zone counts as the majority.
     pub fn is_majority(&self, present: &[PeerZoneId]) -> bool {
         let count = 2 * present.len();
         let has_first = self
@@ -104,7 +112,8 @@
         count > self.zones.len() || (count == self.zones.len() && has_first)
     }
 
-    /// A checksum of the list of zones: a set of zones by their places is read only by members with the same list.
+    /// A checksum of the list of zones. Only members with the same list can read a bit set of
+    /// positions in it.
     pub fn checksum(&self) -> u32 {
         let fold =
             |sum: u32, zone: &PeerZoneId| (sum ^ zone.0).wrapping_mul(0x9e37_79b1).rotate_left(13);
