--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -1,10 +1,11 @@
-//! Who is in the fleet, as one member sees it.
+//! Membership of the fleet, as one member sees it.
 //!
-//! Each second or so one other is pinged, in an order drawn anew each round. One that does not answer is pinged by a few
-//! others, and where none of them reaches it, it is suspected: told to all, itself included, which is how one that is
-//! well says so, under a higher incarnation. One that stays silent is dead, and then nothing waits for it. Dead ones are knocked
-//! at now and then, and so are the operator's addresses: after a cut both sides find each other again without anybody's
-//! doing.
+//! At each [`PING_INTERVAL`] one other member is pinged, in an order that is drawn again for each
+//! round. If it does not answer, a few other members ping it, and if none of them reaches it, it is
+//! suspected. All members are told, including the suspected one, which refutes the suspicion under
+//! a higher incarnation if it is alive. A member that does not refute it is dead, and nothing waits
+//! for it any more. Dead members and the operator's addresses are pinged from time to time, so that
+//! the sides of a partition find each other again without an operator.
 
 use super::facts::mix;
 use super::locality::{Distance, Locality, Topology};
@@ -15,62 +16,73 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// How often one other is pinged. Shorter costs messages, longer finds a dead one later.
+/// How often another member is pinged. A shorter interval costs messages; a longer one detects dead
+/// members later.
 pub const PING_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
-/// A ping that is not answered by then goes by others; one to another region has further to go.
+/// How long the answer to a ping is waited for before other members are asked to ping. Messages to
+/// another region take longer.
 const PING_TIMEOUT: TimeSpan = TimeSpan::from_millis(120);
+/// The same for a member in another region.
 const PING_TIMEOUT_OTHER_REGION: TimeSpan = TimeSpan::from_millis(240);
-/// A member that has not said where it is for so long is of a form that does not say.
+/// A member that has not reported its location for this long runs a version that does not report
+/// it.
 const LOCALITY_WAIT: TimeSpan = TimeSpan::from_secs(5);
-/// Others that are asked to ping one that does not answer.
+/// The number of members that are asked to ping one that does not answer.
 const INDIRECT_PING_HELPERS: usize = 3;
-/// A suspected one has this long to say that it is well, and longer in a large fleet, by the doublings of its number.
+/// How long a suspected member has to refute the suspicion; in a large fleet it has more time, by
+/// the number of doublings of the fleet's size.
 const SUSPICION_TIMEOUT: TimeSpan = TimeSpan::from_millis(900);
+/// The additional time for each doubling of the fleet's size.
 const SUSPICION_TIMEOUT_PER_DOUBLING: TimeSpan = TimeSpan::from_millis(100);
-/// A dead one is remembered for this long, and knocked at.
+/// How long a dead member is remembered and pinged.
 const DEAD_MEMBER_RETENTION: TimeSpan = TimeSpan::from_secs(3_600);
-/// How often one that is not there is knocked at.
+/// How often a member that is not present is pinged.
 const REJOIN_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
-/// Updates in one message.
+/// Updates in one gossip message.
 const MAX_UPDATES_PER_MESSAGE: usize = 10;
-/// Updates in one message of the whole fleet, and how often it is asked for where two know different ones.
+/// Members in one message of the member list.
 const MAX_MEMBERS_PER_MESSAGE: usize = 24;
+/// How often the member list is requested at most while two members know different ones.
 const MEMBER_LIST_REQUEST_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
-/// Those lost lately are told with it.
+/// Members that were lost this recently are included in the member list.
 const LOST_MEMBER_REPORT_PERIOD: TimeSpan = TimeSpan::from_secs(30);
-/// A bound on the fleet; more are not taken in.
+/// The largest number of members; further ones are not accepted.
 pub const MAX_MEMBERS: usize = 1_024;
-/// In the first while of its life, a process takes the name from one that had it before.
+/// How long after its start a process may take over its name from another process.
 const NAME_TAKEOVER_PERIOD: TimeSpan = TimeSpan::from_secs(3);
 
+/// Another member of the fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// The report about it that applies.
     pub update: MemberUpdate,
-    /// Since when it stands so.
+    /// When it changed to its status.
     pub since: Timestamp,
+    /// What it reported about itself.
     pub state: MemberSummary,
-    /// It answers others, and not this one.
+    /// Whether it answers other members but not this one.
     pub one_way: bool,
-    /// Where it is, as it says itself.
+    /// Its location, as it reports it.
     locality: Option<Locality>,
     /// When it became known.
     known_since: Timestamp,
-    /// Times that its update is still to be passed on.
+    /// In how many more messages its update is passed on.
     gossip_rounds_left: u32,
 }
 
 impl Member {
-    /// Whether it counts as one of the fleet.
+    /// Whether it counts as a member of the fleet.
     pub fn is_present(&self) -> bool {
         self.update.status <= MemberStatus::Suspected
     }
 
-    /// Whether it is alive and answers this one.
+    /// Whether it is alive and answers this member.
     pub fn is_reached(&self) -> bool {
         self.update.status == MemberStatus::Alive && !self.one_way
     }
 }
 
+/// A ping that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     inquiry_id: InquiryId,
@@ -79,17 +91,17 @@
     is_indirect: bool,
 }
 
-/// What would else be looked for among all members with each event.
+/// Indexes over all members, so that no event has to search them.
 #[derive(Clone, Debug, Default)]
 struct MemberIndex {
     suspected: BTreeSet<PeerId>,
     /// Members whose update is still to be passed on.
     gossip_rounds_left: BTreeSet<PeerId>,
-    /// A sum over whoever is there, as [`Members::roster`] has it.
+    /// The sum over present members for [`Members::membership_checksum`].
     there: u64,
 }
 
-/// One part of the sum of who is there, and in which life.
+/// The summand of one member in the checksum of present members and their boot ids.
 fn member_checksum(update: &MemberUpdate) -> u64 {
     mix(update.id.0 ^ mix(update.boot_id.0))
 }
@@ -123,30 +135,37 @@
     }
 }
 
-/// What the members' side wants done.
+/// An action that membership requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberAction {
+    /// Send a message to an address.
     Send(Address, Vec<MessagePart>),
+    /// The status of a member changed.
     StatusChanged(PeerId, MemberStatus),
-    /// A member said where it is.
+    /// A member reported its location.
     LocalityLearned,
-    /// A member is reached by others only, or by this one again.
+    /// A member became reachable through others only, or directly again.
     ReachabilityChanged,
-    /// Another process has the same name, and came later: this one keeps quiet.
+    /// A later process has the same name: this one has to be silent.
     Superseded,
 }
 
-/// Who this is, and how it finds others.
+/// The identity of this member, and where it looks for others.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnMember {
+    /// Identifies the member.
     pub id: PeerId,
+    /// Where its messages are sent.
     pub address: Address,
+    /// The boot id of this process.
     pub boot_id: BootId,
+    /// Addresses at which other members are looked for.
     pub seeds: Vec<Address>,
-    /// Where it is among the fleet's zones; `None`: nothing depends on distances.
+    /// Its location among the fleet's zones; `None` if distances are not taken into account.
     pub topology: Option<Topology>,
 }
 
+/// All known members of the fleet.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: MemberUpdate,
@@ -154,28 +173,32 @@
     started_at: Timestamp,
     seeds: Vec<Address>,
     members: BTreeMap<PeerId, Member>,
-    /// Who is pinged next in this round.
+    /// The members to ping in this round.
     round: VecDeque<PeerId>,
     probe: Option<Probe>,
-    /// Pings on behalf of others: their number here, whom to tell, their number there.
+    /// Pings on behalf of other members: by the inquiry id of the ping, the asking member's address
+    /// and inquiry id, the pinged member and the time limit.
     relayed_pings: BTreeMap<InquiryId, (Address, InquiryId, PeerId, Timestamp)>,
     next_ping_at: Timestamp,
     next_rejoin_at: Timestamp,
     missing_index: usize,
     next_inquiry_id: u64,
-    /// Not before this is another asked for all that it knows.
+    /// Before this time no other member is asked for its member list.
     next_member_list_request_at: Timestamp,
+    /// Whether a later process has the same name.
     pub superseded: bool,
-    /// It may be on the smaller side of a cut: what it thinks of the others is told to nobody.
+    /// It may be in a minority partition: its view of the others is not passed on.
     in_minority_partition: bool,
     own_gossip_rounds_left: u32,
-    /// The updates of the message that is being read, to which localities may follow.
+    /// The members of the last updates in the message that is being read; their localities may
+    /// follow.
     last_updates: Vec<(PeerId, BootId)>,
     index: MemberIndex,
     actions: Vec<MemberAction>,
 }
 
 impl Members {
+    /// A member that knows no others yet.
     pub fn new(now: Timestamp, own: OwnMember, rng: &mut fastrand::Rng) -> Members {
         let update = MemberUpdate {
             id: own.id,
@@ -211,40 +234,46 @@
         }
     }
 
+    /// The report of this member about itself.
     pub fn own(&self) -> &MemberUpdate {
         &self.own
     }
 
+    /// A known member.
     pub fn get(&self, id: PeerId) -> Option<&Member> {
         self.members.get(&id)
     }
 
+    /// All known members except this one.
     pub fn all(&self) -> impl Iterator<Item = (&PeerId, &Member)> {
         self.members.iter()
     }
 
-    /// Whoever is there, without this one.
+    /// All present members except this one.
     pub fn present(&self) -> impl Iterator<Item = (PeerId, &Member)> {
         let all = self.members.iter().map(|(&id, member)| (id, member));
         all.filter(|(_, member)| member.is_present())
     }
 
+    /// Whether a member is alive and answers this one.
     pub fn is_reached(&self, id: PeerId) -> bool {
         let member = self.members.get(&id);
         member.is_some_and(Member::is_reached)
     }
 
+    /// The address of a known member.
     pub fn address(&self, id: PeerId) -> Option<Address> {
         Some(self.members.get(&id)?.update.address)
     }
 
-    /// Where a member is, as far as it is known.
+    /// The location of a member, if it is known.
     pub fn locality(&self, id: PeerId) -> Option<Locality> {
         self.members.get(&id)?.locality
     }
 
-    /// Whoever is there, with where it is. One that was met just now and has not said so yet is left out; it is known from
-    /// when on that is to be looked at again.
+    /// All present members with their locations. A member that became known recently and has not
+    /// reported its location is left out; the second value is when the result has to be computed
+    /// again because of it.
     pub fn located(&self, now: Timestamp) -> (Vec<Located>, Option<Timestamp>) {
         let mut located = vec![(self.own.id, self.locality)];
         let mut again: Option<Timestamp> = None;
@@ -259,13 +288,13 @@
         (located, again)
     }
 
-    /// Whether a member is of the own zone; all are where nothing is known of zones.
+    /// Whether a member is in the own zone. All members are if locations are not known.
     pub fn is_in_zone(&self, member: &Member) -> bool {
         let places = self.locality.zip(member.locality);
         places.is_none_or(|(own, other)| own.zone == other.zone)
     }
 
-    /// How long an answer to a ping is waited for.
+    /// How long the answer to a ping is waited for.
     fn ping_timeout(&self, whom: PeerId) -> TimeSpan {
         let far = |(own, other): (Locality, Locality)| own.distance(other) == Distance::OtherRegion;
         match self.locality.zip(self.locality(whom)).is_some_and(far) {
@@ -274,13 +303,13 @@
         }
     }
 
-    /// A sign of life, with where this one is.
+    /// A ping or an answer, with the location of this member.
     fn with_locality(&self, part: MessagePart) -> Vec<MessagePart> {
         let located = self.locality.map(MessagePart::SenderLocality);
         [part].into_iter().chain(located).collect()
     }
 
-    /// Updates, with where the members are.
+    /// Updates with the locations of their members.
     fn updates_with_localities(&self, updates: Vec<MemberUpdate>) -> Vec<MessagePart> {
         let locality = |update: &MemberUpdate| match update.id == self.own.id {
             true => self.locality,
@@ -294,7 +323,7 @@
         [updates].into_iter().chain(localities).collect()
     }
 
-    /// Somebody says where a member is.
+    /// Stores the location of a member.
     fn learn_locality(&mut self, id: PeerId, boot_id: Option<BootId>, locality: Locality) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
@@ -306,6 +335,7 @@
         }
     }
 
+    /// Takes the requested actions.
     pub fn take_actions(&mut self) -> Vec<MemberAction> {
         std::mem::take(&mut self.actions)
     }
@@ -327,7 +357,8 @@
         InquiryId(self.next_inquiry_id)
     }
 
-    /// It was away: what it waited for says nothing of the others, and they may have given it up.
+    /// This member was paused: probes in flight tell nothing about the others, and the others may
+    /// have declared it dead.
     pub fn on_pause_ended(&mut self, now: Timestamp) {
         (self.probe, self.next_ping_at, self.next_rejoin_at) = (None, now, now);
         self.relayed_pings.clear();
@@ -340,8 +371,10 @@
         self.own_gossip_rounds_left = self.gossip_rounds();
     }
 
-    /// Whether it may be on the smaller side of a cut. Afterwards it forgets whom it gave up meanwhile, or it would have all
-    /// believe for a moment that they lost each other; whoever is there it hears of from those that it reaches.
+    /// Sets whether this member may be in a minority partition. When a partition heals, it forgets
+    /// the members that it suspected or declared dead; otherwise it would make all members believe
+    /// for a moment that they lost each other. It learns of present members from those that it
+    /// reaches.
     pub fn set_in_minority_partition(&mut self, is: bool) {
         let returns = std::mem::replace(&mut self.in_minority_partition, is) && !is;
         let reached = |member: &Member| member.update.status == MemberStatus::Alive;
@@ -365,7 +398,7 @@
             )
     }
 
-    /// A message came from there: it is alive, in this life at least.
+    /// Handles the sender of a message: it is alive, with this boot id at least.
     pub fn on_message(
         &mut self,
         now: Timestamp,
@@ -387,7 +420,8 @@
             && member.update.status == MemberStatus::Dead
             && member.update.rank() > update.rank()
         {
-            // It does not know that it was given up: it says so itself under its next incarnation.
+            // The sender does not know that it was declared dead. It refutes that under its next
+            // incarnation.
             let told = member.update;
             self.send(address, vec![MessagePart::MemberUpdates(vec![told])]);
         }
@@ -401,7 +435,7 @@
         }
     }
 
-    /// Somebody says something of a member.
+    /// Applies a report about a member.
     pub fn apply_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.id == self.own.id {
             return self.on_own_update(now, update);
@@ -438,7 +472,8 @@
                 };
                 self.index.add(&member);
                 self.members.insert(update.id, member);
-                // Somewhere in the present round, so that hundreds of newcomers are not pinged last.
+                // At an arbitrary position in the current round, so that hundreds of new members
+                // are not all pinged last.
                 let place = self.next_inquiry_id as usize % (self.round.len() + 1);
                 self.round.insert(place, update.id);
                 self.actions
@@ -447,9 +482,11 @@
         }
     }
 
+    /// Handles a report about this member itself.
     fn on_own_update(&mut self, now: Timestamp, update: MemberUpdate) {
         if update.boot_id > self.own.boot_id {
-            // A former life with a clock that went ahead, or one elsewhere that this one takes the name from.
+            // Either an earlier process at this address whose clock was ahead, or a process
+            // elsewhere from which this one takes over the name.
             let new = now.since(self.started_at) < NAME_TAKEOVER_PERIOD;
             if update.address == self.own.address || new {
                 self.own.boot_id = BootId(update.boot_id.0 + 1);
@@ -468,7 +505,7 @@
         }
     }
 
-    /// Updates that are to be passed on: what was told least comes first.
+    /// Takes the updates that are to be passed on, those that were passed on least often first.
     pub fn gossip(&mut self) -> Vec<MessagePart> {
         let mut updates = Vec::new();
         if self.own_gossip_rounds_left > 0 {
@@ -497,7 +534,8 @@
         self.updates_with_localities(updates)
     }
 
-    /// A note about who is there; `false`: it is none of these.
+    /// Handles a part of a message that concerns membership; `false`: the part concerns something
+    /// else.
     pub fn handle_part(
         &mut self,
         now: Timestamp,
@@ -587,7 +625,7 @@
         true
     }
 
-    /// A sum of who is there, and in which life.
+    /// A checksum of the present members and their boot ids.
     pub fn membership_checksum(&self) -> u64 {
         self.index.there.wrapping_add(member_checksum(&self.own))
     }
@@ -596,7 +634,8 @@
         if let Some(member) = self.members.get_mut(&from) {
             member.state = state;
         }
-        // What goes round by itself would do, and takes long where hundreds come or return at once.
+        // Gossip would deliver the differences as well, but takes long if hundreds of members
+        // arrive or return at once.
         if now >= self.next_member_list_request_at
             && state.membership_checksum != self.membership_checksum()
         {
@@ -605,13 +644,13 @@
         }
     }
 
-    /// It comes back after it left, as another life.
+    /// Joins the fleet again after leaving, under another boot id.
     pub fn join(&mut self) {
         self.own.status = MemberStatus::Alive;
         (self.own.boot_id, self.own.incarnation) = (BootId(self.own.boot_id.0 + 1), 0);
     }
 
-    /// It leaves in order: all are told at once.
+    /// Leaves the fleet in order: all members are told at once.
     pub fn leave(&mut self) {
         self.own.status = MemberStatus::Left;
         let all: Vec<Address> = self
@@ -623,6 +662,7 @@
         }
     }
 
+    /// When [`Members::advance`] has to be called next.
     pub fn next_deadline(&self) -> Timestamp {
         let probe = self
             .probe
@@ -645,7 +685,7 @@
         SUSPICION_TIMEOUT + SUSPICION_TIMEOUT_PER_DOUBLING.mul_f64(f64::from(self.doublings()))
     }
 
-    /// What is due by now.
+    /// Does what is due by now.
     pub fn advance(&mut self, now: Timestamp, own: MemberSummary, rng: &mut fastrand::Rng) {
         let doubt = self.suspicion_timeout();
         let dead = self.suspected();
@@ -703,6 +743,7 @@
         }
     }
 
+    /// Marks a member as suspected.
     fn suspect(&mut self, now: Timestamp, whom: PeerId) {
         let Some(member) = self.members.get(&whom) else {
             return;
@@ -714,7 +755,7 @@
                 ..member.update
             };
             self.apply_update(now, update);
-            // The one that is doubted hears of it first.
+            // The suspected member is the first to learn of it.
             self.send(
                 update.address,
                 vec![MessagePart::MemberUpdates(vec![update])],
@@ -748,7 +789,8 @@
         }
     }
 
-    /// One of those that are not there: a dead one, or an address of the operator's nobody is known at.
+    /// Pings members that are not present: a dead one, or an address of the operator's file at
+    /// which no member is known.
     fn ping_missing_members(&mut self, own: MemberSummary) {
         let there: Vec<Address> = self
             .present()
@@ -762,7 +804,7 @@
         let seeds = self.seeds.iter().map(|&seed| (seed, None));
         let mut all: Vec<(Address, Option<MemberUpdate>)> = dead.chain(seeds).collect();
         all.retain(|(address, _)| !there.contains(address));
-        // Alone, all of them at once are few enough.
+        // With no other member present, there are few enough addresses to ping several at once.
         let few = if there.is_empty() { 4 } else { 1 };
         for _ in 0..few.min(all.len()) {
             self.missing_index = self.missing_index.wrapping_add(1);
