--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -1,9 +1,10 @@
-//! What an operator asks from the command line, and the messages of other subsystems.
+//! Requests from the operator's command line, and messages of other subsystems.
 
 use super::*;
 
 impl Peers {
-    /// A question from the command line is answered whatever state this one is in, and makes nobody a member.
+    /// Handles a request from the command line; `false`: the message is none. It is answered in
+    /// every state, and its sender does not become a member.
     pub fn on_operator_request(
         &mut self,
         now: Timestamp,
@@ -27,7 +28,7 @@
         true
     }
 
-    /// What the command line asked for.
+    /// Sends the answer to a request from the command line.
     pub fn send_operator_reply(
         &mut self,
         now: Timestamp,
@@ -39,7 +40,7 @@
         self.actions.push(Action::Send(address, message));
     }
 
-    /// This one leaves in order.
+    /// Leaves the fleet in order.
     pub fn leave(&mut self, now: Timestamp) {
         if !self.is_silent() {
             self.members.leave();
@@ -47,7 +48,7 @@
         }
     }
 
-    /// One that left comes back, as one that was away.
+    /// Joins the fleet again after leaving; the state is compared as after a pause.
     pub fn join(&mut self, now: Timestamp) {
         if self.state == PeerState::Left {
             self.members.join();
@@ -57,7 +58,7 @@
         }
     }
 
-    /// In words, for a person: a line for itself, and one for each that is not well.
+    /// The status as text: one line for this member, and one for each member that is not well.
     pub fn status_text(&self, now: Timestamp) -> String {
         let (mut alive, mut rest) = (0, Vec::new());
         for (id, member) in self.members.all() {
@@ -105,7 +106,8 @@
         text
     }
 
-    /// A word of another subsystem to that one. It may be lost, as any message, and is where that one is not known.
+    /// Sends a message of a subsystem to a member. Like any message it may be lost; it is also lost
+    /// if the member is not known.
     pub fn send_to_subsystem(&mut self, now: Timestamp, to: PeerId, of: u8, bytes: Vec<u8>) {
         if !self.is_silent() {
             self.send_to(now, to, vec![MessagePart::Subsystem(of, bytes)]);
