--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -1,13 +1,13 @@
-//! Messages from other members, note by note, and what is fetched from them.
+//! Messages from other members, part by part, and requests for facts that are missing.
 
 use super::messages::TimeRange;
 use super::sync::HeldSlots;
 use super::*;
 
-/// What was claimed less long ago may still be on its way to some replica of its zone.
+/// Claims younger than this may still be on their way to some replica of the zone.
 const SETTLED_AFTER: TimeSpan = TimeSpan::from_secs(2);
 
-/// Who wrote a message, and when by its own clock.
+/// The sender of a message, and when it was written by the sender's clock.
 #[derive(Clone, Copy)]
 pub(super) struct Origin {
     from: PeerId,
@@ -16,7 +16,7 @@
 }
 
 impl Peers {
-    /// A message came from that address.
+    /// Handles a message from this address.
     pub fn on_message(&mut self, now: Timestamp, address: Address, message: Message) {
         self.detect_pause(now);
         if self.is_silent() {
@@ -29,7 +29,7 @@
         self.counts.letters_in += 1;
         let from = message.from;
         if from == self.members.own().id {
-            // Another process under this one's name: who came later keeps it.
+            // Another process has this one's name: the later process keeps it.
             self.counts.own_name += 1;
             let update = messages::MemberUpdate {
                 id: from,
@@ -63,8 +63,9 @@
         self.run_member_actions(now);
     }
 
-    /// Somebody is there whose clock is too far off to be listened to: what it does is not known here, nor the other way
-    /// round. It is answered now and then, so that it learns as much.
+    /// Handles a message of a member whose clock is too far off. What that member does is not known
+    /// here, and the other way round. It is answered from time to time, so that it learns of this
+    /// member's clock as well.
     fn on_message_off_clock(&mut self, now: Timestamp, from: PeerId, address: Address) {
         self.counts.off_clock += 1;
         if from == self.members.own().id {
@@ -93,6 +94,7 @@
         self.run_member_actions(now);
     }
 
+    /// Handles one part of a message.
     fn handle_part(
         &mut self,
         now: Timestamp,
@@ -187,7 +189,8 @@
                 }
             }
             MessagePart::Different(slots) => {
-                // What is only held here becomes the same there before it is let go of.
+                // Facts of a slot that this member no longer holds have to reach the replicas
+                // before they are dropped here.
                 let own = self.members.own().id;
                 let held: BTreeSet<Slot> = self.facts.slots().collect();
                 for slot in slots {
@@ -244,14 +247,15 @@
         }
     }
 
+    /// Compares copies with other members and requests missing facts.
     pub(super) fn fetch(&mut self, now: Timestamp) {
         if now < self.sync.next_deadline() {
             return;
         }
         let anybody = self.members.present().map(|(id, _)| id);
         let anybody: Vec<PeerId> = anybody.filter(|&id| self.members.is_reached(id)).collect();
-        // Replicas of a zone are told most of what becomes of a claim once, and at different moments; and clocks that differ
-        // forget at different moments.
+        // Replicas of a zone receive most updates of a claim once, and at different times; and with
+        // different clocks facts expire at different times.
         let settled = (self.replicas.scope() == Scope::Zone).then(|| TimeRange {
             from: (now - self.settings.record_retention).0,
             until: (now - SETTLED_AFTER).0,
