--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -1,17 +1,23 @@
-//! What is claimed in other zones: replicas of one group of slots in two zones tell each other their claims.
+//! Claims of other zones: the replicas of a group of slots in two zones report their claims to each
+//! other.
 //!
-//! Within a zone a claim is agreed on at once. Between zones it is only told, a few times a second, so that nobody waits for
-//! a long way. A replica *proves* that a key is new only while it knows all that was claimed in every other zone up to
+//! Within a zone, members agree on a claim at once. Between zones, claims are only reported, a few
+//! times per second, so that no request waits for a long distance. A replica *proves* that a key is
+//! new only while it knows all claims that were made in every other zone up to
 //! [`RELAY_SETTLE_TIME`] ago:
 //!
-//! - Each replica numbers what is claimed of its group in a log. A relay carries the next entries, an echo of the time stamp of
-//!   the partner's last relay, and how much of the partner's log has arrived. An echo says, by the reader's own clock, up
-//!   to when it knows the partner's log; clocks are never compared.
-//! - A zone that is silent makes everybody unsure, until all that may have been claimed there has run out. After that it is
-//!   left out, as long as none of the zones that are heard hears it.
-//! - A replica that does not know the logs of more than half of all zones proves nothing. So of the parts of a fleet that is
-//!   cut one goes on at most, and none where no part has more than half.
-//! - One that has proved nothing for long waits for [`REJOIN_DELAY`], so that the others hear of it before it begins again.
+//! - Each replica numbers the claims of its group in a log. A relay carries the next entries, an
+//!   echo of the time stamp of the partner's last relay, and how much of the partner's log has
+//!   arrived. The echo tells the reader, by its own clock, up to when it knows the partner's log;
+//!   clocks are never compared.
+//! - If a zone is silent, no replica proves anything until every claim that may have been made
+//!   there has expired. After that the zone is left out, as long as no zone that is received
+//!   reports that it receives the silent one.
+//! - A replica that does not know the logs of more than half of all zones proves nothing. So at
+//!   most one side of a partitioned fleet continues, and none if no side has more than half of the
+//!   zones.
+//! - A replica that has proved nothing for long waits for [`REJOIN_DELAY`], so that the others
+//!   receive its relays before it proves anything again.
 
 use super::locality::{PeerZoneId, Topology};
 use super::messages::{Entry, LogId, PeerId, Relay};
@@ -19,32 +25,36 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// How often each partner is told what is new, spread by a quarter. Shorter costs messages, longer leaves what another zone
-/// has just claimed unknown for longer.
+/// How often partners receive new claims, varied randomly by a quarter. A shorter interval costs
+/// messages; with a longer one, claims of other zones are unknown for longer.
 pub const RELAY_INTERVAL: TimeSpan = TimeSpan::from_millis(200);
-/// What was claimed in another zone longer ago is known here, or nothing is proved. It has room for the longest way there
-/// and back, two rounds and a lost message.
+/// Every claim that was made in another zone longer ago than this is known here, or nothing is
+/// proved. It covers the longest round trip, two relay intervals and one lost message.
 pub const RELAY_SETTLE_TIME: TimeSpan = TimeSpan::from_secs(1);
-/// Conditions hold for so long before one that was away proves anything.
+/// How long the conditions have to hold before a replica that has proved nothing for long proves
+/// anything again.
 const REJOIN_DELAY: TimeSpan = TimeSpan::from_secs(2);
-/// Where nothing was acknowledged for this long, what was not is sent again.
+/// Entries are sent again if none were acknowledged for this long.
 const RESEND_DELAY: TimeSpan = TimeSpan::from_millis(500);
-/// Entries in one relay, and how soon the next one goes where there are more.
+/// Entries in one relay.
 const MAX_ENTRIES_PER_RELAY: usize = 120;
+/// How soon the next relay is sent if there are more entries.
 const BACKLOG_RELAY_INTERVAL: TimeSpan = TimeSpan::from_millis(25);
-/// Bounds on what is kept. A log that is full forgets its first entries and is not complete until they have run out;
-/// claims of others without room are not taken, and prove nothing.
+/// Entries in a log. A full log drops its first entries, and is not complete until these have
+/// expired.
 const MAX_LOG_ENTRIES: usize = 65_536;
+/// Claims of other zones. Further ones are not stored, and then nothing is proved.
 const MAX_REMOTE_CLAIMS: usize = 262_144;
 
-/// A key as it goes between zones: enough of it that two keys of one group are the same once in a hundred million.
+/// The part of a key that is sent between zones. Two keys of one group have the same part once in a
+/// hundred million.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ShortKey(u64);
 
 const SHORT_BITS: u32 = 8 * Entry::KEY_BYTES as u32;
 
 impl ShortKey {
-    /// The bits behind those that tell the group.
+    /// The bits after those that determine the group.
     fn of(key: u128) -> ShortKey {
         let group_bits = GroupNo::all().count().ilog2();
         ShortKey((key << group_bits >> (u128::BITS - SHORT_BITS)) as u64)
@@ -63,22 +73,23 @@
     }
 }
 
+/// A claim or release in a log.
 #[derive(Clone, Copy, Debug)]
 struct LogEntry {
     key: ShortKey,
-    /// Of the last claim; of a key that is free again, when it became so.
+    /// When the last claim was made or, for a released key, when it was released.
     at: Timestamp,
     claimed: bool,
 }
 
-/// What is claimed in the own zone, in the order in which it became known here.
+/// The claims of the own zone, in the order in which they became known here.
 #[derive(Clone, Debug)]
 struct Log {
     id: LogId,
     /// The number of the first entry.
     base: u64,
     entries: VecDeque<LogEntry>,
-    /// Entries that still matter were dropped; until then the log is not complete.
+    /// Entries that still matter were dropped; the log is not complete until this time.
     dropped_until: Timestamp,
 }
 
@@ -109,24 +120,25 @@
     }
 }
 
-/// One partner: what it was told, and what it told.
+/// What was sent to one partner, and what was received from it.
 #[derive(Clone, Debug)]
 struct Link {
     since: Timestamp,
-    /// The partner has all before this number; all before the next one was sent twice, all before the last one once. What
-    /// was sent once goes again with the next relay, so that one that is lost leaves no gap.
+    /// The partner has all entries before `acked`. Entries before `sent_twice` were sent twice, and
+    /// those before `sent` once. Entries that were sent once are sent again with the next relay, so
+    /// that one lost relay leaves no gap.
     acked: u64,
     sent_twice: u64,
     sent: u64,
     sent_at: Timestamp,
-    /// The partner's log, and the next number wanted of it.
+    /// The partner's log, and the number of the next entry that is expected from it.
     log: Option<LogId>,
     next: u64,
-    /// The stamp of its last relay, to be echoed.
+    /// The stamp of the partner's last relay, which is echoed.
     stamp: Option<u64>,
-    /// Up to this moment, by the own clock, its log is known here.
+    /// Up to this time, by the own clock, the partner's log is known here.
     known_until: Option<Timestamp>,
-    /// The zones that it hears, by their places in the list.
+    /// The zones that the partner receives, by their positions in the list.
     reachable_zones: u64,
 }
 
@@ -155,40 +167,39 @@
 /// Whether a replica proves that keys are new.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Proof {
-    Lapsed {
-        since: Timestamp,
-    },
-    /// The conditions hold again, after it had lapsed for long.
-    Joining {
-        since: Timestamp,
-        lapsed: Timestamp,
-    },
+    /// The conditions do not hold.
+    Lapsed { since: Timestamp },
+    /// The conditions hold again after they did not for long.
+    Joining { since: Timestamp, lapsed: Timestamp },
+    /// The conditions hold.
     Given,
 }
 
-/// One group of slots that this member keeps a replica of.
+/// A group of slots of which this member is a replica.
 #[derive(Clone, Debug)]
 struct Group {
     since: Timestamp,
     log: Log,
     links: BTreeMap<PeerId, Link>,
-    /// Partners by zone; a zone that nobody is known in has none.
+    /// Partners by zone; a zone without known members has none.
     zones: BTreeMap<PeerZoneId, Vec<PeerId>>,
-    /// When a replica of that zone was heard last.
+    /// When a relay of each zone was last received.
     last_seen: BTreeMap<PeerZoneId, Timestamp>,
     proof: Proof,
-    /// All claims of the own zone that matter are in the log.
+    /// Whether the log contains all claims of the own zone that matter.
     complete: bool,
 }
 
 /// A claim of another zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RemoteClaim {
+    /// The zone.
     pub zone: PeerZoneId,
-    /// When it was claimed, at the earliest.
+    /// The earliest time at which it may have been made.
     pub at: Timestamp,
 }
 
+/// When a claim of another zone was made at the earliest, and when it expires.
 #[derive(Clone, Copy, Debug)]
 struct RemoteClaimTimes {
     at: Timestamp,
@@ -197,7 +208,7 @@
 
 type RemoteClaimKey = (GroupNo, ShortKey, PeerZoneId);
 
-/// What this member relays and was relayed, as long as each zone has replicas of its own.
+/// All relays that this member sends and receives while each zone has its own replicas.
 #[derive(Clone, Debug)]
 pub struct Relays {
     topology: Topology,
@@ -209,12 +220,13 @@
     tick_at: Timestamp,
 }
 
-/// The members that a replica of a group is paired with, by zone.
+/// The partners of a replica of a group, by zone.
 pub type Pairs = BTreeMap<PeerZoneId, Vec<PeerId>>;
 
-/// What the members' side knows of the sender of a relay.
+/// The sender of a relay.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
+    /// The member.
     pub id: PeerId,
     pub zone: PeerZoneId,
     /// The time stamp of its message, by its own clock.
@@ -222,6 +234,7 @@
 }
 
 impl Relays {
+    /// No groups. `retention` is how long a claim matters.
     pub fn new(now: Timestamp, topology: Topology, retention: TimeSpan) -> Relays {
         Relays {
             topology,
@@ -233,13 +246,14 @@
         }
     }
 
-    /// How long a zone has been silent before it is left out: all that was claimed there has run out.
+    /// How long a zone has to be silent before it is left out: every claim made there has then
+    /// expired.
     fn silence_timeout(&self) -> TimeSpan {
         self.retention + RELAY_SETTLE_TIME
     }
 
-    /// Which groups are kept here, and with whom each is paired. Newly kept groups are returned; the caller logs all that is
-    /// held of them.
+    /// Sets the groups that are held here, with their partners. Returns the groups that are new;
+    /// the caller logs all claims in them.
     pub fn assign_groups(
         &mut self,
         now: Timestamp,
@@ -259,14 +273,15 @@
         new
     }
 
-    /// Another scope of replicas: nothing of before holds.
+    /// Drops everything: replicas are chosen from another set of members.
     pub fn clear(&mut self) {
         self.groups.clear();
         self.remote_claims.clear();
         self.ends.clear();
     }
 
-    /// What is claimed in the own zone under a key has changed: the moment of its last claim, or nothing where it is free.
+    /// Logs a change of the claims of the own zone on a key: `last` is the time of the last claim,
+    /// or `None` if the key was released.
     pub fn log_change(
         &mut self,
         now: Timestamp,
@@ -285,7 +300,7 @@
         }
     }
 
-    /// What other zones have claimed under a key.
+    /// The claims of other zones on a key.
     pub fn remote_claims(&self, group_no: GroupNo, key: u128) -> Vec<RemoteClaim> {
         let key = ShortKey::of(key);
         let (first, last) = (PeerZoneId(0), PeerZoneId(u32::MAX));
@@ -299,7 +314,7 @@
         found.map(claim).collect()
     }
 
-    /// Whether a key that is not known here is new in all other zones.
+    /// Whether a key without known claims is proved to be new in all other zones.
     pub fn proves_new_keys(&mut self, now: Timestamp, group_no: GroupNo) -> bool {
         self.update_proof(now, group_no);
         self.groups
@@ -307,7 +322,7 @@
             .is_some_and(|group| group.proof == Proof::Given)
     }
 
-    /// Whether all of the own zone's claims of a group are held here.
+    /// Updates whether all claims of the own zone in each group are held here.
     pub fn update_completeness(&mut self, now: Timestamp, complete: impl Fn(GroupNo) -> bool) {
         let groups: Vec<GroupNo> = self.groups.keys().copied().collect();
         for group_no in groups {
@@ -318,18 +333,19 @@
         }
     }
 
-    /// For a check that it stays bounded, and for figures: entries logged, and claims of other zones.
+    /// The numbers of log entries and of claims of other zones, for figures and for checks that
+    /// they stay bounded.
     pub fn entry_counts(&self) -> (usize, usize) {
         let logged = self.groups.values().map(|group| group.log.entries.len());
         (logged.sum(), self.remote_claims.len())
     }
 
-    /// Replicas that are told of claims, each counted once for each group.
+    /// The number of partners, counted once for each group.
     pub fn partners(&self) -> usize {
         self.groups.values().map(|group| group.links.len()).sum()
     }
 
-    /// Groups kept, and of how many keys can be proved to be new.
+    /// The number of groups held, and of those that prove keys to be new.
     pub fn proving_groups(&self) -> (usize, usize) {
         let given = self
             .groups
@@ -338,13 +354,14 @@
         (self.groups.len(), given.count())
     }
 
+    /// When [`Relays::advance`] has to be called next.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let ends = self.ends.first().map(|&(at, _)| at);
         let tick = (!self.groups.is_empty()).then_some(self.tick_at);
         ends.into_iter().chain(tick).min()
     }
 
-    /// Forgets what has run out, and tells partners what is new when that is due.
+    /// Drops expired claims, and returns the relays that are due.
     pub fn advance(&mut self, now: Timestamp, rng: &mut fastrand::Rng) -> Vec<(PeerId, Relay)> {
         self.drop_expired(now);
         if now < self.tick_at || self.groups.is_empty() {
@@ -403,7 +420,7 @@
         relays
     }
 
-    /// A relay came. One of a member that is not a partner, or of a zone that is not known, says nothing.
+    /// Handles a relay. Relays of members that are not partners or of unknown zones are ignored.
     pub fn on_relay(&mut self, now: Timestamp, from: Sender, relay: Relay) {
         let group_no = relay.group;
         self.update_proof(now, group_no);
@@ -419,7 +436,8 @@
         let Some(link) = group.links.get_mut(&from.id) else {
             return;
         };
-        // Whoever has another list of zones may mean others by its places: it is taken to hear all.
+        // Positions refer to the sender's list of zones. If that is a different list, the sender is
+        // taken to receive all zones.
         link.reachable_zones = if same_zones {
             relay.reachable_zones
         } else {
@@ -444,7 +462,8 @@
             self.remote_claims.remove(&key);
             return;
         }
-        // The writer may have it by a clock that is ahead, and the entry was on its way.
+        // The sender may have the claim from a clock that is ahead, and the entry took time to
+        // arrive.
         let at = now - age;
         let kept = RemoteClaimTimes {
             at: at - super::MAX_CLOCK_SKEW.mul_f64(2.0),
@@ -471,7 +490,7 @@
             (Proof::Given, true) => Proof::Given,
             (Proof::Given, false) => Proof::Lapsed { since: now },
             (Proof::Lapsed { since }, true) => {
-                // Nobody can have left this zone out yet.
+                // No other zone can have left this one out yet.
                 if now.since(since) < silence.mul_f64(0.5) {
                     return Proof::Given;
                 }
@@ -517,7 +536,7 @@
         self.zones = zones;
     }
 
-    /// The zones whose claims are known up to lately.
+    /// The zones whose claims are known up to [`RELAY_SETTLE_TIME`] ago.
     fn fresh_zones(&self, now: Timestamp) -> Vec<PeerZoneId> {
         let is_fresh = |id: &PeerId| self.links.get(id).is_some_and(|link| link.is_fresh(now));
         let fresh = |partners: &Vec<PeerId>| !partners.is_empty() && partners.iter().all(is_fresh);
@@ -525,7 +544,7 @@
         zones.map(|(&zone, _)| zone).collect()
     }
 
-    /// The zones that are heard, as a set of their places.
+    /// The zones that are received, as a bit set of their positions.
     fn reachable_zones(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> u64 {
         let places = topology.zones().iter().enumerate();
         let last_seen = |zone: &PeerZoneId| {
@@ -539,7 +558,7 @@
         bits.fold(0, |all, bit| all | bit)
     }
 
-    /// Whether all that matters is known: see the head of this module.
+    /// Whether all claims that matter are known; see the documentation of this module.
     fn conditions_hold(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> bool {
         if !self.complete {
             return false;
@@ -567,7 +586,7 @@
 }
 
 impl Link {
-    /// The next relay to this partner; what the group knows is filled in by the caller.
+    /// The next relay to this partner. The caller adds what is known of the group.
     fn relay(&mut self, now: Timestamp, group: GroupNo, log: &Log) -> Relay {
         if self.sent > self.acked && now.since(self.sent_at) >= RESEND_DELAY {
             (self.sent, self.sent_twice) = (self.acked, self.acked);
@@ -600,7 +619,8 @@
         }
     }
 
-    /// How much of the own log the partner has. One that knows another log has none of it, also where it had before.
+    /// Handles an acknowledgement of the own log. A partner that knows another log has nothing of
+    /// this one, even if it had before.
     fn on_ack(&mut self, now: Timestamp, relay: &Relay, log: &Log) {
         let ack = relay
             .ack
@@ -612,7 +632,7 @@
         self.acked = acked;
     }
 
-    /// The entries that are new, where the log is known without a gap before them.
+    /// Returns the entries that are new, provided that the log is known without a gap up to them.
     fn accept_entries<'a>(
         &mut self,
         now: Timestamp,
