--- a/crates/peers/src/decide/relaying.rs
+++ b/crates/peers/src/decide/relaying.rs
@@ -1,4 +1,5 @@
-//! How claims of the own zone reach the replicas of other zones, and what theirs say here.
+//! Relays between zones: claims of the own zone are sent to replicas of other zones, and claims
+//! received from them are taken into account here.
 
 use super::facts::{Claim, ClaimLocation, Stage};
 use super::locality::PeerZoneId;
@@ -7,7 +8,7 @@
 use super::replicas::GroupNo;
 use super::*;
 
-/// The last claim under a key that binds others; `None`: there is none, or all are free.
+/// The time of the last binding claim in a record; `None` if there is none or all are released.
 fn last_claimed_at(fact: Option<&Fact>) -> Option<Timestamp> {
     let Some(Fact::Record { claims, .. }) = fact else {
         return None;
@@ -16,7 +17,8 @@
     binding.map(|claim| Timestamp(claim.at)).max()
 }
 
-/// Relays to one member in as few messages as hold them, each no longer than a usual network carries in one piece.
+/// Distributes relays to one member over as few messages as possible, none larger than a usual
+/// network carries in one piece.
 fn pack_relays(relays: Vec<Relay>) -> Vec<Vec<MessagePart>> {
     let mut messages: Vec<Vec<MessagePart>> = Vec::new();
     let mut room = 0;
@@ -34,7 +36,8 @@
     messages
 }
 
-/// A claim of another zone as others are told of it: it may have run there, whatever became of it.
+/// A claim of another zone as a claim in an answer: its request may have run there, whatever became
+/// of it.
 fn remote_claim(key: u128, far: RemoteClaim) -> Claim {
     let folded = mix(key as u64 ^ mix(u64::from(far.zone.0)));
     Claim {
@@ -47,7 +50,7 @@
 }
 
 impl Peers {
-    /// Takes a fact in, and logs what other zones are to know of it.
+    /// Stores a fact, and logs the change for other zones.
     pub(super) fn store(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
         let id = fact.id();
         let before = last_claimed_at(self.facts.get(id));
@@ -58,6 +61,7 @@
         taken
     }
 
+    /// Logs the change of a record if the last binding claim changed.
     fn log_claim_change(&mut self, now: Timestamp, id: FactId, before: Option<Timestamp>) {
         let (Some(relays), Some(group)) = (&mut self.relays, GroupNo::of(id.slot())) else {
             return;
@@ -70,7 +74,7 @@
         }
     }
 
-    /// Who keeps what is another: logs are begun, and partners are found.
+    /// Starts logs for new groups and sets partners after the replicas have changed.
     pub(super) fn assign_relay_groups(&mut self, now: Timestamp) {
         let own = self.members.own().id;
         let Some(relays) = &mut self.relays else {
@@ -105,7 +109,7 @@
         }
     }
 
-    /// Whether all that its own zone agreed on in a group is held here.
+    /// Updates whether everything on which the own zone agreed is held here, for each group.
     fn complete_groups(&mut self, now: Timestamp) {
         let (sync, in_minority_partition) = (&self.sync, self.in_minority_partition);
         let complete = |group: GroupNo| {
@@ -116,8 +120,8 @@
         }
     }
 
-    /// Relays that are due go out. One that may be on the smaller side of a cut within its zone says nothing: others would
-    /// take it for the zone.
+    /// Sends the relays that are due. A member that may be in a minority partition of its zone
+    /// sends none, because others would take it for the whole zone.
     pub(super) fn send_relays(&mut self, now: Timestamp) {
         self.complete_groups(now);
         let Some(relays) = &mut self.relays else {
@@ -138,7 +142,7 @@
         }
     }
 
-    /// A relay of another zone's replica.
+    /// Handles a relay from a replica of another zone.
     pub(super) fn on_relay(&mut self, now: Timestamp, id: PeerId, stamp: u64, relay: Relay) {
         let Some(locality) = self.members.locality(id) else {
             return;
@@ -150,7 +154,8 @@
         }
     }
 
-    /// A claim of a member that draws replicas from its own zone: only those of that zone agree on it.
+    /// Handles a claim of a member that chooses replicas from its own zone. Only replicas in that
+    /// zone can confirm it.
     pub(super) fn on_claim_in_zone(
         &mut self,
         now: Timestamp,
@@ -162,12 +167,13 @@
         let theirs = self.members.locality(from).map(|locality| locality.zone);
         let asked = claim.as_ref().map(|claim| claim.token);
         let (sure, mut claims) = self.on_claim(now, key, claim, Scope::Zone);
-        // The asker knows its own.
+        // The asking member knows its own claim.
         claims.retain(|claim| Some(claim.token) != asked);
         (sure && own == theirs, claims)
     }
 
-    /// What other zones claim under a key, and whether one that is not there is new everywhere.
+    /// The claims of other zones on a key, and whether a key without claims is proved to be new in
+    /// all zones.
     pub(super) fn claims_in_other_zones(
         &mut self,
         now: Timestamp,
