--- a/crates/peers/src/decide/replicas.rs
+++ b/crates/peers/src/decide/replicas.rs
@@ -1,8 +1,9 @@
-//! Which members keep which records: a few replicas for each slot, the same ones for all who know the same fleet.
+//! Assignment of slots to replicas. Members that know the same fleet compute the same replicas.
 //!
-//! Replicas are drawn by rendezvous hashing, seat by seat, so that a member that goes takes only its own seats with it.
-//! Without localities they are drawn from the whole fleet. Where every member says where it is, each zone has replicas of
-//! its own, so that a claim waits for near members only; what other zones claim comes by [`super::relay`].
+//! Replicas are chosen by rendezvous hashing, position by position, so that when a member leaves,
+//! only its own positions are reassigned. Without localities they are chosen from the whole fleet.
+//! If every member reports its location, each zone has its own replicas, so that a claim waits only
+//! for members nearby; claims of other zones arrive through [`super::relay`].
 
 use super::facts::{RECORD_SLOTS, Slot, mix};
 use super::locality::{Locality, PeerZoneId, Topology};
@@ -11,46 +12,52 @@
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// So many members keep a slot. More cost messages on every claim, fewer lose a record with two that die together.
+/// The number of replicas of a slot. More of them cost messages with every claim; with fewer,
+/// records are lost when two members die together.
 pub const REPLICAS_PER_SLOT: usize = 3;
-/// So long after the fleet changed, the former keepers are asked as well: they know what the new ones still fetch.
+/// How long former replicas are asked as well after the fleet has changed: they know what the new
+/// replicas are still fetching.
 const FORMER_REPLICA_PERIOD: TimeSpan = TimeSpan::from_secs(5);
-/// Slots of records with the same replicas within a zone: fewer groups mean fewer members to relay claims to.
+/// The number of record slots that have the same replicas within a zone. Fewer groups mean fewer
+/// members to relay claims to.
 pub const SLOTS_IN_GROUP: u16 = 16;
 
-/// Slots that are kept by the same members.
+/// A group of slots with the same replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupNo(pub u8);
 
 impl GroupNo {
-    /// `None`: a common slot, which all keep.
+    /// The group of a slot; `None` for a common slot, which all members hold.
     pub fn of(slot: Slot) -> Option<GroupNo> {
         (!slot.is_common()).then_some(GroupNo((slot.0 / SLOTS_IN_GROUP) as u8))
     }
 
+    /// All groups.
     pub fn all() -> impl Iterator<Item = GroupNo> {
         (0..RECORD_SLOTS / SLOTS_IN_GROUP).map(|nth| GroupNo(nth as u8))
     }
 
+    /// The slots of the group.
     pub fn slots(self) -> impl Iterator<Item = Slot> {
         let first = u16::from(self.0) * SLOTS_IN_GROUP;
         (first..first + SLOTS_IN_GROUP).map(Slot)
     }
 }
 
-/// From whom replicas are drawn.
+/// From which members replicas are chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Scope {
-    /// From all members, whatever the distance.
+    /// From all members, whatever their distance.
     #[default]
     Fleet,
     /// From the members of each zone.
     Zone,
 }
 
-/// Members and where they are; `None`: a member that does not say.
+/// A member and its location; `None` if it does not report one.
 pub type Located = (PeerId, Option<Locality>);
 
+/// The replicas of all slots.
 #[derive(Clone, Debug, Default)]
 pub struct Replicas {
     topology: Option<Topology>,
@@ -59,20 +66,23 @@
     of: Vec<Vec<PeerId>>,
     former: Vec<Vec<PeerId>>,
     former_until: Timestamp,
-    /// The members of each zone, the own one among them; seats of other zones are drawn for the groups that are kept here.
+    /// The members of each zone, including the own zone. From them the replicas of other zones are
+    /// computed for groups held here.
     by_zone: BTreeMap<PeerZoneId, Vec<PeerId>>,
 }
 
-/// What a change of the fleet did.
+/// What a change of the fleet changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Changed {
+    /// Nothing changed.
     Nothing,
+    /// The members changed.
     Members,
-    /// Replicas are drawn from another set than before: nothing that was whole is.
+    /// Replicas are chosen from another set of members: no copy counts as complete any more.
     Scope,
 }
 
-/// The first few in the order of one slot.
+/// The replicas of a slot among the members of the fleet.
 fn rendezvous_replicas(slot: Slot, fleet: &[PeerId]) -> Vec<PeerId> {
     let salt = mix(u64::from(slot.0));
     let mut few: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
@@ -87,8 +97,8 @@
     few.into_iter().map(|(_, id)| id).collect()
 }
 
-/// The seats of a group among the members of one zone. Each seat has an order of its own, so that the members in the
-/// other seats stay where they are when one of them goes.
+/// The replicas of a group among the members of one zone, by position. Each position has its own
+/// order of members, so that the members in other positions stay when one of them leaves.
 fn replica_positions(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
     let mut replica_positions: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
     for position in 0..REPLICAS_PER_SLOT as u64 {
@@ -102,6 +112,7 @@
 }
 
 impl Replicas {
+    /// Replicas of a fleet without members.
     pub fn new(topology: Option<Topology>) -> Replicas {
         Replicas {
             topology,
@@ -109,15 +120,17 @@
         }
     }
 
+    /// From which members replicas are chosen.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
+    /// The zones of the fleet, if this member reports its location.
     pub fn topology(&self) -> Option<&Topology> {
         self.topology.as_ref()
     }
 
-    /// Another fleet, in any order.
+    /// Sets the members of the fleet, in any order.
     pub fn set_members(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> Changed {
         fleet.sort_unstable();
         if fleet == self.fleet {
@@ -154,12 +167,12 @@
         }
     }
 
-    /// Who keeps a slot of records; all keep the common ones.
+    /// The replicas of a record slot. Common slots are held by all members.
     pub fn of(&self, slot: Slot) -> &[PeerId] {
         self.of.get(usize::from(slot.0)).map_or(&[], Vec::as_slice)
     }
 
-    /// Who kept it lately, and does not now.
+    /// Members that were replicas of a slot until recently and are not any more.
     pub fn former(&self, now: Timestamp, slot: Slot) -> impl Iterator<Item = PeerId> {
         let former = self.former.get(usize::from(slot.0));
         let former = former.filter(|_| now < self.former_until).into_iter();
@@ -167,16 +180,17 @@
         former.flatten().copied().filter(|id| !present.contains(id))
     }
 
+    /// Whether a member holds a slot.
     pub fn is_replica(&self, id: PeerId, slot: Slot) -> bool {
         slot.is_common() || self.of(slot).contains(&id)
     }
 
-    /// The seats of a group in the own zone, in their order.
+    /// The replicas of a group in the own zone, by position.
     fn own_replicas(&self, group: GroupNo) -> &[PeerId] {
         group.slots().next().map_or(&[], |first| self.of(first))
     }
 
-    /// Groups of which this member keeps a replica, where each zone has its own.
+    /// The groups of which a member is a replica, if each zone has its own replicas.
     pub fn groups(&self, id: PeerId) -> Vec<GroupNo> {
         if self.scope == Scope::Fleet {
             return Vec::new();
@@ -185,9 +199,10 @@
         kept.collect()
     }
 
-    /// The members of another zone that tell this one what is claimed there: whoever has the same seat, and, where one
-    /// zone has fewer seats, whoever has one that falls on the same. So any two seats of one zone and any majority of
-    /// seats of the other have a pair in common.
+    /// The members of another zone that report claims of that zone to `id`: the replica with the
+    /// same position and, if one zone has fewer positions, the replicas whose positions fall on the
+    /// same one. So any two positions of one zone and any majority of the positions of the other
+    /// include a pair of partners.
     pub fn partners(&self, id: PeerId, group: GroupNo, zone: PeerZoneId) -> Vec<PeerId> {
         let own = self.own_replicas(group);
         let members = self.by_zone.get(&zone);
