--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -1,9 +1,10 @@
-//! What all are to know: purges, hosts and hints, told on from one to the next.
+//! Facts that all members receive, passed on by gossip: purges, changes of hosts, and openings of
+//! breakers.
 
 use super::*;
 
 impl Peers {
-    /// A purge was heard of, from the journal, which has it at this moment.
+    /// The journal service reported a purge that happened at `at` by its clock.
     pub fn on_purge(
         &mut self,
         now: Timestamp,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The own list speaks of hosts, at this journal position.
+    /// The own host list reported hosts, at this journal position.
     pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], journal_position: u64) {
         self.journal_position = self.journal_position.max(journal_position);
         if !self.settings.hosts {
@@ -52,7 +53,7 @@
             if listed == ListedState::Gone {
                 self.hosts.remove(&entry.host);
             }
-            // What another said of it is overtaken, unless that other is further in the journal.
+            // A report of another member is superseded, unless it has a later journal position.
             let id = FactId::Host(entry.host.0);
             let known = self.facts.get(id).cloned();
             if restricted.is_some()
@@ -88,11 +89,12 @@
         }
     }
 
+    /// In how many messages a new fact is passed on.
     pub(super) fn gossip_rounds(&self) -> u32 {
         (usize::BITS - self.members.all().count().leading_zeros()) + 2
     }
 
-    /// What happened here, which others may have heard of, too.
+    /// Adds a fact of the journal service, which other members may have received as well.
     pub(super) fn add_own_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         if self.facts.insert(now, fact) == Some(true)
@@ -104,7 +106,7 @@
         }
     }
 
-    /// A fact from another.
+    /// Handles a fact from another member.
     pub(super) fn on_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         let wanted = match &fact {
@@ -118,7 +120,8 @@
         match self.store(now, fact) {
             None => self.counts.full += 1,
             Some(false) => {
-                // All have it, by and by.
+                // A fact that arrives again is known to other members already, and is passed on
+                // less often.
                 if let Some(entry) = self.gossip_queue.get_mut(&id) {
                     entry.left = entry.left.saturating_sub(1);
                 }
@@ -145,7 +148,8 @@
         }
     }
 
-    /// Another's word of a host holds where it is later in the journal and allows less; it never adds a host.
+    /// Applies another member's report of a host if it has a later journal position and is more
+    /// restrictive. It never adds a host.
     pub(super) fn apply_host_fact(&mut self, now: Timestamp, fact: &Fact) {
         let Fact::Host {
             host,
@@ -172,6 +176,7 @@
         }
     }
 
+    /// Lifts restrictions of hosts that have expired.
     pub(super) fn lift_expired_restrictions(&mut self, now: Timestamp) {
         for (&host, known) in &mut self.hosts {
             if known.restricted.is_some_and(|until| until <= now) {
@@ -181,6 +186,7 @@
         }
     }
 
+    /// Passes new facts and hints on to a few members.
     pub(super) fn gossip(&mut self, now: Timestamp) {
         self.hints
             .retain(|_, (at, _)| now.since(*at) < HINT_RETENTION);
