--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -1,53 +1,64 @@
-//! How copies become the same: sums are compared, and what differs is fetched in pieces.
+//! Synchronisation of copies: checksums are compared, and facts of slots that differ are fetched in
+//! pages.
 //!
-//! A member that starts, returns or has slots fall to it lacks them until somebody who lacks nothing there has told that
-//! both have the same, or has given all that it has. Until then it says so with every answer, and its "nothing known"
-//! counts for nothing. Where nobody lacks nothing (all were restarted), a slot is whole once everything from before has
-//! run out. Nobody waits for any of this.
+//! A member that starts, returns or becomes a replica of slots has to synchronise these slots:
+//! another member whose copy is complete has to report that both copies are the same, or to send
+//! all its facts. Until then the member reports its copy as incomplete, and its report that nothing
+//! is known does not count. If no member has a complete copy (all were restarted), a slot counts as
+//! complete when every earlier fact has expired. No request waits for synchronisation.
 
 use super::facts::{Fact, FactId, Slot};
 use super::messages::{Completeness, MessagePart, PeerId, TimeRange};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// Sums are compared with one other so often, spread by a quarter; and this often while something is lacking lately.
+/// How often checksums are compared with another member, varied randomly by a quarter.
 const COMPARE_INTERVAL: TimeSpan = TimeSpan::from_millis(500);
+/// How often checksums are compared while a slot has been out of sync only recently.
 const FAST_COMPARE_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
+/// How long a slot counts as out of sync only recently.
 const FAST_COMPARE_PERIOD: TimeSpan = TimeSpan::from_secs(3);
-/// Whoever claims may not know yet that a slot is kept here, and tell only others: what is compared sooner after it fell
-/// here proves nothing.
+/// A comparison made sooner than this after a slot was assigned here proves nothing: members that
+/// claim a key may not know the new replica yet and send the claim only to others.
 const MIN_RESYNC_AGE: TimeSpan = TimeSpan::from_secs(1);
-/// Of three keepers any two know all claims that stood: so many others have to be heard by one that missed some.
+/// Of three replicas, any two know all claims that were granted: a member that missed some has to
+/// compare with this many others.
 const MAX_COMPLETE_COPIES_NEEDED: usize = 2;
-/// Slots fetched at once, and how long a piece is waited for.
+/// Slots that are fetched at once.
 const MAX_FETCHES: usize = 8;
+/// How long a page is waited for.
 const PAGE_TIMEOUT: TimeSpan = TimeSpan::from_millis(150);
-/// After so many unanswered questions another is asked, and after so many the slot is left for the next round.
+/// Requests for a page that one member may leave unanswered before another is asked.
 const MAX_TRIES_AT_ONE_PEER: u32 = 2;
+/// Requests after which fetching a slot is given up until the next comparison.
 const MAX_TRIES: u32 = 8;
-/// Bytes of facts in one piece: a datagram that is not split on a usual network.
+/// The size of the facts in one page, in bytes: such a datagram is not fragmented on a usual
+/// network.
 pub const MAX_PAGE_BYTES: usize = 1_100;
-/// Pieces given out in a second, all askers together, and at once: about a tenth of a core. More takes time from service.
+/// Pages sent per second, to all members together: about a tenth of a core. More would take time
+/// from requests.
 const PAGES_PER_SECOND: f64 = 10_000.0;
+/// Pages that may be sent at once.
 const PAGE_BURST: f64 = 256.0;
-/// Sums in one note.
+/// Checksums in one part of a message.
 const MAX_CHECKSUMS_PER_PART: usize = 96;
-/// Others that wait to be compared with.
+/// Members that wait to be compared with.
 const MAX_COMPARISONS_DUE: usize = 64;
 /// Slots that wait to be fetched.
 const MAX_QUEUED_FETCHES: usize = 1_024;
 
+/// A slot that is being fetched.
 #[derive(Clone, Debug)]
 struct Fetch {
     from: PeerId,
     after: Option<FactId>,
     asked: Timestamp,
     tries: u32,
-    /// What everybody who gave a piece of it has at least.
+    /// The lowest completeness that members reported with their pages.
     completeness: Completeness,
 }
 
-/// Since when a slot is lacking, why, and whose copy has been taken in since.
+/// Since when and why a slot is out of sync, and with which copies it has been compared since.
 #[derive(Clone, Debug)]
 struct Resync {
     since: Timestamp,
@@ -55,32 +66,35 @@
     compared: BTreeMap<PeerId, Completeness>,
 }
 
-/// Why a slot is lacking. A claim stands with more than half of its keepers, so that one other need not know of it.
+/// Why a slot is out of sync. A claim is granted by more than half of its replicas, so a single
+/// other replica need not know of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResyncReason {
-    /// Nothing is remembered of it: two others have to be heard, where there are two.
+    /// Nothing is remembered: the slot has to be compared with two other members, if there are two.
     New,
-    /// All is remembered but what those did who were out of reach: two of them have to be heard, where there are two; or all
-    /// there are, where one of them remembers as much.
+    /// Everything is remembered except what unreachable members did: the slot has to be compared
+    /// with two of these, if there are two; or with all members, if one of them remembers as much.
     Partitioned,
 }
 
+/// The synchronisation of all slots.
 #[derive(Clone, Debug)]
 pub struct SlotSync {
-    /// What is lacking.
+    /// Slots that are out of sync.
     resyncs: BTreeMap<Slot, Resync>,
-    /// Who was out of reach while this one was cut off.
+    /// Members that were unreachable while this one was in a minority partition.
     unreachable: BTreeSet<PeerId>,
     fetching: BTreeMap<Slot, Fetch>,
     waiting: VecDeque<(Slot, PeerId)>,
     next_comparison_at: Timestamp,
     next_resync_at: Timestamp,
-    /// Others to compare with soon, as the fleet changed.
+    /// Members to compare with soon.
     comparisons_due: VecDeque<PeerId>,
-    /// How long until everything from before a moment has run out: of records, and of what all keep.
+    /// How long facts are held: records, and facts of common slots.
     retention: (TimeSpan, TimeSpan),
     page_permits: (f64, Timestamp),
     round: usize,
+    /// The number of requested pages that arrived.
     pub pages_received: u64,
 }
 
@@ -95,25 +109,28 @@
     }
 }
 
-/// Others by slot, as the sync asks for them.
+/// The replicas of slots, as synchronisation needs them.
 pub struct ReplicaView<'a> {
-    /// Whoever else keeps the slot and is alive.
+    /// The other replicas of a slot that are alive.
     pub replicas: &'a dyn Fn(Slot) -> Vec<PeerId>,
-    /// Whether this member keeps it.
+    /// Whether this member holds a slot.
     pub mine: &'a dyn Fn(Slot) -> bool,
-    /// Members lost so lately that what only they know may matter.
+    /// The number of members lost so recently that facts known only to them may matter.
     pub lost: usize,
 }
 
 /// What this member holds.
 pub struct HeldSlots {
-    /// Slots that have anything in them.
+    /// Slots that contain facts.
     pub slots: Vec<Slot>,
-    /// The time of which all of it can be expected to be the same at all replicas; `None`: of any time.
+    /// The range of time in which all replicas can be expected to hold the same facts; `None`: all
+    /// times.
     pub settled: Option<TimeRange>,
 }
 
 impl SlotSync {
+    /// All slots are out of sync. `retention` is how long records and facts of common slots are
+    /// held.
     pub fn new(now: Timestamp, retention: (TimeSpan, TimeSpan)) -> SlotSync {
         SlotSync {
             resyncs: Slot::all()
@@ -132,7 +149,7 @@
         }
     }
 
-    /// Slots that this member keeps and does not have whole.
+    /// The number of slots that this member holds and that are out of sync.
     pub fn out_of_sync_count(&self, view: &ReplicaView) -> usize {
         self.resyncs
             .keys()
@@ -140,6 +157,7 @@
             .count()
     }
 
+    /// How complete the copy of a slot is.
     pub fn completeness(&self, slot: Slot) -> Completeness {
         match self.resyncs.get(&slot).map(|resync| resync.reason) {
             None => Completeness::Complete,
@@ -148,11 +166,12 @@
         }
     }
 
+    /// Whether the copy of a slot is complete.
     pub fn is_in_sync(&self, slot: Slot) -> bool {
         !self.resyncs.contains_key(&slot)
     }
 
-    /// It was away, or slots fell to it: they are to be compared again.
+    /// Marks slots as out of sync, after a pause or when they were assigned to this member.
     pub fn start_resync(
         &mut self,
         now: Timestamp,
@@ -161,7 +180,7 @@
     ) {
         for slot in slots {
             let known = self.resyncs.get(&slot).map(|resync| resync.reason);
-            // Whoever never had it does not have it for having been cut off.
+            // A slot that was never complete is not complete except for a partition.
             let reason = known
                 .filter(|&known| known == ResyncReason::New)
                 .unwrap_or(reason);
@@ -171,23 +190,23 @@
         self.next_resync_at = now;
     }
 
-    /// This one is on the smaller side of a cut, without these.
+    /// Adds members that are unreachable from this minority partition.
     pub fn add_unreachable(&mut self, unreachable: impl Iterator<Item = PeerId>) {
         self.unreachable.extend(unreachable);
     }
 
-    /// It begins to be cut off: who was away before that counts no more.
+    /// Clears the unreachable members when a partition begins.
     pub fn clear_unreachable(&mut self) {
         self.unreachable.clear();
     }
 
-    /// The fleet is another: what is kept together with these is compared soon.
+    /// Replaces the members to compare with next, after the fleet has changed.
     pub fn compare_with(&mut self, now: Timestamp, with: impl Iterator<Item = PeerId>) {
         self.comparisons_due = with.collect();
         self.next_comparison_at = now;
     }
 
-    /// Something came here that these keep as well, and may lack: they are compared with soon.
+    /// New facts arrived: other replicas of their slot may lack them, and are compared with soon.
     pub fn compare_soon(&mut self, now: Timestamp, with: &[PeerId]) {
         for &id in with {
             if self.comparisons_due.len() < MAX_COMPARISONS_DUE
@@ -199,7 +218,7 @@
         self.next_comparison_at = self.next_comparison_at.min(now + FAST_COMPARE_INTERVAL);
     }
 
-    /// Sums from another; what is to be answered.
+    /// Handles the checksums of another member, and returns the answers.
     pub fn on_checksums(
         &mut self,
         from: PeerId,
@@ -241,7 +260,8 @@
         parts
     }
 
-    /// Another has the same. What is here and not this one's to keep may go then.
+    /// Handles the report that another member's copies are the same. Returns the slots that need
+    /// not be held here any more.
     pub fn on_same(
         &mut self,
         now: Timestamp,
@@ -257,7 +277,7 @@
         others.filter(|&slot| !(view.mine)(slot)).collect()
     }
 
-    /// That one's copy has no more than this one's.
+    /// Records that another member's copy contains nothing that is missing here.
     fn on_compared(
         &mut self,
         now: Timestamp,
@@ -298,8 +318,10 @@
         }
     }
 
+    /// Queues a slot to be fetched from a member.
     pub fn queue_fetch(&mut self, slot: Slot, from: PeerId) {
-        // Others that differ there as well are asked behind it, each for what it has.
+        // Further members whose copies differ are asked after the current one, each for the facts
+        // that it has.
         let under_way = self.fetching.get(&slot);
         let known = under_way.is_some_and(|fetch| fetch.from == from)
             || self.waiting.contains(&(slot, from));
@@ -308,7 +330,7 @@
         }
     }
 
-    /// Whether a piece may be given out now.
+    /// Whether a page may be sent now; counts it.
     pub fn take_page_permit(&mut self, now: Timestamp) -> bool {
         let (had, at) = self.page_permits;
         let completeness = (had + now.since(at).as_secs_f64() * PAGES_PER_SECOND).min(PAGE_BURST);
@@ -324,7 +346,8 @@
         gives
     }
 
-    /// A piece came. `true`: it was waited for, and its facts are to be taken.
+    /// Handles a page. `true`: it was requested, and its facts have to be stored. The second value
+    /// is the request for the next page.
     pub fn on_page(
         &mut self,
         now: Timestamp,
@@ -352,6 +375,7 @@
         (true, Some((from, MessagePart::PageRequest { slot, after })))
     }
 
+    /// When [`SlotSync::advance`] has to be called next.
     pub fn next_deadline(&self) -> Timestamp {
         let pages_received = self
             .fetching
@@ -361,7 +385,7 @@
         timed.min().unwrap_or(self.next_comparison_at)
     }
 
-    /// What is due by now: whom to ask for what.
+    /// Returns the requests that are due, with their recipients.
     pub fn advance(
         &mut self,
         now: Timestamp,
@@ -401,7 +425,7 @@
             );
             asks.push((from, MessagePart::PageRequest { slot, after }));
         }
-        // Each slot is asked of one other, by turns, so that several share the work.
+        // Each slot is compared with one other member in turn, so that several share the work.
         let mut by_peer: BTreeMap<PeerId, Vec<(Slot, u64)>> = BTreeMap::new();
         let others = |slot: Slot| match slot.is_common() {
             true => reachable.to_vec(),
@@ -417,7 +441,8 @@
             self.next_resync_at = now + every.mul_f64(0.75 + 0.5 * rng.f64());
             for &slot in self.resyncs.keys() {
                 let from = others(slot);
-                // What all keep is asked of one, or hundreds would ask hundreds.
+                // Common slots are compared with one member only; otherwise hundreds of members
+                // would ask hundreds.
                 let spread = if slot.is_common() {
                     0
                 } else {
@@ -437,7 +462,9 @@
         }
         let mut settled_by_peer: BTreeMap<PeerId, Vec<(Slot, u64)>> = BTreeMap::new();
         if now >= self.next_comparison_at {
-            // What is only held here goes to somebody who keeps it; and one other, with all that is kept together with it.
+            // Slots that contain facts but are not held here are compared with one of their
+            // replicas. All held slots that are shared with one other member are compared with that
+            // member.
             for &slot in held
                 .iter()
                 .filter(|&&slot| !(view.mine)(slot))
@@ -468,9 +495,10 @@
                     true => somebody.copied(),
                     false => whom.filter(|whom| others(slot).contains(whom)),
                 };
-                // An empty slot of records here is compared by whoever has some.
+                // An empty record slot is compared by members whose copies contain facts.
                 let empty = !slot.is_common() && !held.contains(&slot);
-                // What is known here of a slot and lacks nothing is compared without what is still on its way to others.
+                // Slots in sync are compared without the facts that are still on their way to other
+                // members.
                 let only = settled.filter(|_| !slot.is_common() && self.is_in_sync(slot));
                 let asked = match only {
                     Some(_) => &mut settled_by_peer,
@@ -497,7 +525,7 @@
         asks
     }
 
-    /// A piece that did not come is asked for again, then of another, then left.
+    /// Requests a page again that did not arrive, then from another member, and then gives up.
     fn retry_fetch(
         &mut self,
         now: Timestamp,
@@ -520,7 +548,8 @@
         if fetch.tries > MAX_TRIES_AT_ONE_PEER && !slot.is_common() {
             let others = (view.replicas)(slot);
             if let Some(&other) = others.get(fetch.tries as usize % others.len().max(1)) {
-                // Where the former one stopped: all have the same order.
+                // Continues where the former member stopped: all members have the same order of
+                // facts.
                 fetch.from = other;
             }
         }
