--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on the keys of this dispatcher's own requests: the inquiries about them, and the updates
+//! Claims on the keys of this dispatcher's own requests: the inquiry about them, and the updates
 //! that replicas still have to receive.
 //!
 //! A claim is sent to all replicas of its key at once. It is granted when more than half of them
@@ -7,7 +7,7 @@
 //! the later one yields, and the earlier one waits for that. Later stages of a claim are sent to
 //! the replicas until they acknowledge them.
 
-use super::facts::{Claim, ClaimLocation, Fact, FactId, Stage, Token, merge, others};
+use super::facts::{Claim, ClaimLocation, Fact, FactId, Stage, Token, claims_of_others, merge};
 use super::messages::{InquiryId, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
@@ -24,11 +24,11 @@
     pub yielded: bool,
 }
 
-/// One round of inquiries about a key.
+/// One round of inquiry about a key.
 #[derive(Clone, Debug)]
 struct Inquiry {
     id: RequestId,
-    asked: Timestamp,
+    asked_at: Timestamp,
     /// Replicas that have not answered.
     unanswered: BTreeSet<PeerId>,
     /// Replicas that are asked as soon as one of the others is not certain.
@@ -59,7 +59,7 @@
     /// The replicas that have not acknowledged it; `None`: the replicas at the time of sending.
     to: Option<BTreeSet<PeerId>>,
     at: Timestamp,
-    pause: TimeSpan,
+    delay: TimeSpan,
     inquiry_id: InquiryId,
 }
 
@@ -82,14 +82,18 @@
     inquiries: BTreeMap<InquiryId, Inquiry>,
     /// Inquiries to replicas in reserve that have to be sent now.
     reserve_inquiries: Vec<(InquiryId, RequestId, PeerId)>,
-    pending: BTreeMap<FactId, PendingUpdate>,
+    pending_updates: BTreeMap<FactId, PendingUpdate>,
     update_deadlines: BTreeSet<(Timestamp, FactId)>,
 }
 
 impl Claims {
-    /// The numbers of claims, inquiries and pending updates.
+    /// The numbers of claims, inquiry and pending updates.
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.own.len(), self.inquiries.len(), self.pending.len())
+        (
+            self.own.len(),
+            self.inquiries.len(),
+            self.pending_updates.len(),
+        )
     }
 
     /// The claim of a request.
@@ -125,26 +129,26 @@
         (!own.yielded).then(|| own.claim.clone())
     }
 
-    /// Starts a round of inquiries to `whom`, of whom `required` have to be certain.
+    /// Starts a round of inquiry to `peers`, of whom `required` have to be certain.
     pub fn start_inquiry(
         &mut self,
         now: Timestamp,
         inquiry_id: InquiryId,
         id: RequestId,
-        whom: BTreeSet<PeerId>,
+        peers: BTreeSet<PeerId>,
         reserve: Vec<PeerId>,
         required: usize,
     ) {
         // The previous round has ended; its answers would count twice.
-        self.inquiries.retain(|_, inquiries| {
-            inquiries.id != id && now.since(inquiries.asked) < INQUIRY_RETENTION
+        self.inquiries.retain(|_, inquiry| {
+            inquiry.id != id && now.since(inquiry.asked_at) < INQUIRY_RETENTION
         });
         self.inquiries.insert(
             inquiry_id,
             Inquiry {
                 id,
-                asked: now,
-                unanswered: whom,
+                asked_at: now,
+                unanswered: peers,
                 reserve,
                 required,
                 sure: 0,
@@ -162,50 +166,48 @@
         sure: bool,
         claims: Vec<Claim>,
     ) -> Option<(RequestId, ClaimOutcome)> {
-        let inquiries = self.inquiries.get_mut(&inquiry_id)?;
+        let inquiry = self.inquiries.get_mut(&inquiry_id)?;
         // What a former replica knows is binding as well, but its report that nothing is known does
         // not count.
-        let counts = inquiries.unanswered.remove(&from);
-        inquiries.sure += usize::from(sure && counts);
-        let (id, asked, key) = (inquiries.id, inquiries.asked, 0);
-        let known = std::mem::take(&mut inquiries.claims);
-        let both = merge(
+        let counts = inquiry.unanswered.remove(&from);
+        inquiry.sure += usize::from(sure && counts);
+        let (id, asked_at, key) = (inquiry.id, inquiry.asked_at, 0);
+        let known = std::mem::take(&mut inquiry.claims);
+        let merged = merge(
             Fact::Record { key, claims: known },
             Fact::Record { key, claims },
         );
-        if let Fact::Record { claims, .. } = both {
-            inquiries.claims = claims;
+        if let Fact::Record { claims, .. } = merged {
+            inquiry.claims = claims;
         }
         let own = self.own.get(&id)?;
         let token = Some(own.claim.token).filter(|_| !own.yielded);
-        let outcome = match others(asked, &inquiries.claims, token) {
-            Some(record) => ClaimOutcome::Found(asked, record),
-            None if inquiries.sure >= inquiries.required => ClaimOutcome::Granted,
-            None if inquiries.unanswered.is_empty() && inquiries.reserve.is_empty() => {
+        let outcome = match claims_of_others(asked_at, &inquiry.claims, token) {
+            Some(record) => ClaimOutcome::Found(asked_at, record),
+            None if inquiry.sure >= inquiry.required => ClaimOutcome::Granted,
+            None if inquiry.unanswered.is_empty() && inquiry.reserve.is_empty() => {
                 ClaimOutcome::Unsure
             }
             None => ClaimOutcome::Pending,
         };
         if !sure && outcome == ClaimOutcome::Pending {
-            inquiries
-                .unanswered
-                .extend(inquiries.reserve.iter().copied());
+            inquiry.unanswered.extend(inquiry.reserve.iter().copied());
             self.reserve_inquiries.extend(
-                inquiries
+                inquiry
                     .reserve
                     .drain(..)
-                    .map(|whom| (inquiry_id, id, whom)),
+                    .map(|peers| (inquiry_id, id, peers)),
             );
         }
-        let earlier = |claim: &Claim| {
+        let is_earlier = |claim: &Claim| {
             (claim.at, claim.token) < (own.claim.at, own.claim.token)
                 && claim.stage != Stage::Released
                 && Some(claim.token) != token
         };
         let yields = matches!(&outcome, ClaimOutcome::Found(_, record) if record.stand == Stand::Claimed)
             && own.claim.location == ClaimLocation::NotReported
-            && inquiries.claims.iter().any(earlier);
-        if inquiries.unanswered.is_empty() && now.since(asked) > INQUIRY_RETENTION {
+            && inquiry.claims.iter().any(is_earlier);
+        if inquiry.unanswered.is_empty() && now.since(asked_at) > INQUIRY_RETENTION {
             self.inquiries.remove(&inquiry_id);
         }
         if yields {
@@ -216,19 +218,19 @@
 
     /// The key of a request in flight that started this inquiry.
     pub fn inquired_key(&self, inquiry_id: InquiryId) -> Option<Key> {
-        let inquiries = self.inquiries.get(&inquiry_id)?;
-        Some(self.own.get(&inquiries.id)?.key)
+        let inquiry = self.inquiries.get(&inquiry_id)?;
+        Some(self.own.get(&inquiry.id)?.key)
     }
 
-    /// Takes the additional inquiries to be sent, with their claims.
+    /// Takes the additional inquiry to be sent, with their claims.
     pub fn take_reserve_inquiries(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
         let reserve_inquiries = std::mem::take(&mut self.reserve_inquiries);
         let claims = reserve_inquiries
             .into_iter()
-            .filter_map(|(inquiry_id, id, whom)| {
+            .filter_map(|(inquiry_id, id, peers)| {
                 let own = self.own.get(&id)?;
                 let claim = (!own.yielded).then(|| own.claim.clone());
-                Some((inquiry_id, whom, own.key.0, claim))
+                Some((inquiry_id, peers, own.key.0, claim))
             });
         claims.collect()
     }
@@ -297,22 +299,24 @@
         let claims = vec![claim];
         let fact = Fact::Record { key, claims };
         let id = fact.id();
-        if self.pending.len() >= MAX_PENDING_UPDATES && !self.pending.contains_key(&id) {
+        if self.pending_updates.len() >= MAX_PENDING_UPDATES
+            && !self.pending_updates.contains_key(&id)
+        {
             return;
         }
-        let fact = match self.pending.remove(&id) {
+        let fact = match self.pending_updates.remove(&id) {
             Some(pending) => merge(pending.fact, fact),
             None => fact,
         };
         self.update_deadlines.insert((at, id));
-        let (to, pause, inquiry_id) = (None, RETRY_DELAY, InquiryId::default());
-        self.pending.insert(
+        let (to, delay, inquiry_id) = (None, RETRY_DELAY, InquiryId::default());
+        self.pending_updates.insert(
             id,
             PendingUpdate {
                 fact,
                 to,
                 at,
-                pause,
+                delay,
                 inquiry_id,
             },
         );
@@ -320,13 +324,13 @@
 
     /// Drops an update. Replicas receive the fact by comparing their copies instead.
     pub fn drop_update(&mut self, fact: FactId) {
-        self.pending.remove(&fact);
+        self.pending_updates.remove(&fact);
     }
 
     /// A member acknowledged the update with this number.
     pub fn on_stored(&mut self, inquiry_id: InquiryId, from: PeerId) {
         let found = self
-            .pending
+            .pending_updates
             .iter_mut()
             .find(|(_, pending)| pending.inquiry_id == inquiry_id);
         if let Some((&id, pending)) = found
@@ -334,7 +338,7 @@
         {
             to.remove(&from);
             if to.is_empty() {
-                self.pending.remove(&id);
+                self.pending_updates.remove(&id);
             }
         }
     }
@@ -352,7 +356,7 @@
         mut new_inquiry_id: impl FnMut() -> InquiryId,
         replicas: impl Fn(FactId) -> BTreeSet<PeerId>,
     ) -> Vec<(InquiryId, Fact, BTreeSet<PeerId>)> {
-        let mut tells = Vec::new();
+        let mut updates = Vec::new();
         while let Some((at, id)) = self
             .update_deadlines
             .first()
@@ -360,32 +364,36 @@
             .filter(|(at, _)| *at <= now)
         {
             self.update_deadlines.pop_first();
-            let Some(pending) = self.pending.get_mut(&id).filter(|pending| pending.at == at) else {
+            let Some(pending) = self
+                .pending_updates
+                .get_mut(&id)
+                .filter(|pending| pending.at == at)
+            else {
                 continue;
             };
-            if pending.pause > MAX_RETRY_DELAY {
-                self.pending.remove(&id);
+            if pending.delay > MAX_RETRY_DELAY {
+                self.pending_updates.remove(&id);
                 continue;
             }
             let to = pending.to.get_or_insert_with(|| replicas(id));
             // If a replica was replaced, the new one receives the update with the next round.
-            if pending.pause > RETRY_DELAY {
+            if pending.delay > RETRY_DELAY {
                 let present = replicas(id);
                 to.retain(|id| present.contains(id));
             }
-            (pending.inquiry_id, pending.at) = (new_inquiry_id(), now + pending.pause);
-            pending.pause = pending.pause.mul_f64(2.0);
-            let (again, told) = (
+            (pending.inquiry_id, pending.at) = (new_inquiry_id(), now + pending.delay);
+            pending.delay = pending.delay.mul_f64(2.0);
+            let (retry_at, update) = (
                 pending.at,
                 (pending.inquiry_id, pending.fact.clone(), to.clone()),
             );
             if to.is_empty() {
-                self.pending.remove(&id);
+                self.pending_updates.remove(&id);
             } else {
-                self.update_deadlines.insert((again, id));
+                self.update_deadlines.insert((retry_at, id));
             }
-            tells.push(told);
+            updates.push(update);
         }
-        tells
+        updates
     }
 }
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -182,7 +182,7 @@
     }
 
     /// The hash of the fact, which is added to the checksum of its slot.
-    fn hash(&self) -> u64 {
+    fn content_hash(&self) -> u64 {
         let mut hash = Fnv(0xcbf2_9ce4_8422_2325);
         std::hash::Hash::hash(self, &mut hash);
         mix(hash.0)
@@ -244,15 +244,15 @@
         };
         by_token.insert(merged.token, merged);
     }
-    let many = OVERFLOW_TOKENS
+    let has_overflow = OVERFLOW_TOKENS
         .iter()
         .any(|token| by_token.contains_key(token));
-    if by_token.len() <= MAX_CLAIMS_PER_KEY && !many {
+    if by_token.len() <= MAX_CLAIMS_PER_KEY && !has_overflow {
         return by_token.into_values().collect();
     }
     // The earliest determines repeat windows, the latest how long the record is held.
     let times = || by_token.values().map(|claim| claim.at);
-    let ends = [times().min(), times().max()].map(Option::unwrap_or_default);
+    let bounds = [times().min(), times().max()].map(Option::unwrap_or_default);
     let one = |(token, at)| Claim {
         token,
         at,
@@ -260,7 +260,7 @@
         location: ClaimLocation::Anywhere,
         body: None,
     };
-    OVERFLOW_TOKENS.into_iter().zip(ends).map(one).collect()
+    OVERFLOW_TOKENS.into_iter().zip(bounds).map(one).collect()
 }
 
 /// Merges two copies of a fact. If they are not copies of one fact, the first is returned.
@@ -310,7 +310,7 @@
 
 /// What the claims of a key tell at `now` to the owner of claim `own`; `None` if no other request
 /// runs or ran. The age is the greatest possible one.
-pub fn others(now: Timestamp, claims: &[Claim], own: Option<Token>) -> Option<Record> {
+pub fn claims_of_others(now: Timestamp, claims: &[Claim], own: Option<Token>) -> Option<Record> {
     let others = claims.iter();
     let others: Vec<&Claim> = others
         .filter(|claim| Some(claim.token) != own && claim.stage != Stage::Released)
@@ -321,11 +321,15 @@
         .fold(ClaimLocation::NotReported, |place, claim| {
             place.join(match claim.location {
                 ClaimLocation::NotReported => ClaimLocation::Anywhere,
-                told => told,
+                known => known,
             })
         });
-    let is = |stage| others.iter().any(|claim| claim.stage == stage);
-    let stand = match (is(Stage::Done), is(Stage::Sent), is(Stage::Unknown)) {
+    let has_stage = |stage| others.iter().any(|claim| claim.stage == stage);
+    let stand = match (
+        has_stage(Stage::Done),
+        has_stage(Stage::Sent),
+        has_stage(Stage::Unknown),
+    ) {
         (true, ..) => Stand::Done,
         (_, true, _) => Stand::Sent,
         (_, _, true) => Stand::Unknown,
@@ -359,16 +363,16 @@
 #[derive(Clone, Debug, Default)]
 struct SlotFacts {
     facts: BTreeMap<FactId, Fact>,
-    sum: Option<u64>,
+    checksum: Option<u64>,
 }
 
 /// All facts that one member holds.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    lasts: Retention,
+    retention: Retention,
     slots_held: BTreeMap<Slot, SlotFacts>,
     /// When facts expire. A fact that was renewed is also listed under its earlier expiry.
-    ends: std::collections::BTreeSet<(Timestamp, FactId)>,
+    expiries: std::collections::BTreeSet<(Timestamp, FactId)>,
     records: usize,
     commons: usize,
 }
@@ -381,23 +385,23 @@
 
 impl Facts {
     /// An empty store of facts.
-    pub fn new(lasts: Retention) -> Facts {
+    pub fn new(retention: Retention) -> Facts {
         Facts {
-            lasts,
+            retention,
             slots_held: BTreeMap::new(),
-            ends: std::collections::BTreeSet::new(),
+            expiries: std::collections::BTreeSet::new(),
             records: 0,
             commons: 0,
         }
     }
 
-    fn end(&self, fact: &Fact) -> Timestamp {
-        let lasts = match fact {
-            Fact::Record { .. } => self.lasts.record,
-            Fact::Purge { .. } => self.lasts.purge,
-            Fact::Host { .. } => self.lasts.host,
+    fn expires_at(&self, fact: &Fact) -> Timestamp {
+        let retention = match fact {
+            Fact::Record { .. } => self.retention.record,
+            Fact::Purge { .. } => self.retention.purge,
+            Fact::Host { .. } => self.retention.host,
         };
-        fact.at() + lasts
+        fact.at() + retention
     }
 
     /// The number of records.
@@ -432,7 +436,7 @@
     /// there is no room.
     pub fn insert(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
         // A fact from far in the future would be held for as long.
-        if self.end(&fact) <= now || fact.at() > now + super::MAX_CLOCK_SKEW.mul_f64(2.0) {
+        if self.expires_at(&fact) <= now || fact.at() > now + super::MAX_CLOCK_SKEW.mul_f64(2.0) {
             return Some(false);
         }
         let id = fact.id();
@@ -454,9 +458,9 @@
         };
         let new = known.is_none();
         self.count(id, isize::from(new));
-        self.ends.insert((self.end(&merged), id));
+        self.expiries.insert((self.expires_at(&merged), id));
         let held = self.slots_held.entry(id.slot()).or_default();
-        held.sum = None;
+        held.checksum = None;
         held.facts.insert(id, merged);
         Some(true)
     }
@@ -472,18 +476,20 @@
 
     /// When the next fact expires.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        self.ends.first().map(|&(at, _)| at)
+        self.expiries.first().map(|&(at, _)| at)
     }
 
     /// Drops expired facts.
     pub fn advance(&mut self, now: Timestamp) {
-        while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
-            self.ends.pop_first();
+        while let Some((_, id)) = self.expiries.first().copied().filter(|(at, _)| *at <= now) {
+            self.expiries.pop_first();
             let slot = id.slot();
-            let over = self.get(id).is_some_and(|fact| self.end(fact) <= now);
-            if let Some(held) = self.slots_held.get_mut(&slot).filter(|_| over) {
+            let expired = self
+                .get(id)
+                .is_some_and(|fact| self.expires_at(fact) <= now);
+            if let Some(held) = self.slots_held.get_mut(&slot).filter(|_| expired) {
                 held.facts.remove(&id);
-                held.sum = None;
+                held.checksum = None;
                 if held.facts.is_empty() {
                     self.slots_held.remove(&slot);
                 }
@@ -498,9 +504,9 @@
         let Some(held) = self.slots_held.get_mut(&slot) else {
             return 0;
         };
-        *held.sum.get_or_insert_with(|| {
-            let digits = held.facts.values().map(Fact::hash);
-            digits.fold(0, u64::wrapping_add)
+        *held.checksum.get_or_insert_with(|| {
+            let hashes = held.facts.values().map(Fact::content_hash);
+            hashes.fold(0, u64::wrapping_add)
         })
     }
 
@@ -509,7 +515,7 @@
         let held = self.slots_held.get(&slot);
         let facts = held.into_iter().flat_map(|held| held.facts.values());
         let facts = facts.filter(|fact| range.contains(fact.at()));
-        facts.map(Fact::hash).fold(0, u64::wrapping_add)
+        facts.map(Fact::content_hash).fold(0, u64::wrapping_add)
     }
 
     /// Facts of a slot in order after the given one, about `bytes` long, and whether they are the
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -6,11 +6,11 @@
 /// Within a zone, replicas learn this late that an attempt was sent, so that a short request needs
 /// one update for both the attempt and its end. Until then the claim binds others like that of a
 /// request that may have been sent anywhere.
-const SENT_WITHIN: TimeSpan = TimeSpan::from_millis(100);
+const SENT_UPDATE_DELAY: TimeSpan = TimeSpan::from_millis(100);
 
 impl Peers {
     /// A keyed request arrived. [`Action::Decided`] tells when and how it continues.
-    pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
+    pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, target: Timestamp) {
         self.detect_pause(now);
         if !self.settings.records || self.is_silent() {
             let verdict = Verdict::Go;
@@ -20,10 +20,11 @@
         let own = self.members.own().id;
         let replicas = self.replicas.of(slot);
         let reached = |id: &&PeerId| **id == own || self.members.is_reached(**id);
-        let some = replicas.iter().filter(reached).count() > replicas.len() / 2;
-        let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.has_room());
+        let majority_reached = replicas.iter().filter(reached).count() > replicas.len() / 2;
+        let wait =
+            Some(self.settings.max_wait).filter(|_| majority_reached && self.claims.has_room());
         self.counts.waited += u64::from(wait.is_some());
-        let steps = self.records.come(now, id, key, due, wait);
+        let steps = self.records.come(now, id, key, target, wait);
         self.run_steps(now, steps);
     }
 
@@ -33,16 +34,16 @@
         self.records.sent(id, location);
         let delay = match self.replicas.scope() {
             Scope::Fleet => TimeSpan::ZERO,
-            Scope::Zone => SENT_WITHIN,
+            Scope::Zone => SENT_UPDATE_DELAY,
         };
         self.claims.on_attempt_sent(now, id, location, token, delay);
         self.send_pending_updates(now);
     }
 
     /// The request has its final answer.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
-        self.records.ended(id, &came);
-        self.claims.on_request_ended(now, id, came);
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Came) {
+        self.records.ended(id, &completion);
+        self.claims.on_request_ended(now, id, completion);
         self.send_pending_updates(now);
     }
 
@@ -96,17 +97,17 @@
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
         let replicas = self.replicas.of(slot).to_vec();
-        let enough = replicas.len() / 2 + 1;
+        let required = replicas.len() / 2 + 1;
         let scope = self.replicas.scope();
         let (whom, reserve) = match scope {
             Scope::Fleet => (replicas, Vec::new()),
-            Scope::Zone => self.nearest_replicas(replicas, enough),
+            Scope::Zone => self.nearest_replicas(replicas, required),
         };
         let whom: BTreeSet<PeerId> = whom.into_iter().collect();
         let former: BTreeSet<PeerId> = self.replicas.former(now, slot).collect();
         let inquiry_id = self.new_inquiry_id();
         self.claims
-            .start_inquiry(now, inquiry_id, id, whom.clone(), reserve, enough);
+            .start_inquiry(now, inquiry_id, id, whom.clone(), reserve, required);
         let key = key.0;
         for &whom in whom.union(&former).filter(|&&whom| whom != own) {
             self.send_claim_to(now, whom, inquiry_id, key, claim.clone());
@@ -122,19 +123,19 @@
     fn nearest_replicas(
         &self,
         mut replicas: Vec<PeerId>,
-        enough: usize,
+        required: usize,
     ) -> (Vec<PeerId>, Vec<PeerId>) {
         let own = self.members.own().id;
         let here = self.replicas.topology().map(|topology| topology.own);
         let distance = |id: PeerId| {
             let places = here.zip(self.members.locality(id));
-            places.map(|(here, there)| here.distance(there))
+            places.map(|(here, is_present)| here.distance(is_present))
         };
         replicas.sort_by_key(|&id| match id == own {
             true => (false, None),
             false => (!self.members.is_reached(id), distance(id)),
         });
-        let reserve = replicas.split_off(enough.min(replicas.len()));
+        let reserve = replicas.split_off(required.min(replicas.len()));
         (replicas, reserve)
     }
 
@@ -174,11 +175,11 @@
         // A member that does not know that it is a replica has fetched nothing of the slot. And a
         // member that chooses replicas from another set of members asks replicas with whom this one
         // agrees on nothing.
-        let keeps = self.replicas.is_replica(self.members.own().id, id.slot());
-        let keeps = keeps && self.replicas.scope() == scope;
+        let is_replica = self.replicas.is_replica(self.members.own().id, id.slot());
+        let is_replica = is_replica && self.replicas.scope() == scope;
         let (proved, mut known) = self.claims_in_other_zones(now, key);
         let mut sure =
-            keeps && self.sync.is_in_sync(id.slot()) && !self.in_minority_partition && proved;
+            is_replica && self.sync.is_in_sync(id.slot()) && !self.in_minority_partition && proved;
         if let Some(claim) = claim {
             let claims = vec![claim];
             let taken = self.store(now, Fact::Record { key, claims });
@@ -201,16 +202,16 @@
         claims: Vec<facts::Claim>,
     ) {
         self.store_answered_claims(now, inquiry_id, &claims);
-        let heard = self
+        let outcome = self
             .claims
             .on_claim_status(now, inquiry_id, from, sure, claims);
         for (inquiry_id, whom, key, claim) in self.claims.take_reserve_inquiries() {
             self.send_claim_to(now, whom, inquiry_id, key, claim);
         }
-        let Some((id, heard)) = heard else {
+        let Some((id, outcome)) = outcome else {
             return;
         };
-        let steps = match heard {
+        let steps = match outcome {
             ClaimOutcome::Pending => return,
             ClaimOutcome::Granted => {
                 self.counts.granted += u64::from(self.records.waits(id));
@@ -223,11 +224,11 @@
                 self.records.go(id)
             }
             ClaimOutcome::Found(asked, record) => {
-                let news = !self.records.waits(id) && self.records.earlier(id).is_none();
+                let is_news = !self.records.waits(id) && self.records.earlier(id).is_none();
                 let steps = self.records.found(now, asked, id, record);
                 let waits = self.records.waits(id);
                 self.counts.joined += u64::from(steps.is_empty() && waits);
-                self.counts.found_late += u64::from(news);
+                self.counts.found_late += u64::from(is_news);
                 steps
             }
         };
@@ -267,18 +268,18 @@
             *next += 1;
             InquiryId(*next)
         };
-        let there =
+        let is_present =
             |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.is_present());
-        let of = |id: FactId| {
+        let replicas_of = |id: FactId| {
             replicas
                 .of(id.slot())
                 .iter()
                 .copied()
-                .filter(there)
+                .filter(is_present)
                 .collect()
         };
         let scope = self.replicas.scope();
-        for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, of) {
+        for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, replicas_of) {
             if scope == Scope::Zone {
                 self.claims.drop_update(fact.id());
             }
--- a/crates/peers/src/decide/members.rs
+++ b/crates/peers/src/decide/members.rs
@@ -59,7 +59,7 @@
     /// When it changed to its status.
     pub since: Timestamp,
     /// What it reported about itself.
-    pub state: MemberSummary,
+    pub summary: MemberSummary,
     /// Whether it answers other members but not this one.
     pub one_way: bool,
     /// Its location, as it reports it.
@@ -86,7 +86,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     inquiry_id: InquiryId,
-    whom: PeerId,
+    peer: PeerId,
     sent_at: Timestamp,
     is_indirect: bool,
 }
@@ -96,9 +96,9 @@
 struct MemberIndex {
     suspected: BTreeSet<PeerId>,
     /// Members whose update is still to be passed on.
-    gossip_rounds_left: BTreeSet<PeerId>,
+    to_gossip: BTreeSet<PeerId>,
     /// The sum over present members for [`Members::membership_checksum`].
-    there: u64,
+    checksum: u64,
 }
 
 /// The summand of one member in the checksum of present members and their boot ids.
@@ -119,18 +119,18 @@
             self.suspected.insert(id);
         }
         if member.gossip_rounds_left > 0 {
-            self.gossip_rounds_left.insert(id);
+            self.to_gossip.insert(id);
         }
         if member.is_present() {
-            self.there = self.there.wrapping_add(member_checksum(&member.update));
+            self.checksum = self.checksum.wrapping_add(member_checksum(&member.update));
         }
     }
 
     fn remove(&mut self, member: &Member) {
         self.suspected.remove(&member.update.id);
-        self.gossip_rounds_left.remove(&member.update.id);
+        self.to_gossip.remove(&member.update.id);
         if member.is_present() {
-            self.there = self.there.wrapping_sub(member_checksum(&member.update));
+            self.checksum = self.checksum.wrapping_sub(member_checksum(&member.update));
         }
     }
 }
@@ -276,28 +276,29 @@
     /// again because of it.
     pub fn located(&self, now: Timestamp) -> (Vec<Located>, Option<Timestamp>) {
         let mut located = vec![(self.own.id, self.locality)];
-        let mut again: Option<Timestamp> = None;
+        let mut recheck_at: Option<Timestamp> = None;
         for (id, member) in self.present() {
             let until = member.known_since + LOCALITY_WAIT;
             if self.locality.is_some() && member.locality.is_none() && now < until {
-                again = Some(again.map_or(until, |again| again.min(until)));
+                recheck_at = Some(recheck_at.map_or(until, |recheck_at| recheck_at.min(until)));
             } else {
                 located.push((id, member.locality));
             }
         }
-        (located, again)
+        (located, recheck_at)
     }
 
     /// Whether a member is in the own zone. All members are if locations are not known.
     pub fn is_in_zone(&self, member: &Member) -> bool {
-        let places = self.locality.zip(member.locality);
-        places.is_none_or(|(own, other)| own.zone == other.zone)
+        let localities = self.locality.zip(member.locality);
+        localities.is_none_or(|(own, other)| own.zone == other.zone)
     }
 
     /// How long the answer to a ping is waited for.
-    fn ping_timeout(&self, whom: PeerId) -> TimeSpan {
-        let far = |(own, other): (Locality, Locality)| own.distance(other) == Distance::OtherRegion;
-        match self.locality.zip(self.locality(whom)).is_some_and(far) {
+    fn ping_timeout(&self, peer: PeerId) -> TimeSpan {
+        let is_far =
+            |(own, other): (Locality, Locality)| own.distance(other) == Distance::OtherRegion;
+        match self.locality.zip(self.locality(peer)).is_some_and(is_far) {
             true => PING_TIMEOUT_OTHER_REGION,
             false => PING_TIMEOUT,
         }
@@ -375,14 +376,15 @@
     /// the members that it suspected or declared dead; otherwise it would make all members believe
     /// for a moment that they lost each other. It learns of present members from those that it
     /// reaches.
-    pub fn set_in_minority_partition(&mut self, is: bool) {
-        let returns = std::mem::replace(&mut self.in_minority_partition, is) && !is;
+    pub fn set_in_minority_partition(&mut self, in_partition: bool) {
+        let healed =
+            std::mem::replace(&mut self.in_minority_partition, in_partition) && !in_partition;
         let reached = |member: &Member| member.update.status == MemberStatus::Alive;
-        if returns && self.members.values().any(reached) {
-            let doubted = |update: &MemberUpdate| {
+        if healed && self.members.values().any(reached) {
+            let is_doubted = |update: &MemberUpdate| {
                 matches!(update.status, MemberStatus::Suspected | MemberStatus::Dead)
             };
-            self.members.retain(|_, member| !doubted(&member.update));
+            self.members.retain(|_, member| !is_doubted(&member.update));
             self.index = MemberIndex::of(&self.members);
             let members = &self.members;
             self.round.retain(|id| members.contains_key(id));
@@ -422,8 +424,11 @@
         {
             // The sender does not know that it was declared dead. It refutes that under its next
             // incarnation.
-            let told = member.update;
-            self.send(address, vec![MessagePart::MemberUpdates(vec![told])]);
+            let update_to_repeat = member.update;
+            self.send(
+                address,
+                vec![MessagePart::MemberUpdates(vec![update_to_repeat])],
+            );
         }
         self.apply_update(now, update);
         if let Some(member) = self.members.get_mut(&from)
@@ -440,7 +445,7 @@
         if update.id == self.own.id {
             return self.on_own_update(now, update);
         }
-        let tells = self.gossip_rounds();
+        let rounds = self.gossip_rounds();
         let full = self.members.len() >= MAX_MEMBERS;
         match self.members.get_mut(&update.id) {
             Some(known) if update.rank() <= known.update.rank() => {}
@@ -448,11 +453,11 @@
                 self.index.remove(known);
                 let before = (known.update.status, known.update.boot_id);
                 known.update = update;
-                known.gossip_rounds_left = tells;
+                known.gossip_rounds_left = rounds;
                 if before != (update.status, update.boot_id) {
                     known.since = now;
                     if before.1 != update.boot_id {
-                        known.state = MemberSummary::default();
+                        known.summary = MemberSummary::default();
                     }
                     self.actions
                         .push(MemberAction::StatusChanged(update.id, update.status));
@@ -464,18 +469,18 @@
                 let member = Member {
                     update,
                     since: now,
-                    state: MemberSummary::default(),
+                    summary: MemberSummary::default(),
                     one_way: false,
                     locality: None,
                     known_since: now,
-                    gossip_rounds_left: tells,
+                    gossip_rounds_left: rounds,
                 };
                 self.index.add(&member);
                 self.members.insert(update.id, member);
                 // At an arbitrary position in the current round, so that hundreds of new members
                 // are not all pinged last.
-                let place = self.next_inquiry_id as usize % (self.round.len() + 1);
-                self.round.insert(place, update.id);
+                let position = self.next_inquiry_id as usize % (self.round.len() + 1);
+                self.round.insert(position, update.id);
                 self.actions
                     .push(MemberAction::StatusChanged(update.id, update.status));
             }
@@ -512,18 +517,18 @@
             self.own_gossip_rounds_left -= 1;
             updates.push(self.own);
         }
-        let gossip_rounds_left = self.index.gossip_rounds_left.iter();
-        let gossip_rounds_left = gossip_rounds_left.filter_map(|id| self.members.get(id));
-        let mut fresh: Vec<(u32, PeerId)> = gossip_rounds_left
+        let to_gossip = self.index.to_gossip.iter();
+        let to_gossip = to_gossip.filter_map(|id| self.members.get(id));
+        let mut candidates: Vec<(u32, PeerId)> = to_gossip
             .filter(|member| self.may_gossip(member))
             .map(|member| (u32::MAX - member.gossip_rounds_left, member.update.id))
             .collect();
-        fresh.sort_unstable();
-        for (_, id) in fresh.into_iter().take(MAX_UPDATES_PER_MESSAGE) {
+        candidates.sort_unstable();
+        for (_, id) in candidates.into_iter().take(MAX_UPDATES_PER_MESSAGE) {
             if let Some(member) = self.members.get_mut(&id) {
                 member.gossip_rounds_left -= 1;
                 if member.gossip_rounds_left == 0 {
-                    self.index.gossip_rounds_left.remove(&id);
+                    self.index.to_gossip.remove(&id);
                 }
                 updates.push(member.update);
             }
@@ -556,36 +561,36 @@
                 self.on_summary(now, from, address, *state);
                 if self
                     .probe
-                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == from)
+                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.peer == from)
                 {
                     self.probe = None;
                 }
-                if let Some((asker, theirs, whom, _)) = self.relayed_pings.remove(inquiry_id) {
-                    self.send(asker, vec![MessagePart::IndirectAck(theirs, whom)]);
+                if let Some((asker, theirs, peer, _)) = self.relayed_pings.remove(inquiry_id) {
+                    self.send(asker, vec![MessagePart::IndirectAck(theirs, peer)]);
                 }
             }
-            MessagePart::IndirectPing(theirs, whom, at) => {
+            MessagePart::IndirectPing(theirs, peer, at) => {
                 if self.relayed_pings.len() < MAX_MEMBERS {
                     let inquiry_id = self.new_inquiry_id();
                     self.relayed_pings
-                        .insert(inquiry_id, (address, *theirs, *whom, now + PING_INTERVAL));
+                        .insert(inquiry_id, (address, *theirs, *peer, now + PING_INTERVAL));
                     self.send(*at, self.with_locality(MessagePart::Ping(inquiry_id, own)));
                 }
             }
-            MessagePart::IndirectAck(inquiry_id, whom) => {
+            MessagePart::IndirectAck(inquiry_id, peer) => {
                 if self
                     .probe
-                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.whom == *whom)
+                    .is_some_and(|probe| probe.inquiry_id == *inquiry_id && probe.peer == *peer)
                 {
                     self.probe = None;
-                    if let Some(member) = self.members.get_mut(whom) {
+                    if let Some(member) = self.members.get_mut(peer) {
                         member.one_way = true;
                         self.actions.push(MemberAction::ReachabilityChanged);
                     }
                 }
             }
             MessagePart::MembersRequest => {
-                let told = |member: &&Member| {
+                let update_to_repeat = |member: &&Member| {
                     self.may_gossip(member)
                         && (member.is_present()
                             || now.since(member.since) < LOST_MEMBER_REPORT_PERIOD)
@@ -593,7 +598,7 @@
                 let updates = self
                     .members
                     .values()
-                    .filter(told)
+                    .filter(update_to_repeat)
                     .map(|member| member.update);
                 let updates: Vec<MemberUpdate> = updates.chain([self.own]).collect();
                 for piece in updates.chunks(MAX_MEMBERS_PER_MESSAGE) {
@@ -613,8 +618,8 @@
             MessagePart::MemberLocalities(localities) => {
                 let last_updates = std::mem::take(&mut self.last_updates);
                 let same = last_updates.len() == localities.len();
-                let told = last_updates.into_iter().zip(localities).filter(|_| same);
-                for ((id, boot_id), locality) in told {
+                let update_to_repeat = last_updates.into_iter().zip(localities).filter(|_| same);
+                for ((id, boot_id), locality) in update_to_repeat {
                     if let Some(locality) = *locality {
                         self.learn_locality(id, Some(boot_id), locality);
                     }
@@ -627,12 +632,12 @@
 
     /// A checksum of the present members and their boot ids.
     pub fn membership_checksum(&self) -> u64 {
-        self.index.there.wrapping_add(member_checksum(&self.own))
+        self.index.checksum.wrapping_add(member_checksum(&self.own))
     }
 
     fn on_summary(&mut self, now: Timestamp, from: PeerId, address: Address, state: MemberSummary) {
         if let Some(member) = self.members.get_mut(&from) {
-            member.state = state;
+            member.summary = state;
         }
         // Gossip would deliver the differences as well, but takes long if hundreds of members
         // arrive or return at once.
@@ -667,7 +672,7 @@
         let probe = self
             .probe
             .filter(|probe| !probe.is_indirect)
-            .map(|probe| probe.sent_at + self.ping_timeout(probe.whom));
+            .map(|probe| probe.sent_at + self.ping_timeout(probe.peer));
         let doubt = self.suspicion_timeout();
         let doubts = self.suspected().map(|member| member.since + doubt);
         let all = doubts
@@ -697,12 +702,12 @@
         }
         self.relayed_pings.retain(|_, (.., until)| now < *until);
         if let Some(probe) = self.probe {
-            if !probe.is_indirect && now.since(probe.sent_at) >= self.ping_timeout(probe.whom) {
+            if !probe.is_indirect && now.since(probe.sent_at) >= self.ping_timeout(probe.peer) {
                 self.send_indirect_pings(probe, rng);
             }
             if now >= self.next_ping_at {
                 self.probe = None;
-                self.suspect(now, probe.whom);
+                self.suspect(now, probe.peer);
             }
         }
         if now >= self.next_ping_at {
@@ -725,10 +730,10 @@
             is_indirect,
             ..probe
         });
-        let Some(address) = self.address(probe.whom) else {
+        let Some(address) = self.address(probe.peer) else {
             return;
         };
-        let helpers = self.present().filter(|&(id, _)| id != probe.whom);
+        let helpers = self.present().filter(|&(id, _)| id != probe.peer);
         let mut helpers: Vec<Address> = helpers.map(|(_, member)| member.update.address).collect();
         rng.shuffle(&mut helpers);
         for to in helpers.into_iter().take(INDIRECT_PING_HELPERS) {
@@ -736,7 +741,7 @@
                 to,
                 vec![MessagePart::IndirectPing(
                     probe.inquiry_id,
-                    probe.whom,
+                    probe.peer,
                     address,
                 )],
             );
@@ -744,8 +749,8 @@
     }
 
     /// Marks a member as suspected.
-    fn suspect(&mut self, now: Timestamp, whom: PeerId) {
-        let Some(member) = self.members.get(&whom) else {
+    fn suspect(&mut self, now: Timestamp, peer: PeerId) {
+        let Some(member) = self.members.get(&peer) else {
             return;
         };
         if member.update.status == MemberStatus::Alive {
@@ -765,7 +770,7 @@
 
     fn ping(&mut self, now: Timestamp, own: MemberSummary, rng: &mut fastrand::Rng) {
         loop {
-            let Some(whom) = self.round.pop_front() else {
+            let Some(peer) = self.round.pop_front() else {
                 let mut all: Vec<PeerId> = self.present().map(|(id, _)| id).collect();
                 if all.is_empty() {
                     return;
@@ -774,14 +779,14 @@
                 self.round = all.into();
                 continue;
             };
-            let Some(member) = self.members.get(&whom).filter(|member| member.is_present()) else {
+            let Some(member) = self.members.get(&peer).filter(|member| member.is_present()) else {
                 continue;
             };
             let (to, sent_at, is_indirect) = (member.update.address, now, false);
             let inquiry_id = self.new_inquiry_id();
             self.probe = Some(Probe {
                 inquiry_id,
-                whom,
+                peer,
                 sent_at,
                 is_indirect,
             });
@@ -792,7 +797,7 @@
     /// Pings members that are not present: a dead one, or an address of the operator's file at
     /// which no member is known.
     fn ping_missing_members(&mut self, own: MemberSummary) {
-        let there: Vec<Address> = self
+        let present_addresses: Vec<Address> = self
             .present()
             .map(|(_, member)| member.update.address)
             .collect();
@@ -803,10 +808,10 @@
         let dead = dead.map(|member| (member.update.address, Some(member.update)));
         let seeds = self.seeds.iter().map(|&seed| (seed, None));
         let mut all: Vec<(Address, Option<MemberUpdate>)> = dead.chain(seeds).collect();
-        all.retain(|(address, _)| !there.contains(address));
+        all.retain(|(address, _)| !present_addresses.contains(address));
         // With no other member present, there are few enough addresses to ping several at once.
-        let few = if there.is_empty() { 4 } else { 1 };
-        for _ in 0..few.min(all.len()) {
+        let count = if present_addresses.is_empty() { 4 } else { 1 };
+        for _ in 0..count.min(all.len()) {
             self.missing_index = self.missing_index.wrapping_add(1);
             let (to, update) = all[self.missing_index % all.len()];
             let inquiry_id = self.new_inquiry_id();
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -12,7 +12,7 @@
 
 /// Defines `$view`, a [`ReplicaView`] for this member. It is a macro that borrows single fields, so
 /// that `sync` can be modified at the same time.
-macro_rules! view {
+macro_rules! replica_view {
     ($self:ident, $view:ident) => {
         let (members, replicas, own) = (&$self.members, &$self.replicas, $self.members.own().id);
         let others = |slot: Slot| -> Vec<PeerId> {
@@ -20,10 +20,10 @@
             all.filter(|&id| id != own && members.is_reached(id))
                 .collect()
         };
-        let mine = |slot: Slot| replicas.is_replica(own, slot);
+        let is_held = |slot: Slot| replicas.is_replica(own, slot);
         let $view = ReplicaView {
             replicas: &others,
-            mine: &mine,
+            is_held: &is_held,
             lost: $self.lost,
         };
     };
@@ -56,7 +56,7 @@
 use members::{MemberAction, Members, OwnMember};
 use messages::{Address, InquiryId, MemberStatus, MemberSummary, Message, MessagePart, PeerId};
 use relay::Relays;
-use replicas::{Changed, Replicas, Scope};
+use replicas::{ReplicaChange, Replicas, Scope};
 use std::collections::{BTreeMap, BTreeSet};
 use sync::{MAX_PAGE_BYTES, ReplicaView, ResyncReason, SlotSync};
 use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
@@ -223,7 +223,7 @@
 /// A fact that is being passed on.
 #[derive(Clone, Debug)]
 struct GossipEntry {
-    left: u32,
+    rounds_left: u32,
     at: Timestamp,
 }
 
@@ -234,15 +234,15 @@
     journal_position: u64,
     listed: Option<ListedState>,
     /// The time until which another member's report restricts the host.
-    restricted: Option<Timestamp>,
+    restricted_until: Option<Timestamp>,
 }
 
 /// A member whose clock is too far off for its messages to be read.
 #[derive(Clone, Copy, Debug)]
 struct OffClock {
-    heard: Timestamp,
+    last_seen_at: Timestamp,
     /// When this member was last sent an answer.
-    answered: Timestamp,
+    answered_at: Timestamp,
 }
 
 /// The shared state and the decisions of one dispatcher.
@@ -261,7 +261,7 @@
     gossip_queue: BTreeMap<FactId, GossipEntry>,
     hints: BTreeMap<(HostId, u64), (Timestamp, u32)>,
     hosts: BTreeMap<HostId, Host>,
-    gossip_at: Timestamp,
+    next_gossip_at: Timestamp,
     /// When the lost members are counted again, unless a change of a member comes first.
     next_partition_check_at: Timestamp,
     /// When the replicas were last computed.
@@ -286,18 +286,18 @@
     /// A dispatcher that starts at `now`. `seed` seeds its random generator.
     pub fn new(now: Timestamp, own: OwnMember, settings: PeersSettings, seed: u64) -> Peers {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let lasts = Retention {
+        let retention = Retention {
             record: settings.record_retention + MAX_CLOCK_SKEW.mul_f64(2.0) + MAX_MESSAGE_DELAY,
             purge: settings.purge_retention + MAX_CLOCK_SKEW,
             host: HOST_CHANGE_RETENTION,
         };
         let mut peers = Peers {
-            facts: Facts::new(lasts),
-            sync: SlotSync::new(now, (lasts.record, lasts.purge.max(lasts.host))),
+            facts: Facts::new(retention),
+            sync: SlotSync::new(now, (retention.record, retention.purge.max(retention.host))),
             relays: own
                 .topology
                 .clone()
-                .map(|topology| Relays::new(now, topology, lasts.record)),
+                .map(|topology| Relays::new(now, topology, retention.record)),
             replicas: Replicas::new(own.topology.clone()),
             members: Members::new(now, own, &mut rng),
             records: Records::default(),
@@ -305,7 +305,7 @@
             gossip_queue: BTreeMap::new(),
             hints: BTreeMap::new(),
             hosts: BTreeMap::new(),
-            gossip_at: now,
+            next_gossip_at: now,
             next_partition_check_at: now,
             replicas_updated_at: now - REPLICA_UPDATE_INTERVAL,
             replica_update_due: None,
@@ -364,11 +364,11 @@
     /// The numbers of open claims, inquiries, pending updates, and gossip entries with hints.
     /// Checks use them to show that they stay bounded.
     pub fn pending_counts(&self) -> (usize, usize, usize, usize) {
-        let (own, asking, owed) = self.claims.counts();
+        let (own, inquiries, pending) = self.claims.counts();
         (
             own,
-            asking,
-            owed,
+            inquiries,
+            pending,
             self.gossip_queue.len() + self.hints.len(),
         )
     }
@@ -449,11 +449,11 @@
         self.run_member_actions(now);
     }
 
-    fn resync_all(&mut self, now: Timestamp, why: ResyncReason) {
+    fn resync_all(&mut self, now: Timestamp, reason: ResyncReason) {
         let (replicas, own) = (&self.replicas, self.members.own().id);
         self.sync.start_resync(
             now,
-            why,
+            reason,
             Slot::all().filter(|&slot| replicas.is_replica(own, slot)),
         );
     }
@@ -467,24 +467,24 @@
     /// Computes the replicas from the members that are known now.
     fn update_replicas(&mut self, now: Timestamp) {
         let own = self.members.own().id;
-        let (fleet, again) = self.members.located(now);
-        if let Some(again) = again {
-            self.schedule_replica_update(again);
+        let (fleet, recheck_at) = self.members.located(now);
+        if let Some(recheck_at) = recheck_at {
+            self.schedule_replica_update(recheck_at);
         }
         let before: BTreeSet<Slot> = Slot::all()
             .filter(|&slot| self.replicas.is_replica(own, slot))
             .collect();
         let changed = self.replicas.set_members(now, fleet);
-        if changed == Changed::Scope {
+        if changed == ReplicaChange::Scope {
             // The new replicas do not know what the former ones agreed on.
             self.resync_all(now, ResyncReason::New);
         }
-        if changed != Changed::Nothing {
+        if changed != ReplicaChange::Nothing {
             self.assign_relay_groups(now);
             let replicas = &self.replicas;
-            let fell = Slot::all()
+            let assigned = Slot::all()
                 .filter(|&slot| replicas.is_replica(own, slot) && !before.contains(&slot));
-            self.sync.start_resync(now, ResyncReason::New, fell);
+            self.sync.start_resync(now, ResyncReason::New, assigned);
             let kept = Slot::all().filter(|&slot| replicas.is_replica(own, slot));
             let with: BTreeSet<PeerId> = kept.flat_map(|slot| replicas.of(slot).to_vec()).collect();
             self.sync
@@ -494,18 +494,18 @@
 
     /// Carries out the actions that membership requests, and updates what depends on them.
     fn run_member_actions(&mut self, now: Timestamp) {
-        let (mut turned, mut members_changed) = (false, false);
-        for todo in self.members.take_actions() {
-            match todo {
+        let (mut reachability_changed, mut members_changed) = (false, false);
+        for action in self.members.take_actions() {
+            match action {
                 MemberAction::Send(to, mut parts) => {
                     parts.extend(self.members.gossip());
                     self.send(now, to, parts);
                 }
                 MemberAction::StatusChanged(id, status) => {
-                    (turned, members_changed) = (true, true);
+                    (reachability_changed, members_changed) = (true, true);
                     self.actions.push(Action::MemberStatusChanged(id, status));
                 }
-                MemberAction::ReachabilityChanged => turned = true,
+                MemberAction::ReachabilityChanged => reachability_changed = true,
                 MemberAction::LocalityLearned => {
                     self.schedule_replica_update(
                         self.replicas_updated_at + REPLICA_UPDATE_INTERVAL,
@@ -517,7 +517,7 @@
                 }
             }
         }
-        if turned {
+        if reachability_changed {
             self.update_partition_state(now);
         }
         if members_changed {
@@ -542,34 +542,33 @@
     /// between it would be the only replica that it knows of, and would confirm claims.
     fn update_partition_state(&mut self, now: Timestamp) {
         self.next_partition_check_at = now + REPLICA_UPDATE_INTERVAL;
-        let keep = self.settings.record_retention;
-        let lost = |member: &members::Member| match member.update.status {
-            MemberStatus::Dead => now.since(member.since) < keep,
+        let retention = self.settings.record_retention;
+        let is_lost = |member: &members::Member| match member.update.status {
+            MemberStatus::Dead => now.since(member.since) < retention,
             MemberStatus::Suspected => true,
             _ => member.one_way,
         };
         // Only members that take part in agreeing on claims matter.
         let zone_only = self.replicas.scope() == Scope::Zone;
-        let (mut there, mut lost_now) = (1, Vec::new());
+        let (mut reached_count, mut lost) = (1, Vec::new());
         for (&id, member) in self.members.all() {
             if zone_only && !self.members.is_in_zone(member) {
                 continue;
             }
-            there += usize::from(member.is_reached());
-            if lost(member) {
-                lost_now.push(id);
+            reached_count += usize::from(member.is_reached());
+            if is_lost(member) {
+                lost.push(id);
             }
         }
         self.off_clock
-            .retain(|_, known| now.since(known.heard) < keep);
+            .retain(|_, known| now.since(known.last_seen_at) < retention);
         for &id in self.off_clock.keys() {
             let reached = self.members.is_reached(id);
-            if !reached && !lost_now.contains(&id) {
-                lost_now.push(id);
+            if !reached && !lost.contains(&id) {
+                lost.push(id);
             }
         }
-        let lost = lost_now;
-        let in_minority_partition = there <= lost.len();
+        let in_minority_partition = reached_count <= lost.len();
         if in_minority_partition && !self.in_minority_partition {
             self.sync.clear_unreachable();
         }
@@ -595,7 +594,7 @@
         if self.members.present().next().is_none() {
             return PeerState::Alone;
         }
-        view!(self, view);
+        replica_view!(self, view);
         match self.sync.out_of_sync_count(&view) {
             0 => PeerState::InSync,
             _ => PeerState::Fetching,
@@ -611,18 +610,18 @@
             self.facts.next_deadline(),
             relays,
         ];
-        let freed = self.hosts.values().filter_map(|host| host.restricted);
-        let timed = timed.into_iter().flatten().chain(freed);
+        let restrictions = self.hosts.values().filter_map(|host| host.restricted_until);
+        let timed = timed.into_iter().flatten().chain(restrictions);
         let timed = timed.chain(self.replica_update_due);
         let always = [
             self.members.next_deadline(),
             self.sync.next_deadline(),
-            self.gossip_at,
+            self.next_gossip_at,
         ];
         if self.is_silent() {
             return timed.min().unwrap_or(self.last_run_at + PAUSE_THRESHOLD);
         }
-        timed.chain(always).min().unwrap_or(self.gossip_at)
+        timed.chain(always).min().unwrap_or(self.next_gossip_at)
     }
 
     /// Advances time to `now` and does what is due.
@@ -645,8 +644,8 @@
         self.run_member_actions(now);
         self.fetch(now);
         self.send_relays(now);
-        if now >= self.gossip_at {
-            self.gossip_at = now + GOSSIP_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.f64());
+        if now >= self.next_gossip_at {
+            self.next_gossip_at = now + GOSSIP_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.f64());
             self.gossip(now);
         }
         self.run_member_actions(now);
--- a/crates/peers/src/decide/operating.rs
+++ b/crates/peers/src/decide/operating.rs
@@ -80,7 +80,7 @@
                 ));
             }
         }
-        view!(self, view);
+        replica_view!(self, view);
         let mut text = format!(
             "{}: alive={alive} not_well={} lacking={} records={} commons={} place={} {:?}",
             self.state.as_str(),
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -75,14 +75,18 @@
         if known.is_none() && self.off_clock.len() >= MAX_OFF_CLOCK_MEMBERS {
             return;
         }
-        let answered = known.map(|known| known.answered);
-        let answer = answered.is_none_or(|at| now.since(at) >= OFF_CLOCK_REPLY_INTERVAL);
-        let answered = if answer { now } else { answered.unwrap_or(now) };
+        let answered_at = known.map(|known| known.answered_at);
+        let answer = answered_at.is_none_or(|at| now.since(at) >= OFF_CLOCK_REPLY_INTERVAL);
+        let answered_at = if answer {
+            now
+        } else {
+            answered_at.unwrap_or(now)
+        };
         self.off_clock.insert(
             from,
             OffClock {
-                heard: now,
-                answered,
+                last_seen_at: now,
+                answered_at,
             },
         );
         if answer {
@@ -164,7 +168,7 @@
             }
             MessagePart::Stored(inquiry_id) => self.claims.on_stored(inquiry_id, from),
             MessagePart::Checksums(sums) => {
-                view!(self, view);
+                replica_view!(self, view);
                 let facts = &mut self.facts;
                 answers.extend(self.sync.on_checksums(
                     from,
@@ -174,7 +178,7 @@
                 ));
             }
             MessagePart::ChecksumsInRange(range, sums) => {
-                view!(self, view);
+                replica_view!(self, view);
                 let facts = &self.facts;
                 let own = |slot| facts.checksum_in_range(slot, range);
                 answers.extend(self.sync.on_checksums(from, &sums, own, &view));
@@ -183,7 +187,7 @@
                 slots,
                 completeness,
             } => {
-                view!(self, view);
+                replica_view!(self, view);
                 for slot in self.sync.on_same(now, from, &slots, completeness, &view) {
                     self.facts.drop_slot(slot);
                 }
@@ -218,7 +222,7 @@
                 end,
                 completeness,
             } => {
-                view!(self, view);
+                replica_view!(self, view);
                 let (wanted, next) =
                     self.sync
                         .on_page(now, from, (slot, after), &facts, (end, completeness), &view);
@@ -227,7 +231,7 @@
                     let before = self.counts.news;
                     facts.into_iter().for_each(|fact| self.on_fact(now, fact));
                     if self.counts.news > before && !slot.is_common() {
-                        view!(self, view);
+                        replica_view!(self, view);
                         let others = (view.replicas)(slot);
                         self.sync.compare_soon(now, &others);
                     }
@@ -252,8 +256,10 @@
         if now < self.sync.next_deadline() {
             return;
         }
-        let anybody = self.members.present().map(|(id, _)| id);
-        let anybody: Vec<PeerId> = anybody.filter(|&id| self.members.is_reached(id)).collect();
+        let reachable = self.members.present().map(|(id, _)| id);
+        let reachable: Vec<PeerId> = reachable
+            .filter(|&id| self.members.is_reached(id))
+            .collect();
         // Replicas of a zone receive most updates of a claim once, and at different times; and with
         // different clocks facts expire at different times.
         let settled = (self.replicas.scope() == Scope::Zone).then(|| TimeRange {
@@ -262,17 +268,17 @@
         });
         let slots = self.facts.slots().collect();
         let held = HeldSlots { slots, settled };
-        let asks = {
-            view!(self, view);
+        let requests = {
+            replica_view!(self, view);
             let facts = &mut self.facts;
             let own = |slot, range: Option<TimeRange>| match range {
                 None => facts.checksum(slot),
                 Some(range) => facts.checksum_in_range(slot, range),
             };
             self.sync
-                .advance(now, &held, own, &view, &anybody, &mut self.rng)
+                .advance(now, &held, own, &view, &reachable, &mut self.rng)
         };
-        for (whom, part) in asks {
+        for (whom, part) in requests {
             self.send_to(now, whom, vec![part]);
         }
     }
--- a/crates/peers/src/decide/relay.rs
+++ b/crates/peers/src/decide/relay.rs
@@ -203,7 +203,7 @@
 #[derive(Clone, Copy, Debug)]
 struct RemoteClaimTimes {
     at: Timestamp,
-    ends: Timestamp,
+    expiries: Timestamp,
 }
 
 type RemoteClaimKey = (GroupNo, ShortKey, PeerZoneId);
@@ -216,12 +216,12 @@
     retention: TimeSpan,
     groups: BTreeMap<GroupNo, Group>,
     remote_claims: BTreeMap<RemoteClaimKey, RemoteClaimTimes>,
-    ends: BTreeSet<(Timestamp, RemoteClaimKey)>,
-    tick_at: Timestamp,
+    expiries: BTreeSet<(Timestamp, RemoteClaimKey)>,
+    next_relay_at: Timestamp,
 }
 
 /// The partners of a replica of a group, by zone.
-pub type Pairs = BTreeMap<PeerZoneId, Vec<PeerId>>;
+pub type Partners = BTreeMap<PeerZoneId, Vec<PeerId>>;
 
 /// The sender of a relay.
 #[derive(Clone, Copy, Debug)]
@@ -241,8 +241,8 @@
             retention,
             groups: BTreeMap::new(),
             remote_claims: BTreeMap::new(),
-            ends: BTreeSet::new(),
-            tick_at: now,
+            expiries: BTreeSet::new(),
+            next_relay_at: now,
         }
     }
 
@@ -257,7 +257,7 @@
     pub fn assign_groups(
         &mut self,
         now: Timestamp,
-        kept: BTreeMap<GroupNo, Pairs>,
+        kept: BTreeMap<GroupNo, Partners>,
         mut log_id: impl FnMut() -> LogId,
     ) -> Vec<GroupNo> {
         self.groups.retain(|group, _| kept.contains_key(group));
@@ -269,7 +269,7 @@
             });
             group.set_partners(now, zones);
         }
-        self.tick_at = self.tick_at.min(now + BACKLOG_RELAY_INTERVAL);
+        self.next_relay_at = self.next_relay_at.min(now + BACKLOG_RELAY_INTERVAL);
         new
     }
 
@@ -277,7 +277,7 @@
     pub fn clear(&mut self) {
         self.groups.clear();
         self.remote_claims.clear();
-        self.ends.clear();
+        self.expiries.clear();
     }
 
     /// Logs a change of the claims of the own zone on a key: `last` is the time of the last claim,
@@ -356,15 +356,15 @@
 
     /// When [`Relays::advance`] has to be called next.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let ends = self.ends.first().map(|&(at, _)| at);
-        let tick = (!self.groups.is_empty()).then_some(self.tick_at);
-        ends.into_iter().chain(tick).min()
+        let expiries = self.expiries.first().map(|&(at, _)| at);
+        let tick = (!self.groups.is_empty()).then_some(self.next_relay_at);
+        expiries.into_iter().chain(tick).min()
     }
 
     /// Drops expired claims, and returns the relays that are due.
     pub fn advance(&mut self, now: Timestamp, rng: &mut fastrand::Rng) -> Vec<(PeerId, Relay)> {
         self.drop_expired(now);
-        if now < self.tick_at || self.groups.is_empty() {
+        if now < self.next_relay_at || self.groups.is_empty() {
             return Vec::new();
         }
         let mut relays = Vec::new();
@@ -373,23 +373,23 @@
             self.update_proof(now, group_no);
             relays.extend(self.relays_of_group(now, group_no));
         }
-        let more = relays.iter().any(|(_, relay)| !relay.last);
-        let every = if more {
+        let has_backlog = relays.iter().any(|(_, relay)| !relay.last);
+        let interval = if has_backlog {
             BACKLOG_RELAY_INTERVAL
         } else {
             RELAY_INTERVAL
         };
-        self.tick_at = now + every.mul_f64(0.75 + 0.5 * rng.f64());
+        self.next_relay_at = now + interval.mul_f64(0.75 + 0.5 * rng.f64());
         relays
     }
 
     fn drop_expired(&mut self, now: Timestamp) {
-        while let Some((at, key)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
-            self.ends.pop_first();
+        while let Some((at, key)) = self.expiries.first().copied().filter(|(at, _)| *at <= now) {
+            self.expiries.pop_first();
             if self
                 .remote_claims
                 .get(&key)
-                .is_some_and(|kept| kept.ends <= at)
+                .is_some_and(|kept| kept.expiries <= at)
             {
                 self.remote_claims.remove(&key);
             }
@@ -401,11 +401,11 @@
 
     /// The next relay to each partner of a group.
     fn relays_of_group(&mut self, now: Timestamp, group_no: GroupNo) -> Vec<(PeerId, Relay)> {
-        let silence = self.silence_timeout();
+        let silence_timeout = self.silence_timeout();
         let Some(group) = self.groups.get_mut(&group_no) else {
             return Vec::new();
         };
-        let reachable_zones = group.reachable_zones(now, &self.topology, silence);
+        let reachable_zones = group.reachable_zones(now, &self.topology, silence_timeout);
         let mut relays = Vec::new();
         let partners: Vec<PeerId> = group.zones.values().flatten().copied().collect();
         for id in partners {
@@ -425,7 +425,7 @@
         let group_no = relay.group;
         self.update_proof(now, group_no);
         let same_zones = relay.zones == self.topology.checksum();
-        let room = self.remote_claims.len() + relay.entries.len() <= MAX_REMOTE_CLAIMS;
+        let has_room = self.remote_claims.len() + relay.entries.len() <= MAX_REMOTE_CLAIMS;
         let Some(group) = self.groups.get_mut(&group_no) else {
             return;
         };
@@ -444,7 +444,7 @@
             u64::MAX
         };
         link.on_ack(now, &relay, &group.log);
-        let entries = link.accept_entries(now, &relay, from.stamp, room);
+        let entries = link.accept_entries(now, &relay, from.stamp, has_room);
         let claims: Vec<Entry> = entries.to_vec();
         for entry in claims {
             self.on_remote_entry(
@@ -467,31 +467,33 @@
         let at = now - age;
         let kept = RemoteClaimTimes {
             at: at - super::MAX_CLOCK_SKEW.mul_f64(2.0),
-            ends: at + self.retention,
+            expiries: at + self.retention,
         };
-        if kept.ends > now {
-            self.ends.insert((kept.ends, key));
+        if kept.expiries > now {
+            self.expiries.insert((kept.expiries, key));
             self.remote_claims.insert(key, kept);
         }
     }
 
     fn update_proof(&mut self, now: Timestamp, group_no: GroupNo) {
-        let silence = self.silence_timeout();
+        let silence_timeout = self.silence_timeout();
         if let Some(group) = self.groups.get_mut(&group_no) {
-            let holds = group.conditions_hold(now, &self.topology, silence);
-            group.proof = group.proof.next_state(now, holds, silence);
+            let conditions_hold = group.conditions_hold(now, &self.topology, silence_timeout);
+            group.proof = group
+                .proof
+                .next_state(now, conditions_hold, silence_timeout);
         }
     }
 }
 
 impl Proof {
-    fn next_state(self, now: Timestamp, holds: bool, silence: TimeSpan) -> Proof {
-        match (self, holds) {
+    fn next_state(self, now: Timestamp, conditions_hold: bool, silence_timeout: TimeSpan) -> Proof {
+        match (self, conditions_hold) {
             (Proof::Given, true) => Proof::Given,
             (Proof::Given, false) => Proof::Lapsed { since: now },
             (Proof::Lapsed { since }, true) => {
                 // No other zone can have left this one out yet.
-                if now.since(since) < silence.mul_f64(0.5) {
+                if now.since(since) < silence_timeout.mul_f64(0.5) {
                     return Proof::Given;
                 }
                 let (since, lapsed) = (now, since);
@@ -527,7 +529,7 @@
         }
     }
 
-    fn set_partners(&mut self, now: Timestamp, zones: Pairs) {
+    fn set_partners(&mut self, now: Timestamp, zones: Partners) {
         let partner = |id: &PeerId| zones.values().any(|partners| partners.contains(id));
         self.links.retain(|id, _| partner(id));
         for &id in zones.values().flatten() {
@@ -545,36 +547,47 @@
     }
 
     /// The zones that are received, as a bit set of their positions.
-    fn reachable_zones(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> u64 {
-        let places = topology.zones().iter().enumerate();
-        let last_seen = |zone: &PeerZoneId| {
+    fn reachable_zones(
+        &self,
+        now: Timestamp,
+        topology: &Topology,
+        silence_timeout: TimeSpan,
+    ) -> u64 {
+        let zones = topology.zones().iter().enumerate();
+        let is_received = |zone: &PeerZoneId| {
             self.last_seen
                 .get(zone)
-                .is_some_and(|&at| now.since(at) < silence)
+                .is_some_and(|&at| now.since(at) < silence_timeout)
         };
-        let bits = places
-            .filter(|(_, zone)| last_seen(zone))
-            .map(|(place, _)| 1u64 << (place % 64));
+        let bits = zones
+            .filter(|(_, zone)| is_received(zone))
+            .map(|(position, _)| 1u64 << (position % 64));
         bits.fold(0, |all, bit| all | bit)
     }
 
     /// Whether all claims that matter are known; see the documentation of this module.
-    fn conditions_hold(&self, now: Timestamp, topology: &Topology, silence: TimeSpan) -> bool {
+    fn conditions_hold(
+        &self,
+        now: Timestamp,
+        topology: &Topology,
+        silence_timeout: TimeSpan,
+    ) -> bool {
         if !self.complete {
             return false;
         }
         let fresh = self.fresh_zones(now);
-        let places = topology.zones();
+        let zones = topology.zones();
         let left_out = |zone: PeerZoneId| {
             let last_seen = self.last_seen.get(&zone).copied().unwrap_or(self.since);
-            let place = places.iter().position(|&known| known == zone);
-            let bit = 1u64 << (place.unwrap_or(0) % 64);
-            let heard_by = |zone: &PeerZoneId| {
+            let position = zones.iter().position(|&known| known == zone);
+            let bit = 1u64 << (position.unwrap_or(0) % 64);
+            let is_received_by = |zone: &PeerZoneId| {
                 let partners = self.zones.get(zone).into_iter().flatten();
                 let links = partners.filter_map(|id| self.links.get(id));
                 links.fold(0, |all, link| all | link.reachable_zones) & bit != 0
             };
-            now.since(last_seen.max(self.since)) >= silence && !fresh.iter().any(heard_by)
+            now.since(last_seen.max(self.since)) >= silence_timeout
+                && !fresh.iter().any(is_received_by)
         };
         let mut others = topology.other_zones();
         if !others.all(|zone| fresh.contains(&zone) || left_out(zone)) {
@@ -593,8 +606,8 @@
         }
         let first = self.sent_twice.max(self.acked);
         let first = first.clamp(log.base, log.end());
-        let waiting = log.entries.range((first - log.base) as usize..);
-        let entries: Vec<Entry> = waiting
+        let unsent = log.entries.range((first - log.base) as usize..);
+        let entries: Vec<Entry> = unsent
             .take(MAX_ENTRIES_PER_RELAY)
             .map(|logged| Entry::new(logged.key.bytes(), now.since(logged.at), logged.claimed))
             .collect();
@@ -638,12 +651,12 @@
         now: Timestamp,
         relay: &'a Relay,
         stamp: u64,
-        room: bool,
+        has_room: bool,
     ) -> &'a [Entry] {
         self.stamp = Some(self.stamp.unwrap_or(0).max(stamp));
         let same = self.log == Some(relay.log);
         let contiguous = relay.is_first || (same && relay.first <= self.next);
-        if !contiguous || !room {
+        if !contiguous || !has_room {
             return &[];
         }
         if !same {
--- a/crates/peers/src/decide/relaying.rs
+++ b/crates/peers/src/decide/relaying.rs
@@ -4,7 +4,7 @@
 use super::facts::{Claim, ClaimLocation, Stage};
 use super::locality::PeerZoneId;
 use super::messages::{LogId, Relay};
-use super::relay::{Pairs, RemoteClaim, Sender};
+use super::relay::{Partners, RemoteClaim, Sender};
 use super::replicas::GroupNo;
 use super::*;
 
@@ -39,9 +39,9 @@
 /// A claim of another zone as a claim in an answer: its request may have run there, whatever became
 /// of it.
 fn remote_claim(key: u128, far: RemoteClaim) -> Claim {
-    let folded = mix(key as u64 ^ mix(u64::from(far.zone.0)));
+    let hash = mix(key as u64 ^ mix(u64::from(far.zone.0)));
     Claim {
-        token: Token(folded.max(16)),
+        token: Token(hash.max(16)),
         at: far.at.0,
         stage: Stage::Unknown,
         location: ClaimLocation::Anywhere,
@@ -54,11 +54,11 @@
     pub(super) fn store(&mut self, now: Timestamp, fact: Fact) -> Option<bool> {
         let id = fact.id();
         let before = last_claimed_at(self.facts.get(id));
-        let taken = self.facts.insert(now, fact);
-        if taken == Some(true) {
+        let inserted = self.facts.insert(now, fact);
+        if inserted == Some(true) {
             self.log_claim_change(now, id, before);
         }
-        taken
+        inserted
     }
 
     /// Logs the change of a record if the last binding claim changed.
@@ -89,12 +89,12 @@
             .into_iter()
             .flat_map(|topology| topology.other_zones())
             .collect();
-        let pairs = |group: GroupNo| -> Pairs {
+        let partners_of = |group: GroupNo| -> Partners {
             let with = |&zone: &PeerZoneId| (zone, replicas.partners(own, group, zone));
             zones.iter().map(with).collect()
         };
         let kept = replicas.groups(own).into_iter();
-        let kept = kept.map(|group| (group, pairs(group))).collect();
+        let kept = kept.map(|group| (group, partners_of(group))).collect();
         for group in relays.assign_groups(now, kept, || LogId(rng.u32(1..))) {
             for slot in group.slots() {
                 let (held, _) = self.facts.page(slot, None, usize::MAX);
@@ -110,7 +110,7 @@
     }
 
     /// Updates whether everything on which the own zone agreed is held here, for each group.
-    fn complete_groups(&mut self, now: Timestamp) {
+    fn update_group_completeness(&mut self, now: Timestamp) {
         let (sync, in_minority_partition) = (&self.sync, self.in_minority_partition);
         let complete = |group: GroupNo| {
             !in_minority_partition && group.slots().all(|slot| sync.is_in_sync(slot))
@@ -123,16 +123,16 @@
     /// Sends the relays that are due. A member that may be in a minority partition of its zone
     /// sends none, because others would take it for the whole zone.
     pub(super) fn send_relays(&mut self, now: Timestamp) {
-        self.complete_groups(now);
+        self.update_group_completeness(now);
         let Some(relays) = &mut self.relays else {
             return;
         };
-        let due = relays.advance(now, &mut self.rng);
+        let due_relays = relays.advance(now, &mut self.rng);
         if self.in_minority_partition {
             return;
         }
         let mut by_partner: BTreeMap<PeerId, Vec<Relay>> = BTreeMap::new();
-        for (to, relay) in due {
+        for (to, relay) in due_relays {
             by_partner.entry(to).or_default().push(relay);
         }
         for (to, relays) in by_partner {
@@ -147,7 +147,7 @@
         let Some(locality) = self.members.locality(id) else {
             return;
         };
-        self.complete_groups(now);
+        self.update_group_completeness(now);
         let zone = locality.zone;
         if let Some(relays) = &mut self.relays {
             relays.on_relay(now, Sender { id, zone, stamp }, relay);
@@ -165,10 +165,10 @@
     ) -> (bool, Vec<Claim>) {
         let own = self.replicas.topology().map(|topology| topology.own.zone);
         let theirs = self.members.locality(from).map(|locality| locality.zone);
-        let asked = claim.as_ref().map(|claim| claim.token);
+        let own_token = claim.as_ref().map(|claim| claim.token);
         let (sure, mut claims) = self.on_claim(now, key, claim, Scope::Zone);
         // The asking member knows its own claim.
-        claims.retain(|claim| Some(claim.token) != asked);
+        claims.retain(|claim| Some(claim.token) != own_token);
         (sure && own == theirs, claims)
     }
 
@@ -183,7 +183,7 @@
         if self.replicas.scope() == Scope::Fleet {
             return (true, Vec::new());
         }
-        self.complete_groups(now);
+        self.update_group_completeness(now);
         let (Some(relays), Some(group)) = (&mut self.relays, group) else {
             return (true, Vec::new());
         };
--- a/crates/peers/src/decide/replicas.rs
+++ b/crates/peers/src/decide/replicas.rs
@@ -63,7 +63,7 @@
     topology: Option<Topology>,
     scope: Scope,
     fleet: Vec<Located>,
-    of: Vec<Vec<PeerId>>,
+    by_slot: Vec<Vec<PeerId>>,
     former: Vec<Vec<PeerId>>,
     former_until: Timestamp,
     /// The members of each zone, including the own zone. From them the replicas of other zones are
@@ -73,7 +73,7 @@
 
 /// What a change of the fleet changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Changed {
+pub enum ReplicaChange {
     /// Nothing changed.
     Nothing,
     /// The members changed.
@@ -85,30 +85,30 @@
 /// The replicas of a slot among the members of the fleet.
 fn rendezvous_replicas(slot: Slot, fleet: &[PeerId]) -> Vec<PeerId> {
     let salt = mix(u64::from(slot.0));
-    let mut few: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
+    let mut best: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
     for &id in fleet {
-        let drawn = mix(id.0 ^ salt);
-        let at = few.partition_point(|&(other, _)| other > drawn);
+        let score = mix(id.0 ^ salt);
+        let at = best.partition_point(|&(other, _)| other > score);
         if at < REPLICAS_PER_SLOT {
-            few.insert(at, (drawn, id));
-            few.truncate(REPLICAS_PER_SLOT);
+            best.insert(at, (score, id));
+            best.truncate(REPLICAS_PER_SLOT);
         }
     }
-    few.into_iter().map(|(_, id)| id).collect()
+    best.into_iter().map(|(_, id)| id).collect()
 }
 
 /// The replicas of a group among the members of one zone, by position. Each position has its own
 /// order of members, so that the members in other positions stay when one of them leaves.
-fn replica_positions(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
-    let mut replica_positions: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
+fn replicas_of_group(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
+    let mut replicas: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
     for position in 0..REPLICAS_PER_SLOT as u64 {
-        let drawn = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | position));
-        let free = members.iter().filter(|id| !replica_positions.contains(id));
-        if let Some(&best) = free.max_by_key(|id| drawn(id)) {
-            replica_positions.push(best);
+        let score = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | position));
+        let free = members.iter().filter(|id| !replicas.contains(id));
+        if let Some(&best) = free.max_by_key(|id| score(id)) {
+            replicas.push(best);
         }
     }
-    replica_positions
+    replicas
 }
 
 impl Replicas {
@@ -131,22 +131,22 @@
     }
 
     /// Sets the members of the fleet, in any order.
-    pub fn set_members(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> Changed {
+    pub fn set_members(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> ReplicaChange {
         fleet.sort_unstable();
         if fleet == self.fleet {
-            return Changed::Nothing;
+            return ReplicaChange::Nothing;
         }
-        let all_say = fleet.iter().all(|(_, locality)| locality.is_some());
+        let all_located = fleet.iter().all(|(_, locality)| locality.is_some());
         let scope = match &self.topology {
-            Some(_) if all_say => Scope::Zone,
+            Some(_) if all_located => Scope::Zone,
             _ => Scope::Fleet,
         };
-        let of = match (scope, &self.topology) {
+        let by_slot = match (scope, &self.topology) {
             (Scope::Zone, Some(topology)) => {
                 self.by_zone = by_zone(&fleet);
                 let own = self.by_zone.get(&topology.own.zone);
                 let own = own.map_or(&[][..], Vec::as_slice);
-                let of_group = |group| vec![replica_positions(group, own); SLOTS_IN_GROUP.into()];
+                let of_group = |group| vec![replicas_of_group(group, own); SLOTS_IN_GROUP.into()];
                 GroupNo::all().flat_map(of_group).collect()
             }
             _ => {
@@ -156,20 +156,22 @@
                 slots.collect::<Vec<_>>()
             }
         };
-        self.former = std::mem::replace(&mut self.of, of);
+        self.former = std::mem::replace(&mut self.by_slot, by_slot);
         self.former_until = now + FORMER_REPLICA_PERIOD;
         let first = self.fleet.is_empty();
         self.fleet = fleet;
         let before = std::mem::replace(&mut self.scope, scope);
         match before == scope || first {
-            true => Changed::Members,
-            false => Changed::Scope,
+            true => ReplicaChange::Members,
+            false => ReplicaChange::Scope,
         }
     }
 
     /// The replicas of a record slot. Common slots are held by all members.
     pub fn of(&self, slot: Slot) -> &[PeerId] {
-        self.of.get(usize::from(slot.0)).map_or(&[], Vec::as_slice)
+        self.by_slot
+            .get(usize::from(slot.0))
+            .map_or(&[], Vec::as_slice)
     }
 
     /// Members that were replicas of a slot until recently and are not any more.
@@ -206,7 +208,7 @@
     pub fn partners(&self, id: PeerId, group: GroupNo, zone: PeerZoneId) -> Vec<PeerId> {
         let own = self.own_replicas(group);
         let members = self.by_zone.get(&zone);
-        let theirs = members.map_or_else(Vec::new, |members| replica_positions(group, members));
+        let theirs = members.map_or_else(Vec::new, |members| replicas_of_group(group, members));
         let Some(position) = own.iter().position(|&member| member == id) else {
             return Vec::new();
         };
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -40,15 +40,15 @@
             };
             let started = entry.stamp.map_or(0, |at| at.0);
             let host = self.hosts.entry(entry.host).or_default();
-            let (same, restricted) = (
+            let (same, restricted_until) = (
                 (host.started, host.listed) == (started, Some(listed)),
-                host.restricted,
+                host.restricted_until,
             );
             *host = Host {
                 started,
                 journal_position,
                 listed: Some(listed),
-                restricted: None,
+                restricted_until: None,
             };
             if listed == ListedState::Gone {
                 self.hosts.remove(&entry.host);
@@ -56,15 +56,15 @@
             // A report of another member is superseded, unless it has a later journal position.
             let id = FactId::Host(entry.host.0);
             let known = self.facts.get(id).cloned();
-            if restricted.is_some()
+            if restricted_until.is_some()
                 && let Some(known) = known
             {
                 self.apply_host_fact(now, &known);
             }
-            let young = entry
+            let started_recently = entry
                 .started
                 .is_some_and(|at| now.since(at) < HOST_CHANGE_RETENTION);
-            if !same && (listed != ListedState::Ready || young) {
+            if !same && (listed != ListedState::Ready || started_recently) {
                 let (host, at) = (entry.host.0, now.0);
                 self.add_own_fact(
                     now,
@@ -101,8 +101,9 @@
             && self.gossip_queue.len() < MAX_GOSSIP_ENTRIES
         {
             let at = now + MAX_GOSSIP_DELAY.mul_f64(self.rng.f64());
-            let left = self.gossip_rounds();
-            self.gossip_queue.insert(id, GossipEntry { left, at });
+            let rounds_left = self.gossip_rounds();
+            self.gossip_queue
+                .insert(id, GossipEntry { rounds_left, at });
         }
     }
 
@@ -123,7 +124,7 @@
                 // A fact that arrives again is known to other members already, and is passed on
                 // less often.
                 if let Some(entry) = self.gossip_queue.get_mut(&id) {
-                    entry.left = entry.left.saturating_sub(1);
+                    entry.rounds_left = entry.rounds_left.saturating_sub(1);
                 }
             }
             Some(true) => {
@@ -141,8 +142,14 @@
                     Fact::Host { .. } => self.apply_host_fact(now, &fact),
                 }
                 if self.gossip_queue.len() < MAX_GOSSIP_ENTRIES {
-                    let left = self.gossip_rounds();
-                    self.gossip_queue.insert(id, GossipEntry { left, at: now });
+                    let rounds_left = self.gossip_rounds();
+                    self.gossip_queue.insert(
+                        id,
+                        GossipEntry {
+                            rounds_left,
+                            at: now,
+                        },
+                    );
                 }
             }
         }
@@ -165,9 +172,9 @@
             return;
         };
         let until = Timestamp(at) + HOST_CHANGE_RETENTION;
-        let less = own.listed.is_some_and(|own| listed > own) || started > own.started;
-        if journal_position > own.journal_position && less && until > now {
-            own.restricted = Some(until);
+        let more_restrictive = own.listed.is_some_and(|own| listed > own) || started > own.started;
+        if journal_position > own.journal_position && more_restrictive && until > now {
+            own.restricted_until = Some(until);
             self.actions.push(Action::HostRestricted {
                 host: HostId(host),
                 listed: own.listed.map_or(listed, |own| own.max(listed)),
@@ -179,8 +186,8 @@
     /// Lifts restrictions of hosts that have expired.
     pub(super) fn lift_expired_restrictions(&mut self, now: Timestamp) {
         for (&host, known) in &mut self.hosts {
-            if known.restricted.is_some_and(|until| until <= now) {
-                known.restricted = None;
+            if known.restricted_until.is_some_and(|until| until <= now) {
+                known.restricted_until = None;
                 self.actions.push(Action::HostRestrictionLifted { host });
             }
         }
@@ -191,32 +198,32 @@
         self.hints
             .retain(|_, (at, _)| now.since(*at) < HINT_RETENTION);
         let mut parts = Vec::new();
-        for (&(host, started), (at, left)) in &mut self.hints {
-            if *left > 0 && parts.len() < MAX_FACTS_PER_GOSSIP {
-                *left -= 1;
+        for (&(host, started), (at, rounds_left)) in &mut self.hints {
+            if *rounds_left > 0 && parts.len() < MAX_FACTS_PER_GOSSIP {
+                *rounds_left -= 1;
                 let (host, at) = (host.0, at.0);
                 parts.push(MessagePart::BreakerOpened { host, started, at });
             }
         }
-        let due = self
+        let due_entries = self
             .gossip_queue
             .iter_mut()
             .filter(|(_, entry)| entry.at <= now);
         let mut facts = Vec::new();
-        for (&id, entry) in due.take(MAX_FACTS_PER_GOSSIP) {
-            entry.left = entry.left.saturating_sub(1);
+        for (&id, entry) in due_entries.take(MAX_FACTS_PER_GOSSIP) {
+            entry.rounds_left = entry.rounds_left.saturating_sub(1);
             facts.extend(self.facts.get(id).cloned());
         }
-        self.gossip_queue.retain(|_, entry| entry.left > 0);
+        self.gossip_queue.retain(|_, entry| entry.rounds_left > 0);
         if !facts.is_empty() {
             parts.push(MessagePart::Gossip(facts));
         }
         if parts.is_empty() {
             return;
         }
-        let mut whom: Vec<PeerId> = self.members.present().map(|(id, _)| id).collect();
-        self.rng.shuffle(&mut whom);
-        for id in whom.into_iter().take(GOSSIP_FANOUT) {
+        let mut recipients: Vec<PeerId> = self.members.present().map(|(id, _)| id).collect();
+        self.rng.shuffle(&mut recipients);
+        for id in recipients.into_iter().take(GOSSIP_FANOUT) {
             self.send_to(now, id, parts.clone());
         }
     }
--- a/crates/peers/src/decide/sync.rs
+++ b/crates/peers/src/decide/sync.rs
@@ -52,7 +52,7 @@
 struct Fetch {
     from: PeerId,
     after: Option<FactId>,
-    asked: Timestamp,
+    asked_at: Timestamp,
     tries: u32,
     /// The lowest completeness that members reported with their pages.
     completeness: Completeness,
@@ -85,7 +85,7 @@
     /// Members that were unreachable while this one was in a minority partition.
     unreachable: BTreeSet<PeerId>,
     fetching: BTreeMap<Slot, Fetch>,
-    waiting: VecDeque<(Slot, PeerId)>,
+    fetch_queue: VecDeque<(Slot, PeerId)>,
     next_comparison_at: Timestamp,
     next_resync_at: Timestamp,
     /// Members to compare with soon.
@@ -114,7 +114,7 @@
     /// The other replicas of a slot that are alive.
     pub replicas: &'a dyn Fn(Slot) -> Vec<PeerId>,
     /// Whether this member holds a slot.
-    pub mine: &'a dyn Fn(Slot) -> bool,
+    pub is_held: &'a dyn Fn(Slot) -> bool,
     /// The number of members lost so recently that facts known only to them may matter.
     pub lost: usize,
 }
@@ -138,7 +138,7 @@
                 .collect(),
             unreachable: BTreeSet::new(),
             fetching: BTreeMap::new(),
-            waiting: VecDeque::new(),
+            fetch_queue: VecDeque::new(),
             next_comparison_at: now,
             next_resync_at: now,
             comparisons_due: VecDeque::new(),
@@ -153,7 +153,7 @@
     pub fn out_of_sync_count(&self, view: &ReplicaView) -> usize {
         self.resyncs
             .keys()
-            .filter(|&&slot| (view.mine)(slot))
+            .filter(|&&slot| (view.is_held)(slot))
             .count()
     }
 
@@ -179,10 +179,10 @@
         slots: impl Iterator<Item = Slot>,
     ) {
         for slot in slots {
-            let known = self.resyncs.get(&slot).map(|resync| resync.reason);
+            let is_known = self.resyncs.get(&slot).map(|resync| resync.reason);
             // A slot that was never complete is not complete except for a partition.
-            let reason = known
-                .filter(|&known| known == ResyncReason::New)
+            let reason = is_known
+                .filter(|&is_known| is_known == ResyncReason::New)
                 .unwrap_or(reason);
             self.resyncs.insert(slot, Resync::new(now, reason));
             self.fetching.remove(&slot);
@@ -201,14 +201,14 @@
     }
 
     /// Replaces the members to compare with next, after the fleet has changed.
-    pub fn compare_with(&mut self, now: Timestamp, with: impl Iterator<Item = PeerId>) {
-        self.comparisons_due = with.collect();
+    pub fn compare_with(&mut self, now: Timestamp, peer: impl Iterator<Item = PeerId>) {
+        self.comparisons_due = peer.collect();
         self.next_comparison_at = now;
     }
 
     /// New facts arrived: other replicas of their slot may lack them, and are compared with soon.
-    pub fn compare_soon(&mut self, now: Timestamp, with: &[PeerId]) {
-        for &id in with {
+    pub fn compare_soon(&mut self, now: Timestamp, peer: &[PeerId]) {
+        for &id in peer {
             if self.comparisons_due.len() < MAX_COMPARISONS_DUE
                 && !self.comparisons_due.contains(&id)
             {
@@ -222,17 +222,18 @@
     pub fn on_checksums(
         &mut self,
         from: PeerId,
-        sums: &[(Slot, u64)],
-        mut own: impl FnMut(Slot) -> u64,
+        checksums: &[(Slot, u64)],
+        mut own_checksum: impl FnMut(Slot) -> u64,
         view: &ReplicaView,
     ) -> Vec<MessagePart> {
-        let (same, differ): (Vec<_>, Vec<_>) =
-            sums.iter().partition(|&&(slot, sum)| own(slot) == sum);
+        let (same, differ): (Vec<_>, Vec<_>) = checksums
+            .iter()
+            .partition(|&&(slot, checksum)| own_checksum(slot) == checksum);
         let slots =
             |all: Vec<&(Slot, u64)>| all.into_iter().map(|&(slot, _)| slot).collect::<Vec<_>>();
         let (same, differ) = (slots(same), slots(differ));
         for &slot in &differ {
-            if (view.mine)(slot) {
+            if (view.is_held)(slot) {
                 self.queue_fetch(slot, from);
             }
         }
@@ -274,7 +275,7 @@
             self.on_compared(now, (from, completeness), slot, view);
         }
         let others = slots.iter().copied();
-        others.filter(|&slot| !(view.mine)(slot)).collect()
+        others.filter(|&slot| !(view.is_held)(slot)).collect()
     }
 
     /// Records that another member's copy contains nothing that is missing here.
@@ -301,18 +302,18 @@
                 .filter(|id| self.unreachable.contains(id))
                 .count(),
         };
-        let whole = resync
+        let complete_copies = resync
             .compared
             .values()
             .filter(|&&completeness| completeness == Completeness::Complete)
             .count();
-        let own = resync
+        let remembered = resync
             .compared
             .values()
             .any(|&completeness| completeness >= Completeness::OwnOnly);
-        let all = own && others.iter().all(|id| resync.compared.contains_key(id));
-        if resync.reason == ResyncReason::Partitioned && all
-            || whole >= relevant.clamp(1, MAX_COMPLETE_COPIES_NEEDED)
+        let all_compared = remembered && others.iter().all(|id| resync.compared.contains_key(id));
+        if resync.reason == ResyncReason::Partitioned && all_compared
+            || complete_copies >= relevant.clamp(1, MAX_COMPLETE_COPIES_NEEDED)
         {
             self.resyncs.remove(&slot);
         }
@@ -322,28 +323,21 @@
     pub fn queue_fetch(&mut self, slot: Slot, from: PeerId) {
         // Further members whose copies differ are asked after the current one, each for the facts
         // that it has.
-        let under_way = self.fetching.get(&slot);
-        let known = under_way.is_some_and(|fetch| fetch.from == from)
-            || self.waiting.contains(&(slot, from));
-        if !known && self.waiting.len() < MAX_QUEUED_FETCHES {
-            self.waiting.push_back((slot, from));
+        let current = self.fetching.get(&slot);
+        let is_known = current.is_some_and(|fetch| fetch.from == from)
+            || self.fetch_queue.contains(&(slot, from));
+        if !is_known && self.fetch_queue.len() < MAX_QUEUED_FETCHES {
+            self.fetch_queue.push_back((slot, from));
         }
     }
 
     /// Whether a page may be sent now; counts it.
     pub fn take_page_permit(&mut self, now: Timestamp) -> bool {
-        let (had, at) = self.page_permits;
-        let completeness = (had + now.since(at).as_secs_f64() * PAGES_PER_SECOND).min(PAGE_BURST);
-        let gives = completeness >= 1.0;
-        self.page_permits = (
-            if gives {
-                completeness - 1.0
-            } else {
-                completeness
-            },
-            now,
-        );
-        gives
+        let (before, at) = self.page_permits;
+        let permits = (before + now.since(at).as_secs_f64() * PAGES_PER_SECOND).min(PAGE_BURST);
+        let granted = permits >= 1.0;
+        self.page_permits = (if granted { permits - 1.0 } else { permits }, now);
+        granted
     }
 
     /// Handles a page. `true`: it was requested, and its facts have to be stored. The second value
@@ -370,19 +364,19 @@
             return (true, None);
         }
         fetch.after = facts.last().map(Fact::id).or(after);
-        (fetch.asked, fetch.tries) = (now, 0);
+        (fetch.asked_at, fetch.tries) = (now, 0);
         let after = fetch.after;
         (true, Some((from, MessagePart::PageRequest { slot, after })))
     }
 
     /// When [`SlotSync::advance`] has to be called next.
     pub fn next_deadline(&self) -> Timestamp {
-        let pages_received = self
+        let page_timeouts = self
             .fetching
             .values()
-            .map(|fetch| fetch.asked + PAGE_TIMEOUT);
-        let timed = pages_received.chain([self.next_comparison_at, self.next_resync_at]);
-        timed.min().unwrap_or(self.next_comparison_at)
+            .map(|fetch| fetch.asked_at + PAGE_TIMEOUT);
+        let deadlines = page_timeouts.chain([self.next_comparison_at, self.next_resync_at]);
+        deadlines.min().unwrap_or(self.next_comparison_at)
     }
 
     /// Returns the requests that are due, with their recipients.
@@ -390,73 +384,73 @@
         &mut self,
         now: Timestamp,
         held: &HeldSlots,
-        mut own: impl FnMut(Slot, Option<TimeRange>) -> u64,
+        mut own_checksum: impl FnMut(Slot, Option<TimeRange>) -> u64,
         view: &ReplicaView,
         reachable: &[PeerId],
         rng: &mut fastrand::Rng,
     ) -> Vec<(PeerId, MessagePart)> {
-        let mut asks = Vec::new();
+        let mut requests = Vec::new();
         let (settled, held) = (held.settled, &held.slots);
         let (records, commons) = self.retention;
         self.resyncs.retain(|slot, resync| {
             now.since(resync.since) < if slot.is_common() { commons } else { records }
         });
         for slot in self.fetching.keys().copied().collect::<Vec<_>>() {
-            self.retry_fetch(now, slot, view, &mut asks);
+            self.retry_fetch(now, slot, view, &mut requests);
         }
         while self.fetching.len() < MAX_FETCHES {
-            let free = |(slot, _): &(Slot, PeerId)| !self.fetching.contains_key(slot);
-            let Some(nth) = self.waiting.iter().position(free) else {
+            let is_idle = |(slot, _): &(Slot, PeerId)| !self.fetching.contains_key(slot);
+            let Some(index) = self.fetch_queue.iter().position(is_idle) else {
                 break;
             };
-            let Some((slot, from)) = self.waiting.remove(nth) else {
+            let Some((slot, from)) = self.fetch_queue.remove(index) else {
                 break;
             };
-            let (after, asked, tries, completeness) = (None, now, 0, Completeness::Complete);
+            let (after, asked_at, tries, completeness) = (None, now, 0, Completeness::Complete);
             self.fetching.insert(
                 slot,
                 Fetch {
                     from,
                     after,
-                    asked,
+                    asked_at,
                     tries,
                     completeness,
                 },
             );
-            asks.push((from, MessagePart::PageRequest { slot, after }));
+            requests.push((from, MessagePart::PageRequest { slot, after }));
         }
         // Each slot is compared with one other member in turn, so that several share the work.
-        let mut by_peer: BTreeMap<PeerId, Vec<(Slot, u64)>> = BTreeMap::new();
+        let mut checksums_by_peer: BTreeMap<PeerId, Vec<(Slot, u64)>> = BTreeMap::new();
         let others = |slot: Slot| match slot.is_common() {
             true => reachable.to_vec(),
             false => (view.replicas)(slot),
         };
         if now >= self.next_resync_at {
             self.round = self.round.wrapping_add(1);
-            let lately = |resync: &Resync| now.since(resync.since) < FAST_COMPARE_PERIOD;
-            let every = match self.resyncs.values().any(lately) {
+            let is_recent = |resync: &Resync| now.since(resync.since) < FAST_COMPARE_PERIOD;
+            let interval = match self.resyncs.values().any(is_recent) {
                 true => FAST_COMPARE_INTERVAL,
                 false => COMPARE_INTERVAL,
             };
-            self.next_resync_at = now + every.mul_f64(0.75 + 0.5 * rng.f64());
+            self.next_resync_at = now + interval.mul_f64(0.75 + 0.5 * rng.f64());
             for &slot in self.resyncs.keys() {
-                let from = others(slot);
+                let candidates = others(slot);
                 // Common slots are compared with one member only; otherwise hundreds of members
                 // would ask hundreds.
-                let spread = if slot.is_common() {
+                let offset = if slot.is_common() {
                     0
                 } else {
                     usize::from(slot.0)
                 };
-                let nth = self.round.wrapping_add(spread);
-                if (view.mine)(slot)
+                let index = self.round.wrapping_add(offset);
+                if (view.is_held)(slot)
                     && !self.fetching.contains_key(&slot)
-                    && let Some(&whom) = from.get(nth % from.len().max(1))
+                    && let Some(&peer) = candidates.get(index % candidates.len().max(1))
                 {
-                    by_peer
-                        .entry(whom)
+                    checksums_by_peer
+                        .entry(peer)
                         .or_default()
-                        .push((slot, own(slot, None)));
+                        .push((slot, own_checksum(slot, None)));
                 }
             }
         }
@@ -467,62 +461,67 @@
             // member.
             for &slot in held
                 .iter()
-                .filter(|&&slot| !(view.mine)(slot))
+                .filter(|&&slot| !(view.is_held)(slot))
                 .take(MAX_CHECKSUMS_PER_PART)
             {
-                let from = others(slot);
-                if let Some(&with) = from.get(rng.usize(0..from.len().max(1))) {
-                    by_peer
-                        .entry(with)
+                let candidates = others(slot);
+                if let Some(&peer) = candidates.get(rng.usize(0..candidates.len().max(1))) {
+                    checksums_by_peer
+                        .entry(peer)
                         .or_default()
-                        .push((slot, own(slot, None)));
+                        .push((slot, own_checksum(slot, None)));
                 }
             }
-            let whom = self.comparisons_due.pop_front().or_else(|| {
+            let peer = self.comparisons_due.pop_front().or_else(|| {
                 let some = held.get(rng.usize(0..held.len().max(1)))?;
-                let from = others(*some);
-                from.get(rng.usize(0..from.len().max(1))).copied()
+                let candidates = others(*some);
+                candidates
+                    .get(rng.usize(0..candidates.len().max(1)))
+                    .copied()
             });
-            let every = if self.comparisons_due.is_empty() {
+            let interval = if self.comparisons_due.is_empty() {
                 COMPARE_INTERVAL
             } else {
                 FAST_COMPARE_INTERVAL
             };
-            self.next_comparison_at = now + every.mul_f64(0.75 + 0.5 * rng.f64());
-            let somebody = reachable.get(rng.usize(0..reachable.len().max(1)));
+            self.next_comparison_at = now + interval.mul_f64(0.75 + 0.5 * rng.f64());
+            let any_member = reachable.get(rng.usize(0..reachable.len().max(1)));
             for slot in Slot::all() {
-                let with = match slot.is_common() {
-                    true => somebody.copied(),
-                    false => whom.filter(|whom| others(slot).contains(whom)),
+                let peer = match slot.is_common() {
+                    true => any_member.copied(),
+                    false => peer.filter(|peer| others(slot).contains(peer)),
                 };
                 // An empty record slot is compared by members whose copies contain facts.
                 let empty = !slot.is_common() && !held.contains(&slot);
                 // Slots in sync are compared without the facts that are still on their way to other
                 // members.
-                let only = settled.filter(|_| !slot.is_common() && self.is_in_sync(slot));
-                let asked = match only {
+                let range = settled.filter(|_| !slot.is_common() && self.is_in_sync(slot));
+                let checksums = match range {
                     Some(_) => &mut settled_by_peer,
-                    None => &mut by_peer,
+                    None => &mut checksums_by_peer,
                 };
-                if let Some(with) = with.filter(|_| !empty) {
-                    asked.entry(with).or_default().push((slot, own(slot, only)));
+                if let Some(peer) = peer.filter(|_| !empty) {
+                    checksums
+                        .entry(peer)
+                        .or_default()
+                        .push((slot, own_checksum(slot, range)));
                 }
             }
         }
         if let Some(settled) = settled {
-            for (whom, sums) in settled_by_peer {
-                for piece in sums.chunks(MAX_CHECKSUMS_PER_PART) {
-                    asks.push((whom, MessagePart::ChecksumsInRange(settled, piece.to_vec())));
+            for (peer, checksums) in settled_by_peer {
+                for piece in checksums.chunks(MAX_CHECKSUMS_PER_PART) {
+                    requests.push((peer, MessagePart::ChecksumsInRange(settled, piece.to_vec())));
                 }
             }
         }
-        for (whom, mut sums) in by_peer {
-            sums.dedup();
-            for piece in sums.chunks(MAX_CHECKSUMS_PER_PART) {
-                asks.push((whom, MessagePart::Checksums(piece.to_vec())));
+        for (peer, mut checksums) in checksums_by_peer {
+            checksums.dedup();
+            for piece in checksums.chunks(MAX_CHECKSUMS_PER_PART) {
+                requests.push((peer, MessagePart::Checksums(piece.to_vec())));
             }
         }
-        asks
+        requests
     }
 
     /// Requests a page again that did not arrive, then from another member, and then gives up.
@@ -531,16 +530,16 @@
         now: Timestamp,
         slot: Slot,
         view: &ReplicaView,
-        asks: &mut Vec<(PeerId, MessagePart)>,
+        requests: &mut Vec<(PeerId, MessagePart)>,
     ) {
         let Some(fetch) = self.fetching.get_mut(&slot) else {
             return;
         };
-        if now.since(fetch.asked) < PAGE_TIMEOUT {
+        if now.since(fetch.asked_at) < PAGE_TIMEOUT {
             return;
         }
         fetch.tries += 1;
-        fetch.asked = now;
+        fetch.asked_at = now;
         if fetch.tries > MAX_TRIES {
             self.fetching.remove(&slot);
             return;
@@ -554,6 +553,6 @@
             }
         }
         let after = fetch.after;
-        asks.push((fetch.from, MessagePart::PageRequest { slot, after }));
+        requests.push((fetch.from, MessagePart::PageRequest { slot, after }));
     }
 }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -104,7 +104,7 @@
     #[test]
     fn what_is_merged_allows_no_more((a, b) in (record(), record())) {
         let seen = |fact: &Fact| match fact {
-            Fact::Record { claims, .. } => trailproxy_peers::decide::facts::others(Timestamp(100), claims, None),
+            Fact::Record { claims, .. } => trailproxy_peers::decide::facts::claims_of_others(Timestamp(100), claims, None),
             _ => None,
         };
         let both = seen(&merge(a.clone(), b.clone()));
