--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -1,4 +1,5 @@
-//! Figures in virtual time, printed: what a large fleet costs at rest, and how long catching up takes.
+//! Measurements in virtual time: the cost of a large fleet at rest, and the duration of
+//! synchronisation.
 
 mod world;
 
@@ -8,7 +9,7 @@
 use trailproxy_peers::decide::messages::{InquiryId, Message, MessagePart};
 use world::*;
 
-/// Records put into a fleet, as a client of it would have them written.
+/// Stores records in a fleet as if requests had written them.
 fn fill(world: &mut World, records: u64) {
     let mut rng = fastrand::Rng::with_seed(3);
     let facts: Vec<Fact> = (0..records)
@@ -24,7 +25,7 @@
         })
         .collect();
     for n in 0..world.nodes.len() {
-        // As another of the fleet would put them there.
+        // As another member would store them.
         let other = &world.nodes[(n + 1) % world.nodes.len()];
         let own = other.peers.as_ref().map(|peers| *peers.members().own());
         let own = own.expect("it is up");
@@ -43,9 +44,9 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn a_hundred_thousand_records_are_caught_up_with() {
+fn time_to_synchronise_a_hundred_thousand_records() {
     let keep = TimeSpan::from_secs(120);
-    let mut world = World::with(
+    let mut world = World::with_settings(
         3,
         1,
         PeersSettings {
@@ -59,17 +60,17 @@
     world.kill(2);
     world.start(2);
     let took = world
-        .until(TimeSpan::from_secs(60), |world| world.whole())
+        .run_until(TimeSpan::from_secs(60), |world| world.all_in_sync())
         .expect("whole");
     let records = world.nodes[2]
         .peers
         .as_ref()
         .map(|peers| peers.facts().record_count());
-    figure("catch_up_s", took.as_secs_f64());
+    record_figure("catch_up_s", took.as_secs_f64());
     assert_eq!(records, Some(100_000));
 }
 
-/// Pages of this process that are in memory.
+/// The resident memory of this process.
 fn resident_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
@@ -78,49 +79,56 @@
 
 #[test]
 #[ignore = "a measurement"]
-fn what_three_hundred_cost_at_rest_and_how_soon_they_are_one() {
+fn cost_of_three_hundred_members_at_rest_and_time_to_agree() {
     let before = resident_mb();
     let mut world = World::new(300, 1);
-    let found = world.until(TimeSpan::from_secs(30), |world| world.agree());
-    figure("found_s_at_300", found.expect("found").as_secs_f64());
+    let found = world.run_until(TimeSpan::from_secs(30), |world| world.agrees());
+    record_figure("found_s_at_300", found.expect("found").as_secs_f64());
     world.run(TimeSpan::from_secs(40));
-    figure("core_mb_at_300", (resident_mb() - before) / 300.0);
-    world.weighs = true;
-    let (messages, bytes, begun) = (world.seen.messages, world.seen.bytes, world.now);
+    record_figure("core_mb_at_300", (resident_mb() - before) / 300.0);
+    world.measures_bytes = true;
+    let (messages, bytes, begun) = (world.observed.messages, world.observed.bytes, world.now);
     world.run(TimeSpan::from_secs(5));
     let each = |n: u64| n as f64 / 300.0 / world.now.since(begun).as_secs_f64();
-    figure("letters_per_s_at_300", each(world.seen.messages - messages));
-    figure("kb_per_s_at_300", each(world.seen.bytes - bytes) / 1024.0);
-    world.split(|n| n < 100, true);
+    record_figure(
+        "letters_per_s_at_300",
+        each(world.observed.messages - messages),
+    );
+    record_figure(
+        "kb_per_s_at_300",
+        each(world.observed.bytes - bytes) / 1024.0,
+    );
+    world.set_partition(|n| n < 100, true);
     world.run(TimeSpan::from_secs(12));
-    world.split(|n| n < 100, false);
-    let healed = world.until(TimeSpan::from_secs(30), |world| world.agree());
-    figure("heal_s_at_300", healed.expect("one").as_secs_f64());
+    world.set_partition(|n| n < 100, false);
+    let healed = world.run_until(TimeSpan::from_secs(30), |world| world.agrees());
+    record_figure("heal_s_at_300", healed.expect("one").as_secs_f64());
 }
 
-/// From the heal until all copies are the same, with changes under way on both sides: the worst of a hundred.
+/// The time from the end of a partition until all copies are the same, with changes in progress on
+/// both sides, over a hundred seeds.
 #[test]
 #[ignore = "a measurement"]
-fn how_soon_copies_are_the_same_after_a_cut() {
-    let (mut took, mut differing) = (Vec::new(), 0);
+fn time_until_copies_are_the_same_after_a_partition() {
+    let (mut took, mut differing_slots) = (Vec::new(), 0);
     for seed in 0..100 {
         let mut world = World::new(5, seed);
         world.run(TimeSpan::from_secs(12));
         let few = 1 + seed as usize % 2;
-        world.split(|n| n < few, true);
+        world.set_partition(|n| n < few, true);
         for key in 0..60 {
-            world.ask(key as usize % 5, key);
+            world.request(key as usize % 5, key);
             world.run(TimeSpan::from_millis(50));
         }
-        world.split(|n| n < few, false);
-        let same = world.until(TimeSpan::from_secs(20), |world| {
-            world.agree() && world.differing() == 0
+        world.set_partition(|n| n < few, false);
+        let same = world.run_until(TimeSpan::from_secs(20), |world| {
+            world.agrees() && world.differing_slots() == 0
         });
         took.push(same.unwrap_or(TimeSpan::from_secs(20)).as_secs_f64());
-        differing += world.differing();
+        differing_slots += world.differing_slots();
     }
     took.sort_by(f64::total_cmp);
-    figure("converge_s_p50", took[50]);
-    figure("converge_s_p99", took[99]);
-    figure("differing_at_end", differing as f64);
+    record_figure("converge_s_p50", took[50]);
+    record_figure("converge_s_p99", took[99]);
+    record_figure("differing_at_end", differing_slots as f64);
 }
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -1,4 +1,5 @@
-//! Copies that differ become one whatever the order, and datagrams are read or passed over.
+//! Merging differing copies gives the same result in any order, and datagrams are either read or
+//! skipped.
 
 use proptest::prelude::*;
 use trailproxy::units::*;
@@ -28,7 +29,7 @@
     ]
 }
 
-/// A claim's moment is its owner's, and never another.
+/// The time of a claim is set by its owner and never changes.
 fn claim() -> impl Strategy<Value = Claim> {
     let body = proptest::option::of(proptest::collection::vec(0..4u8, 0..3));
     (2..22u64, stage(), place(), body).prop_map(|(token, stage, place, body)| Claim {
@@ -40,7 +41,7 @@
     })
 }
 
-/// What can stand in a record that was made by merging: no token twice.
+/// A record as merging produces it: no token occurs twice.
 fn record() -> impl Strategy<Value = Fact> {
     proptest::collection::vec(claim(), 0..9).prop_map(|claims| {
         let none = Fact::Record {
@@ -79,7 +80,7 @@
     })
 }
 
-fn one_kind() -> impl Strategy<Value = [Fact; 3]> {
+fn three_facts_of_one_kind() -> impl Strategy<Value = [Fact; 3]> {
     prop_oneof![
         [record(), record(), record()],
         [host(), host(), host()],
@@ -91,7 +92,7 @@
     #![proptest_config(ProptestConfig { cases: 2_000, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn order_number_and_grouping_of_copies_do_not_matter([a, b, c] in one_kind()) {
+    fn merging_is_commutative_associative_and_idempotent([a, b, c] in three_facts_of_one_kind()) {
         let ab = merge(a.clone(), b.clone());
         prop_assert_eq!(&ab, &merge(b.clone(), a.clone()), "whoever comes first");
         let left = merge(ab.clone(), c.clone());
@@ -100,9 +101,9 @@
         prop_assert_eq!(&merge(a.clone(), a.clone()), &a);
     }
 
-    /// A copy never allows more than either of the two it was made of.
+    /// A merged copy never permits more than either of its sources.
     #[test]
-    fn what_is_merged_allows_no_more((a, b) in (record(), record())) {
+    fn a_merged_copy_permits_no_more_than_its_sources((a, b) in (record(), record())) {
         let seen = |fact: &Fact| match fact {
             Fact::Record { claims, .. } => trailproxy_peers::decide::facts::claims_of_others(Timestamp(100), claims, None),
             _ => None,
@@ -119,9 +120,9 @@
         }
     }
 
-    /// Members that hold the same facts have the same sums, in whatever order they came.
+    /// Members with the same facts have the same checksums, in whatever order the facts arrived.
     #[test]
-    fn sums_follow_from_the_facts_alone(mut facts in proptest::collection::vec(one_kind(), 1..6), seed in 0..99u64) {
+    fn checksums_depend_on_the_facts_only(mut facts in proptest::collection::vec(three_facts_of_one_kind(), 1..6), seed in 0..99u64) {
         let lasts = Retention { record: TimeSpan(1_000), purge: TimeSpan(1_000), host: TimeSpan(1_000) };
         let mut held = [Facts::new(lasts), Facts::new(lasts)];
         for held in &mut held {
@@ -137,7 +138,7 @@
     }
 
     #[test]
-    fn no_bytes_are_read_but_those_of_the_fleet(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), at in any::<usize>(), bit in 0..8u8) {
+    fn only_datagrams_of_the_fleet_are_read(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), at in any::<usize>(), bit in 0..8u8) {
         let seal = Seal::new("fleet", b"secret");
         prop_assert!(seal.read(&bytes).is_err());
         let mut good = seal.write(&message(vec![MessagePart::MembersRequest])).expect("short");
@@ -149,7 +150,7 @@
     }
 }
 
-/// A rule that takes what came last is no rule: the same test finds it.
+/// A merge that takes the copy that arrived last is not a valid rule; the test above detects it.
 #[test]
 fn a_planted_merge_by_arrival_is_found() {
     let by_arrival = |_: Fact, later: Fact| later;
@@ -177,7 +178,7 @@
 }
 
 #[test]
-fn a_letter_is_read_as_written_and_a_newer_note_is_passed_over() {
+fn a_message_is_read_as_it_was_written() {
     let seal = Seal::new("fleet", b"");
     let parts = vec![
         MessagePart::Ping(
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn a_record_as_large_as_it_gets_fits_a_datagram() {
+fn the_largest_record_fits_a_datagram() {
     let claim = |n: u64| Claim {
         token: Token(100 + n),
         at: u64::MAX,
--- a/crates/peers/tests/stories.rs
+++ b/crates/peers/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short stories of dispatchers that hold state in common, one for each thing that goes wrong between them.
+//! Short scenarios of dispatchers that share state, one for each kind of failure between them.
 
 mod world;
 
@@ -12,24 +12,24 @@
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
 
-/// A fleet that has found itself, and lacks nothing.
+/// A fleet in which all members know each other and are in sync.
 fn fleet(n: usize, seed: u64) -> World {
     let mut world = World::new(n, seed);
     world.run(TimeSpan::from_secs(10));
-    assert!(world.agree(), "all know all");
+    assert!(world.agrees(), "all members know each other");
     assert!(
         world
-            .until(TimeSpan::from_secs(60), |world| world.whole())
+            .run_until(TimeSpan::from_secs(60), |world| world.all_in_sync())
             .is_some()
     );
     world
 }
 
 #[test]
-fn a_fleet_finds_itself_from_three_addresses() {
+fn members_find_each_other_from_three_addresses() {
     for n in [3, 16] {
         let mut world = World::new(n, 1);
-        let took = world.until(TimeSpan::from_secs(5), |world| world.agree());
+        let took = world.run_until(TimeSpan::from_secs(5), |world| world.agrees());
         assert!(
             took.is_some_and(|took| took < TimeSpan::from_secs(3)),
             "{n}: {took:?}"
@@ -38,64 +38,77 @@
 }
 
 #[test]
-fn a_change_sent_again_elsewhere_is_bound_or_answered_from_the_record() {
+fn a_repeat_at_another_member_is_answered_from_the_record() {
     let mut world = fleet(3, 2);
-    world.ask(0, 7);
+    world.request(0, 7);
     world.run(TimeSpan::from_millis(30));
-    // While it runs, the second waits for it, and is answered with its answer.
-    world.ask(1, 7);
+    // The second request waits while the first one runs, and receives its answer.
+    world.request(1, 7);
     world.run(SECOND);
-    assert_eq!((world.seen.sent.len(), world.seen.answered), (1, 1));
-    world.ask(2, 7);
+    assert_eq!((world.observed.sent.len(), world.observed.answered), (1, 1));
+    world.request(2, 7);
     world.run(SECOND);
-    assert_eq!((world.seen.sent.len(), world.seen.answered), (1, 2));
-    assert!(world.seen.sent[0].granted);
+    assert_eq!((world.observed.sent.len(), world.observed.answered), (1, 2));
+    assert!(world.observed.sent[0].granted);
 }
 
 #[test]
-fn two_that_claim_at_the_same_moment_send_once() {
+fn two_simultaneous_claims_lead_to_one_attempt() {
     for seed in 0..40 {
         let mut world = fleet(3, seed);
-        world.ask(0, 7);
+        world.request(0, 7);
         world.run(TimeSpan((seed % 5) * 100));
-        world.ask(1, 7);
+        world.request(1, 7);
         world.run(TimeSpan::from_secs(3));
         assert_eq!(world.repeats().len(), 0, "seed {seed}");
-        assert!(!world.seen.sent.is_empty(), "seed {seed}: one goes");
+        assert!(!world.observed.sent.is_empty(), "seed {seed}: one is sent");
     }
 }
 
 #[test]
-fn no_access_waits_longer_than_it_may_whoever_is_slow_or_gone() {
+fn no_request_waits_longer_than_allowed_for_slow_members() {
     let mut world = fleet(5, 3);
-    let slow = Way {
-        slower: TimeSpan::from_millis(400),
-        ..Way::default()
+    let slow = LinkFault {
+        mean_extra_delay: TimeSpan::from_millis(400),
+        ..LinkFault::default()
     };
     for n in 1..5 {
-        world.ways.insert((n, 0), slow);
-        world.ways.insert((0, n), slow);
+        world.link_faults.insert((n, 0), slow);
+        world.link_faults.insert((0, n), slow);
     }
     for key in 0..20 {
-        world.ask(0, key);
+        world.request(0, key);
     }
     world.run(SECOND);
-    let longest = world.seen.held.iter().max().copied().unwrap_or_default();
-    assert!(longest <= WAIT + TimeSpan::from_millis(6), "{longest:?}");
-    assert_eq!(world.seen.sent.len(), 20, "each goes alone");
+    let longest = world
+        .observed
+        .held
+        .iter()
+        .max()
+        .copied()
+        .unwrap_or_default();
+    assert!(
+        longest <= MAX_WAIT + TimeSpan::from_millis(6),
+        "{longest:?}"
+    );
+    assert_eq!(
+        world.observed.sent.len(),
+        20,
+        "each is sent as without peers"
+    );
 }
 
 #[test]
-fn one_that_is_killed_is_given_up_and_one_that_leaves_is_gone_at_once() {
+fn a_killed_member_is_declared_dead_and_a_leaving_one_is_gone_at_once() {
     let mut world = fleet(5, 4);
     world.kill(4);
-    let took = world.until(TimeSpan::from_secs(10), |world| world.agree());
+    let took = world.run_until(TimeSpan::from_secs(10), |world| world.agrees());
     assert!(
         took.is_some_and(|took| took < TimeSpan::from_secs(6)),
         "{took:?}"
     );
     world.leave(3);
-    let took = world.until(SECOND, |world| world.agree());
+    let took = world.run_until(SECOND, |world| world.agrees());
     assert!(
         took.is_some_and(|took| took < TimeSpan::from_millis(200)),
         "{took:?}"
@@ -103,62 +116,65 @@
 }
 
 #[test]
-fn one_way_that_is_cut_is_no_death() {
+fn a_member_behind_one_blocked_link_is_not_declared_dead() {
     let mut world = fleet(5, 5);
-    world.ways.insert(
+    world.link_faults.insert(
         (0, 1),
-        Way {
-            cut: true,
-            ..Way::default()
+        LinkFault {
+            blocked: true,
+            ..LinkFault::default()
         },
     );
     world.run(TimeSpan::from_secs(10));
-    assert!(world.agree(), "0 is heard by the others, and they by it");
+    assert!(
+        world.agrees(),
+        "other members reach it, and it reaches them"
+    );
 }
 
 #[test]
-fn a_hears_b_and_b_hears_c_and_c_hears_none() {
+fn members_with_asymmetric_links_find_each_other_again() {
     let mut world = fleet(3, 6);
     for (from, to) in [(2, 0), (0, 1), (1, 2), (0, 2)] {
-        world.ways.insert(
+        world.link_faults.insert(
             (from, to),
-            Way {
-                cut: true,
-                ..Way::default()
+            LinkFault {
+                blocked: true,
+                ..LinkFault::default()
             },
         );
     }
-    world.ask(2, 1);
+    world.request(2, 1);
     world.run(TimeSpan::from_secs(8));
-    assert_eq!(world.seen.sent.len(), 1);
-    world.ways.clear();
-    let took = world.until(TimeSpan::from_secs(5), |world| {
-        world.agree() && world.differing() == 0
+    assert_eq!(world.observed.sent.len(), 1);
+    world.link_faults.clear();
+    let took = world.run_until(TimeSpan::from_secs(5), |world| {
+        world.agrees() && world.differing_slots() == 0
     });
     assert!(took.is_some(), "they find each other again");
 }
 
 #[test]
-fn a_cut_that_outlasts_the_records_heals_without_bringing_them_back() {
+fn a_partition_longer_than_the_retention_does_not_restore_expired_records() {
     let mut world = fleet(6, 7);
     for key in 0..20 {
-        world.ask(key as usize % 6, key);
+        world.request(key as usize % 6, key);
     }
     world.run(SECOND);
-    world.split(|n| n < 3, true);
-    // Both sides purge, and hand off keys of their own and the same ones.
+    world.set_partition(|n| n < 3, true);
+    // Both sides purge and send requests, some under the same keys.
     world.purge(0, 1);
     world.purge(5, 2);
     for key in 20..40 {
-        world.ask(0, key);
-        world.ask(5, key);
+        world.request(0, key);
+        world.request(5, key);
     }
     world.run(TimeSpan::from_secs(20));
-    world.split(|n| n < 3, false);
-    let took = world.until(TimeSpan::from_secs(5), |world| {
-        world.agree() && world.differing() == 0
+    world.set_partition(|n| n < 3, false);
+    let took = world.run_until(TimeSpan::from_secs(5), |world| {
+        world.agrees() && world.differing_slots() == 0
     });
-    assert!(took.is_some(), "one picture again");
+    assert!(took.is_some(), "the copies are the same again");
     for n in 0..6 {
         let peers = world.nodes[n].peers.as_ref().expect("up");
         assert_eq!(
@@ -169,50 +185,60 @@
     }
     for (n, object) in [(3, 1), (4, 1), (5, 1), (0, 2), (1, 2), (2, 2)] {
         assert!(
-            world.seen.purges.contains(&(n, object)),
+            world.observed.purges.contains(&(n, object)),
             "{n} knows of {object}"
         );
     }
 }
 
 #[test]
-fn both_sides_hand_off_the_same_key_and_the_heal_binds_what_comes_after() {
+fn after_both_sides_ran_a_key_a_later_repeat_is_answered() {
     let mut world = fleet(6, 8);
-    world.split(|n| n < 3, true);
+    world.set_partition(|n| n < 3, true);
     world.run(TimeSpan::from_secs(6));
-    world.ask(0, 77);
-    world.ask(4, 77);
+    world.request(0, 77);
+    world.request(4, 77);
     world.run(SECOND);
-    // Neither side is more than half: neither has leave, both go as they would alone.
-    assert!(world.seen.sent.iter().filter(|sent| sent.granted).count() <= 1);
-    world.split(|n| n < 3, false);
-    world.until(TimeSpan::from_secs(5), |world| {
-        world.agree() && world.differing() == 0
+    // Neither side has more than half of the members: none is granted, and both are sent as without
+    // peers.
+    assert!(
+        world
+            .observed
+            .sent
+            .iter()
+            .filter(|sent| sent.granted)
+            .count()
+            <= 1
+    );
+    world.set_partition(|n| n < 3, false);
+    world.run_until(TimeSpan::from_secs(5), |world| {
+        world.agrees() && world.differing_slots() == 0
     });
-    let before = world.seen.sent.len();
-    world.ask(2, 77);
+    let before = world.observed.sent.len();
+    world.request(2, 77);
     world.run(SECOND);
-    assert_eq!(world.seen.sent.len(), before, "known as done");
-    assert_eq!(world.seen.answered, 1);
+    assert_eq!(world.observed.sent.len(), before, "known to be done");
+    assert_eq!(world.observed.answered, 1);
 }
 
-/// What the larger side did is known to nobody else at the moment when a cut heals: the one that was alone is sure of nothing.
+/// When a partition heals, only the larger side knows what it did. A member that was in the
+/// minority must not confirm any claim until it has compared its copies.
 #[test]
-fn one_that_was_cut_off_is_sure_of_nothing_when_it_is_back() {
+fn a_member_back_from_a_minority_partition_confirms_nothing_at_first() {
     for n in [3, 5, 9] {
         for seed in 0..12 {
             let mut world = fleet(n, seed);
             let few = n / 2;
-            world.split(|k| k < few, true);
+            world.set_partition(|k| k < few, true);
             world.run(TimeSpan::from_secs(2));
             for key in 0..60 {
-                world.ask(n - 1 - key as usize % (n - few), key);
+                world.request(n - 1 - key as usize % (n - few), key);
                 world.run(TimeSpan::from_millis(5));
             }
             world.run(SECOND);
-            world.split(|k| k < few, false);
+            world.set_partition(|k| k < few, false);
             for key in 0..60 {
-                world.ask(key as usize % few, key);
+                world.request(key as usize % few, key);
                 world.run(TimeSpan::from_millis(7));
             }
             let repeats = world.repeats();
@@ -221,35 +247,36 @@
     }
 }
 
-/// Nobody knows anything that the others have not told: what they remember together is all there is.
+/// No member knows anything that others have not reported: the memories of all members together are
+/// complete.
 #[test]
-fn all_cut_off_from_all_are_whole_soon_after_the_heal() {
+fn members_that_were_all_isolated_are_in_sync_soon_after() {
     for n in [3, 5] {
         let mut world = fleet(n, 31);
-        world.ask(0, 7);
+        world.request(0, 7);
         world.run(SECOND);
-        let cut = Way {
-            cut: true,
-            ..Way::default()
+        let cut = LinkFault {
+            blocked: true,
+            ..LinkFault::default()
         };
-        world.every_way(cut);
+        world.set_all_links(cut);
         world.run(TimeSpan::from_secs(8));
-        world.every_way(Way::default());
-        let took = world.until(TimeSpan::from_secs(10), |world| {
-            world.agree() && world.whole()
+        world.set_all_links(LinkFault::default());
+        let took = world.run_until(TimeSpan::from_secs(10), |world| {
+            world.agrees() && world.all_in_sync()
         });
         assert!(
             took.is_some_and(|took| took <= TimeSpan::from_secs(4)),
             "{n}: {took:?}"
         );
-        world.ask(1, 7);
+        world.request(1, 7);
         world.run(SECOND);
-        assert_eq!((world.seen.sent.len(), world.seen.answered), (1, 1));
+        assert_eq!((world.observed.sent.len(), world.observed.answered), (1, 1));
     }
 }
 
 #[test]
-fn one_that_slept_knows_it_before_it_says_anything() {
+fn a_paused_member_detects_the_pause_before_it_sends_anything() {
     let mut world = fleet(5, 9);
     world.pause(2, true);
     world.run(TimeSpan::from_secs(30));
@@ -261,8 +288,8 @@
         PeerState::InSync,
         "what it kept may have changed"
     );
-    let took = world.until(TimeSpan::from_secs(5), |world| {
-        world.agree() && world.whole()
+    let took = world.run_until(TimeSpan::from_secs(5), |world| {
+        world.agrees() && world.all_in_sync()
     });
     assert!(
         took.is_some_and(|took| took <= TimeSpan::from_secs(3)),
@@ -271,10 +298,10 @@
 }
 
 #[test]
-fn one_that_sleeps_amid_its_catch_up_goes_on_with_it() {
+fn a_member_paused_during_synchronisation_continues_it() {
     let mut world = fleet(4, 10);
     for key in 0..3_000 {
-        world.ask(key as usize % 4, key);
+        world.request(key as usize % 4, key);
         if key % 100 == 0 {
             world.run(TimeSpan::from_millis(20));
         }
@@ -286,35 +313,35 @@
     world.pause(3, true);
     world.run(TimeSpan::from_secs(3));
     world.pause(3, false);
-    let took = world.until(TimeSpan::from_secs(5), |world| {
-        world.agree() && world.whole()
+    let took = world.run_until(TimeSpan::from_secs(5), |world| {
+        world.agrees() && world.all_in_sync()
     });
-    assert!(took.is_some(), "whole in the end");
-    assert_eq!(world.differing(), 0);
+    assert!(took.is_some(), "in sync at last");
+    assert_eq!(world.differing_slots(), 0);
 }
 
 #[test]
-fn all_restarted_at_once_serve_and_are_whole_when_nothing_older_can_be_missing() {
+fn members_that_all_restart_at_once_serve_and_get_in_sync_in_time() {
     let mut world = fleet(5, 11);
     (0..5).for_each(|n| world.kill(n));
     (0..5).for_each(|n| world.start(n));
     for key in 0..10 {
-        world.ask(key as usize % 5, key);
+        world.request(key as usize % 5, key);
     }
     world.run(SECOND);
-    assert_eq!(world.seen.sent.len(), 10, "nobody waits for anybody");
-    assert!(!world.whole(), "what was before may be missing");
+    assert_eq!(world.observed.sent.len(), 10, "no request waits");
+    assert!(!world.all_in_sync(), "what was before may be missing");
     assert!(
         world
-            .until(TimeSpan::from_secs(60), |world| world.whole())
+            .run_until(TimeSpan::from_secs(60), |world| world.all_in_sync())
             .is_some()
     );
 }
 
 #[test]
-fn all_restarted_one_by_one_lose_nothing() {
+fn a_rolling_restart_loses_nothing() {
     let keep = TimeSpan::from_secs(60);
-    let mut world = World::with(
+    let mut world = World::with_settings(
         5,
         12,
         PeersSettings {
@@ -323,30 +350,30 @@
         },
     );
     world.run(TimeSpan::from_secs(70));
-    world.ask(0, 7);
+    world.request(0, 7);
     world.purge(0, 9);
     world.run(SECOND);
     for n in 0..5 {
         world.kill(n);
         world.run(TimeSpan::from_millis(200));
         world.start(n);
-        let took = world.until(TimeSpan::from_secs(5), |world| world.whole());
+        let took = world.run_until(TimeSpan::from_secs(5), |world| world.all_in_sync());
         assert!(
             took.is_some_and(|took| took <= TimeSpan::from_secs(2)),
             "{n} has caught up: {took:?}"
         );
     }
-    world.ask(3, 7);
+    world.request(3, 7);
     world.run(SECOND);
     assert_eq!(
-        (world.seen.sent.len(), world.seen.answered),
+        (world.observed.sent.len(), world.observed.answered),
         (1, 1),
-        "the record outlived all"
+        "the record outlived every process"
     );
 }
 
 #[test]
-fn two_processes_under_one_name_leave_the_later_one_alone_with_it() {
+fn of_two_processes_with_one_name_the_later_one_keeps_it() {
     let mut world = World::new(4, 13);
     world.nodes[3].id = world.nodes[2].id;
     world.kill(3);
@@ -356,40 +383,40 @@
     let stands = |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.state());
     assert_eq!(stands(&world, 2), Some(PeerState::Superseded));
     assert_ne!(stands(&world, 3), Some(PeerState::Superseded));
-    // The quiet one serves on.
-    world.ask(2, 5);
+    // The superseded process still serves requests.
+    world.request(2, 5);
     world.run(SECOND);
-    assert_eq!(world.seen.sent.len(), 1);
+    assert_eq!(world.observed.sent.len(), 1);
 }
 
 #[test]
-fn a_clock_that_is_half_a_second_off_is_borne_and_one_that_is_far_off_not_listened_to() {
+fn a_clock_half_a_second_off_is_accepted_and_one_far_off_is_ignored() {
     let mut world = fleet(4, 14);
-    world.nodes[1].ahead = 500_000;
-    world.nodes[2].faster = 0.01;
+    world.nodes[1].clock_ahead_us = 500_000;
+    world.nodes[2].clock_drift = 0.01;
     for key in 0..40 {
-        world.ask(1, key);
+        world.request(1, key);
         world.run(TimeSpan::from_millis(50));
-        world.ask(2, key);
+        world.request(2, key);
         world.run(TimeSpan::from_millis(200));
     }
     assert_eq!(world.repeats().len(), 0);
-    assert_eq!(world.seen.sent.len(), 40);
-    world.nodes[1].ahead = 20_000_000;
+    assert_eq!(world.observed.sent.len(), 40);
+    world.nodes[1].clock_ahead_us = 20_000_000;
     world.run(TimeSpan::from_secs(8));
     let others = world.nodes[0].peers.as_ref().expect("up");
     assert!(others.counts().off_clock > 0);
     assert!(
         !others.members().is_reached(world.nodes[1].id),
-        "as one that is not there"
+        "treated as not present"
     );
-    world.ask(1, 99);
+    world.request(1, 99);
     world.run(SECOND);
-    assert_eq!(world.seen.sent.len(), 41, "it serves alone");
+    assert_eq!(world.observed.sent.len(), 41, "it serves as without peers");
 }
 
 #[test]
-fn a_drain_and_a_fresh_start_that_one_has_heard_of_bind_the_others() {
+fn a_drain_known_to_one_member_restricts_the_host_at_the_others() {
     let mut world = fleet(3, 15);
     let entry = |state, started| HostEntry {
         host: HostId(5),
@@ -410,25 +437,22 @@
         peers.on_host_list(now, &[entry(HostState::Draining, None)], 11)
     });
     world.run(SECOND);
-    assert_eq!(world.seen.restricted.get(&(2, 5)), Some(&true));
-    // The list comes at last, and a later place says that it is ready again.
+    assert_eq!(world.observed.restricted.get(&(2, 5)), Some(&true));
+    // The own list catches up, and a later journal position reports the host as ready again.
     world.with_peers(2, |peers, now| {
         peers.on_host_list(now, &[entry(HostState::Ready, None)], 12)
     });
     world.run(TimeSpan::from_secs(2));
-    let one = world.seen.restricted.get(&(1, 5));
-    assert_eq!(
-        one,
-        Some(&true),
-        "nobody takes a restriction back but the own list"
-    );
-    // A list that stays silent, or another history of the journal, holds nobody for ever.
+    let one = world.observed.restricted.get(&(1, 5));
+    assert_eq!(one, Some(&true), "only the own list lifts a restriction");
+    // A list that stays silent, or a journal with another history, does not restrict a host for
+    // ever.
     world.run(TimeSpan::from_secs(31));
-    assert_eq!(world.seen.restricted.get(&(1, 5)), Some(&false));
+    assert_eq!(world.observed.restricted.get(&(1, 5)), Some(&false));
 }
 
 #[test]
-fn a_hint_and_a_purge_reach_all_and_an_old_purge_nobody() {
+fn hints_and_purges_reach_all_members_and_an_old_purge_reaches_none() {
     let mut world = fleet(16, 16);
     world.purge(3, 8);
     let host = HostEntry {
@@ -442,30 +466,30 @@
         state: HostState::Ready,
     };
     world.with_peers(4, |peers, _| {
-        peers.on_breaker_opened(DAWN + TimeSpan::from_secs(70), host)
+        peers.on_breaker_opened(START_TIME + TimeSpan::from_secs(70), host)
     });
     world.run(TimeSpan::from_secs(2));
-    let knows = |world: &World, n: usize| world.seen.purges.contains(&(n, 8));
+    let knows = |world: &World, n: usize| world.observed.purges.contains(&(n, 8));
     assert!(
         (0..16).filter(|&n| n != 3).all(|n| knows(&world, n)),
         "{:?}",
-        world.seen.purges
+        world.observed.purges
     );
     world.with_peers(5, |peers, now| {
         let long_past = now - TimeSpan::from_secs(200);
         peers.on_purge(now, Some(ObjectId(1)), GroupId(0), long_past);
     });
     world.run(TimeSpan::from_secs(2));
-    assert!(!world.seen.purges.iter().any(|&(_, object)| object == 1));
+    assert!(!world.observed.purges.iter().any(|&(_, object)| object == 1));
 }
 
 #[test]
-fn a_flood_of_keys_costs_bounded_memory_and_old_records_stay() {
+fn many_keys_use_bounded_memory_and_old_records_stay() {
     let mut world = fleet(3, 17);
-    world.ask(1, 1);
+    world.request(1, 1);
     world.run(SECOND);
     for key in 1_000..9_000 {
-        world.ask(0, key);
+        world.request(0, key);
     }
     world.run(TimeSpan::from_millis(500));
     let (own, asking, owed, _) = world.nodes[0].peers.as_ref().expect("up").pending_counts();
@@ -473,18 +497,22 @@
         own <= 8_000 && asking <= 2_048 && owed <= 8_192,
         "{own} {asking} {owed}"
     );
-    world.ask(2, 1);
+    world.request(2, 1);
     world.run(SECOND);
-    let ones = world.seen.sent.iter().filter(|sent| sent.key == 1);
-    assert_eq!(ones.count(), 1, "nothing was forgotten for them");
+    let ones = world.observed.sent.iter().filter(|sent| sent.key == 1);
+    assert_eq!(
+        ones.count(),
+        1,
+        "no old record was dropped for the new ones"
+    );
 }
 
 #[test]
-fn what_a_broken_peer_makes_up_allows_nobody_more() {
+fn false_reports_of_a_faulty_peer_permit_nothing() {
     let mut world = fleet(3, 18);
-    world.ask(0, 7);
+    world.request(0, 7);
     world.run(SECOND);
-    // It says that all are dead, that it is this one, and that the record never was.
+    // It reports that all members are dead, and uses an invented member.
     let lies = |now: Timestamp, parts| Message {
         from: PeerId(99),
         boot_id: BootId(1),
@@ -508,7 +536,7 @@
         let message = lies(world.now, vec![MessagePart::MemberUpdates(updates)]);
         world.inject(n, from, message);
     }
-    let took = world.until(TimeSpan::from_secs(5), |world| {
+    let took = world.run_until(TimeSpan::from_secs(5), |world| {
         world.nodes[0]
             .peers
             .as_ref()
@@ -516,20 +544,25 @@
     });
     assert!(
         took.is_some_and(|took| took < TimeSpan::from_secs(3)),
-        "they say that they are well: {took:?}"
+        "they refute the report: {took:?}"
     );
-    world.ask(1, 7);
+    world.request(1, 7);
     world.run(SECOND);
     assert_eq!(
-        world.seen.sent.iter().filter(|sent| sent.key == 7).count(),
+        world
+            .observed
+            .sent
+            .iter()
+            .filter(|sent| sent.key == 7)
+            .count(),
         1
     );
 }
 
 #[test]
-fn where_the_operator_has_it_so_what_nobody_is_sure_about_is_refused() {
+fn unconfirmed_requests_are_refused_if_the_operator_says_so() {
     let refuse = true;
-    let mut world = World::with(
+    let mut world = World::with_settings(
         6,
         19,
         PeersSettings {
@@ -538,32 +571,36 @@
         },
     );
     world.run(TimeSpan::from_secs(45));
-    world.split(|n| n < 2, true);
+    world.set_partition(|n| n < 2, true);
     world.run(TimeSpan::from_secs(5));
-    // The larger side knows; the smaller one can't.
-    world.ask(4, 1);
+    // The larger side can confirm the key, the smaller one can't.
+    world.request(4, 1);
     world.run(SECOND);
-    world.ask(0, 1);
-    world.ask(0, 2);
+    world.request(0, 1);
+    world.request(0, 2);
     world.run(SECOND);
     let went: Vec<(usize, u64)> = world
-        .seen
+        .observed
         .sent
         .iter()
         .map(|sent| (sent.node, sent.key))
         .collect();
-    assert_eq!((went, world.seen.refused), (vec![(4, 1)], 2));
-    world.split(|n| n < 2, false);
-    world.until(TimeSpan::from_secs(5), |world| {
-        world.agree() && world.whole()
+    assert_eq!((went, world.observed.refused), (vec![(4, 1)], 2));
+    world.set_partition(|n| n < 2, false);
+    world.run_until(TimeSpan::from_secs(5), |world| {
+        world.agrees() && world.all_in_sync()
     });
-    world.ask(0, 2);
+    world.request(0, 2);
     world.run(SECOND);
-    assert_eq!(world.seen.sent.len(), 2, "it comes again when they know");
+    assert_eq!(
+        world.observed.sent.len(),
+        2,
+        "the request is sent once it is confirmed"
+    );
 }
 
 #[test]
-fn one_that_is_asked_for_what_it_does_not_keep_is_not_sure() {
+fn a_member_that_is_not_a_replica_of_a_key_is_not_sure() {
     let mut world = fleet(9, 20);
     let asker = trailproxy_peers::decide::messages::Address {
         ip: [127, 9, 9, 9],
@@ -595,40 +632,43 @@
         };
         sure += usize::from(actions.iter().any(says));
     }
-    // Whoever asks may be taken for one of the three.
+    // The asking member may be taken for one of the three replicas.
     assert!(
         (2..=3).contains(&sure),
-        "its keepers and nobody else: {sure}"
+        "the replicas of the key and no other member: {sure}"
     );
 }
 
 #[test]
-fn what_others_answer_is_kept_by_a_replica_that_was_not_told() {
+fn a_replica_stores_the_claims_in_answers() {
     for seed in 0..10 {
         let mut world = World::new(3, 900 + seed);
         world.run(TimeSpan::from_secs(12));
-        // The one that does it reaches one of the two others only.
-        for way in [(0, 2), (2, 0)] {
-            let cut = true;
-            world.ways.insert(
-                way,
-                Way {
-                    cut,
-                    ..Way::default()
+        // The member that sends the request reaches only one of the two others.
+        for link in [(0, 2), (2, 0)] {
+            let blocked = true;
+            world.link_faults.insert(
+                link,
+                LinkFault {
+                    blocked,
+                    ..LinkFault::default()
                 },
             );
         }
-        world.ask(0, 5);
+        world.request(0, 5);
         world.run(TimeSpan::from_millis(70));
-        world.ask(2, 5);
+        world.request(2, 5);
         world.run(TimeSpan::from_millis(3));
         assert_eq!(
-            world.seen.answered, 1,
-            "seed {seed}: the one between tells it"
+            world.observed.answered, 1,
+            "seed {seed}: the member in between reports it"
         );
         [0, 1].into_iter().for_each(|node| world.kill(node));
-        world.ask(2, 5);
+        world.request(2, 5);
         world.run(TimeSpan::from_millis(100));
-        assert_eq!(world.seen.answered, 2, "seed {seed}: it knows by itself");
+        assert_eq!(
+            world.observed.answered, 2,
+            "seed {seed}: it has stored the claim"
+        );
     }
 }
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -1,4 +1,5 @@
-//! Every fault between members, alone and in pairs, by seed; every order of a small case; and mistakes put in on purpose.
+//! Every fault between members, alone and in pairs, by seed; every order of messages in a small
+//! case; and planted mistakes.
 
 mod world;
 
@@ -11,11 +12,11 @@
 
 const SECOND: TimeSpan = TimeSpan::from_secs(1);
 
-/// A name, what strikes, and what ends it.
+/// The name of a fault, what starts it and what ends it.
 type Fault = (&'static str, fn(&mut World), fn(&mut World));
 
-fn mend(world: &mut World) {
-    world.ways.clear();
+fn clear_link_faults(world: &mut World) {
+    world.link_faults.clear();
 }
 
 fn some(world: &World) -> usize {
@@ -27,71 +28,71 @@
         "cut in two",
         |w| {
             let n = some(w);
-            w.split(|a| a < n.max(1), true)
+            w.set_partition(|a| a < n.max(1), true)
         },
-        mend,
+        clear_link_faults,
     ),
     (
         "cut one way",
         |w| {
             let n = w.nodes.len();
             for b in 1..n {
-                let cut = true;
-                w.ways.insert(
+                let blocked = true;
+                w.link_faults.insert(
                     (0, b),
-                    Way {
-                        cut,
-                        ..Way::default()
+                    LinkFault {
+                        blocked,
+                        ..LinkFault::default()
                     },
                 );
             }
         },
-        mend,
+        clear_link_faults,
     ),
     (
         "lost",
         |w| {
-            w.every_way(Way {
-                lost: 0.2,
-                ..Way::default()
+            w.set_all_links(LinkFault {
+                loss_rate: 0.2,
+                ..LinkFault::default()
             })
         },
-        mend,
+        clear_link_faults,
     ),
     (
         "doubled",
         |w| {
-            w.every_way(Way {
-                doubled: 0.5,
-                slower: TimeSpan::from_millis(5),
-                ..Way::default()
+            w.set_all_links(LinkFault {
+                duplication_rate: 0.5,
+                mean_extra_delay: TimeSpan::from_millis(5),
+                ..LinkFault::default()
             })
         },
-        mend,
+        clear_link_faults,
     ),
     (
         "slow",
         |w| {
-            w.every_way(Way {
-                slower: TimeSpan::from_millis(60),
-                ..Way::default()
+            w.set_all_links(LinkFault {
+                mean_extra_delay: TimeSpan::from_millis(60),
+                ..LinkFault::default()
             })
         },
-        mend,
+        clear_link_faults,
     ),
     (
         "one slow",
         |w| {
             for b in 0..w.nodes.len() {
-                let way = Way {
-                    slower: TimeSpan::from_millis(300),
-                    ..Way::default()
+                let link = LinkFault {
+                    mean_extra_delay: TimeSpan::from_millis(300),
+                    ..LinkFault::default()
                 };
-                w.ways.insert((1, b), way);
-                w.ways.insert((b, 1), way);
+                w.link_faults.insert((1, b), link);
+                w.link_faults.insert((b, 1), link);
             }
         },
-        mend,
+        clear_link_faults,
     ),
     (
         "killed",
@@ -125,36 +126,46 @@
         |_| {},
     ),
     ("asleep", |w| w.pause(2, true), |w| w.pause(2, false)),
-    ("clock ahead", |w| w.nodes[1].ahead = 500_000, |_| {}),
+    (
+        "clock ahead",
+        |w| w.nodes[1].clock_ahead_us = 500_000,
+        |_| {},
+    ),
     ("left", |w| w.leave(2), |w| w.start(2)),
 ];
 
-/// How a run under faults went.
+/// The result of a run under faults.
 #[derive(Debug, Default)]
-struct Ran {
+struct RunResult {
     repeats: usize,
     longest: TimeSpan,
     heals: Option<TimeSpan>,
-    differing: usize,
+    differing_slots: usize,
     unknown: usize,
     asked: u64,
     ended: u64,
 }
 
-/// Keys are asked for, and again elsewhere, while it strikes; then it ends and all is the same again.
-fn struck(n: usize, seed: u64, faults: &[Fault], planted: Option<Planted>) -> Ran {
+/// Sends keyed requests, and repeats of them elsewhere, while the faults last; then ends the faults
+/// and waits until all copies are the same.
+fn run_under_faults(
+    n: usize,
+    seed: u64,
+    faults: &[Fault],
+    planted: Option<PlantedFault>,
+) -> RunResult {
     let mut world = World::new(n, seed);
     world.run(TimeSpan::from_secs(12));
     world.planted = planted;
     let mut rng = fastrand::Rng::with_seed(seed ^ 5);
-    let mut ran = Ran::default();
-    let ask = |world: &mut World, rng: &mut fastrand::Rng, ran: &mut Ran, key: u64| {
+    let mut ran = RunResult::default();
+    let ask = |world: &mut World, rng: &mut fastrand::Rng, ran: &mut RunResult, key: u64| {
         for again in 0..2 {
             let node = rng.usize(0..n);
             let up = world.nodes[node].peers.is_some() && !world.nodes[node].paused;
             if up {
                 ran.asked += 1;
-                world.ask(node, key);
+                world.request(node, key);
             }
             if again == 0 {
                 world.run(TimeSpan(rng.u64(0..120_000)));
@@ -170,30 +181,31 @@
         }
         ask(&mut world, &mut rng, &mut ran, key);
         if key == 12 {
-            // Clients whose change was under way before come again.
+            // Clients whose requests were in progress before the faults repeat them.
             (0..10).for_each(|key| ask(&mut world, &mut rng, &mut ran, key));
         }
     }
     world.run(TimeSpan::from_secs(2));
     faults.iter().for_each(|(.., end)| end(&mut world));
-    // Clients whose change was under way meanwhile come again in the very moment when it ends.
+    // Clients whose requests were in progress during the faults repeat them at the moment when
+    // these end.
     for key in 12..40 {
         let node = rng.usize(0..n);
         if world.nodes[node].peers.is_some() && !world.nodes[node].paused {
             ran.asked += 1;
-            world.ask(node, key);
+            world.request(node, key);
         }
         world.run(TimeSpan(rng.u64(0..12_000)));
     }
-    let heals = world.until(TimeSpan::from_secs(20), |world| {
-        world.agree() && world.differing() == 0
+    let heals = world.run_until(TimeSpan::from_secs(20), |world| {
+        world.agrees() && world.differing_slots() == 0
     });
     ran.heals = heals;
-    ran.differing = world.differing();
-    // What was purged before the end is known to all that are there.
+    ran.differing_slots = world.differing_slots();
+    // All present members know the purge from before the end.
     world.run(TimeSpan::from_secs(2));
     let knows =
-        |world: &World, k: usize| k == n - 1 || world.seen.purges.contains(&(k, 500 + seed));
+        |world: &World, k: usize| k == n - 1 || world.observed.purges.contains(&(k, 500 + seed));
     let purger = faults
         .iter()
         .any(|(name, ..)| *name == "all restarted" || n <= 3 && *name == "left");
@@ -201,24 +213,38 @@
         ran.unknown = world.up().filter(|&k| !knows(&world, k)).count();
     }
     ran.repeats = world.repeats().len();
-    ran.longest = world.seen.held.iter().max().copied().unwrap_or_default();
-    ran.ended = world.seen.sent.len() as u64 + world.seen.answered + world.seen.refused;
+    ran.longest = world
+        .observed
+        .held
+        .iter()
+        .max()
+        .copied()
+        .unwrap_or_default();
+    ran.ended = world.observed.sent.len() as u64 + world.observed.answered + world.observed.refused;
     ran
 }
 
-fn holds(name: &str, ran: &Ran) {
-    assert_eq!(ran.repeats, 0, "{name}: sent twice by leave: {ran:?}");
-    // An access that joins another's waits longer, by a quarter of the time until it is due.
+fn assert_expected(name: &str, ran: &RunResult) {
+    assert_eq!(
+        ran.repeats, 0,
+        "{name}: sent twice although granted: {ran:?}"
+    );
+    // A request that waits for another member's attempt waits longer, by a quarter of the time to
+    // its target.
     assert!(ran.longest <= TimeSpan::from_millis(270), "{name}: {ran:?}");
     assert!(
         ran.heals.is_some_and(|took| took <= TimeSpan::from_secs(6)),
         "{name}: {ran:?}"
     );
-    assert_eq!((ran.differing, ran.unknown), (0, 0), "{name}: {ran:?}");
+    assert_eq!(
+        (ran.differing_slots, ran.unknown),
+        (0, 0),
+        "{name}: {ran:?}"
+    );
 }
 
 #[test]
-fn every_fault_alone_and_in_pairs_among_few() {
+fn every_fault_alone_and_in_pairs_with_five_members() {
     for (nth, one) in FAULTS.iter().enumerate() {
         for other in &FAULTS[nth..] {
             for seed in 0..3 {
@@ -228,50 +254,50 @@
                 } else {
                     vec![*one, *other]
                 };
-                holds(&name, &struck(5, seed, &both, None));
+                assert_expected(&name, &run_under_faults(5, seed, &both, None));
             }
         }
     }
 }
 
 #[test]
-fn every_fault_alone_among_three_and_forty() {
+fn every_fault_alone_with_three_and_forty_members() {
     for fault in FAULTS {
         for (n, seed) in [(3, 1), (3, 2), (40, 1)] {
-            holds(
+            assert_expected(
                 &format!("{} of {n}, seed {seed}", fault.0),
-                &struck(n, seed, &[fault], None),
+                &run_under_faults(n, seed, &[fault], None),
             );
         }
     }
 }
 
 #[test]
-fn three_hundred_find_each_other_and_heal_at_a_stated_cost() {
+fn three_hundred_members_agree_and_heal_within_their_message_budget() {
     let mut world = World::new(300, 1);
-    let took = world.until(TimeSpan::from_secs(20), |world| world.agree());
-    assert!(took.is_some(), "all know all");
+    let took = world.run_until(TimeSpan::from_secs(20), |world| world.agrees());
+    assert!(took.is_some(), "all members know each other");
     world.run(TimeSpan::from_secs(5));
-    let (messages, begun) = (world.seen.messages, world.now);
+    let (messages, begun) = (world.observed.messages, world.now);
     world.run(TimeSpan::from_secs(3));
     let each =
-        (world.seen.messages - messages) as f64 / 300.0 / world.now.since(begun).as_secs_f64();
+        (world.observed.messages - messages) as f64 / 300.0 / world.now.since(begun).as_secs_f64();
     assert!(each < 40.0, "{each} messages a second each at rest");
     world.purge(7, 1);
     world.run(TimeSpan::from_secs(3));
     let known = (0..300)
-        .filter(|&n| world.seen.purges.contains(&(n, 1)))
+        .filter(|&n| world.observed.purges.contains(&(n, 1)))
         .count();
     assert!(known >= 299, "{known} know of a purge after 3 s");
-    world.split(|n| n < 100, true);
+    world.set_partition(|n| n < 100, true);
     world.run(TimeSpan::from_secs(8));
-    world.split(|n| n < 100, false);
-    let took = world.until(TimeSpan::from_secs(15), |world| world.agree());
+    world.set_partition(|n| n < 100, false);
+    let took = world.run_until(TimeSpan::from_secs(15), |world| world.agrees());
     assert!(took.is_some(), "one fleet again");
 }
 
 #[test]
-fn mistakes_put_in_on_purpose_are_found() {
+fn planted_mistakes_are_found() {
     let by_name = |name: &str| {
         FAULTS
             .iter()
@@ -279,37 +305,41 @@
             .copied()
             .expect("a fault")
     };
-    // What each breaks, under which fault, and how many seeds it may take to be seen.
-    type Case = (Planted, &'static str, fn(&Ran) -> bool);
+    // A planted mistake, the fault under which it shows, and how it shows.
+    type Case = (PlantedFault, &'static str, fn(&RunResult) -> bool);
     let cases: [Case; 4] = [
-        (Planted::ClaimLate, "doubled", |ran| ran.repeats > 0),
-        (Planted::ForgetByCount, "doubled", |ran| ran.repeats > 0),
-        (Planted::WholeTooEarly, "all restarted", |ran| {
+        (PlantedFault::ClaimLate, "doubled", |ran| ran.repeats > 0),
+        (PlantedFault::ForgetByCount, "doubled", |ran| {
+            ran.repeats > 0
+        }),
+        (PlantedFault::WholeTooEarly, "all restarted", |ran| {
             ran.repeats > 0
         }),
-        (Planted::IncarnationTwice, "cut in two", |ran| {
+        (PlantedFault::IncarnationTwice, "cut in two", |ran| {
             ran.heals.is_none_or(|took| took > TimeSpan::from_secs(6))
         }),
     ];
-    figure("planted", cases.len() as f64);
+    record_figure("planted", cases.len() as f64);
     let mut all = 0;
     for (planted, fault, found) in cases {
-        let seed = (0..20).find(|&seed| found(&struck(5, seed, &[by_name(fault)], Some(planted))));
+        let seed = (0..20)
+            .find(|&seed| found(&run_under_faults(5, seed, &[by_name(fault)], Some(planted))));
         assert!(seed.is_some(), "{planted:?} is not found");
         println!("{planted:?} is found under {fault}, seed {seed:?}");
         all += 1;
     }
-    figure("planted_found", f64::from(all));
+    record_figure("planted_found", f64::from(all));
 }
 
-/// Two claims of one key among three: every order of what is on its way, with any of it lost, and time passing between.
+/// Two claims on one key among three members: every order of the messages in flight, with any of
+/// them lost, and time passing in between.
 #[test]
-fn every_order_of_two_claims_grants_one_at_most() {
+fn every_order_of_two_claims_grants_at_most_one() {
     #[derive(Clone)]
     struct Small {
         now: Timestamp,
         peers: Vec<Peers>,
-        flying: Vec<(usize, usize, Message)>,
+        in_flight_messages: Vec<(usize, usize, Message)>,
         granted: Vec<bool>,
         went: Vec<bool>,
     }
@@ -318,7 +348,8 @@
             for action in self.peers[of].take_actions() {
                 match action {
                     Action::Send(to, message) => {
-                        self.flying.push((of, usize::from(to.ip[3]), message))
+                        self.in_flight_messages
+                            .push((of, usize::from(to.ip[3]), message))
                     }
                     Action::Decided {
                         id,
@@ -337,7 +368,7 @@
             }
         }
         fn deliver(&mut self, nth: usize, lost: bool) {
-            let (from, to, message) = self.flying.remove(nth);
+            let (from, to, message) = self.in_flight_messages.remove(nth);
             if !lost {
                 self.now = self.now + TimeSpan(100);
                 let address = self.peers[from].members().own().address;
@@ -353,27 +384,27 @@
     let own = |n: u8| OwnMember {
         id: PeerId::of_name(&format!("s{n}")),
         address: address(n),
-        boot_id: new_boot_id(DAWN, u64::from(n)),
+        boot_id: new_boot_id(START_TIME, u64::from(n)),
         seeds: (0..3).map(address).collect(),
         topology: None,
     };
     let mut small = Small {
-        now: DAWN,
+        now: START_TIME,
         peers: (0..3)
-            .map(|n| Peers::new(DAWN, own(n), settings(), u64::from(n)))
+            .map(|n| Peers::new(START_TIME, own(n), settings(), u64::from(n)))
             .collect(),
-        flying: Vec::new(),
+        in_flight_messages: Vec::new(),
         granted: vec![false; 3],
         went: vec![false; 3],
     };
-    // Until they know each other and nothing older can be missing.
-    while small.now.since(DAWN) < TimeSpan::from_secs(15) {
+    // Until the members know each other and nothing older can be missing.
+    while small.now.since(START_TIME) < TimeSpan::from_secs(15) {
         small.now = small.now + TimeSpan::from_millis(20);
         for n in 0..3 {
             small.peers[n].advance(small.now);
             small.act(n);
         }
-        while !small.flying.is_empty() {
+        while !small.in_flight_messages.is_empty() {
             small.deliver(0, false);
         }
     }
@@ -385,12 +416,12 @@
     fn explore(small: &Small, depth: usize, seen: &mut (u64, u64)) {
         seen.0 += 1;
         let grants = small.granted.iter().filter(|&&granted| granted).count();
-        assert!(grants <= 1, "both were told that nobody else has it");
+        assert!(grants <= 1, "both claims were granted");
         seen.1 += u64::from(grants == 1);
         if depth == 0 {
             return;
         }
-        for nth in 0..small.flying.len().min(6) {
+        for nth in 0..small.in_flight_messages.len().min(6) {
             for lost in [false, true] {
                 let mut next = small.clone();
                 next.deliver(nth, lost);
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -1,6 +1,8 @@
-//! Some dispatchers' peers and the ways between them, in virtual time and repeatable by its seed.
+//! A simulated fleet of dispatchers and the links between them, in virtual time and reproducible by
+//! its seed.
 //!
-//! Beside them stands whoever counts: what went out under each key, when, and by whose leave. It knows the true time.
+//! The simulation also records, by the true time, which attempts were sent under each key, and
+//! whether replicas had granted them.
 
 #![allow(dead_code)]
 
@@ -15,10 +17,10 @@
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::{Came, Folding, Verdict};
 
-pub const WAIT: TimeSpan = TimeSpan::from_millis(20);
+pub const MAX_WAIT: TimeSpan = TimeSpan::from_millis(20);
 pub const WINDOW: TimeSpan = TimeSpan::from_secs(4);
-pub const LIMIT: TimeSpan = TimeSpan::from_secs(2);
-pub const DAWN: Timestamp = Timestamp(1_700_000_000_000_000);
+pub const DEADLINE: TimeSpan = TimeSpan::from_secs(2);
+pub const START_TIME: Timestamp = Timestamp(1_700_000_000_000_000);
 
 pub fn settings() -> PeersSettings {
     PeersSettings {
@@ -27,38 +29,38 @@
         hosts: true,
         hints: true,
         refuse_unconfirmed: false,
-        max_wait: WAIT,
+        max_wait: MAX_WAIT,
         record_retention: TimeSpan::from_secs(8),
         purge_retention: TimeSpan::from_secs(30),
     }
 }
 
-/// What is amiss on one way between two.
+/// Faults of the link from one node to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
-    pub cut: bool,
-    /// Shares of messages, and a delay beside the usual one, at the mean.
-    pub lost: f64,
-    pub doubled: f64,
-    pub slower: TimeSpan,
+pub struct LinkFault {
+    pub blocked: bool,
+    /// Shares of lost and duplicated messages, and the mean delay in addition to the normal one.
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
+    pub mean_extra_delay: TimeSpan,
 }
 
-/// What is done wrong on purpose, by changing what one says to others.
+/// A mistake that is planted by changing the messages or decisions of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
-    /// Everybody says that it is sure.
+pub enum PlantedFault {
+    /// Every node reports that it is certain and that its copies are complete.
     WholeTooEarly,
-    /// A member's incarnation never rises.
+    /// The incarnation of a member never rises.
     IncarnationTwice,
-    /// Of a record only so many are known that the last claims are forgotten.
+    /// Answers to claims contain no claims, as if records forgot them.
     ForgetByCount,
-    /// The access goes before its claim is told.
+    /// A request is sent before the answers to its claim arrive.
     ClaimLate,
-    /// What is claimed is told to other zones under another key.
+    /// Relays to other zones contain wrong keys.
     RelayedWrong,
-    /// A replica says that it has all of its zone's claims, whatever it lacks.
+    /// A replica reports that its log is complete although it is not.
     CompleteTooEarly,
-    /// Nobody says which zones it hears, so that others leave them out.
+    /// No node reports which zones it receives, so that others leave them out.
     HearsNobody,
 }
 
@@ -66,43 +68,43 @@
     pub peers: Option<Peers>,
     pub id: PeerId,
     pub address: Address,
-    /// Its clock against the true one: ahead by that, and faster by this part.
-    pub ahead: i64,
-    pub faster: f64,
+    /// The difference of its clock from the true time, and its relative drift.
+    pub clock_ahead_us: i64,
+    pub clock_drift: f64,
     pub paused: bool,
-    /// Where it says that it is; `None`: it is of a form that does not say.
+    /// The location that it reports; `None`: it runs a version that does not report one.
     pub locality: Option<Locality>,
-    waiting: Vec<(Address, Message)>,
-    open: BTreeMap<RequestId, Open>,
-    born: u64,
-    woke: Timestamp,
+    queued: Vec<(Address, Message)>,
+    in_flight: BTreeMap<RequestId, InFlightRequest>,
+    starts: u64,
+    resumed_at: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Open {
+struct InFlightRequest {
     key: u64,
-    come: Timestamp,
+    arrived_at: Timestamp,
     zone: ZoneId,
     ends_at: Option<Timestamp>,
 }
 
-/// A hand-off as the hosts saw it.
+/// An attempt as the hosts saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub key: u64,
     pub node: usize,
     pub at: Timestamp,
     pub zone: ZoneId,
-    /// The others had said that nobody else has it.
+    /// Whether replicas had confirmed that no other node has claimed the key.
     pub granted: bool,
 }
 
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub sent: Vec<Sent>,
+pub struct Observations {
+    pub sent: Vec<SentAttempt>,
     pub answered: u64,
     pub refused: u64,
-    /// How long each access with a key was held.
+    /// How long each keyed request waited.
     pub held: Vec<TimeSpan>,
     pub purges: BTreeSet<(usize, u64)>,
     pub hints: BTreeSet<(usize, u64)>,
@@ -114,33 +116,33 @@
 pub struct World {
     pub now: Timestamp,
     pub nodes: Vec<Node>,
-    pub ways: BTreeMap<(usize, usize), Way>,
-    pub seen: Seen,
-    pub planted: Option<Planted>,
+    pub link_faults: BTreeMap<(usize, usize), LinkFault>,
+    pub observed: Observations,
+    pub planted: Option<PlantedFault>,
     pub rng: fastrand::Rng,
     settings: PeersSettings,
     folding: Folding,
-    flying: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
+    in_flight_messages: BTreeMap<(Timestamp, u64), (usize, usize, Message)>,
     by_address: BTreeMap<Address, usize>,
-    next: u64,
-    /// How long a hand-off runs.
-    pub runs: TimeSpan,
-    /// Whether messages are put into bytes to know their size.
-    pub weighs: bool,
-    /// How far apart events of one node may be seen: timers are looked at so often.
+    next_number: u64,
+    /// How long an attempt runs.
+    pub attempt_duration: TimeSpan,
+    /// Whether messages are encoded to determine their size.
+    pub measures_bytes: bool,
+    /// The resolution of timers: each node is checked for due timers this often.
     pub step: TimeSpan,
     zones: Vec<PeerZoneId>,
 }
 
-/// How long a message is on its way, without faults: from, and at the most.
-fn travel(distance: Distance) -> (TimeSpan, TimeSpan) {
-    let (least, most) = match distance {
+/// The shortest and longest latency of a message without faults.
+fn latency_range(distance: Distance) -> (TimeSpan, TimeSpan) {
+    let (min, max) = match distance {
         Distance::SameSite => (100, 400),
         Distance::SameZone => (700, 1_500),
         Distance::SameRegion => (5_000, 10_000),
         Distance::OtherRegion => (30_000, 80_000),
     };
-    (TimeSpan(least), TimeSpan(most))
+    (TimeSpan(min), TimeSpan(max))
 }
 
 fn address(n: usize) -> Address {
@@ -157,24 +159,24 @@
 
 impl World {
     pub fn new(n: usize, seed: u64) -> World {
-        World::with(n, seed, settings())
+        World::with_settings(n, seed, settings())
     }
 
-    pub fn with(n: usize, seed: u64, settings: PeersSettings) -> World {
+    pub fn with_settings(n: usize, seed: u64, settings: PeersSettings) -> World {
         let mut world = World {
-            now: DAWN,
+            now: START_TIME,
             nodes: Vec::new(),
-            ways: BTreeMap::new(),
-            seen: Seen::default(),
+            link_faults: BTreeMap::new(),
+            observed: Observations::default(),
             planted: None,
             rng: fastrand::Rng::with_seed(seed),
             settings,
             folding: Folding::new("world"),
-            flying: BTreeMap::new(),
+            in_flight_messages: BTreeMap::new(),
             by_address: (0..n).map(|n| (address(n), n)).collect(),
-            next: 0,
-            runs: TimeSpan::from_millis(60),
-            weighs: false,
+            next_number: 0,
+            attempt_duration: TimeSpan::from_millis(60),
+            measures_bytes: false,
             step: TimeSpan::from_millis(5),
             zones: Vec::new(),
         };
@@ -182,15 +184,16 @@
         world
     }
 
-    /// Members at sites of zones and regions, as `place` has them; `zones`: all that the operator's file names.
-    pub fn placed(
+    /// Nodes at the sites that `place` returns. `zones` are all zones that the operator's file
+    /// names.
+    pub fn with_localities(
         n: usize,
         seed: u64,
         settings: PeersSettings,
         zones: Vec<PeerZoneId>,
         place: impl Fn(usize) -> Option<Locality>,
     ) -> World {
-        let mut world = World::with(0, seed, settings);
+        let mut world = World::with_settings(0, seed, settings);
         world.by_address = (0..n).map(|n| (address(n), n)).collect();
         world.step = TimeSpan::from_millis(1);
         world.zones = zones;
@@ -205,19 +208,19 @@
                 peers: None,
                 id: PeerId::of_name(&format!("d{nth}")),
                 address: address(nth),
-                ahead: 0,
-                faster: 0.0,
+                clock_ahead_us: 0,
+                clock_drift: 0.0,
                 paused: false,
-                waiting: Vec::new(),
-                open: BTreeMap::new(),
-                born: 0,
-                woke: DAWN,
+                queued: Vec::new(),
+                in_flight: BTreeMap::new(),
+                starts: 0,
+                resumed_at: START_TIME,
             });
             self.start(nth);
         }
     }
 
-    /// The hosts that drop each other's repeats: those of a zone, where there are zones.
+    /// The group of hosts that drop each other's repeats: those of a zone, if there are zones.
     fn host_zone(&self, node: usize) -> ZoneId {
         let zone = self.nodes[node].locality.map(|locality| locality.zone);
         let place = zone.and_then(|zone| self.zones.iter().position(|&known| known == zone));
@@ -225,35 +228,37 @@
     }
 
     pub fn clock(&self, node: usize) -> Timestamp {
-        let of = &self.nodes[node];
-        let since = self.now.since(DAWN).0 as f64;
-        let off = of.ahead + (since * of.faster) as i64;
+        let target = &self.nodes[node];
+        let since = self.now.since(START_TIME).0 as f64;
+        let off = target.clock_ahead_us + (since * target.clock_drift) as i64;
         Timestamp(self.now.0.saturating_add_signed(off))
     }
 
-    /// Begins anew, with nothing known but three addresses.
+    /// Starts a node that knows nothing but three addresses.
     pub fn start(&mut self, node: usize) {
         let now = self.clock(node);
         let seeds = (0..3).map(address).collect();
         let seed = self.rng.u64(..);
         let zones = self.zones.clone();
-        let of = &mut self.nodes[node];
-        of.born += 1;
-        let (id, address) = (of.id, of.address);
+        let target = &mut self.nodes[node];
+        target.starts += 1;
+        let (id, address) = (target.id, target.address);
         let own = OwnMember {
             id,
             address,
             boot_id: new_boot_id(now, seed),
             seeds,
-            topology: of.locality.map(|locality| Topology::new(locality, zones)),
+            topology: target
+                .locality
+                .map(|locality| Topology::new(locality, zones)),
         };
-        of.peers = Some(Peers::new(now, own, self.settings.clone(), seed));
-        (of.paused, of.waiting) = (false, Vec::new());
-        of.open.clear();
+        target.peers = Some(Peers::new(now, own, self.settings.clone(), seed));
+        (target.paused, target.queued) = (false, Vec::new());
+        target.in_flight.clear();
     }
 
-    /// Starts all anew, none of which says where it is; the distances stay.
-    pub fn start_unplaced(&mut self) {
+    /// Starts all nodes again without reported locations; the latencies stay.
+    pub fn start_without_localities(&mut self) {
         let zones = std::mem::take(&mut self.zones);
         for node in 0..self.nodes.len() {
             let locality = self.nodes[node].locality.take();
@@ -263,15 +268,15 @@
         self.zones = zones;
     }
 
-    /// What is open here under this key ends without having run.
+    /// Requests in flight with this key at this node end without having run.
     pub fn free(&mut self, node: usize, key: u64) {
-        let open = self.nodes[node].open.iter();
-        let ids: Vec<RequestId> = open
-            .filter(|(_, open)| open.key == key)
+        let in_flight = self.nodes[node].in_flight.iter();
+        let ids: Vec<RequestId> = in_flight
+            .filter(|(_, in_flight)| in_flight.key == key)
             .map(|(&id, _)| id)
             .collect();
         for id in ids {
-            self.nodes[node].open.remove(&id);
+            self.nodes[node].in_flight.remove(&id);
             self.with_peers(node, |peers, now| {
                 peers.on_request_ended(now, id, Came::NeverRan)
             });
@@ -280,7 +285,7 @@
 
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].peers = None;
-        self.nodes[node].open.clear();
+        self.nodes[node].in_flight.clear();
     }
 
     pub fn leave(&mut self, node: usize) {
@@ -288,41 +293,41 @@
         if let Some(peers) = &mut self.nodes[node].peers {
             peers.leave(now);
         }
-        self.act(node);
+        self.run_actions(node);
         self.kill(node);
     }
 
     pub fn pause(&mut self, node: usize, on: bool) {
         self.nodes[node].paused = on;
         if !on {
-            self.nodes[node].woke = self.now;
-            // What the socket held until then; it holds so many and no more.
-            let held = std::mem::take(&mut self.nodes[node].waiting);
+            self.nodes[node].resumed_at = self.now;
+            // The messages that the socket has buffered, up to its capacity.
+            let held = std::mem::take(&mut self.nodes[node].queued);
             for (from, message) in held.into_iter().take(200) {
                 let now = self.clock(node);
                 if let Some(peers) = &mut self.nodes[node].peers {
                     peers.on_message(now, from, message);
                 }
-                self.act(node);
+                self.run_actions(node);
             }
         }
     }
 
-    /// Cuts all ways between two groups, or mends them.
-    pub fn split(&mut self, side: impl Fn(usize) -> bool, cut: bool) {
+    /// Blocks or restores all links between two groups of nodes.
+    pub fn set_partition(&mut self, side: impl Fn(usize) -> bool, blocked: bool) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
                 if side(a) != side(b) {
-                    self.ways.entry((a, b)).or_default().cut = cut;
+                    self.link_faults.entry((a, b)).or_default().blocked = blocked;
                 }
             }
         }
     }
 
-    pub fn every_way(&mut self, way: Way) {
+    pub fn set_all_links(&mut self, link: LinkFault) {
         for a in 0..self.nodes.len() {
             for b in 0..self.nodes.len() {
-                self.ways.insert((a, b), way);
+                self.link_faults.insert((a, b), link);
             }
         }
     }
@@ -331,9 +336,9 @@
         (0..self.nodes.len()).filter(|&n| self.nodes[n].peers.is_some() && !self.nodes[n].paused)
     }
 
-    fn spoil(&self, message: &mut Message) {
+    fn apply_planted_fault(&self, message: &mut Message) {
         match self.planted {
-            Some(Planted::WholeTooEarly) => {
+            Some(PlantedFault::WholeTooEarly) => {
                 for part in &mut message.parts {
                     match part {
                         MessagePart::ClaimStatus { sure, .. } => *sure = true,
@@ -345,7 +350,7 @@
                     }
                 }
             }
-            Some(Planted::IncarnationTwice) => {
+            Some(PlantedFault::IncarnationTwice) => {
                 message.incarnation = 0;
                 for part in &mut message.parts {
                     if let MessagePart::MemberUpdates(updates) = part {
@@ -356,18 +361,18 @@
                     }
                 }
             }
-            Some(Planted::RelayedWrong) => {
+            Some(PlantedFault::RelayedWrong) => {
                 for entry in relays(message).flat_map(|relay| &mut relay.entries) {
                     entry.key[0] ^= 0xff;
                 }
             }
-            Some(Planted::CompleteTooEarly) => {
+            Some(PlantedFault::CompleteTooEarly) => {
                 relays(message).for_each(|relay| relay.complete = true);
             }
-            Some(Planted::HearsNobody) => {
+            Some(PlantedFault::HearsNobody) => {
                 relays(message).for_each(|relay| relay.reachable_zones = 0);
             }
-            Some(Planted::ForgetByCount) => {
+            Some(PlantedFault::ForgetByCount) => {
                 for part in &mut message.parts {
                     if let MessagePart::ClaimStatus { claims, .. } = part {
                         claims.truncate(0);
@@ -378,7 +383,7 @@
         }
     }
 
-    fn act(&mut self, node: usize) {
+    fn run_actions(&mut self, node: usize) {
         loop {
             let Some(peers) = &mut self.nodes[node].peers else {
                 return;
@@ -390,23 +395,25 @@
             for action in actions {
                 match action {
                     Action::Send(to, mut message) => {
-                        self.spoil(&mut message);
+                        self.apply_planted_fault(&mut message);
                         if let Some(&to) = self.by_address.get(&to) {
-                            self.post(node, to, message);
+                            self.send_message(node, to, message);
                         }
                     }
-                    Action::Decided { id, verdict } => self.decided(node, id, verdict),
+                    Action::Decided { id, verdict } => self.on_decided(node, id, verdict),
                     Action::Purged { object, .. } => {
-                        self.seen.purges.insert((node, object.map_or(0, |o| o.0)));
+                        self.observed
+                            .purges
+                            .insert((node, object.map_or(0, |o| o.0)));
                     }
                     Action::PeerBreakerOpened { host } => {
-                        self.seen.hints.insert((node, host.0));
+                        self.observed.hints.insert((node, host.0));
                     }
                     Action::HostRestricted { host, .. } => {
-                        self.seen.restricted.insert((node, host.0), true);
+                        self.observed.restricted.insert((node, host.0), true);
                     }
                     Action::HostRestrictionLifted { host } => {
-                        self.seen.restricted.insert((node, host.0), false);
+                        self.observed.restricted.insert((node, host.0), false);
                     }
                     Action::StateChanged(_)
                     | Action::MemberStatusChanged(..)
@@ -416,101 +423,112 @@
         }
     }
 
-    fn usual(&mut self, from: usize, to: usize) -> TimeSpan {
+    fn normal_latency(&mut self, from: usize, to: usize) -> TimeSpan {
         let places = self.nodes[from].locality.zip(self.nodes[to].locality);
-        let (least, most) = match places {
-            Some((from, to)) => travel(from.distance(to)),
+        let (min, max) = match places {
+            Some((from, to)) => latency_range(from.distance(to)),
             None => (TimeSpan(200), TimeSpan(500)),
         };
-        least + (most - least).mul_f64(self.rng.f64())
+        min + (max - min).mul_f64(self.rng.f64())
     }
 
-    fn post(&mut self, from: usize, to: usize, message: Message) {
-        self.seen.messages += 1;
-        if self.weighs {
+    fn send_message(&mut self, from: usize, to: usize, message: Message) {
+        self.observed.messages += 1;
+        if self.measures_bytes {
             let bytes = Seal::new("", b"").write(&message);
-            // With the heads of UDP and IP.
-            self.seen.bytes += bytes.map_or(0, |bytes| bytes.len() as u64 + 28);
+            // Includes the headers of UDP and IP.
+            self.observed.bytes += bytes.map_or(0, |bytes| bytes.len() as u64 + 28);
         }
-        let way = self.ways.get(&(from, to)).copied().unwrap_or_default();
-        if way.cut || self.rng.f64() < way.lost {
+        let link = self
+            .link_faults
+            .get(&(from, to))
+            .copied()
+            .unwrap_or_default();
+        if link.blocked || self.rng.f64() < link.loss_rate {
             return;
         }
-        let copies = 1 + usize::from(self.rng.f64() < way.doubled);
+        let copies = 1 + usize::from(self.rng.f64() < link.duplication_rate);
         for _ in 0..copies {
-            let usual = self.usual(from, to);
-            let slower = way.slower.mul_f64(-(1.0 - self.rng.f64()).ln());
-            self.next += 1;
-            let at = self.now + usual + slower;
-            self.flying
-                .insert((at, self.next), (from, to, message.clone()));
+            let normal_latency = self.normal_latency(from, to);
+            let slower = link.mean_extra_delay.mul_f64(-(1.0 - self.rng.f64()).ln());
+            self.next_number += 1;
+            let at = self.now + normal_latency + slower;
+            self.in_flight_messages
+                .insert((at, self.next_number), (from, to, message.clone()));
         }
     }
 
-    /// A client asks this one for a change under a key.
-    pub fn ask(&mut self, node: usize, key: u64) {
+    /// A client sends a keyed request to a node.
+    pub fn request(&mut self, node: usize, key: u64) {
         if self.nodes[node].peers.is_none() || self.nodes[node].paused {
             return;
         }
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.next_number += 1;
+        let id = RequestId(self.next_number);
         let now = self.clock(node);
-        let open = Open {
+        let in_flight = InFlightRequest {
             key,
-            come: self.now,
+            arrived_at: self.now,
             zone: self.host_zone(node),
             ends_at: None,
         };
-        self.nodes[node].open.insert(id, open);
+        self.nodes[node].in_flight.insert(id, in_flight);
         let folded = self.folding.key(ClassId(0), &key.to_string());
-        let eager = self.planted == Some(Planted::ClaimLate);
+        let sends_early = self.planted == Some(PlantedFault::ClaimLate);
         if let Some(peers) = &mut self.nodes[node].peers {
             peers.on_request(now, id, folded, now + TimeSpan::from_secs(1));
         }
-        if eager {
-            // It goes as if it had been alone, and says so afterwards.
-            self.decided(node, id, Verdict::Go);
-            let sent = self.seen.sent.last_mut();
+        if sends_early {
+            // The request continues as without peers, and its claim is reported afterwards.
+            self.on_decided(node, id, Verdict::Go);
+            let sent = self.observed.sent.last_mut();
             sent.into_iter().for_each(|sent| sent.granted = true);
         }
-        self.act(node);
+        self.run_actions(node);
     }
 
-    fn decided(&mut self, node: usize, id: RequestId, verdict: Verdict) {
+    fn on_decided(&mut self, node: usize, id: RequestId, verdict: Verdict) {
         let now = self.clock(node);
-        let (at, runs) = (self.now, self.runs);
-        let of = &mut self.nodes[node];
-        let Some(open) = of.open.get_mut(&id).filter(|open| open.ends_at.is_none()) else {
+        let (at, attempt_duration) = (self.now, self.attempt_duration);
+        let target = &mut self.nodes[node];
+        let Some(in_flight) = target
+            .in_flight
+            .get_mut(&id)
+            .filter(|in_flight| in_flight.ends_at.is_none())
+        else {
             return;
         };
-        if open.come >= of.woke {
-            self.seen.held.push(at.since(open.come));
+        if in_flight.arrived_at >= target.resumed_at {
+            self.observed.held.push(at.since(in_flight.arrived_at));
         }
-        let Some(peers) = &mut of.peers else { return };
+        let Some(peers) = &mut target.peers else {
+            return;
+        };
         if let Verdict::Answer(_) = verdict {
-            self.seen.answered += 1;
-            of.open.remove(&id);
+            self.observed.answered += 1;
+            target.in_flight.remove(&id);
             peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
             return;
         }
-        let place = (open.zone, CellId(open.zone.0));
+        let place = (in_flight.zone, CellId(in_flight.zone.0));
         let earlier = peers.earlier_attempt(id);
-        // As the decisions do it: repeats are dropped within a zone, for a while from the first hand-off.
-        let may = earlier.is_none_or(|earlier| {
-            let near = earlier.location.is_some_and(|(zone, _)| zone == place.0);
-            near && now.since(earlier.first_sent) < WINDOW
+        // As the dispatcher decides: hosts drop repeats within a zone, for some time from the first
+        // attempt.
+        let may_send = earlier.is_none_or(|earlier| {
+            let same_zone = earlier.location.is_some_and(|(zone, _)| zone == place.0);
+            same_zone && now.since(earlier.first_sent) < WINDOW
         });
-        if !may {
-            self.seen.refused += 1;
-            of.open.remove(&id);
+        if !may_send {
+            self.observed.refused += 1;
+            target.in_flight.remove(&id);
             peers.on_request_ended(now, id, Came::NeverRan);
             return;
         }
         let granted = peers.is_granted(id);
         peers.on_attempt_sent(now, id, place);
-        open.ends_at = Some(at + runs);
-        let (key, zone) = (open.key, open.zone);
-        self.seen.sent.push(Sent {
+        in_flight.ends_at = Some(at + attempt_duration);
+        let (key, zone) = (in_flight.key, in_flight.zone);
+        self.observed.sent.push(SentAttempt {
             key,
             node,
             at,
@@ -519,19 +537,21 @@
         });
     }
 
-    fn finish(&mut self, node: usize) {
+    fn end_finished_attempts(&mut self, node: usize) {
         let now = self.clock(node);
         let at = self.now;
-        let of = &mut self.nodes[node];
-        let Some(peers) = &mut of.peers else { return };
-        let over: Vec<RequestId> = of
-            .open
+        let target = &mut self.nodes[node];
+        let Some(peers) = &mut target.peers else {
+            return;
+        };
+        let finished: Vec<RequestId> = target
+            .in_flight
             .iter()
-            .filter(|(_, open)| open.ends_at.is_some_and(|end| end <= at))
+            .filter(|(_, in_flight)| in_flight.ends_at.is_some_and(|end| end <= at))
             .map(|(&id, _)| id)
             .collect();
-        for id in over {
-            of.open.remove(&id);
+        for id in finished {
+            target.in_flight.remove(&id);
             peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
         }
     }
@@ -541,31 +561,31 @@
         if let Some(peers) = &mut self.nodes[node].peers {
             peers.on_purge(now, Some(ObjectId(object)), GroupId(0), at);
         }
-        self.act(node);
+        self.run_actions(node);
     }
 
-    /// Something done to one node's peers.
+    /// Calls a function with the peers of one node.
     pub fn with_peers(&mut self, node: usize, what: impl FnOnce(&mut Peers, Timestamp)) {
         let now = self.clock(node);
         if let Some(peers) = &mut self.nodes[node].peers {
             what(peers, now);
         }
-        self.act(node);
+        self.run_actions(node);
     }
 
-    /// A message that nobody in the world wrote.
+    /// Delivers a message that no node has sent.
     pub fn inject(&mut self, to: usize, from: Address, message: Message) {
         self.with_peers(to, |peers, now| peers.on_message(now, from, message));
     }
 
-    /// Time goes on by this.
+    /// Advances time.
     pub fn run(&mut self, span: TimeSpan) {
         let end = self.now + span;
         let step = self.step;
         while self.now < end {
             let until = (self.now + step).min(end);
             while let Some(entry) = self
-                .flying
+                .in_flight_messages
                 .first_entry()
                 .filter(|entry| entry.key().0 <= until)
             {
@@ -573,13 +593,13 @@
                 self.now = self.now.max(at);
                 let address = self.nodes[from].address;
                 if self.nodes[to].paused {
-                    self.nodes[to].waiting.push((address, message));
+                    self.nodes[to].queued.push((address, message));
                     continue;
                 }
                 let now = self.clock(to);
                 if let Some(peers) = &mut self.nodes[to].peers {
                     peers.on_message(now, address, message);
-                    self.act(to);
+                    self.run_actions(to);
                 }
             }
             self.now = until;
@@ -592,16 +612,16 @@
                     if peers.next_deadline() <= now {
                         peers.advance(now);
                     }
-                    self.act(node);
-                    self.finish(node);
-                    self.act(node);
+                    self.run_actions(node);
+                    self.end_finished_attempts(node);
+                    self.run_actions(node);
                 }
             }
         }
     }
 
-    /// Whether all that are up know all that are up as there, and nobody else.
-    pub fn agree(&self) -> bool {
+    /// Whether every running node knows exactly the running nodes as present.
+    pub fn agrees(&self) -> bool {
         let up: BTreeSet<PeerId> = self.up().map(|n| self.nodes[n].id).collect();
         self.up().all(|n| {
             let Some(peers) = &self.nodes[n].peers else {
@@ -613,8 +633,8 @@
         })
     }
 
-    /// Slots of which two that are up and keep them have different copies.
-    pub fn differing(&mut self) -> usize {
+    /// The number of slots of which two running replicas have different copies.
+    pub fn differing_slots(&mut self) -> usize {
         let mut sums: BTreeMap<_, BTreeSet<u64>> = BTreeMap::new();
         let up: Vec<usize> = self.up().collect();
         for n in up {
@@ -629,7 +649,7 @@
         sums.values().filter(|sums| sums.len() > 1).count()
     }
 
-    pub fn whole(&self) -> bool {
+    pub fn all_in_sync(&self) -> bool {
         self.up().all(|n| {
             self.nodes[n]
                 .peers
@@ -638,15 +658,16 @@
         })
     }
 
-    /// Runs until this holds; how long that took, `None` where it does not in `most`.
-    pub fn until(
+    /// Runs until the condition holds and returns how long that took; `None` if it does not hold
+    /// within `max`.
+    pub fn run_until(
         &mut self,
-        most: TimeSpan,
-        mut holds: impl FnMut(&mut World) -> bool,
+        max: TimeSpan,
+        mut assert_expected: impl FnMut(&mut World) -> bool,
     ) -> Option<TimeSpan> {
         let begun = self.now;
-        while self.now.since(begun) < most {
-            if holds(self) {
+        while self.now.since(begun) < max {
+            if assert_expected(self) {
                 return Some(self.now.since(begun));
             }
             self.run(TimeSpan::from_millis(50));
@@ -654,22 +675,27 @@
         None
     }
 
-    /// Pairs of hand-offs under one key that nobody drops, both by the others' leave.
-    pub fn repeats(&self) -> Vec<(Sent, Sent)> {
+    /// Pairs of attempts under one key that no host recognises as repeats, and that were both
+    /// granted.
+    pub fn repeats(&self) -> Vec<(SentAttempt, SentAttempt)> {
         self.pairs(|one, other| one.granted && other.granted)
     }
 
-    /// The same, by whosever leave.
-    pub fn pairs(&self, which: impl Fn(&Sent, &Sent) -> bool) -> Vec<(Sent, Sent)> {
-        let mut by_key: BTreeMap<u64, Vec<Sent>> = BTreeMap::new();
-        for &sent in &self.seen.sent {
+    /// Pairs of attempts under one key that no host recognises as repeats, filtered by `which`.
+    pub fn pairs(
+        &self,
+        which: impl Fn(&SentAttempt, &SentAttempt) -> bool,
+    ) -> Vec<(SentAttempt, SentAttempt)> {
+        let mut by_key: BTreeMap<u64, Vec<SentAttempt>> = BTreeMap::new();
+        for &sent in &self.observed.sent {
             by_key.entry(sent.key).or_default().push(sent);
         }
         let mut pairs = Vec::new();
         for all in by_key.values() {
             for (nth, one) in all.iter().enumerate() {
-                let bad = |other: &&Sent| {
-                    let dropped = one.zone == other.zone && other.at.since(one.at) < WINDOW + LIMIT;
+                let bad = |other: &&SentAttempt| {
+                    let dropped =
+                        one.zone == other.zone && other.at.since(one.at) < WINDOW + DEADLINE;
                     !dropped && which(one, other)
                 };
                 pairs.extend(
@@ -684,8 +710,8 @@
     }
 }
 
-/// A figure is printed, and kept behind the others in the file that `FIGURES` names.
-pub fn figure(name: &str, value: f64) {
+/// Prints a figure, and appends it to the file that `FIGURES` names.
+pub fn record_figure(name: &str, value: f64) {
     println!("{name} {value:.3}");
     let Ok(path) = std::env::var("FIGURES") else {
         return;
