--- a/crates/peers/src/config.rs
+++ b/crates/peers/src/config.rs
@@ -158,11 +158,11 @@
         longest_window: TimeSpan,
         purges_last: TimeSpan,
     ) -> Result<PeersSettings, String> {
-        let keep = TimeSpan::from_secs_f64(self.keep_s);
-        if self.records && keep < longest_window {
-            let least = longest_window.as_secs_f64();
+        let record_retention = TimeSpan::from_secs_f64(self.keep_s);
+        if self.records && record_retention < longest_window {
+            let min_keep_s = longest_window.as_secs_f64();
             let accepted =
-                format!("{least} or more, the longest window of a track and its outer limit");
+                format!("{min_keep_s} or more, the longest window of a track and its outer limit");
             return Err(self.invalid_field("keep_s", &self.keep_s.to_string(), &accepted));
         }
         Ok(PeersSettings {
@@ -172,7 +172,7 @@
             hints: self.hints,
             refuse_unconfirmed: self.unsure == Unsure::Refuse,
             max_wait: TimeSpan::from_secs_f64(self.wait_ms / 1_000.0),
-            record_retention: keep,
+            record_retention,
             purge_retention: purges_last.mul_f64(3.0),
         })
     }
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on the keys of this dispatcher's own requests: the inquiry about them, and the updates
+//! Claims on the keys of this dispatcher's own requests: the inquiries about them, and the updates
 //! that replicas still have to receive.
 //!
 //! A claim is sent to all replicas of its key at once. It is granted when more than half of them
@@ -24,7 +24,7 @@
     pub yielded: bool,
 }
 
-/// One round of inquiry about a key.
+/// One round of inquiries about a key.
 #[derive(Clone, Debug)]
 struct Inquiry {
     id: RequestId,
@@ -87,7 +87,7 @@
 }
 
 impl Claims {
-    /// The numbers of claims, inquiry and pending updates.
+    /// The numbers of claims, inquiries and pending updates.
     pub fn counts(&self) -> (usize, usize, usize) {
         (
             self.own.len(),
@@ -129,7 +129,7 @@
         (!own.yielded).then(|| own.claim.clone())
     }
 
-    /// Starts a round of inquiry to `peers`, of whom `required` have to be certain.
+    /// Starts a round of inquiries to `peers`, of whom `required` have to be certain.
     pub fn start_inquiry(
         &mut self,
         now: Timestamp,
@@ -222,7 +222,7 @@
         Some(self.own.get(&inquiry.id)?.key)
     }
 
-    /// Takes the additional inquiry to be sent, with their claims.
+    /// Takes the additional inquiries to be sent, with their claims.
     pub fn take_reserve_inquiries(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
         let reserve_inquiries = std::mem::take(&mut self.reserve_inquiries);
         let claims = reserve_inquiries
--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -77,7 +77,9 @@
 impl ClaimLocation {
     fn join(self, other: ClaimLocation) -> ClaimLocation {
         match (self, other) {
-            (ClaimLocation::NotReported, place) | (place, ClaimLocation::NotReported) => place,
+            (ClaimLocation::NotReported, location) | (location, ClaimLocation::NotReported) => {
+                location
+            }
             (one, other) if one == other => one,
             _ => ClaimLocation::Anywhere,
         }
@@ -291,11 +293,11 @@
             let rank = |fact: &Fact| match fact {
                 Fact::Host {
                     started,
-                    journal_position: place,
+                    journal_position,
                     listed,
                     at,
                     ..
-                } => (*started, *place, *listed, *at),
+                } => (*started, *journal_position, *listed, *at),
                 _ => (0, 0, ListedState::Ready, 0),
             };
             if rank(&other) > rank(&one) {
@@ -316,10 +318,10 @@
         .filter(|claim| Some(claim.token) != own && claim.stage != Stage::Released)
         .collect();
     let first = others.iter().map(|claim| claim.at).min()?;
-    let place = others
+    let location = others
         .iter()
-        .fold(ClaimLocation::NotReported, |place, claim| {
-            place.join(match claim.location {
+        .fold(ClaimLocation::NotReported, |location, claim| {
+            location.join(match claim.location {
                 ClaimLocation::NotReported => ClaimLocation::Anywhere,
                 known => known,
             })
@@ -338,7 +340,7 @@
     let body = others.iter().find_map(|claim| claim.body.clone());
     Some(Record {
         stand,
-        place: match place {
+        place: match location {
             ClaimLocation::At(zone, cell) => Some((ZoneId(zone), CellId(cell))),
             ClaimLocation::NotReported | ClaimLocation::Anywhere => None,
         },
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -99,20 +99,20 @@
         let replicas = self.replicas.of(slot).to_vec();
         let required = replicas.len() / 2 + 1;
         let scope = self.replicas.scope();
-        let (whom, reserve) = match scope {
+        let (asked, reserve) = match scope {
             Scope::Fleet => (replicas, Vec::new()),
             Scope::Zone => self.nearest_replicas(replicas, required),
         };
-        let whom: BTreeSet<PeerId> = whom.into_iter().collect();
+        let asked: BTreeSet<PeerId> = asked.into_iter().collect();
         let former: BTreeSet<PeerId> = self.replicas.former(now, slot).collect();
         let inquiry_id = self.new_inquiry_id();
         self.claims
-            .start_inquiry(now, inquiry_id, id, whom.clone(), reserve, required);
+            .start_inquiry(now, inquiry_id, id, asked.clone(), reserve, required);
         let key = key.0;
-        for &whom in whom.union(&former).filter(|&&whom| whom != own) {
-            self.send_claim_to(now, whom, inquiry_id, key, claim.clone());
+        for &peer in asked.union(&former).filter(|&&peer| peer != own) {
+            self.send_claim_to(now, peer, inquiry_id, key, claim.clone());
         }
-        if whom.contains(&own) {
+        if asked.contains(&own) {
             let (sure, claims) = self.on_claim(now, key, claim, scope);
             self.on_claim_status(now, inquiry_id, own, sure, claims);
         }
@@ -128,8 +128,8 @@
         let own = self.members.own().id;
         let here = self.replicas.topology().map(|topology| topology.own);
         let distance = |id: PeerId| {
-            let places = here.zip(self.members.locality(id));
-            places.map(|(here, is_present)| here.distance(is_present))
+            let localities = here.zip(self.members.locality(id));
+            localities.map(|(here, other)| here.distance(other))
         };
         replicas.sort_by_key(|&id| match id == own {
             true => (false, None),
@@ -142,7 +142,7 @@
     fn send_claim_to(
         &mut self,
         now: Timestamp,
-        whom: PeerId,
+        peer: PeerId,
         inquiry_id: InquiryId,
         key: u128,
         claim: Option<facts::Claim>,
@@ -159,7 +159,7 @@
                 claim,
             },
         };
-        self.send_to(now, whom, vec![part]);
+        self.send_to(now, peer, vec![part]);
     }
 
     /// Handles a claim as a replica: returns whether everything about the key is known here, and
@@ -205,8 +205,8 @@
         let outcome = self
             .claims
             .on_claim_status(now, inquiry_id, from, sure, claims);
-        for (inquiry_id, whom, key, claim) in self.claims.take_reserve_inquiries() {
-            self.send_claim_to(now, whom, inquiry_id, key, claim);
+        for (inquiry_id, peer, key, claim) in self.claims.take_reserve_inquiries() {
+            self.send_claim_to(now, peer, inquiry_id, key, claim);
         }
         let Some((id, outcome)) = outcome else {
             return;
@@ -283,8 +283,8 @@
             if scope == Scope::Zone {
                 self.claims.drop_update(fact.id());
             }
-            for whom in to {
-                if whom == own {
+            for peer in to {
+                if peer == own {
                     let taken = self.store(now, fact.clone());
                     self.counts.full += u64::from(taken.is_none());
                     self.claims.on_stored(inquiry_id, own);
@@ -294,7 +294,7 @@
                         Scope::Fleet => MessagePart::Store(inquiry_id, facts),
                         Scope::Zone => MessagePart::Gossip(facts),
                     };
-                    self.send_to(now, whom, vec![part]);
+                    self.send_to(now, peer, vec![part]);
                 }
             }
         }
--- a/crates/peers/src/decide/receiving.rs
+++ b/crates/peers/src/decide/receiving.rs
@@ -167,21 +167,24 @@
                 answers.push(MessagePart::Stored(inquiry_id));
             }
             MessagePart::Stored(inquiry_id) => self.claims.on_stored(inquiry_id, from),
-            MessagePart::Checksums(sums) => {
+            MessagePart::Checksums(checksums) => {
                 replica_view!(self, view);
                 let facts = &mut self.facts;
                 answers.extend(self.sync.on_checksums(
                     from,
-                    &sums,
+                    &checksums,
                     |slot| facts.checksum(slot),
                     &view,
                 ));
             }
-            MessagePart::ChecksumsInRange(range, sums) => {
+            MessagePart::ChecksumsInRange(range, checksums) => {
                 replica_view!(self, view);
                 let facts = &self.facts;
-                let own = |slot| facts.checksum_in_range(slot, range);
-                answers.extend(self.sync.on_checksums(from, &sums, own, &view));
+                let own_checksum = |slot| facts.checksum_in_range(slot, range);
+                answers.extend(
+                    self.sync
+                        .on_checksums(from, &checksums, own_checksum, &view),
+                );
             }
             MessagePart::Same {
                 slots,
@@ -236,8 +239,8 @@
                         self.sync.compare_soon(now, &others);
                     }
                 }
-                if let Some((whom, part)) = next {
-                    self.send_to(now, whom, vec![part]);
+                if let Some((peer, part)) = next {
+                    self.send_to(now, peer, vec![part]);
                 }
             }
             MessagePart::Subsystem(of, bytes) => {
@@ -271,15 +274,15 @@
         let requests = {
             replica_view!(self, view);
             let facts = &mut self.facts;
-            let own = |slot, range: Option<TimeRange>| match range {
+            let own_checksum = |slot, range: Option<TimeRange>| match range {
                 None => facts.checksum(slot),
                 Some(range) => facts.checksum_in_range(slot, range),
             };
             self.sync
-                .advance(now, &held, own, &view, &reachable, &mut self.rng)
+                .advance(now, &held, own_checksum, &view, &reachable, &mut self.rng)
         };
-        for (whom, part) in requests {
-            self.send_to(now, whom, vec![part]);
+        for (peer, part) in requests {
+            self.send_to(now, peer, vec![part]);
         }
     }
 }
--- a/crates/peers/tests/figures.rs
+++ b/crates/peers/tests/figures.rs
@@ -45,12 +45,12 @@
 #[test]
 #[ignore = "a measurement"]
 fn time_to_synchronise_a_hundred_thousand_records() {
-    let keep = TimeSpan::from_secs(120);
+    let record_retention = TimeSpan::from_secs(120);
     let mut world = World::with_settings(
         3,
         1,
         PeersSettings {
-            record_retention: keep,
+            record_retention,
             ..settings()
         },
     );
--- a/crates/peers/tests/merges.rs
+++ b/crates/peers/tests/merges.rs
@@ -11,7 +11,7 @@
 };
 use trailproxy_peers::wire::{ReadError, Seal, VERSION};
 
-fn place() -> impl Strategy<Value = ClaimLocation> {
+fn location() -> impl Strategy<Value = ClaimLocation> {
     prop_oneof![
         Just(ClaimLocation::NotReported),
         (0..3u16).prop_map(|z| ClaimLocation::At(z, 0)),
@@ -32,11 +32,11 @@
 /// The time of a claim is set by its owner and never changes.
 fn claim() -> impl Strategy<Value = Claim> {
     let body = proptest::option::of(proptest::collection::vec(0..4u8, 0..3));
-    (2..22u64, stage(), place(), body).prop_map(|(token, stage, place, body)| Claim {
+    (2..22u64, stage(), location(), body).prop_map(|(token, stage, location, body)| Claim {
         token: Token(token),
         at: token * 3 % 40 + 1,
         stage,
-        location: place,
+        location,
         body: body.map(Vec::into_boxed_slice),
     })
 }
--- a/crates/peers/tests/scenarios.rs
+++ b/crates/peers/tests/scenarios.rs
@@ -255,11 +255,11 @@
         let mut world = fleet(n, 31);
         world.request(0, 7);
         world.run(SECOND);
-        let cut = LinkFault {
+        let blocked = LinkFault {
             blocked: true,
             ..LinkFault::default()
         };
-        world.set_all_links(cut);
+        world.set_all_links(blocked);
         world.run(TimeSpan::from_secs(8));
         world.set_all_links(LinkFault::default());
         let took = world.run_until(TimeSpan::from_secs(10), |world| {
@@ -340,12 +340,12 @@
 
 #[test]
 fn a_rolling_restart_loses_nothing() {
-    let keep = TimeSpan::from_secs(60);
+    let record_retention = TimeSpan::from_secs(60);
     let mut world = World::with_settings(
         5,
         12,
         PeersSettings {
-            record_retention: keep,
+            record_retention,
             ..settings()
         },
     );
@@ -380,9 +380,9 @@
     world.run(TimeSpan::from_secs(6));
     world.start(3);
     world.run(TimeSpan::from_secs(6));
-    let stands = |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.state());
-    assert_eq!(stands(&world, 2), Some(PeerState::Superseded));
-    assert_ne!(stands(&world, 3), Some(PeerState::Superseded));
+    let state = |world: &World, n: usize| world.nodes[n].peers.as_ref().map(|peers| peers.state());
+    assert_eq!(state(&world, 2), Some(PeerState::Superseded));
+    assert_ne!(state(&world, 3), Some(PeerState::Superseded));
     // The superseded process still serves requests.
     world.request(2, 5);
     world.run(SECOND);
@@ -561,12 +561,12 @@
 
 #[test]
 fn unconfirmed_requests_are_refused_if_the_operator_says_so() {
-    let refuse = true;
+    let refuse_unconfirmed = true;
     let mut world = World::with_settings(
         6,
         19,
         PeersSettings {
-            refuse_unconfirmed: refuse,
+            refuse_unconfirmed,
             ..settings()
         },
     );
@@ -579,13 +579,13 @@
     world.request(0, 1);
     world.request(0, 2);
     world.run(SECOND);
-    let went: Vec<(usize, u64)> = world
+    let sent: Vec<(usize, u64)> = world
         .observed
         .sent
         .iter()
         .map(|sent| (sent.node, sent.key))
         .collect();
-    assert_eq!((went, world.observed.refused), (vec![(4, 1)], 2));
+    assert_eq!((sent, world.observed.refused), (vec![(4, 1)], 2));
     world.set_partition(|n| n < 2, false);
     world.run_until(TimeSpan::from_secs(5), |world| {
         world.agrees() && world.all_in_sync()
--- a/crates/peers/tests/sweep.rs
+++ b/crates/peers/tests/sweep.rs
@@ -19,21 +19,21 @@
     world.link_faults.clear();
 }
 
-fn some(world: &World) -> usize {
+fn third_of(world: &World) -> usize {
     world.nodes.len() / 3
 }
 
 const FAULTS: [Fault; 12] = [
     (
-        "cut in two",
+        "partition in two",
         |w| {
-            let n = some(w);
+            let n = third_of(w);
             w.set_partition(|a| a < n.max(1), true)
         },
         clear_link_faults,
     ),
     (
-        "cut one way",
+        "blocked one way",
         |w| {
             let n = w.nodes.len();
             for b in 1..n {
@@ -60,7 +60,7 @@
         clear_link_faults,
     ),
     (
-        "doubled",
+        "duplicated",
         |w| {
             w.set_all_links(LinkFault {
                 duplication_rate: 0.5,
@@ -97,7 +97,7 @@
     (
         "killed",
         |w| {
-            let n = some(w);
+            let n = third_of(w);
             (0..n.max(1)).for_each(|k| w.kill(k))
         },
         |w| {
@@ -125,7 +125,7 @@
         },
         |_| {},
     ),
-    ("asleep", |w| w.pause(2, true), |w| w.pause(2, false)),
+    ("paused", |w| w.pause(2, true), |w| w.pause(2, false)),
     (
         "clock ahead",
         |w| w.nodes[1].clock_ahead_us = 500_000,
@@ -174,7 +174,7 @@
     };
     for key in 0..40 {
         if key == 10 {
-            faults.iter().for_each(|(_, strike, _)| strike(&mut world));
+            faults.iter().for_each(|(_, start, _)| start(&mut world));
         }
         if key == 25 {
             world.purge(n - 1, 500 + seed);
@@ -308,14 +308,14 @@
     // A planted mistake, the fault under which it shows, and how it shows.
     type Case = (PlantedFault, &'static str, fn(&RunResult) -> bool);
     let cases: [Case; 4] = [
-        (PlantedFault::ClaimLate, "doubled", |ran| ran.repeats > 0),
-        (PlantedFault::ForgetByCount, "doubled", |ran| {
+        (PlantedFault::ClaimLate, "duplicated", |ran| ran.repeats > 0),
+        (PlantedFault::ForgetByCount, "duplicated", |ran| {
             ran.repeats > 0
         }),
         (PlantedFault::WholeTooEarly, "all restarted", |ran| {
             ran.repeats > 0
         }),
-        (PlantedFault::IncarnationTwice, "cut in two", |ran| {
+        (PlantedFault::IncarnationTwice, "partition in two", |ran| {
             ran.heals.is_none_or(|took| took > TimeSpan::from_secs(6))
         }),
     ];
@@ -341,26 +341,26 @@
         peers: Vec<Peers>,
         in_flight_messages: Vec<(usize, usize, Message)>,
         granted: Vec<bool>,
-        went: Vec<bool>,
+        sent: Vec<bool>,
     }
     impl Small {
-        fn act(&mut self, of: usize) {
-            for action in self.peers[of].take_actions() {
+        fn act(&mut self, member: usize) {
+            for action in self.peers[member].take_actions() {
                 match action {
                     Action::Send(to, message) => {
                         self.in_flight_messages
-                            .push((of, usize::from(to.ip[3]), message))
+                            .push((member, usize::from(to.ip[3]), message))
                     }
                     Action::Decided {
                         id,
                         verdict: Verdict::Go,
                     } => {
-                        self.went[of] = true;
-                        let bound = self.peers[of].earlier_attempt(id).is_some();
-                        self.granted[of] = self.peers[of].is_granted(id) && !bound;
+                        self.sent[member] = true;
+                        let bound = self.peers[member].earlier_attempt(id).is_some();
+                        self.granted[member] = self.peers[member].is_granted(id) && !bound;
                         if !bound {
-                            let place = (ZoneId(of as u16), CellId(0));
-                            self.peers[of].on_attempt_sent(self.now, id, place);
+                            let location = (ZoneId(member as u16), CellId(0));
+                            self.peers[member].on_attempt_sent(self.now, id, location);
                         }
                     }
                     _ => {}
@@ -395,7 +395,7 @@
             .collect(),
         in_flight_messages: Vec::new(),
         granted: vec![false; 3],
-        went: vec![false; 3],
+        sent: vec![false; 3],
     };
     // Until the members know each other and nothing older can be missing.
     while small.now.since(START_TIME) < TimeSpan::from_secs(15) {
--- a/crates/peers/tests/world/mod.rs
+++ b/crates/peers/tests/world/mod.rs
@@ -223,8 +223,8 @@
     /// The group of hosts that drop each other's repeats: those of a zone, if there are zones.
     fn host_zone(&self, node: usize) -> ZoneId {
         let zone = self.nodes[node].locality.map(|locality| locality.zone);
-        let place = zone.and_then(|zone| self.zones.iter().position(|&known| known == zone));
-        ZoneId(place.unwrap_or(node % 2) as u16)
+        let position = zone.and_then(|zone| self.zones.iter().position(|&known| known == zone));
+        ZoneId(position.unwrap_or(node % 2) as u16)
     }
 
     pub fn clock(&self, node: usize) -> Timestamp {
@@ -424,8 +424,8 @@
     }
 
     fn normal_latency(&mut self, from: usize, to: usize) -> TimeSpan {
-        let places = self.nodes[from].locality.zip(self.nodes[to].locality);
-        let (min, max) = match places {
+        let localities = self.nodes[from].locality.zip(self.nodes[to].locality);
+        let (min, max) = match localities {
             Some((from, to)) => latency_range(from.distance(to)),
             None => (TimeSpan(200), TimeSpan(500)),
         };
@@ -510,12 +510,12 @@
             peers.on_request_ended(now, id, Came::Done(Some(b"ok".to_vec())));
             return;
         }
-        let place = (in_flight.zone, CellId(in_flight.zone.0));
+        let location = (in_flight.zone, CellId(in_flight.zone.0));
         let earlier = peers.earlier_attempt(id);
         // As the dispatcher decides: hosts drop repeats within a zone, for some time from the first
         // attempt.
         let may_send = earlier.is_none_or(|earlier| {
-            let same_zone = earlier.location.is_some_and(|(zone, _)| zone == place.0);
+            let same_zone = earlier.location.is_some_and(|(zone, _)| zone == location.0);
             same_zone && now.since(earlier.first_sent) < WINDOW
         });
         if !may_send {
@@ -525,7 +525,7 @@
             return;
         }
         let granted = peers.is_granted(id);
-        peers.on_attempt_sent(now, id, place);
+        peers.on_attempt_sent(now, id, location);
         in_flight.ends_at = Some(at + attempt_duration);
         let (key, zone) = (in_flight.key, in_flight.zone);
         self.observed.sent.push(SentAttempt {
@@ -635,18 +635,21 @@
 
     /// The number of slots of which two running replicas have different copies.
     pub fn differing_slots(&mut self) -> usize {
-        let mut sums: BTreeMap<_, BTreeSet<u64>> = BTreeMap::new();
+        let mut checksums: BTreeMap<_, BTreeSet<u64>> = BTreeMap::new();
         let up: Vec<usize> = self.up().collect();
         for n in up {
             let zone = self.nodes[n].locality.map(|locality| locality.zone);
             if let Some(peers) = &mut self.nodes[n].peers {
-                for (slot, sum) in peers.slot_checksums() {
+                for (slot, checksum) in peers.slot_checksums() {
                     let zone = zone.filter(|_| !slot.is_common());
-                    sums.entry((slot, zone)).or_default().insert(sum);
+                    checksums.entry((slot, zone)).or_default().insert(checksum);
                 }
             }
         }
-        sums.values().filter(|sums| sums.len() > 1).count()
+        checksums
+            .values()
+            .filter(|checksums| checksums.len() > 1)
+            .count()
     }
 
     pub fn all_in_sync(&self) -> bool {
--- a/crates/peers/tests/zones.rs
+++ b/crates/peers/tests/zones.rs
@@ -31,7 +31,7 @@
 }
 
 /// Zones are assigned in turn, two to a region; the members of a zone are at two sites.
-fn place(node: usize) -> Locality {
+fn locality_of(node: usize) -> Locality {
     let (zone, site) = (node % ZONES, node / ZONES % 2);
     let (site, region) = (format!("s{zone}-{site}"), format!("r{}", zone / 2));
     Locality::of_names(&site, &zone_name(zone), &region)
@@ -46,7 +46,7 @@
 
 fn fleet(members: usize, seed: u64) -> World {
     World::with_localities(members, seed, settings_with_short_wait(), zones(), |node| {
-        Some(place(node))
+        Some(locality_of(node))
     })
 }
 
@@ -97,7 +97,7 @@
 fn without_localities_answers_of_distant_members_come_too_late() {
     // Replicas are chosen from all members. This shows what zones are for.
     let mut world = World::with_localities(30, 1, settings_with_short_wait(), zones(), |node| {
-        Some(place(node))
+        Some(locality_of(node))
     });
     world.start_without_localities();
     world.run(TIME_TO_SYNC);
@@ -235,8 +235,8 @@
 fn lost_to_each_other(seed: u64, planted: Option<PlantedFault>) -> usize {
     let mut world = fleet_in_sync(18, seed);
     world.planted = planted;
-    cut_ways(&mut world, |a| a % ZONES == 0, |b| b % ZONES == 3);
-    cut_ways(&mut world, |a| a % ZONES == 3, |b| b % ZONES == 0);
+    block_links(&mut world, |a| a % ZONES == 0, |b| b % ZONES == 3);
+    block_links(&mut world, |a| a % ZONES == 3, |b| b % ZONES == 0);
     world.run(TIME_TO_LEAVE_OUT);
     for key in 0..10 {
         world.request(6, key);
@@ -298,9 +298,9 @@
     // One zone has one member, the others have several.
     let home = |node: usize| {
         if node == 0 {
-            place(0)
+            locality_of(0)
         } else {
-            place(1 + (node - 1) % (ZONES - 1))
+            locality_of(1 + (node - 1) % (ZONES - 1))
         }
     };
     let mut world = World::with_localities(21, 6, settings_with_short_wait(), zones(), |node| {
@@ -325,7 +325,7 @@
     world.request(6, 1);
     world.run(TimeSpan::from_millis(30));
     world.kill(6);
-    world.nodes[6].locality = Some(place(1));
+    world.nodes[6].locality = Some(locality_of(1));
     world.start(6);
     world.run(TIME_TO_SYNC);
     let (granted, asked) = granted_at(&mut world, 0..18, 1_000);
@@ -336,31 +336,31 @@
 #[test]
 fn a_rolling_upgrade_to_localities_grants_nothing_twice() {
     // Half of the members do not report their location; then they are restarted one by one and do.
-    let old = |node: usize| node.is_multiple_of(2);
-    let with_localities = |node: usize| (!old(node)).then(|| place(node));
+    let unplaced = |node: usize| node.is_multiple_of(2);
+    let with_localities = |node: usize| (!unplaced(node)).then(|| locality_of(node));
     let mut world =
         World::with_localities(18, 8, settings_with_short_wait(), zones(), with_localities);
     world.run(TIME_TO_SYNC);
     let mut key = 0;
-    let come_again = |world: &mut World, key: u64| {
+    let repeat_elsewhere = |world: &mut World, key: u64| {
         let node = key as usize % 18;
         world.request(node, key);
         world.run(REPEAT_DELAY);
         world.request((node + 5) % 18, key);
         world.run(TimeSpan::from_millis(150));
     };
-    for node in (0..18).filter(|&node| old(node)) {
+    for node in (0..18).filter(|&node| unplaced(node)) {
         world.kill(node);
-        world.nodes[node].locality = Some(place(node));
+        world.nodes[node].locality = Some(locality_of(node));
         world.start(node);
         (0..4).for_each(|_| {
             key += 1;
-            come_again(&mut world, key);
+            repeat_elsewhere(&mut world, key);
         });
     }
     (0..20).for_each(|_| {
         key += 1;
-        come_again(&mut world, key);
+        repeat_elsewhere(&mut world, key);
     });
     assert!(world.repeats().is_empty(), "{:?}", world.repeats().first());
     let (granted, asked) = granted_at(&mut world, 0..18, 10_000);
@@ -374,7 +374,7 @@
     world.link_faults.clear();
 }
 
-fn cut_ways(world: &mut World, from: impl Fn(usize) -> bool, to: impl Fn(usize) -> bool) {
+fn block_links(world: &mut World, from: impl Fn(usize) -> bool, to: impl Fn(usize) -> bool) {
     let members = world.nodes.len();
     for one in (0..members).filter(|&one| from(one)) {
         for other in (0..members).filter(|&other| to(other)) {
@@ -399,40 +399,40 @@
 }
 
 const FAULTS: [Fault; 12] = [
-    ("calm", |_, _| {}, |_, _| {}),
+    ("no fault", |_, _| {}, |_, _| {}),
     (
-        "region cut off",
+        "region partitioned",
         |world, seed| world.set_partition(|node| node % ZONES / 2 == seed as usize % 3, true),
         clear_link_faults,
     ),
     (
-        "all regions cut off",
+        "all regions partitioned",
         |world, _| {
             let region = |node: usize| node % ZONES / 2;
             for one in 0..3 {
-                cut_ways(world, |a| region(a) == one, |b| region(b) != one);
+                block_links(world, |a| region(a) == one, |b| region(b) != one);
             }
         },
         clear_link_faults,
     ),
     (
-        "zone cut off",
+        "zone partitioned",
         |world, seed| world.set_partition(|node| node % ZONES == zone_of(seed), true),
         clear_link_faults,
     ),
     (
-        "zone mute",
+        "zone can't send",
         |world, seed| {
             let zone = zone_of(seed);
-            cut_ways(world, |a| a % ZONES == zone, |b| b % ZONES != zone);
+            block_links(world, |a| a % ZONES == zone, |b| b % ZONES != zone);
         },
         clear_link_faults,
     ),
     (
-        "zone deaf",
+        "zone can't receive",
         |world, seed| {
             let zone = zone_of(seed);
-            cut_ways(world, |a| a % ZONES != zone, |b| b % ZONES == zone);
+            block_links(world, |a| a % ZONES != zone, |b| b % ZONES == zone);
         },
         clear_link_faults,
     ),
@@ -440,21 +440,21 @@
         "two zones lose each other",
         |world, seed| {
             let (one, other) = (zone_of(seed), zone_of(seed + 1 + seed / 7 % 5));
-            cut_ways(world, |a| a % ZONES == one, |b| b % ZONES == other);
-            cut_ways(world, |a| a % ZONES == other, |b| b % ZONES == one);
+            block_links(world, |a| a % ZONES == one, |b| b % ZONES == other);
+            block_links(world, |a| a % ZONES == other, |b| b % ZONES == one);
         },
         clear_link_faults,
     ),
     (
-        "site cut off from its zone",
+        "site partitioned from its zone",
         |world, seed| {
             let node = seed as usize % world.nodes.len();
-            cut_ways(
+            block_links(
                 world,
                 |a| a == node,
                 |b| b % ZONES == node % ZONES && b != node,
             );
-            cut_ways(
+            block_links(
                 world,
                 |a| a % ZONES == node % ZONES && a != node,
                 |b| b == node,
@@ -555,13 +555,13 @@
     }
     world.run(TIME_TO_SYNC);
     let mut key = 0;
-    let long = if seed.is_multiple_of(2) {
+    let duration = if seed.is_multiple_of(2) {
         TIME_TO_LEAVE_OUT
     } else {
         SECOND
     };
     FAULTS[faults[0]].1(&mut world, seed);
-    clients(&mut world, long, &mut key);
+    clients(&mut world, duration, &mut key);
     FAULTS[faults[1]].1(&mut world, seed + 3);
     clients(&mut world, TimeSpan::from_secs(3), &mut key);
     for fault in faults {
@@ -633,9 +633,9 @@
 #[test]
 fn planted_mistakes_between_zones_are_found() {
     type Find = fn(u64, Option<PlantedFault>) -> usize;
-    let calm: Find = |seed, planted| run([0, 0], seed, planted).0;
+    let no_fault: Find = |seed, planted| run([0, 0], seed, planted).0;
     let finds = [
-        (PlantedFault::RelayedWrong, calm),
+        (PlantedFault::RelayedWrong, no_fault),
         (PlantedFault::HearsNobody, lost_to_each_other),
         (PlantedFault::CompleteTooEarly, restarted_zone),
     ];
