--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -1,96 +1,113 @@
-//! Own claims on keys: who is asked, whose answers are enough, and what others are owed about them.
+//! Claims on the keys of this dispatcher's own requests: the inquiries about them, and the updates
+//! that replicas still have to receive.
 //!
-//! A claim goes to all keepers of its key at once. It stands when more than half of them say, and are sure, that nobody
-//! else has one; any one that knows of another is enough to be bound by it. Two that claim at the same time see each
-//! other at one keeper at least: the later one yields, the earlier waits for that. What becomes of a claim is told to the
-//! keepers until they have it.
+//! A claim is sent to all replicas of its key at once. It is granted when more than half of them
+//! report with certainty that no other claim exists; a single report of another claim is binding.
+//! Two members that claim a key at the same time see each other's claim at one replica at least:
+//! the later one yields, and the earlier one waits for that. Later stages of a claim are sent to
+//! the replicas until they acknowledge them.
 
-use super::facts::{Claim, ClaimLocation, Fact, FactId, Stage, Token, merge, others};
+use super::facts::{Claim, ClaimLocation, Fact, FactId, Stage, Token, claims_of_others, merge};
 use super::messages::{InquiryId, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
 use trailproxy_shared_store::decide::records::{Completion, Key, Record, RecordStatus};
 
-/// A claim of an access that is open here.
+/// The claim of an own request that is in flight.
 #[derive(Clone, Debug)]
 pub struct OwnClaim {
+    /// The key of the request.
     pub key: Key,
+    /// The claim as it was last sent.
     pub claim: Claim,
-    /// It saw an earlier one before anything went out, and took itself back.
+    /// Whether it was withdrawn because an earlier claim was found before any attempt was sent.
     pub yielded: bool,
 }
 
-/// One round of questions about one key.
+/// One round of inquiries about a key.
 #[derive(Clone, Debug)]
 struct Inquiry {
     id: RequestId,
-    asked: Timestamp,
-    /// Who has not answered, and how many have to be sure.
+    asked_at: Timestamp,
+    /// Replicas that have not answered.
     unanswered: BTreeSet<PeerId>,
-    /// Who is asked as soon as one of the others is not sure.
+    /// Replicas that are asked as soon as one of the others is not certain.
     reserve: Vec<PeerId>,
+    /// How many have to be certain.
     required: usize,
     sure: usize,
     claims: Vec<Claim>,
 }
 
-/// What an answer makes of an access.
+/// What the answers so far mean for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClaimOutcome {
-    /// Nothing yet.
+    /// Not decided yet.
     Pending,
-    /// No other has it.
+    /// No other member has claimed the key.
     Granted,
-    /// Another has it, or had it, as far as was known when it was asked at that moment.
+    /// Another member claims or claimed the key, according to answers to an inquiry of this time.
     Found(Timestamp, Record),
-    /// All have answered, and too few are sure.
+    /// All replicas have answered, and too few are certain.
     Unsure,
 }
 
-/// What others are to know of a claim, until they have it.
+/// An update of a claim that replicas still have to receive.
 #[derive(Clone, Debug)]
 struct PendingUpdate {
     fact: Fact,
-    /// `None`: whoever keeps it by then.
+    /// The replicas that have not acknowledged it; `None`: the replicas at the time of sending.
     to: Option<BTreeSet<PeerId>>,
     at: Timestamp,
-    pause: TimeSpan,
+    delay: TimeSpan,
     inquiry_id: InquiryId,
 }
 
-/// Accesses that ask, and facts that are owed, at once. More go without: it is as if the others were not there.
+/// Inquiries in flight at once. Further requests continue as if there were no other members.
 const MAX_INQUIRIES: usize = 2_048;
+/// Updates that are held at once; further ones are dropped.
 const MAX_PENDING_UPDATES: usize = 8_192;
-/// How long an answer is of use, for what has not gone out yet.
+/// How long answers to an inquiry are used for a request that has not been sent.
 const INQUIRY_RETENTION: TimeSpan = TimeSpan::from_secs(4);
-/// What is owed is told again after this, then after twice as long, up to the longest pause; then it is left.
+/// When an update is sent again for the first time. Each delay is twice the one before, up to the
+/// longest; then the update is dropped.
 const RETRY_DELAY: TimeSpan = TimeSpan::from_millis(60);
+/// The longest delay before an update is sent again.
 const MAX_RETRY_DELAY: TimeSpan = TimeSpan::from_secs(4);
 
+/// All claims of own requests.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     own: BTreeMap<RequestId, OwnClaim>,
     inquiries: BTreeMap<InquiryId, Inquiry>,
-    /// Questions that are to go out now, of the reserve.
+    /// Inquiries to replicas in reserve that have to be sent now.
     reserve_inquiries: Vec<(InquiryId, RequestId, PeerId)>,
-    pending: BTreeMap<FactId, PendingUpdate>,
+    pending_updates: BTreeMap<FactId, PendingUpdate>,
     update_deadlines: BTreeSet<(Timestamp, FactId)>,
 }
 
 impl Claims {
+    /// The numbers of claims, inquiries and pending updates.
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.own.len(), self.inquiries.len(), self.pending.len())
+        (
+            self.own.len(),
+            self.inquiries.len(),
+            self.pending_updates.len(),
+        )
     }
 
+    /// The claim of a request.
     pub fn get(&self, id: RequestId) -> Option<&OwnClaim> {
         self.own.get(&id)
     }
 
+    /// Whether another inquiry may be started.
     pub fn has_room(&self) -> bool {
         self.inquiries.len() < MAX_INQUIRIES
     }
 
-    /// The claim of an access, made with the first question for it. `None`: it has yielded, and only looks.
+    /// The claim of a request, created with the first inquiry. `None`: it has yielded, and the
+    /// inquiry only asks.
     pub fn claim(
         &mut self,
         now: Timestamp,
@@ -112,26 +129,26 @@
         (!own.yielded).then(|| own.claim.clone())
     }
 
-    /// A round begins: these are asked, of whom `required` have to be sure.
+    /// Starts a round of inquiries to `peers`, of whom `required` have to be certain.
     pub fn start_inquiry(
         &mut self,
         now: Timestamp,
         inquiry_id: InquiryId,
         id: RequestId,
-        whom: BTreeSet<PeerId>,
+        peers: BTreeSet<PeerId>,
         reserve: Vec<PeerId>,
         required: usize,
     ) {
-        // The round before it is over: its answers would count twice.
-        self.inquiries.retain(|_, inquiries| {
-            inquiries.id != id && now.since(inquiries.asked) < INQUIRY_RETENTION
+        // The previous round has ended; its answers would count twice.
+        self.inquiries.retain(|_, inquiry| {
+            inquiry.id != id && now.since(inquiry.asked_at) < INQUIRY_RETENTION
         });
         self.inquiries.insert(
             inquiry_id,
             Inquiry {
                 id,
-                asked: now,
-                unanswered: whom,
+                asked_at: now,
+                unanswered: peers,
                 reserve,
                 required,
                 sure: 0,
@@ -140,7 +157,7 @@
         );
     }
 
-    /// One that was asked answers.
+    /// Handles an answer to an inquiry.
     pub fn on_claim_status(
         &mut self,
         now: Timestamp,
@@ -149,49 +166,48 @@
         sure: bool,
         claims: Vec<Claim>,
     ) -> Option<(RequestId, ClaimOutcome)> {
-        let inquiries = self.inquiries.get_mut(&inquiry_id)?;
-        // What a former keeper knows binds as well; its "nothing known" says nothing.
-        let counts = inquiries.unanswered.remove(&from);
-        inquiries.sure += usize::from(sure && counts);
-        let (id, asked, key) = (inquiries.id, inquiries.asked, 0);
-        let known = std::mem::take(&mut inquiries.claims);
-        let both = merge(
+        let inquiry = self.inquiries.get_mut(&inquiry_id)?;
+        // What a former replica knows is binding as well, but its report that nothing is known does
+        // not count.
+        let counts = inquiry.unanswered.remove(&from);
+        inquiry.sure += usize::from(sure && counts);
+        let (id, asked_at, key) = (inquiry.id, inquiry.asked_at, 0);
+        let known = std::mem::take(&mut inquiry.claims);
+        let merged = merge(
             Fact::Record { key, claims: known },
             Fact::Record { key, claims },
         );
-        if let Fact::Record { claims, .. } = both {
-            inquiries.claims = claims;
+        if let Fact::Record { claims, .. } = merged {
+            inquiry.claims = claims;
         }
         let own = self.own.get(&id)?;
         let token = Some(own.claim.token).filter(|_| !own.yielded);
-        let outcome = match others(asked, &inquiries.claims, token) {
-            Some(record) => ClaimOutcome::Found(asked, record),
-            None if inquiries.sure >= inquiries.required => ClaimOutcome::Granted,
-            None if inquiries.unanswered.is_empty() && inquiries.reserve.is_empty() => {
+        let outcome = match claims_of_others(asked_at, &inquiry.claims, token) {
+            Some(record) => ClaimOutcome::Found(asked_at, record),
+            None if inquiry.sure >= inquiry.required => ClaimOutcome::Granted,
+            None if inquiry.unanswered.is_empty() && inquiry.reserve.is_empty() => {
                 ClaimOutcome::Unsure
             }
             None => ClaimOutcome::Pending,
         };
         if !sure && outcome == ClaimOutcome::Pending {
-            inquiries
-                .unanswered
-                .extend(inquiries.reserve.iter().copied());
+            inquiry.unanswered.extend(inquiry.reserve.iter().copied());
             self.reserve_inquiries.extend(
-                inquiries
+                inquiry
                     .reserve
                     .drain(..)
-                    .map(|whom| (inquiry_id, id, whom)),
+                    .map(|peers| (inquiry_id, id, peers)),
             );
         }
-        let earlier = |claim: &Claim| {
+        let is_earlier = |claim: &Claim| {
             (claim.at, claim.token) < (own.claim.at, own.claim.token)
                 && claim.stage != Stage::Released
                 && Some(claim.token) != token
         };
         let yields = matches!(&outcome, ClaimOutcome::Found(_, record) if record.status == RecordStatus::Claimed)
             && own.claim.location == ClaimLocation::NotReported
-            && inquiries.claims.iter().any(earlier);
-        if inquiries.unanswered.is_empty() && now.since(asked) > INQUIRY_RETENTION {
+            && inquiry.claims.iter().any(is_earlier);
+        if inquiry.unanswered.is_empty() && now.since(asked_at) > INQUIRY_RETENTION {
             self.inquiries.remove(&inquiry_id);
         }
         if yields {
@@ -200,21 +216,21 @@
         Some((id, outcome))
     }
 
-    /// The key of an access that asked under this number and is still open.
+    /// The key of a request in flight that started this inquiry.
     pub fn inquired_key(&self, inquiry_id: InquiryId) -> Option<Key> {
-        let inquiries = self.inquiries.get(&inquiry_id)?;
-        Some(self.own.get(&inquiries.id)?.key)
+        let inquiry = self.inquiries.get(&inquiry_id)?;
+        Some(self.own.get(&inquiry.id)?.key)
     }
 
-    /// Who is to be asked in addition, about which claim.
+    /// Takes the additional inquiries to be sent, with their claims.
     pub fn take_reserve_inquiries(&mut self) -> Vec<(InquiryId, PeerId, u128, Option<Claim>)> {
         let reserve_inquiries = std::mem::take(&mut self.reserve_inquiries);
         let claims = reserve_inquiries
             .into_iter()
-            .filter_map(|(inquiry_id, id, whom)| {
+            .filter_map(|(inquiry_id, id, peers)| {
                 let own = self.own.get(&id)?;
                 let claim = (!own.yielded).then(|| own.claim.clone());
-                Some((inquiry_id, whom, own.key.0, claim))
+                Some((inquiry_id, peers, own.key.0, claim))
             });
         claims.collect()
     }
@@ -229,7 +245,8 @@
         }
     }
 
-    /// A hand-off goes out. It is told after `delay`, together with the end where that comes before.
+    /// An attempt of the request is sent. The update is sent after `delay`, together with the end
+    /// of the request if that comes earlier.
     pub fn on_attempt_sent(
         &mut self,
         now: Timestamp,
@@ -242,7 +259,8 @@
             return;
         };
         if own.yielded {
-            // It goes after all, bound by what it saw: under a claim of its own.
+            // The request is sent after all, restricted by the claims that it saw, under a claim of
+            // its own.
             own.yielded = false;
             own.claim.token = token;
         }
@@ -260,13 +278,13 @@
         self.queue_update(now + delay, key, claim);
     }
 
-    /// It has its final answer.
+    /// The request has its final answer.
     pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         let Some(own) = self.own.remove(&id).filter(|own| !own.yielded) else {
             return;
         };
         let mut claim = own.claim;
-        // What was answered from another's record is no run of this one's.
+        // A request that was answered from another member's record did not run.
         let ran = claim.location != ClaimLocation::NotReported;
         (claim.stage, claim.body) = match completion {
             Completion::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
@@ -281,36 +299,38 @@
         let claims = vec![claim];
         let fact = Fact::Record { key, claims };
         let id = fact.id();
-        if self.pending.len() >= MAX_PENDING_UPDATES && !self.pending.contains_key(&id) {
+        if self.pending_updates.len() >= MAX_PENDING_UPDATES
+            && !self.pending_updates.contains_key(&id)
+        {
             return;
         }
-        let fact = match self.pending.remove(&id) {
+        let fact = match self.pending_updates.remove(&id) {
             Some(pending) => merge(pending.fact, fact),
             None => fact,
         };
         self.update_deadlines.insert((at, id));
-        let (to, pause, inquiry_id) = (None, RETRY_DELAY, InquiryId::default());
-        self.pending.insert(
+        let (to, delay, inquiry_id) = (None, RETRY_DELAY, InquiryId::default());
+        self.pending_updates.insert(
             id,
             PendingUpdate {
                 fact,
                 to,
                 at,
-                pause,
+                delay,
                 inquiry_id,
             },
         );
     }
 
-    /// What was told is not told again: whoever keeps it compares it with the others that do.
+    /// Drops an update. Replicas receive the fact by comparing their copies instead.
     pub fn drop_update(&mut self, fact: FactId) {
-        self.pending.remove(&fact);
+        self.pending_updates.remove(&fact);
     }
 
-    /// Somebody has what was told under this number.
+    /// A member acknowledged the update with this number.
     pub fn on_stored(&mut self, inquiry_id: InquiryId, from: PeerId) {
         let found = self
-            .pending
+            .pending_updates
             .iter_mut()
             .find(|(_, pending)| pending.inquiry_id == inquiry_id);
         if let Some((&id, pending)) = found
@@ -318,23 +338,25 @@
         {
             to.remove(&from);
             if to.is_empty() {
-                self.pending.remove(&id);
+                self.pending_updates.remove(&id);
             }
         }
     }
 
+    /// When the next update is due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.update_deadlines.first().map(|&(at, _)| at)
     }
 
-    /// What is to be told by now, to whom: those who keep it, as `replicas` has them.
+    /// The updates that are due by now, with the replicas to send them to, as `replicas` returns
+    /// them.
     pub fn advance(
         &mut self,
         now: Timestamp,
         mut new_inquiry_id: impl FnMut() -> InquiryId,
         replicas: impl Fn(FactId) -> BTreeSet<PeerId>,
     ) -> Vec<(InquiryId, Fact, BTreeSet<PeerId>)> {
-        let mut tells = Vec::new();
+        let mut updates = Vec::new();
         while let Some((at, id)) = self
             .update_deadlines
             .first()
@@ -342,32 +364,36 @@
             .filter(|(at, _)| *at <= now)
         {
             self.update_deadlines.pop_first();
-            let Some(pending) = self.pending.get_mut(&id).filter(|pending| pending.at == at) else {
+            let Some(pending) = self
+                .pending_updates
+                .get_mut(&id)
+                .filter(|pending| pending.at == at)
+            else {
                 continue;
             };
-            if pending.pause > MAX_RETRY_DELAY {
-                self.pending.remove(&id);
+            if pending.delay > MAX_RETRY_DELAY {
+                self.pending_updates.remove(&id);
                 continue;
             }
             let to = pending.to.get_or_insert_with(|| replicas(id));
-            // Who keeps it now that one of them is gone is told as well, with the next round.
-            if pending.pause > RETRY_DELAY {
+            // If a replica was replaced, the new one receives the update with the next round.
+            if pending.delay > RETRY_DELAY {
                 let present = replicas(id);
                 to.retain(|id| present.contains(id));
             }
-            (pending.inquiry_id, pending.at) = (new_inquiry_id(), now + pending.pause);
-            pending.pause = pending.pause.mul_f64(2.0);
-            let (again, told) = (
+            (pending.inquiry_id, pending.at) = (new_inquiry_id(), now + pending.delay);
+            pending.delay = pending.delay.mul_f64(2.0);
+            let (retry_at, update) = (
                 pending.at,
                 (pending.inquiry_id, pending.fact.clone(), to.clone()),
             );
             if to.is_empty() {
-                self.pending.remove(&id);
+                self.pending_updates.remove(&id);
             } else {
-                self.update_deadlines.insert((again, id));
+                self.update_deadlines.insert((retry_at, id));
             }
-            tells.push(told);
+            updates.push(update);
         }
-        tells
+        updates
     }
 }
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -1,14 +1,16 @@
-//! Keyed requests: what others are asked before one goes out, and what becomes of their answers.
+//! Keyed requests: inquiries to other members before a request is sent, and the handling of their
+//! answers.
 
 use super::*;
 
-/// Within a zone an attempt is told to its replicas this late, so that the end of a short one goes with it: until then the
-/// claim binds others as one that may have been sent anywhere.
-const SENT_WITHIN: TimeSpan = TimeSpan::from_millis(100);
+/// Within a zone, replicas learn this late that an attempt was sent, so that a short request needs
+/// one update for both the attempt and its end. Until then the claim binds others like that of a
+/// request that may have been sent anywhere.
+const SENT_UPDATE_DELAY: TimeSpan = TimeSpan::from_millis(100);
 
 impl Peers {
-    /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
-    pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
+    /// A keyed request arrived. [`Action::Decided`] tells when and how it continues.
+    pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, target: Timestamp) {
         self.detect_pause(now);
         if !self.settings.records || self.is_silent() {
             let verdict = RecordDecision::Proceed;
@@ -18,36 +20,37 @@
         let own = self.members.own().id;
         let replicas = self.replicas.of(slot);
         let reached = |id: &&PeerId| **id == own || self.members.is_reached(**id);
-        let some = replicas.iter().filter(reached).count() > replicas.len() / 2;
-        let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.has_room());
+        let majority_reached = replicas.iter().filter(reached).count() > replicas.len() / 2;
+        let wait =
+            Some(self.settings.max_wait).filter(|_| majority_reached && self.claims.has_room());
         self.counts.waited += u64::from(wait.is_some());
-        let steps = self.records.on_request(now, id, key, due, wait);
+        let steps = self.records.on_request(now, id, key, target, wait);
         self.run_steps(now, steps);
     }
 
-    /// A hand-off of it goes out.
+    /// An attempt of the request is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
         let token = self.new_token();
         self.records.on_attempt_sent(id, location);
         let delay = match self.replicas.scope() {
             Scope::Fleet => TimeSpan::ZERO,
-            Scope::Zone => SENT_WITHIN,
+            Scope::Zone => SENT_UPDATE_DELAY,
         };
         self.claims.on_attempt_sent(now, id, location, token, delay);
         self.send_pending_updates(now);
     }
 
-    /// It has its final answer.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
-        self.records.on_request_ended(id, &came);
-        self.claims.on_request_ended(now, id, came);
+    /// The request has its final answer.
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
+        self.records.on_request_ended(id, &completion);
+        self.claims.on_request_ended(now, id, completion);
         self.send_pending_updates(now);
     }
 
-    /// What another dispatcher did under the key of this access.
+    /// What another member did under the key of this request.
     pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         let unsure = || {
-            // It may have run anywhere, however long ago.
+            // An earlier attempt may have run anywhere, at any time.
             let refused = self.settings.refuse_unconfirmed
                 && !self.is_granted(id)
                 && self.records.key(id).is_some();
@@ -60,7 +63,7 @@
         self.records.earlier_attempt(id).or_else(unsure)
     }
 
-    /// Whether the others said that no other has the key of this access.
+    /// Whether enough replicas confirmed that no other member has claimed the key of this request.
     pub fn is_granted(&self, id: RequestId) -> bool {
         self.records.is_claimed(id)
     }
@@ -69,6 +72,7 @@
         Token(self.rng.u64(16..))
     }
 
+    /// Carries out the steps that the records request.
     pub(super) fn run_steps(&mut self, now: Timestamp, steps: Vec<RecordStep>) {
         for step in steps {
             match step {
@@ -81,6 +85,7 @@
         }
     }
 
+    /// Sends the claim of a request to the replicas of its key.
     pub(super) fn send_claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
         if !self.claims.has_room() {
             let steps = self.records.proceed(id);
@@ -92,51 +97,52 @@
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
         let replicas = self.replicas.of(slot).to_vec();
-        let enough = replicas.len() / 2 + 1;
+        let required = replicas.len() / 2 + 1;
         let scope = self.replicas.scope();
-        let (whom, reserve) = match scope {
+        let (asked, reserve) = match scope {
             Scope::Fleet => (replicas, Vec::new()),
-            Scope::Zone => self.nearest_replicas(replicas, enough),
+            Scope::Zone => self.nearest_replicas(replicas, required),
         };
-        let whom: BTreeSet<PeerId> = whom.into_iter().collect();
+        let asked: BTreeSet<PeerId> = asked.into_iter().collect();
         let former: BTreeSet<PeerId> = self.replicas.former(now, slot).collect();
         let inquiry_id = self.new_inquiry_id();
         self.claims
-            .start_inquiry(now, inquiry_id, id, whom.clone(), reserve, enough);
+            .start_inquiry(now, inquiry_id, id, asked.clone(), reserve, required);
         let key = key.0;
-        for &whom in whom.union(&former).filter(|&&whom| whom != own) {
-            self.send_claim_to(now, whom, inquiry_id, key, claim.clone());
+        for &peer in asked.union(&former).filter(|&&peer| peer != own) {
+            self.send_claim_to(now, peer, inquiry_id, key, claim.clone());
         }
-        if whom.contains(&own) {
+        if asked.contains(&own) {
             let (sure, claims) = self.on_claim(now, key, claim, scope);
             self.on_claim_status(now, inquiry_id, own, sure, claims);
         }
     }
 
-    /// Of a key's replicas as many as have to be sure, the nearest ones that are reached, and the others in reserve.
+    /// The nearest reached replicas of a key, as many as have to be certain, and the others as a
+    /// reserve.
     fn nearest_replicas(
         &self,
         mut replicas: Vec<PeerId>,
-        enough: usize,
+        required: usize,
     ) -> (Vec<PeerId>, Vec<PeerId>) {
         let own = self.members.own().id;
         let here = self.replicas.topology().map(|topology| topology.own);
         let distance = |id: PeerId| {
-            let places = here.zip(self.members.locality(id));
-            places.map(|(here, there)| here.distance(there))
+            let localities = here.zip(self.members.locality(id));
+            localities.map(|(here, other)| here.distance(other))
         };
         replicas.sort_by_key(|&id| match id == own {
             true => (false, None),
             false => (!self.members.is_reached(id), distance(id)),
         });
-        let reserve = replicas.split_off(enough.min(replicas.len()));
+        let reserve = replicas.split_off(required.min(replicas.len()));
         (replicas, reserve)
     }
 
     fn send_claim_to(
         &mut self,
         now: Timestamp,
-        whom: PeerId,
+        peer: PeerId,
         inquiry_id: InquiryId,
         key: u128,
         claim: Option<facts::Claim>,
@@ -153,10 +159,11 @@
                 claim,
             },
         };
-        self.send_to(now, whom, vec![part]);
+        self.send_to(now, peer, vec![part]);
     }
 
-    /// A claim at one who keeps its key: what is known of the key, and whether that is all.
+    /// Handles a claim as a replica: returns whether everything about the key is known here, and
+    /// the known claims.
     pub(super) fn on_claim(
         &mut self,
         now: Timestamp,
@@ -165,13 +172,14 @@
         scope: Scope,
     ) -> (bool, Vec<facts::Claim>) {
         let id = FactId::Record(key);
-        // One who does not know that it keeps the key has fetched nothing of it. And whoever draws replicas from another set
-        // of members asks others that this one agrees with nobody.
-        let keeps = self.replicas.is_replica(self.members.own().id, id.slot());
-        let keeps = keeps && self.replicas.scope() == scope;
+        // A member that does not know that it is a replica has fetched nothing of the slot. And a
+        // member that chooses replicas from another set of members asks replicas with whom this one
+        // agrees on nothing.
+        let is_replica = self.replicas.is_replica(self.members.own().id, id.slot());
+        let is_replica = is_replica && self.replicas.scope() == scope;
         let (proved, mut known) = self.claims_in_other_zones(now, key);
         let mut sure =
-            keeps && self.sync.is_in_sync(id.slot()) && !self.in_minority_partition && proved;
+            is_replica && self.sync.is_in_sync(id.slot()) && !self.in_minority_partition && proved;
         if let Some(claim) = claim {
             let claims = vec![claim];
             let taken = self.store(now, Fact::Record { key, claims });
@@ -184,6 +192,7 @@
         (sure, known)
     }
 
+    /// Handles the answer to a claim.
     pub(super) fn on_claim_status(
         &mut self,
         now: Timestamp,
@@ -193,20 +202,20 @@
         claims: Vec<facts::Claim>,
     ) {
         self.store_answered_claims(now, inquiry_id, &claims);
-        let heard = self
+        let outcome = self
             .claims
             .on_claim_status(now, inquiry_id, from, sure, claims);
-        for (inquiry_id, whom, key, claim) in self.claims.take_reserve_inquiries() {
-            self.send_claim_to(now, whom, inquiry_id, key, claim);
+        for (inquiry_id, peer, key, claim) in self.claims.take_reserve_inquiries() {
+            self.send_claim_to(now, peer, inquiry_id, key, claim);
         }
-        let Some((id, heard)) = heard else {
+        let Some((id, outcome)) = outcome else {
             return;
         };
-        let steps = match heard {
+        let steps = match outcome {
             ClaimOutcome::Pending => return,
             ClaimOutcome::Granted => {
                 self.counts.granted += u64::from(self.records.is_waiting(id));
-                // One that claimed at the same time has taken its claim back.
+                // A member that claimed the key at the same time has withdrawn its claim.
                 self.records.on_released(id);
                 self.records.on_claimed(id)
             }
@@ -215,12 +224,12 @@
                 self.records.proceed(id)
             }
             ClaimOutcome::Found(asked, record) => {
-                let news =
+                let is_news =
                     !self.records.is_waiting(id) && self.records.earlier_attempt(id).is_none();
                 let steps = self.records.on_found(now, asked, id, record);
                 let waits = self.records.is_waiting(id);
                 self.counts.joined += u64::from(steps.is_empty() && waits);
-                self.counts.found_late += u64::from(news);
+                self.counts.found_late += u64::from(is_news);
                 steps
             }
         };
@@ -228,8 +237,9 @@
         self.send_pending_updates(now);
     }
 
-    /// What others answer is taken into the own copy, where this one keeps one: whoever made the claim may not have known
-    /// of it. In answers within a zone other zones' claims are among them, which are not the own zone's to tell.
+    /// Stores claims from answers in the own copy, if this member is a replica of the key: the
+    /// owner of such a claim may not have known that. Answers within a zone include claims of other
+    /// zones, which are not the own zone's to report.
     fn store_answered_claims(
         &mut self,
         now: Timestamp,
@@ -251,7 +261,7 @@
         }
     }
 
-    /// What keepers are owed goes out, and into the own copy.
+    /// Sends the pending updates to replicas, and applies them to the own copy.
     pub(super) fn send_pending_updates(&mut self, now: Timestamp) {
         let own = self.members.own().id;
         let (replicas, members, next) = (&self.replicas, &self.members, &mut self.next_inquiry_id);
@@ -259,23 +269,23 @@
             *next += 1;
             InquiryId(*next)
         };
-        let there =
+        let is_present =
             |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.is_present());
-        let of = |id: FactId| {
+        let replicas_of = |id: FactId| {
             replicas
                 .of(id.slot())
                 .iter()
                 .copied()
-                .filter(there)
+                .filter(is_present)
                 .collect()
         };
         let scope = self.replicas.scope();
-        for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, of) {
+        for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, replicas_of) {
             if scope == Scope::Zone {
                 self.claims.drop_update(fact.id());
             }
-            for whom in to {
-                if whom == own {
+            for peer in to {
+                if peer == own {
                     let taken = self.store(now, fact.clone());
                     self.counts.full += u64::from(taken.is_none());
                     self.claims.on_stored(inquiry_id, own);
@@ -285,7 +295,7 @@
                         Scope::Fleet => MessagePart::Store(inquiry_id, facts),
                         Scope::Zone => MessagePart::Gossip(facts),
                     };
-                    self.send_to(now, whom, vec![part]);
+                    self.send_to(now, peer, vec![part]);
                 }
             }
         }
