--- a/crates/shared-store/src/config.rs
+++ b/crates/shared-store/src/config.rs
@@ -1,36 +1,45 @@
-//! What the operator's file says of the store, as the reader of the script hands it on.
+//! The operator's section about the store, as the reader of the configuration file passes it on.
 
 use crate::decide::Rules;
 use serde::{Deserialize, Serialize};
 use trailproxy::units::TimeSpan;
 
-/// The section `store`, checked in its types and ranges by whoever read the script.
+/// The section `store`. Its types and ranges were checked by the reader of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoreConfig {
+    /// The file that holds the section.
     pub file: String,
     /// Line and column of the section, from 1.
     #[serde(rename = "place")]
     pub position: (usize, usize),
+    /// Host name or address of the store.
     pub host: String,
+    /// Port of the store.
     pub port: u16,
-    /// A file that holds the password and nothing else; empty: none is needed.
+    /// A file that holds only the password; empty if none is needed.
     #[serde(default)]
     pub password_file: String,
-    /// Before every key.
+    /// Prefix of every key.
     pub prefix: String,
+    /// The longest wait of a request for the store, in milliseconds.
     pub wait_ms: f64,
+    /// How long records are kept, in seconds.
     pub keep_s: f64,
+    /// Whether records of keyed requests are shared.
     pub records: bool,
+    /// Whether dispatchers tell each other about opened breakers.
     pub hints: bool,
+    /// Whether dispatchers tell each other about purges.
     pub purges: bool,
-    /// Whether words of other subsystems go by it, where dispatchers don't write to each other.
+    /// Whether the store carries messages of other subsystems, for dispatchers that do not send
+    /// messages to each other directly.
     #[serde(default)]
     pub words: bool,
 }
 
 impl StoreConfig {
-    /// The longest of all windows with an outer limit behind it, and the time after which no copy from before a purge is
-    /// left, are the deployment's.
+    /// The settings of the shared state. The deployment gives the longest repeat window with the
+    /// deadline after it, and the time after which no copy from before a purge is left.
     pub fn rules(&self, longest_window: TimeSpan, purges_last: TimeSpan) -> Result<Rules, String> {
         let keep = TimeSpan::from_secs_f64(self.keep_s);
         if self.records && keep < longest_window {
--- a/crates/shared-store/src/decide/ops.rs
+++ b/crates/shared-store/src/decide/ops.rs
@@ -1,28 +1,31 @@
-//! What is asked of the store and what it answers, in no server's words.
+//! Operations of the store and their results, independent of the protocol of a server.
 
 use super::announcements::Announcement;
 use super::records::{Completion, Key, Record};
 use trailproxy::units::*;
 
-/// A dispatcher, as the others write to it: the same number in all of them.
+/// Mailbox of one dispatcher, under the same number for all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MailboxId(pub u64);
 
-/// One operation, as the decisions word it.
+/// One operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Op {
-    /// Names the store's epoch, or begins one with this name where it has none of this server.
+    /// Reads the epoch of the store, or starts one under the proposed number where the store has
+    /// none of this server.
     Open {
         proposal: u64,
-        /// The epoch that was trusted before, and how many operations of it were seen: one that knows fewer now has
-        /// forgotten some, and is another.
+        /// The epoch that was trusted before, and the number of its operations that were seen. A
+        /// store that counted fewer has lost some, and starts a new epoch.
         known: (u64, u64),
     },
+    /// Claims an idempotency key, unless another dispatcher has it.
     Claim {
         key: Key,
         token: u64,
         retention: TimeSpan,
     },
+    /// Records the location of the first attempt.
     Sent {
         key: Key,
         token: u64,
@@ -30,6 +33,7 @@
         age: TimeSpan,
         retention: TimeSpan,
     },
+    /// Records how the request ended.
     Ended {
         key: Key,
         token: u64,
@@ -37,49 +41,56 @@
         location: Option<(ZoneId, CellId)>,
         retention: TimeSpan,
     },
-    /// Another subsystem's words for one dispatcher, to be had until they are taken or have run out.
+    /// Posts a message of another subsystem to one dispatcher. It is kept until it is read or
+    /// expires.
     Post {
         to: MailboxId,
         from: MailboxId,
         bytes: Vec<u8>,
         retention: TimeSpan,
     },
-    /// All that was posted for this one.
+    /// Reads and removes all messages in a mailbox.
     Fetch { mailbox: MailboxId },
+    /// Announces an event to all dispatchers. An event that is known with a time less than
+    /// `merge_within` apart is not announced again.
     Announce {
         announcement: Announcement,
         age: TimeSpan,
         merge_within: TimeSpan,
         retention: TimeSpan,
     },
+    /// Reads the announcements made after a time.
     ReadAnnouncements {
         /// By the server's clock, in milliseconds.
         after: u64,
     },
 }
 
-/// What an operation answers.
+/// The answer to an operation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    Opened {
-        epoch: u64,
-        age: TimeSpan,
-    },
+    /// The epoch of the store and its age.
+    Opened { epoch: u64, age: TimeSpan },
+    /// The key is claimed for this request.
     Claimed,
+    /// Another dispatcher has the key.
     Found(Record),
+    /// Messages from a mailbox, with their senders.
     Posted(Vec<(MailboxId, Vec<u8>)>),
-    /// What was told, with how long ago it happened.
+    /// Announcements, with the age of each event.
     Announcements(Vec<(Announcement, TimeSpan)>),
+    /// The operation was applied.
     Applied,
-    /// Its time was over: it did nothing and never will.
+    /// The operation arrived too late: nothing was done, and nothing will be.
     TooLate,
-    /// The store's epoch is another, or it has none: nothing was done.
+    /// The store has another epoch or none: nothing was done.
     OtherEpoch,
     /// The operator has taken the store out of use.
     Drained,
 }
 
-/// An answer with what every one brings: the number of operations of this epoch, and the server's time.
+/// An answer with what every reply carries: the number of operations in this epoch and the server's
+/// time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpResult {
     pub answer: Answer,
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -1,24 +1,28 @@
-//! Records of fingerprinted accesses: who sent a key first, where, when, and what came of it.
+//! Records of keyed requests: which dispatcher sent an idempotency key first, where and when, and
+//! the result.
 //!
-//! A claim is written before the first hand-off, the place of the first hand-off behind it, and the ending last. A claim
-//! without a place is one that may have run anywhere. What is read is only ever used to allow less: an access with an
-//! earlier run elsewhere is bound by it as if it had made that hand-off itself, and an access about which nothing is
-//! known goes the way it would without a store.
+//! A claim is written before the first attempt, then the location of the first attempt, and finally
+//! the result. A claim without a location belongs to a request that may have run anywhere. What is
+//! read only ever restricts a request: one with an earlier attempt elsewhere is treated as if it
+//! had made that attempt itself, and one about which nothing is known proceeds as it would without
+//! a store.
 
 use std::collections::BTreeMap;
 use trailproxy::interface::PeerAttempt;
 use trailproxy::units::*;
 
-/// A client's key for all tries of one request, folded so that a long one costs no more than a short one.
+/// Hash of the idempotency key that a client sends with all attempts of one request, so that a long
+/// key costs no more than a short one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u128);
 
-/// Folds clients' keys the same way in all dispatchers of one installation.
+/// Hashes idempotency keys the same way in all dispatchers of one installation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyHasher([u8; 32]);
 
 impl KeyHasher {
-    /// `installation` is the same wherever records are to be found again, and another for others.
+    /// `installation` is the same for dispatchers that share records, and differs from that of
+    /// others.
     pub fn new(installation: &str) -> KeyHasher {
         KeyHasher(blake3::derive_key(
             "trailproxy records of keyed accesses, 1",
@@ -26,7 +30,8 @@
         ))
     }
 
-    /// BLAKE3, keyed, the first 128 bits of it: nobody finds two marks of one key, so no client reaches another's record.
+    /// The first 128 bits of a keyed BLAKE3 hash of class and idempotency key. Nobody can find two
+    /// idempotency keys with the same hash, so no client reaches the record of another.
     ///
     /// ```
     /// use trailproxy::units::ClassId;
@@ -36,158 +41,181 @@
     /// assert_ne!(here.key(ClassId(1), "m"), here.key(ClassId(2), "m"));
     /// assert_ne!(here.key(ClassId(1), "m"), there.key(ClassId(1), "m"));
     /// ```
-    pub fn key(&self, track: ClassId, mark: &str) -> Key {
+    pub fn key(&self, class: ClassId, idempotency_key: &str) -> Key {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         hasher
-            .update(&track.0.to_le_bytes())
-            .update(mark.as_bytes());
+            .update(&class.0.to_le_bytes())
+            .update(idempotency_key.as_bytes());
         let mut bytes = [0; 16];
         hasher.finalize_xof().fill(&mut bytes);
         Key(u128::from_le_bytes(bytes))
     }
 }
 
-/// How a record stands in the store.
+/// State of a record in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordStatus {
-    /// It may go out any moment, and where to is not told yet.
+    /// An attempt may be sent at any moment; its location is not recorded yet.
     Claimed,
-    /// It went out.
+    /// An attempt was sent.
     Sent,
+    /// The request was done.
     Done,
-    /// Its dispatcher ended without knowing whether it ran.
+    /// The dispatcher finished without knowing whether the request ran.
     Unknown,
 }
 
 /// What the store knows of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
+    /// State of the request.
     pub status: RecordStatus,
+    /// Location of the first attempt, if it is recorded.
     pub location: Option<(ZoneId, CellId)>,
-    /// How long ago the first hand-off was claimed, by the store's clock.
+    /// Time since the first attempt was claimed, by the store's clock.
     pub age: TimeSpan,
     /// The answer, where it is small enough to be kept.
     pub body: Option<Vec<u8>>,
 }
 
-/// What came of an access in the end.
+/// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Completion {
-    /// With the answer, where it is small enough.
+    /// It was done; with the answer, where that is small enough.
     Done(Option<Vec<u8>>),
-    /// It is proved that none of its hand-offs ran.
+    /// It is proved that none of its attempts ran.
     NeverRan,
+    /// It is not known whether an attempt ran.
     Unknown,
 }
 
-/// What an access that waited for the store does now.
+/// What a request that waited for the store does now.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordDecision {
-    /// It goes the ordinary way, bound by what is known of it.
+    /// It proceeds in the ordinary way, restricted by what is known of it.
     Proceed,
-    /// It has been done: this is the answer.
+    /// It has been done before; this is the answer.
     Answer(Vec<u8>),
 }
 
-/// A part of the time until it is due that an access may wait for the store, and, where another dispatcher has its
-/// key under way, for that to end. More costs service, less finds fewer.
-const WAIT_PART: f64 = 0.02;
-const JOIN_PART: f64 = 0.25;
-/// How often one that joins asks again, at first and at most.
-const JOIN_EVERY: TimeSpan = TimeSpan::from_millis(10);
-const JOIN_SLOWEST: TimeSpan = TimeSpan::from_millis(160);
-/// By how much the clocks of two stores, of which one takes the other's place, may differ.
-pub const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(500);
+/// Shares of the time left until a request's target: how long it may wait for the store, and how
+/// long for the same key at another dispatcher to finish. More lowers the service, less finds fewer
+/// records.
+const WAIT_SHARE_OF_TARGET: f64 = 0.02;
+const JOIN_SHARE_OF_TARGET: f64 = 0.25;
+/// First and longest interval between two questions of a request that waits for another dispatcher.
+const FIRST_JOIN_INTERVAL: TimeSpan = TimeSpan::from_millis(10);
+const MAX_JOIN_INTERVAL: TimeSpan = TimeSpan::from_millis(160);
+/// By how much the clocks of a store and of its replacement may differ.
+pub const MAX_CLOCK_DIFFERENCE: TimeSpan = TimeSpan::from_millis(500);
 /// Longer answers are not kept.
 pub const MAX_BODY_BYTES: usize = 512;
 
+/// Progress of a request with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It waits for the claim's answer.
-    Asking,
-    /// Another has it under way.
-    Joining { again: Timestamp, every: TimeSpan },
-    /// It is with the decisions.
-    Gone,
+    /// Waits for the result of the claim.
+    Claiming,
+    /// Another dispatcher is handling the key; the request waits for it.
+    Joining {
+        ask_again_at: Timestamp,
+        interval: TimeSpan,
+    },
+    /// Passed on to the dispatcher's decisions.
+    Released,
 }
 
+/// One keyed request of this dispatcher.
 #[derive(Clone, Debug)]
-struct Own {
+struct OpenRequest {
     key: Key,
     phase: Phase,
-    /// It goes without an answer then.
-    until: Timestamp,
+    /// Time at which it proceeds without an answer.
+    wait_until: Timestamp,
     join_until: Timestamp,
-    claimed: bool,
-    place: Option<(ZoneId, CellId)>,
-    earlier: Option<PeerAttempt>,
+    is_claimed: bool,
+    location: Option<(ZoneId, CellId)>,
+    earlier_attempt: Option<PeerAttempt>,
 }
 
-/// The keyed accesses that are open here.
+/// The open keyed requests of this dispatcher.
 #[derive(Clone, Debug, Default)]
 pub struct Records {
-    own: BTreeMap<RequestId, Own>,
-    /// When each is to be looked at.
-    timed: std::collections::BTreeSet<(Timestamp, RequestId)>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    /// When each request is to be looked at again.
+    deadlines: std::collections::BTreeSet<(Timestamp, RequestId)>,
 }
 
-/// What to do about an access.
+/// A step that the caller has to carry out for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RecordStep {
+    /// Send a claim for its key to the store.
     Claim(RequestId, Key),
+    /// Let it continue.
     Decided(RequestId, RecordDecision),
 }
 
 impl Records {
+    /// Number of open requests.
     pub fn open_requests(&self) -> usize {
-        self.own.len()
+        self.requests.len()
     }
 
+    /// The key of an open request.
     pub fn key(&self, id: RequestId) -> Option<Key> {
-        self.own.get(&id).map(|own| own.key)
+        self.requests.get(&id).map(|requests| requests.key)
     }
 
-    /// Whether the store said that no other has its key.
+    /// Whether the store confirmed that no other dispatcher has its key.
     pub fn is_claimed(&self, id: RequestId) -> bool {
-        self.own.get(&id).is_some_and(|own| own.claimed)
+        self.requests
+            .get(&id)
+            .is_some_and(|requests| requests.is_claimed)
     }
 
     /// Whether it waits for the store.
     pub fn is_waiting(&self, id: RequestId) -> bool {
-        self.own
+        self.requests
             .get(&id)
-            .is_some_and(|own| own.phase != Phase::Gone)
+            .is_some_and(|requests| requests.phase != Phase::Released)
     }
 
-    /// What another dispatcher did under the key of this access.
+    /// The attempt that another dispatcher made under the key of this request.
     pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
-        self.own.get(&id)?.earlier
+        self.requests.get(&id)?.earlier_attempt
     }
 
-    /// An access comes. It waits where `wait` is given and the store is trusted, for no longer than that.
+    /// Handles a new request. It waits for at most `wait`; with `None` it proceeds at once.
     pub fn on_request(
         &mut self,
         now: Timestamp,
         id: RequestId,
         key: Key,
-        due: Timestamp,
+        target: Timestamp,
         wait: Option<TimeSpan>,
     ) -> Vec<RecordStep> {
-        let left = due.since(now);
-        let until = now + wait.map_or(TimeSpan::ZERO, |most| most.min(left.mul_f64(WAIT_PART)));
-        let waits = until > now;
-        let own = Own {
+        let left = target.since(now);
+        let wait_until = now
+            + wait.map_or(TimeSpan::ZERO, |most| {
+                most.min(left.mul_f64(WAIT_SHARE_OF_TARGET))
+            });
+        let waits = wait_until > now;
+        let requests = OpenRequest {
             key,
-            phase: if waits { Phase::Asking } else { Phase::Gone },
-            until,
-            join_until: now + left.mul_f64(JOIN_PART),
-            claimed: false,
-            place: None,
-            earlier: None,
+            phase: if waits {
+                Phase::Claiming
+            } else {
+                Phase::Released
+            },
+            wait_until,
+            join_until: now + left.mul_f64(JOIN_SHARE_OF_TARGET),
+            is_claimed: false,
+            location: None,
+            earlier_attempt: None,
         };
-        self.own.insert(id, own);
+        self.requests.insert(id, requests);
         if waits {
-            self.timed.insert((until, id));
+            self.deadlines.insert((wait_until, id));
         }
         let mut steps = vec![RecordStep::Claim(id, key)];
         if !waits {
@@ -196,66 +224,79 @@
         steps
     }
 
-    /// The claim stands: no other has this key.
+    /// Handles a successful claim: no other dispatcher has the key.
     pub fn on_claimed(&mut self, id: RequestId) -> Vec<RecordStep> {
-        let Some(own) = self.own.get_mut(&id) else {
+        let Some(requests) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        own.claimed = true;
+        requests.is_claimed = true;
         self.proceed(id)
     }
 
-    /// Whoever had it before has let go of it, and it never ran: nothing binds this access any more.
+    /// Handles the release of the key by the dispatcher that had it. The request never ran there,
+    /// so nothing restricts this one any more.
     pub fn on_released(&mut self, id: RequestId) {
-        if let Some(own) = self.own.get_mut(&id) {
-            own.earlier = None;
+        if let Some(requests) = self.requests.get_mut(&id) {
+            requests.earlier_attempt = None;
         }
     }
 
-    /// Another has it, or had it: told at `now` to a question that went out at `asked`.
+    /// Handles the record of another dispatcher, received at `now` in answer to a question sent at
+    /// `asked_at`.
     pub fn on_found(
         &mut self,
         now: Timestamp,
-        asked: Timestamp,
+        asked_at: Timestamp,
         id: RequestId,
         record: Record,
     ) -> Vec<RecordStep> {
-        let Some(own) = self.own.get_mut(&id) else {
+        let Some(requests) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        // Taken for as old as it can be, so that its window ends here no later than at the hosts.
-        let first_sent = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
+        // Assumed to be as old as possible, so that its window ends here no later than at the
+        // hosts.
+        let first_sent = Timestamp(
+            asked_at
+                .0
+                .saturating_sub((record.age + MAX_CLOCK_DIFFERENCE).0),
+        );
         let location = record.location;
-        own.earlier = Some(PeerAttempt {
+        requests.earlier_attempt = Some(PeerAttempt {
             location,
             first_sent,
         });
-        // An answer from the record is never given to one that has gone to the decisions.
-        if own.phase == Phase::Gone {
+        // A request that was passed on is never answered from the record.
+        if requests.phase == Phase::Released {
             return Vec::new();
         }
         match (record.status, record.body) {
             (RecordStatus::Done, Some(body)) => {
-                own.phase = Phase::Gone;
+                requests.phase = Phase::Released;
                 vec![RecordStep::Decided(id, RecordDecision::Answer(body))]
             }
-            (RecordStatus::Claimed | RecordStatus::Sent, _) if now < own.join_until => {
-                let every = match own.phase {
-                    Phase::Joining { every, .. } => every.mul_f64(2.0).min(JOIN_SLOWEST),
-                    _ => JOIN_EVERY,
+            (RecordStatus::Claimed | RecordStatus::Sent, _) if now < requests.join_until => {
+                let interval = match requests.phase {
+                    Phase::Joining { interval, .. } => interval.mul_f64(2.0).min(MAX_JOIN_INTERVAL),
+                    _ => FIRST_JOIN_INTERVAL,
+                };
+                let ask_again_at = (now + interval).min(requests.join_until);
+                requests.phase = Phase::Joining {
+                    ask_again_at,
+                    interval,
                 };
-                let again = (now + every).min(own.join_until);
-                own.phase = Phase::Joining { again, every };
-                self.timed.insert((again, id));
+                self.deadlines.insert((ask_again_at, id));
                 Vec::new()
             }
             _ => self.proceed(id),
         }
     }
 
-    /// Whoever waits goes on without the store.
+    /// Lets all waiting requests proceed without the store.
     pub fn proceed_all(&mut self) -> Vec<RecordStep> {
-        let waiting = self.own.iter().filter(|(_, own)| own.phase != Phase::Gone);
+        let waiting = self
+            .requests
+            .iter()
+            .filter(|(_, requests)| requests.phase != Phase::Released);
         let waiting: Vec<RequestId> = waiting.map(|(&id, _)| id).collect();
         waiting
             .into_iter()
@@ -263,59 +304,70 @@
             .collect()
     }
 
-    /// One whose question can't be answered goes on without.
+    /// Lets a request proceed whose question can't be answered.
     pub fn proceed(&mut self, id: RequestId) -> Vec<RecordStep> {
-        let waits = |own: &&mut Own| own.phase != Phase::Gone;
-        match self.own.get_mut(&id).filter(waits) {
-            Some(own) => {
-                own.phase = Phase::Gone;
+        let waits = |requests: &&mut OpenRequest| requests.phase != Phase::Released;
+        match self.requests.get_mut(&id).filter(waits) {
+            Some(requests) => {
+                requests.phase = Phase::Released;
                 vec![RecordStep::Decided(id, RecordDecision::Proceed)]
             }
             None => Vec::new(),
         }
     }
 
-    /// A hand-off goes out; `Some`: it is the first, and the store is to know where it went.
-    pub fn on_attempt_sent(&mut self, id: RequestId, place: (ZoneId, CellId)) -> Option<Key> {
-        let own = self.own.get_mut(&id)?;
-        let first = own.place.is_none() && own.earlier.is_none();
-        own.place = own.place.or(Some(place));
-        first.then_some(own.key)
+    /// Handles the sending of an attempt. Returns the key if it is the first one, whose location
+    /// has to be recorded.
+    pub fn on_attempt_sent(&mut self, id: RequestId, location: (ZoneId, CellId)) -> Option<Key> {
+        let requests = self.requests.get_mut(&id)?;
+        let first = requests.location.is_none() && requests.earlier_attempt.is_none();
+        requests.location = requests.location.or(Some(location));
+        first.then_some(requests.key)
     }
 
-    /// It has its final answer. `Some`: the store is to know how it ended; with where it went first.
+    /// Handles the final answer. Returns the key and the location of the first attempt if the
+    /// result has to be recorded.
     pub fn on_request_ended(
         &mut self,
         id: RequestId,
-        came: &Completion,
+        completion: &Completion,
     ) -> Option<(Key, Option<(ZoneId, CellId)>)> {
-        let own = self.own.remove(&id)?;
-        // What another sent first is that one's to end, unless this one found out that it is done.
-        let others = own.earlier.is_some() && !matches!(came, Completion::Done(_));
-        (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.location))))
+        let requests = self.requests.remove(&id)?;
+        // The result of an attempt that another dispatcher sent first is recorded by that one,
+        // unless this one learned that the request is done.
+        let others =
+            requests.earlier_attempt.is_some() && !matches!(completion, Completion::Done(_));
+        (!others).then_some((
+            requests.key,
+            requests
+                .location
+                .or(requests.earlier_attempt.and_then(|e| e.location)),
+        ))
     }
 
+    /// The next time at which [`Records::advance`] has work to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        self.timed.first().map(|&(at, _)| at)
+        self.deadlines.first().map(|&(at, _)| at)
     }
 
-    /// What is due by now.
+    /// Returns the steps that are due by now.
     pub fn advance(&mut self, now: Timestamp) -> Vec<RecordStep> {
         let mut steps = Vec::new();
-        while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
-            self.timed.remove(&(at, id));
-            let Some(own) = self.own.get_mut(&id) else {
+        while let Some(&(at, id)) = self.deadlines.first().filter(|(at, _)| *at <= now) {
+            self.deadlines.remove(&(at, id));
+            let Some(requests) = self.requests.get_mut(&id) else {
                 continue;
             };
-            match own.phase {
-                Phase::Asking if now >= own.until => steps.extend(self.proceed(id)),
-                Phase::Joining { again, .. } if now >= again => {
-                    if now >= own.join_until {
+            match requests.phase {
+                Phase::Claiming if now >= requests.wait_until => steps.extend(self.proceed(id)),
+                Phase::Joining { ask_again_at, .. } if now >= ask_again_at => {
+                    if now >= requests.join_until {
                         steps.extend(self.proceed(id));
                     } else {
-                        steps.push(RecordStep::Claim(id, own.key));
-                        // Without an answer it goes when the time to join is over.
-                        self.timed.insert((own.join_until, id));
+                        steps.push(RecordStep::Claim(id, requests.key));
+                        // Without an answer it proceeds when the time to wait for the other
+                        // dispatcher is over.
+                        self.deadlines.insert((requests.join_until, id));
                     }
                 }
                 _ => {}
--- a/crates/shared-store/src/lib.rs
+++ b/crates/shared-store/src/lib.rs
@@ -1,9 +1,11 @@
-//! State that dispatchers share in a store, and how they go on without it.
+//! State that dispatchers share in a store, and how they work without it.
 //!
-//! [`decide::SharedState`] is the whole of the decisions: what happens goes in with a
-//! [`Timestamp`](trailproxy::units::Timestamp), what is to be done comes out. [`scripts`] puts its operations into the words
-//! of a Redis server and reads the answers. Neither opens a socket nor reads a clock.
+//! [`decide::SharedState`] makes all decisions: events go in with a
+//! [`Timestamp`](trailproxy::units::Timestamp), actions come out. [`scripts`] turns its operations
+//! into scripts of a Redis server and parses the answers. Neither opens a socket nor reads a clock.
 
+/// The operator's section about the store.
 pub mod config;
+/// The decisions.
 pub mod decide;
 pub mod scripts;
--- a/crates/shared-store/src/scripts.rs
+++ b/crates/shared-store/src/scripts.rs
@@ -1,27 +1,34 @@
-//! Operations in the words of a Redis server: scripts, their keys and arguments, and what they answer.
+//! Operations as scripts of a Redis server: their keys, their arguments and their answers.
 //!
-//! Everything that reads and then writes is one script, so that no other dispatcher comes between. Each is told the epoch
-//! that its caller trusts and the time, by the server's clock, after which it must do nothing: what is applied long after
-//! its caller gave it up would be a claim, or an item, that nobody counts on.
+//! Everything that reads and then writes is one script, so that no other dispatcher comes in
+//! between. Each script receives the epoch that its caller trusts and the time, by the server's
+//! clock, after which it must do nothing. What is applied long after its caller gave it up would be
+//! a claim or an entry that nobody counts on.
 
 use crate::decide::announcements::Announcement;
 use crate::decide::ops::{Answer, MailboxId, Op, OpResult};
 use crate::decide::records::{Completion, Key, Record, RecordStatus};
 use trailproxy::units::*;
 
-/// What a server answers, in no version's form.
+/// A value that a server answers, independent of the version of the protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// No value.
     Nil,
+    /// An integer.
     Int(i64),
+    /// A string of bytes.
     Text(Vec<u8>),
+    /// A list of values.
     List(Vec<Value>),
 }
 
-/// A script with a name; the first line of its text names it, too.
+/// A script with its name, which also stands in the first line of its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Script {
+    /// The name.
     pub name: &'static str,
+    /// The text that the server runs.
     pub text: &'static str,
 }
 
@@ -44,6 +51,7 @@
     };
 }
 
+/// Reads the epoch, or starts a new one.
 pub const OPEN: Script = Script {
     name: "open",
     text: "-- trailproxy open 1
@@ -61,6 +69,7 @@
 return {'opened', n, now, e[1], math.max(0, now - tonumber(e[3]))}",
 };
 
+/// Claims an idempotency key.
 pub const CLAIM: Script = guarded!(
     "claim",
     "local r = redis.call('HMGET', KEYS[2], 'token', 'stand', 'zone', 'cell', 'first', 'body')
@@ -74,6 +83,7 @@
 return {'mine', n, now}"
 );
 
+/// Records the location of the first attempt.
 pub const SENT: Script = guarded!(
     "sent",
     "local r = redis.call('HMGET', KEYS[2], 'token', 'first')
@@ -84,6 +94,7 @@
 return {'taken', n, now}"
 );
 
+/// Records how a request ended.
 pub const ENDED: Script = guarded!(
     "ended",
     "local r = redis.call('HMGET', KEYS[2], 'token', 'first', 'stand')
@@ -99,6 +110,7 @@
 return {'taken', n, now}"
 );
 
+/// Posts a message to a mailbox, which keeps the newest 256.
 pub const POST: Script = guarded!(
     "post",
     "redis.call('ZADD', KEYS[2], now, n .. ':' .. ARGV[3] .. ':' .. ARGV[5])
@@ -107,6 +119,7 @@
 return {'taken', n, now}"
 );
 
+/// Reads and empties a mailbox.
 pub const FETCH: Script = guarded!(
     "fetch",
     "local out = {'posted', n, now}
@@ -115,6 +128,7 @@
 return out"
 );
 
+/// Announces an event; the newest 8,192 are kept.
 pub const TELL: Script = guarded!(
     "tell",
     "local at, old = now - tonumber(ARGV[4]), redis.call('ZSCORE', KEYS[2], ARGV[3])
@@ -131,6 +145,7 @@
 return {'taken', n, now}"
 );
 
+/// Reads announcements, at most 256 at once.
 pub const NEWS: Script = guarded!(
     "news",
     "local out = {'news', n, now}
@@ -141,7 +156,7 @@
 return out"
 );
 
-/// Takes the store out of use, and back into it with a new epoch.
+/// Takes the store out of use, or back into use with a new epoch.
 pub const DRAIN: Script = Script {
     name: "drain",
     text: "-- trailproxy drain 1
@@ -150,34 +165,40 @@
 return {'taken', 0, 0}",
 };
 
-/// Every script that a dispatcher needs, so that a store can be asked whether it runs them.
+/// All scripts that a dispatcher needs, so that it can be checked whether a store runs them.
 pub const SCRIPTS: [Script; 8] = [OPEN, CLAIM, SENT, ENDED, POST, FETCH, TELL, NEWS];
 
-/// What goes to a server: a script, its keys and its arguments.
+/// A call of a script: the script, its keys and its arguments.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptRequest {
+    /// The script.
     pub script: Script,
+    /// The keys that the script uses.
     pub keys: Vec<String>,
+    /// The arguments.
     pub args: Vec<Vec<u8>>,
 }
 
-/// Where all of it stands in the store, and under which epoch it is asked.
+/// Where the state is kept in the store, and under which epoch an operation is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScriptContext<'a> {
-    /// Before every key, so that several installations can share a server.
+    /// Prefix of every key, so that several installations can share a server.
     pub prefix: &'a str,
-    /// One history of one server process, as that names itself.
+    /// Identifies one run of one server process, by the server's own name for it.
     pub run: &'a str,
+    /// The epoch that the caller trusts.
     pub epoch: u64,
-    /// By the server's clock, in milliseconds.
+    /// The operation is not applied after this time; by the server's clock, in milliseconds.
     pub not_after_ms: u64,
 }
 
+/// Whole milliseconds, rounded up.
 fn ms(span: TimeSpan) -> u64 {
     span.0.div_ceil(1_000)
 }
 
-fn word_text(word: Announcement) -> String {
+/// The text of an announcement in the store.
+fn announcement_text(word: Announcement) -> String {
     match word {
         Announcement::Purged { object, group } => match object {
             Some(object) => format!("o:{}", object.0),
@@ -187,7 +208,8 @@
     }
 }
 
-fn read_word(text: &str) -> Option<Announcement> {
+/// Parses the text of an announcement; `None` if its kind is unknown.
+fn parse_announcement(text: &str) -> Option<Announcement> {
     let mut parts = text.split(':');
     let kind = parts.next()?;
     let mut number = || parts.next()?.parse::<u64>().ok();
@@ -209,24 +231,24 @@
     Some(word)
 }
 
-/// An operation as a script with its keys and arguments.
-pub fn script_request(op: &Op, under: &ScriptContext) -> ScriptRequest {
-    let key = |rest: String| format!("{}{rest}", under.prefix);
+/// Turns an operation into a call of a script.
+pub fn script_request(op: &Op, context: &ScriptContext) -> ScriptRequest {
+    let key = |rest: String| format!("{}{rest}", context.prefix);
     let mut keys = vec![key("epoch".into())];
     let text = |text: String| text.into_bytes();
     let mut args = vec![
-        text(under.epoch.to_string()),
-        text(under.not_after_ms.to_string()),
+        text(context.epoch.to_string()),
+        text(context.not_after_ms.to_string()),
     ];
-    let record = |of: &Key| key(format!("record:{:032x}", of.0));
-    let place = |place: &(ZoneId, CellId)| (place.0.0.to_string(), place.1.0.to_string());
-    let mailbox = |of: &MailboxId| key(format!("box:{:016x}", of.0));
+    let record_key = |id: &Key| key(format!("record:{:032x}", id.0));
+    let location_text = |at: &(ZoneId, CellId)| (at.0.0.to_string(), at.1.0.to_string());
+    let mailbox_key = |id: &MailboxId| key(format!("box:{:016x}", id.0));
     let script = match op {
         Op::Open { proposal, known } => {
             let (epoch, count) = (known.0.to_string(), known.1.to_string());
             args = vec![
                 text(proposal.to_string()),
-                text(under.run.into()),
+                text(context.run.into()),
                 text(epoch),
                 text(count),
             ];
@@ -235,55 +257,55 @@
         Op::Claim {
             key,
             token,
-            retention: keep,
+            retention,
         } => {
-            keys.push(record(key));
-            args.extend([token.to_string(), ms(*keep).to_string()].map(text));
+            keys.push(record_key(key));
+            args.extend([token.to_string(), ms(*retention).to_string()].map(text));
             CLAIM
         }
         Op::Sent {
             key,
             token,
             location: at,
-            age: ago,
-            retention: keep,
+            age,
+            retention,
         } => {
-            keys.push(record(key));
-            let (zone, cell) = place(at);
-            let words = [
+            keys.push(record_key(key));
+            let (zone, cell) = location_text(at);
+            let fields = [
                 token.to_string(),
-                ms(*keep).to_string(),
+                ms(*retention).to_string(),
                 zone,
                 cell,
-                ms(*ago).to_string(),
+                ms(*age).to_string(),
             ];
-            args.extend(words.map(text));
+            args.extend(fields.map(text));
             SENT
         }
         Op::Ended {
             key,
             token,
-            completion: came,
+            completion,
             location: at,
-            retention: keep,
+            retention,
         } => {
-            keys.push(record(key));
-            let (zone, cell) = at.as_ref().map(place).unwrap_or_default();
-            let (how, body) = match came {
+            keys.push(record_key(key));
+            let (zone, cell) = at.as_ref().map(location_text).unwrap_or_default();
+            let (how, body) = match completion {
                 Completion::Done(body) => ("done", body.clone()),
                 Completion::NeverRan => ("free", None),
                 Completion::Unknown => ("unknown", None),
             };
             let kept = if body.is_some() { "1" } else { "0" };
-            let words = [
+            let fields = [
                 token.to_string(),
-                ms(*keep).to_string(),
+                ms(*retention).to_string(),
                 how.into(),
                 zone,
                 cell,
                 kept.into(),
             ];
-            args.extend(words.map(text));
+            args.extend(fields.map(text));
             args.push(body.unwrap_or_default());
             ENDED
         }
@@ -291,28 +313,28 @@
             to,
             from,
             bytes,
-            retention: keep,
+            retention,
         } => {
-            keys.push(mailbox(to));
-            args.extend([from.0.to_string(), ms(*keep).to_string()].map(text));
+            keys.push(mailbox_key(to));
+            args.extend([from.0.to_string(), ms(*retention).to_string()].map(text));
             args.push(bytes.clone());
             POST
         }
-        Op::Fetch { mailbox: own } => {
-            keys.push(mailbox(own));
+        Op::Fetch { mailbox } => {
+            keys.push(mailbox_key(mailbox));
             FETCH
         }
         Op::Announce {
-            announcement: word,
-            age: ago,
-            merge_within: same,
-            retention: keep,
+            announcement,
+            age,
+            merge_within,
+            retention,
         } => {
             keys.extend([key("news".into()), key("told".into())]);
-            args.push(text(word_text(*word)));
-            // Rounded so that it seems to have happened later, not earlier.
-            let spans = [ago.0 / 1_000, ms(*same), ms(*keep)];
-            args.extend(spans.map(|span| text(span.to_string())));
+            args.push(text(announcement_text(*announcement)));
+            // Rounded so that the event seems to have happened later, not earlier.
+            let millis = [age.0 / 1_000, ms(*merge_within), ms(*retention)];
+            args.extend(millis.map(|span| text(span.to_string())));
             TELL
         }
         Op::ReadAnnouncements { after } => {
@@ -325,6 +347,7 @@
 }
 
 impl Value {
+    /// The value as a number that is not negative.
     fn number(&self) -> Option<u64> {
         match self {
             Value::Int(n) => u64::try_from(*n).ok(),
@@ -333,6 +356,7 @@
         }
     }
 
+    /// The value as text.
     fn text(&self) -> Option<&str> {
         match self {
             Value::Text(text) => std::str::from_utf8(text).ok(),
@@ -341,7 +365,7 @@
     }
 }
 
-/// Reads an answer; `None`: it is none of a script's.
+/// Parses the answer of a script; `None` if no script answers so.
 pub fn parse_reply(value: &Value) -> Option<OpResult> {
     let Value::List(parts) = value else {
         return None;
@@ -378,7 +402,7 @@
             })
         }
         ("posted", words) => {
-            // Which operation it was, from whom, and the bytes: what does not read so is passed over.
+            // Operation number, sender and bytes. Anything else is skipped.
             let word = |word: &Value| {
                 let Value::Text(word) = word else {
                     return None;
@@ -391,8 +415,9 @@
             Answer::Posted(words.iter().filter_map(word).collect())
         }
         ("news", words) if words.len() % 2 == 0 => {
-            let word = |word: &[Value]| Some((read_word(word[0].text()?)?, span(&word[1])?));
-            // A word of a newer version is passed over.
+            let word =
+                |word: &[Value]| Some((parse_announcement(word[0].text()?)?, span(&word[1])?));
+            // An announcement that only a newer version knows is skipped.
             Answer::Announcements(words.chunks_exact(2).filter_map(word).collect())
         }
         ("taken", []) => Answer::Applied,
