--- a/crates/budgets/src/config.rs
+++ b/crates/budgets/src/config.rs
@@ -1,31 +1,32 @@
-//! What the operator's file says of budgets, as the reader of the script hands it on.
+//! The operator's section about budgets, as the reader of the configuration file passes it on.
 
 use crate::decide::Division;
 use serde::{Deserialize, Serialize};
 use trailproxy::units::TimeSpan;
 
-/// The section `budgets`, checked in its types and ranges by whoever read the script.
+/// The section `budgets`. Its types and ranges were checked by the reader of the file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BudgetsConfig {
+    /// The file that holds the section.
     pub file: String,
     /// Line and column of the section, from 1.
     #[serde(rename = "place")]
     pub position: (usize, usize),
-    /// Names of the dispatchers that give their words: the same with all, in the same order.
+    /// Names of the dispatchers that are voters: the same in the same order in all dispatchers.
     pub voters: Vec<String>,
-    /// The part of the whole that all floors together have.
+    /// Share of the total that all floors together have.
     pub floors: f64,
-    /// How long a word lasts with its holder.
+    /// How long a lease lasts at its holder, in seconds.
     pub lasts_s: f64,
-    /// Whether the work for hosts that have just started is divided as well.
+    /// Whether the work for cold hosts is divided as well.
     pub cold: bool,
 }
 
-/// Voters at most: each is asked by all.
+/// Limit of voters; every dispatcher sends requests to each.
 pub const MAX_VOTERS: usize = 9;
 
 impl BudgetsConfig {
-    /// The message of a field that does not fit.
+    /// The error message for a field with an unacceptable value.
     pub fn field_error(&self, field: &str, found: &str, accepted: &str) -> String {
         let (line, column) = self.position;
         format!(
@@ -34,6 +35,7 @@
         )
     }
 
+    /// Checks the voters: an odd number of different names, up to `MAX_VOTERS`.
     pub fn check(&self) -> Result<(), String> {
         let mut names = self.voters.clone();
         names.sort();
@@ -47,9 +49,9 @@
         Ok(())
     }
 
-    /// How a budget is divided among so many seats.
+    /// How a budget is divided among this many dispatchers.
     pub fn division(&self, seats: u32) -> Division {
-        // Enough that a part can be told from a little more, and few enough for one letter.
+        // Enough tickets to tell parts apart that differ a little, and few enough for one message.
         let tickets = (seats * 16).clamp(64, 1_024) as u16;
         Division {
             dispatchers: seats.max(1),
--- a/crates/budgets/src/decide/follower.rs
+++ b/crates/budgets/src/decide/follower.rs
@@ -1,4 +1,4 @@
-//! Who follows the parts of one dispatcher's budgets, and what each needs of its whole.
+//! Connects the budgets of one dispatcher with what uses them: crossing limits and slow start.
 
 use super::shares::{Action, BudgetMessage, BudgetShares, NamedBudget};
 use super::traffic::Traffic;
@@ -9,96 +9,106 @@
 use trailproxy::units::*;
 use trailproxy_zones::Zones;
 
-/// What is wanted is reckoned so often.
-const LOOK: TimeSpan = TimeSpan::from_millis(50);
+/// How often the needs are calculated.
+const NEED_INTERVAL: TimeSpan = TimeSpan::from_millis(50);
 
-/// Who follows a budget's part.
-enum Follower {
+/// What uses the part of a budget.
+enum BudgetUser {
+    /// The crossing limit of this name.
     Crossing(String),
+    /// Slow start of cold caches.
     ColdCaches,
+    /// Slow start of cold parents.
     ColdParents,
 }
 
-/// One dispatcher's budgets with who follows them.
+/// The budgets of one dispatcher with what uses them.
 pub struct BudgetFollower {
+    /// The configuration that the budgets come from.
     pub config: BudgetsConfig,
     member: (HolderId, BootId),
     shares: BudgetShares,
-    followers: BTreeMap<BudgetId, Follower>,
+    users: BTreeMap<BudgetId, BudgetUser>,
     zone: ZoneId,
-    /// Dispatchers of the own zone, and of all.
-    seats: (u32, u32),
+    /// Number of dispatchers in the own zone, and of all.
+    dispatchers: (u32, u32),
     traffic: Traffic,
-    look_at: Timestamp,
+    next_look_at: Timestamp,
     messages: Vec<(HolderId, BudgetMessage)>,
     mismatches: Vec<Mismatch>,
-    /// Among how many work for cold caches and parents is divided, where that is another than was told.
-    cold: (Option<f64>, Option<f64>),
-    cold_told: bool,
+    /// Among how many dispatchers the work for cold caches and for cold parents is divided, where
+    /// that differs from the configured number.
+    slow_start_shares: (Option<f64>, Option<f64>),
+    slow_start_shares_reported: bool,
 }
 
-/// Another dispatcher's file has another whole or division for a budget.
+/// The file of another dispatcher has another total or division for a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Mismatch {
+    /// Name of the budget.
     pub name: String,
+    /// Total in the own file.
     pub own: f64,
+    /// Total in the other file.
     pub other: f64,
 }
 
 impl BudgetFollower {
+    /// Starts without budgets.
     pub fn new(
         now: Timestamp,
-        sheet: BudgetsConfig,
-        own: (HolderId, BootId),
-        terms: &DispatcherSettings,
+        config: BudgetsConfig,
+        member: (HolderId, BootId),
+        settings: &DispatcherSettings,
         seed: u64,
     ) -> BudgetFollower {
-        let voters = sheet.voters.iter();
+        let voters = config.voters.iter();
         let voters = voters.map(|name| HolderId::of_name(name)).collect();
-        let seats = terms
+        let dispatchers = settings
             .dispatchers_by_zone
-            .get(usize::from(terms.zone.0))
+            .get(usize::from(settings.zone.0))
             .copied();
         BudgetFollower {
-            member: own,
-            shares: BudgetShares::new(own.0, own.1, voters, seed),
-            config: sheet,
-            followers: BTreeMap::new(),
-            zone: terms.zone,
-            seats: (
-                seats.unwrap_or(terms.dispatchers).max(1),
-                terms.dispatchers.max(1),
+            member,
+            shares: BudgetShares::new(member.0, member.1, voters, seed),
+            config,
+            users: BTreeMap::new(),
+            zone: settings.zone,
+            dispatchers: (
+                dispatchers.unwrap_or(settings.dispatchers).max(1),
+                settings.dispatchers.max(1),
             ),
             traffic: Traffic::default(),
-            look_at: now,
+            next_look_at: now,
             messages: Vec::new(),
             mismatches: Vec::new(),
-            cold: (None, None),
-            cold_told: true,
+            slow_start_shares: (None, None),
+            slow_start_shares_reported: true,
         }
     }
 
+    /// The dispatcher and the process that this belongs to.
     pub fn member(&self) -> (HolderId, BootId) {
         self.member
     }
 
-    /// Whether it is of this section and this member.
-    pub fn matches(&self, sheet: &BudgetsConfig, own: (HolderId, BootId)) -> bool {
-        self.config == *sheet && self.member == own
+    /// Whether it was made for this configuration and this process.
+    pub fn matches(&self, config: &BudgetsConfig, member: (HolderId, BootId)) -> bool {
+        self.config == *config && self.member == member
     }
 
-    /// The budgets that there are now.
+    /// Sets the budgets for the present crossing limits and for slow start.
     pub fn update_budgets(&mut self, now: Timestamp, zones: Option<&Zones>) {
-        let (own, all) = self.seats;
+        let (in_zone, all) = self.dispatchers;
         let zone = self.zone.0;
-        let mut named = Vec::new();
-        self.followers.clear();
-        let mut add = |name: String, whole: f64, seats: u32, follower: Follower| {
-            let division = self.config.division(seats);
-            self.followers.insert(BudgetId::of_name(&name), follower);
-            named.push(NamedBudget {
+        let mut budgets = Vec::new();
+        self.users.clear();
+        let mut add = |name: String, total: f64, dispatchers: u32, user: BudgetUser| {
+            let division = self.config.division(dispatchers);
+            self.users.insert(BudgetId::of_name(&name), user);
+            budgets.push(NamedBudget {
                 name,
-                total: whole,
+                total,
                 division,
             });
         };
@@ -107,81 +117,89 @@
             add(
                 name,
                 limit.kb_per_s,
-                own,
-                Follower::Crossing(limit.name.clone()),
+                in_zone,
+                BudgetUser::Crossing(limit.name.clone()),
             );
         }
         if self.config.cold {
             add(
                 format!("{zone}/cold caches"),
                 1.0,
-                own,
-                Follower::ColdCaches,
+                in_zone,
+                BudgetUser::ColdCaches,
             );
-            add("cold parents".into(), 1.0, all, Follower::ColdParents);
+            add("cold parents".into(), 1.0, all, BudgetUser::ColdParents);
         }
-        self.shares.set_budgets(now, named);
+        self.shares.set_budgets(now, budgets);
     }
 
-    pub fn on_message(&mut self, now: Timestamp, from: HolderId, note: BudgetMessage) {
-        self.shares.on_message(now, from, note);
+    /// Handles a message from another dispatcher.
+    pub fn on_message(&mut self, now: Timestamp, from: HolderId, message: BudgetMessage) {
+        self.shares.on_message(now, from, message);
     }
 
-    /// Every event, before the decisions take it.
+    /// Handles every event before the decisions do.
     pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         if let Event::Arrived(_) = event {
             self.traffic.on_arrival(now);
         }
     }
 
+    /// When something is due.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.shares.next_deadline()
     }
 
+    /// Calculates the needs when that is due, sends requests and applies changed parts.
     pub fn advance(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
-        if now >= self.look_at {
-            self.look_at = now + LOOK;
+        if now >= self.next_look_at {
+            self.next_look_at = now + NEED_INTERVAL;
             let weight = self.traffic.weight(now);
-            for (&id, follower) in &self.followers {
-                match follower {
-                    Follower::Crossing(name) => {
+            for (&id, user) in &self.users {
+                match user {
+                    BudgetUser::Crossing(name) => {
                         let need = zones.as_ref().map(|zones| zones.need(now, name));
                         let (all, first) = need.unwrap_or_default();
                         self.shares.set_need(now, id, all, first);
                     }
-                    Follower::ColdCaches | Follower::ColdParents => {
+                    BudgetUser::ColdCaches | BudgetUser::ColdParents => {
                         self.shares.set_weight(id, weight)
                     }
                 }
             }
         }
-        // Asked for with every event: nothing is reckoned anew before it is due.
+        // Called with every event: nothing is calculated again before it is due.
         if self.shares.next_deadline().is_some_and(|at| at <= now) {
             self.shares.advance(now);
         }
-        self.act(now, zones);
+        self.apply_actions(now, zones);
     }
 
-    /// It ends in order.
+    /// Releases all tickets when the dispatcher stops in an orderly way.
     pub fn leave(&mut self, now: Timestamp) {
         self.shares.leave(now);
-        self.act(now, &mut None);
+        self.apply_actions(now, &mut None);
     }
 
-    fn act(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
-        let before = self.cold;
-        let among = |part: f64| Some(1.0 / part.max(1e-9));
-        for act in self.shares.take_actions() {
-            match act {
-                Action::Send(to, note) => self.messages.push((to, note)),
-                Action::PartChanged(id, part) => match self.followers.get(&id) {
-                    Some(Follower::Crossing(name)) => {
+    /// Carries out the actions of the budgets.
+    fn apply_actions(&mut self, now: Timestamp, zones: &mut Option<Zones>) {
+        let before = self.slow_start_shares;
+        let dispatchers_for = |part: f64| Some(1.0 / part.max(1e-9));
+        for apply_actions in self.shares.take_actions() {
+            match apply_actions {
+                Action::Send(to, message) => self.messages.push((to, message)),
+                Action::PartChanged(id, part) => match self.users.get(&id) {
+                    Some(BudgetUser::Crossing(name)) => {
                         zones
                             .iter_mut()
                             .for_each(|zones| zones.set_part(now, name, Some(part)));
                     }
-                    Some(Follower::ColdCaches) => self.cold.0 = among(part.fraction),
-                    Some(Follower::ColdParents) => self.cold.1 = among(part.fraction),
+                    Some(BudgetUser::ColdCaches) => {
+                        self.slow_start_shares.0 = dispatchers_for(part.fraction)
+                    }
+                    Some(BudgetUser::ColdParents) => {
+                        self.slow_start_shares.1 = dispatchers_for(part.fraction)
+                    }
                     None => {}
                 },
                 Action::Mismatch { name, own, other } => {
@@ -189,29 +207,32 @@
                 }
             }
         }
-        self.cold_told &= self.cold == before;
+        self.slow_start_shares_reported &= self.slow_start_shares == before;
     }
 
-    /// The decisions have forgotten it.
+    /// Has the slow-start shares reported again, because the decisions have lost them.
     pub fn resend_slow_start_shares(&mut self) {
-        self.cold_told = false;
+        self.slow_start_shares_reported = false;
     }
 
-    /// Files that differ, each told once while it lasts.
+    /// Takes the mismatches with other files; each is reported once while it lasts.
     pub fn take_mismatches(&mut self) -> Vec<Mismatch> {
         std::mem::take(&mut self.mismatches)
     }
 
-    /// Words to go out.
+    /// Takes the messages to be sent.
     pub fn take_messages(&mut self) -> Vec<(HolderId, BudgetMessage)> {
         std::mem::take(&mut self.messages)
     }
 
-    /// Among how many work for cold caches and parents is divided now; `None`: as before.
+    /// Among how many dispatchers the work for cold caches and for cold parents is divided; `None`
+    /// if that has not changed.
     pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
-        (!std::mem::replace(&mut self.cold_told, true)).then_some(self.cold)
+        (!std::mem::replace(&mut self.slow_start_shares_reported, true))
+            .then_some(self.slow_start_shares)
     }
 
+    /// One line for each budget, for an operator.
     pub fn show(&self, now: Timestamp) -> String {
         self.shares.show(now)
     }
--- a/crates/budgets/src/decide/holder.rs
+++ b/crates/budgets/src/decide/holder.rs
@@ -1,167 +1,189 @@
-//! What one dispatcher may use of a budget, and what it asks for.
+//! The side of one dispatcher that requests leases for a budget: what it may use and what it
+//! requests.
 
 use super::{BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId, VoterId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// How often voters are asked, spread by a quarter: several times in the life of a word.
-const EVERY: TimeSpan = TimeSpan::from_millis(400);
-/// After so long already where it lacks something.
-/// Need is kept by steps of this.
-const STEP: TimeSpan = TimeSpan::from_millis(250);
-const SOONEST: TimeSpan = TimeSpan::from_millis(100);
-/// It asks for this much more than it used lately, and gives back only what it had no need of for as long.
-const AHEAD: f64 = 1.25;
-const KEEPS_FOR: TimeSpan = TimeSpan::from_secs(3);
-/// Less than this part of what it has is needed before it gives any back.
-const SLACK: f64 = 0.7;
-/// Further tickets asked for at once.
-const MOST_WANTED: usize = 128;
+/// Interval between requests to the voters, spread by a quarter: several within one lease.
+const REQUEST_INTERVAL: TimeSpan = TimeSpan::from_millis(400);
+/// Time span over which one maximum of the need is kept.
+const NEED_WINDOW: TimeSpan = TimeSpan::from_millis(250);
+/// Shortest interval between requests when the holder lacks tickets.
+const MIN_REQUEST_INTERVAL: TimeSpan = TimeSpan::from_millis(100);
+/// The holder requests this many times what it recently needed.
+const RESERVE_FACTOR: f64 = 1.25;
+/// It gives back only tickets that it did not need for this long.
+const NEED_RETENTION: TimeSpan = TimeSpan::from_secs(3);
+/// It gives tickets back only when it needs less than this share of those it holds.
+const RELEASE_BELOW: f64 = 0.7;
+/// Limit of further tickets in one request.
+const MAX_TICKETS_REQUESTED: usize = 128;
 
-/// A ticket, with the voters' words for it and until when each is good here.
-type Words = BTreeMap<VoterId, Timestamp>;
+/// The leases of one ticket: the voters that granted it, and until when each lease is valid here.
+type Leases = BTreeMap<VoterId, Timestamp>;
 
+/// What one dispatcher holds of one budget.
 #[derive(Clone, Debug)]
 pub struct LeaseHolder {
     division: Division,
     id: HolderId,
-    life: BootId,
-    words: BTreeMap<TicketId, Words>,
-    /// When each question went out, by voter: a word counts from then.
-    asked: BTreeMap<(VoterId, RequestNo), Timestamp>,
+    boot: BootId,
+    leases: BTreeMap<TicketId, Leases>,
+    /// When each request was sent, by voter. A lease counts from then.
+    requests_sent: BTreeMap<(VoterId, RequestNo), Timestamp>,
+    /// Tickets that voters reported as free, with those voters.
     free: BTreeMap<TicketId, BTreeSet<VoterId>>,
-    /// Given back with this question: what was asked before it says nothing of the ticket any more.
-    dropped: BTreeMap<TicketId, RequestNo>,
-    fair: BTreeMap<VoterId, u16>,
+    /// Tickets that were given back, with the request that said so. Answers to earlier requests say
+    /// nothing about them any more.
+    released: BTreeMap<TicketId, RequestNo>,
+    /// The holder's fair number of tickets, by voter.
+    fair_shares: BTreeMap<VoterId, u16>,
     /// When each voter last answered.
-    heard: BTreeMap<VoterId, Timestamp>,
-    ask_at: Timestamp,
-    next: u64,
-    /// The most that it needed lately, and of that what goes first, by steps.
-    lately: VecDeque<(Timestamp, f64, f64)>,
+    last_answer_at: BTreeMap<VoterId, Timestamp>,
+    next_request_at: Timestamp,
+    last_request_no: u64,
+    /// The highest needs in recent time spans: in all, and of what has priority.
+    recent_needs: VecDeque<(Timestamp, f64, f64)>,
     weight: u32,
-    asked_at: Timestamp,
-    chance: fastrand::Rng,
+    last_request_at: Timestamp,
+    rng: fastrand::Rng,
 }
 
 impl LeaseHolder {
+    /// Starts without tickets.
     pub fn new(
         now: Timestamp,
         division: Division,
         id: HolderId,
-        life: BootId,
+        boot: BootId,
         seed: u64,
     ) -> LeaseHolder {
         LeaseHolder {
             division,
             id,
-            life,
-            words: BTreeMap::new(),
-            asked: BTreeMap::new(),
+            boot,
+            leases: BTreeMap::new(),
+            requests_sent: BTreeMap::new(),
             free: BTreeMap::new(),
-            dropped: BTreeMap::new(),
-            fair: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            ask_at: now,
-            next: 0,
-            lately: VecDeque::new(),
+            released: BTreeMap::new(),
+            fair_shares: BTreeMap::new(),
+            last_answer_at: BTreeMap::new(),
+            next_request_at: now,
+            last_request_no: 0,
+            recent_needs: VecDeque::new(),
             weight: 0,
-            asked_at: now,
-            chance: fastrand::Rng::with_seed(seed),
+            last_request_at: now,
+            rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// What it could use of the whole now, and how much of that for what goes first. It counts for a while: where a few
-    /// accesses a second come, need that followed each of them would have parts move to and fro, and lie idle as they move.
-    /// Where it is much more than it has, it does not wait for its next round.
-    pub fn set_need(&mut self, now: Timestamp, part: f64, first: f64) {
+    /// Sets the fraction of the total that could be used now, and how much of that has priority. A
+    /// need counts for a while: with a few requests a second, a need that followed each of them
+    /// would make tickets move back and forth and lie unused while they move. Where the need is
+    /// much higher than what is held, the next request is sent earlier.
+    pub fn set_need(&mut self, now: Timestamp, fraction: f64, priority_need: f64) {
         while self
-            .lately
+            .recent_needs
             .front()
-            .is_some_and(|(at, ..)| now.since(*at) >= KEEPS_FOR)
+            .is_some_and(|(at, ..)| now.since(*at) >= NEED_RETENTION)
         {
-            self.lately.pop_front();
+            self.recent_needs.pop_front();
         }
-        match self.lately.back_mut() {
-            Some((at, need, most)) if now.since(*at) < STEP => {
-                (*need, *most) = (need.max(part), most.max(first));
+        match self.recent_needs.back_mut() {
+            Some((at, need, priority)) if now.since(*at) < NEED_WINDOW => {
+                (*need, *priority) = (need.max(fraction), priority.max(priority_need));
             }
-            _ => self.lately.push_back((now, part, first)),
+            _ => self.recent_needs.push_back((now, fraction, priority_need)),
         }
         if self.need() > self.fraction(now) + self.division.ticket() {
-            self.ask_at = self.ask_at.min(self.asked_at + SOONEST);
+            self.next_request_at = self
+                .next_request_at
+                .min(self.last_request_at + MIN_REQUEST_INTERVAL);
         }
     }
 
-    fn first(&self) -> f64 {
-        self.lately.iter().map(|of| of.2).fold(0.0, f64::max)
+    /// The highest recent need of what has priority.
+    fn priority_need(&self) -> f64 {
+        self.recent_needs
+            .iter()
+            .map(|(_, _, priority)| *priority)
+            .fold(0.0, f64::max)
     }
 
-    /// All of it is wanted, by whoever it is divided among, each by its weight.
+    /// Requests the whole budget, which is divided among all holders by weight.
     pub fn set_weight(&mut self, weight: u32) {
-        self.lately = VecDeque::from([(Timestamp(u64::MAX), 1.0, 0.0)]);
+        self.recent_needs = VecDeque::from([(Timestamp(u64::MAX), 1.0, 0.0)]);
         self.weight = weight.max(1);
     }
 
-    /// What it needed lately.
+    /// The highest recent need.
     pub fn need(&self) -> f64 {
-        self.lately.iter().map(|of| of.1).fold(0.0, f64::max)
+        self.recent_needs
+            .iter()
+            .map(|(_, need, _)| *need)
+            .fold(0.0, f64::max)
     }
 
-    /// So many tickets are its part, as half of the voters or more have it.
+    /// The holder's fair number of tickets, as at least half of the voters report it.
     pub fn fair_share(&self) -> u16 {
-        let mut fair: Vec<u16> = self.fair.values().copied().collect();
-        fair.sort_unstable();
-        fair.get(fair.len() / 2).copied().unwrap_or(0)
+        let mut fair_shares: Vec<u16> = self.fair_shares.values().copied().collect();
+        fair_shares.sort_unstable();
+        fair_shares.get(fair_shares.len() / 2).copied().unwrap_or(0)
     }
 
-    /// Voters that answered lately.
+    /// Number of voters that answered recently.
     pub fn responding_voters(&self, now: Timestamp) -> usize {
-        let lately = |at: &&Timestamp| now.since(**at) < self.division.lease_duration;
-        self.heard.values().filter(lately).count()
+        let is_recent = |at: &&Timestamp| now.since(**at) < self.division.lease_duration;
+        self.last_answer_at.values().filter(is_recent).count()
     }
 
-    /// Until when the present part holds, if no further word comes; `None`: it is the floor, for ever.
+    /// Until when the present fraction is valid if no further lease is granted; `None`: it is the
+    /// floor, which does not expire.
     pub fn valid_until(&self, now: Timestamp) -> Option<Timestamp> {
         let majority = self.division.majority();
-        let held = self.words.values().filter(|words| self.holds(now, words));
-        let ends = held.filter_map(|words| {
-            let mut untils: Vec<Timestamp> = words.values().copied().collect();
-            untils.sort_unstable_by(|a, b| b.cmp(a));
-            untils.get(majority - 1).copied()
+        let held = self
+            .leases
+            .values()
+            .filter(|leases| self.is_usable(now, leases));
+        let ends = held.filter_map(|leases| {
+            let mut expiries: Vec<Timestamp> = leases.values().copied().collect();
+            expiries.sort_unstable_by(|a, b| b.cmp(a));
+            expiries.get(majority - 1).copied()
         });
         ends.min()
     }
 
-    /// Whether more than half of the voters' words for it are good.
-    fn holds(&self, now: Timestamp, words: &Words) -> bool {
-        words.values().filter(|&&until| now < until).count() >= self.division.majority()
+    /// Whether more than half of the voters have granted leases that are valid.
+    fn is_usable(&self, now: Timestamp, leases: &Leases) -> bool {
+        leases.values().filter(|&&until| now < until).count() >= self.division.majority()
     }
 
     /// Tickets that may be used now.
     pub fn tickets(&self, now: Timestamp) -> impl Iterator<Item = TicketId> {
         let held = self
-            .words
+            .leases
             .iter()
-            .filter(move |(_, words)| self.holds(now, words));
+            .filter(move |(_, leases)| self.is_usable(now, leases));
         held.map(|(&ticket, _)| ticket)
     }
 
-    /// The part of the whole that may be used now: its floor, and its tickets.
+    /// The fraction of the total that may be used now: the floor and the tickets.
     pub fn fraction(&self, now: Timestamp) -> f64 {
         self.division.floor() + self.tickets(now).count() as f64 * self.division.ticket()
     }
 
+    /// When the next requests are due.
     pub fn next_deadline(&self) -> Timestamp {
-        self.ask_at
+        self.next_request_at
     }
 
-    /// What is kept in mind, for a check that it stays bounded.
+    /// Number of remembered entries, for checks that it stays bounded.
     pub fn tracked_count(&self) -> usize {
-        self.words.len() + self.asked.len() + self.free.len() + self.dropped.len()
+        self.leases.len() + self.requests_sent.len() + self.free.len() + self.released.len()
     }
 
-    /// Tickets for so much beside the floor, to the nearest; of anything at all, one.
+    /// Number of tickets for a need beyond the floor, rounded; at least one for any need beyond it.
     fn tickets_for(&self, need: f64) -> u16 {
         let beyond = (need - self.division.floor()).max(0.0) / self.division.ticket();
         let tickets = if beyond > 0.0 {
@@ -172,156 +194,162 @@
         tickets.min(f64::from(self.division.tickets)) as u16
     }
 
-    /// What is due by now: a question for each voter.
+    /// Returns the requests that are due: one for each voter.
     pub fn advance(&mut self, now: Timestamp) -> Vec<(VoterId, LeaseRequest)> {
-        if now < self.ask_at {
+        if now < self.next_request_at {
             return Vec::new();
         }
-        self.asked_at = now;
-        self.ask_at = now + EVERY.mul_f64(0.75 + 0.5 * self.chance.f64());
-        for words in self.words.values_mut() {
-            words.retain(|_, until| now < *until);
+        self.last_request_at = now;
+        self.next_request_at = now + REQUEST_INTERVAL.mul_f64(0.75 + 0.5 * self.rng.f64());
+        for leases in self.leases.values_mut() {
+            leases.retain(|_, until| now < *until);
         }
-        self.words.retain(|_, words| !words.is_empty());
-        let lasts = self.division.holder_lease();
-        self.asked.retain(|_, at| now.since(*at) < lasts);
-        let wanted = self.tickets_for(self.need() * AHEAD);
-        let give = self.gives(now, wanted);
-        for ticket in &give {
-            self.words.remove(ticket);
+        self.leases.retain(|_, leases| !leases.is_empty());
+        let lease = self.division.holder_lease();
+        self.requests_sent.retain(|_, at| now.since(*at) < lease);
+        let wanted = self.tickets_for(self.need() * RESERVE_FACTOR);
+        let to_release = self.choose_releases(now, wanted);
+        for ticket in &to_release {
+            self.leases.remove(ticket);
         }
-        let renew: Vec<TicketId> = self.words.keys().copied().collect();
-        let lacks = usize::from(wanted).saturating_sub(renew.len());
-        let want = self.picks(lacks.min(MOST_WANTED));
+        let renew: Vec<TicketId> = self.leases.keys().copied().collect();
+        let missing = usize::from(wanted).saturating_sub(renew.len());
+        let to_acquire = self.choose_free(missing.min(MAX_TICKETS_REQUESTED));
         self.free.clear();
-        self.next += 1;
-        let no = RequestNo(self.next);
-        let oldest = self.asked.keys().map(|&(_, no)| no).min();
-        self.dropped
-            .retain(|_, dropped| oldest.is_some_and(|oldest| oldest < *dropped));
-        self.dropped.extend(give.iter().map(|&ticket| (ticket, no)));
-        let ask = LeaseRequest {
+        self.last_request_no += 1;
+        let no = RequestNo(self.last_request_no);
+        let oldest = self.requests_sent.keys().map(|&(_, no)| no).min();
+        self.released
+            .retain(|_, released| oldest.is_some_and(|oldest| oldest < *released));
+        self.released
+            .extend(to_release.iter().map(|&ticket| (ticket, no)));
+        let request = LeaseRequest {
             no,
             holder: self.id,
-            boot: self.life,
+            boot: self.boot,
             renew,
-            acquire: want,
-            release: give,
+            acquire: to_acquire,
+            release: to_release,
             need: self.tickets_for(self.need()),
-            priority_need: self.tickets_for(self.first()),
+            priority_need: self.tickets_for(self.priority_need()),
             need_with_reserve: wanted,
             weight: self.weight,
         };
         let voters = (0..self.division.voters).map(VoterId);
-        let asks: Vec<_> = voters.map(|voter| (voter, ask.clone())).collect();
-        for (voter, _) in &asks {
-            self.asked.insert((*voter, no), now);
+        let requests: Vec<_> = voters.map(|voter| (voter, request.clone())).collect();
+        for (voter, _) in &requests {
+            self.requests_sent.insert((*voter, no), now);
         }
-        asks
+        requests
     }
 
-    /// It ends in order: all that it holds is given back.
+    /// Releases all tickets when the dispatcher stops in an orderly way.
     pub fn leave(&mut self, now: Timestamp) -> Vec<(VoterId, LeaseRequest)> {
-        self.lately.clear();
-        let give: Vec<TicketId> = std::mem::take(&mut self.words).into_keys().collect();
-        self.next += 1;
-        let ask = LeaseRequest {
-            no: RequestNo(self.next),
+        self.recent_needs.clear();
+        let to_release: Vec<TicketId> = std::mem::take(&mut self.leases).into_keys().collect();
+        self.last_request_no += 1;
+        let request = LeaseRequest {
+            no: RequestNo(self.last_request_no),
             holder: self.id,
-            boot: self.life,
+            boot: self.boot,
             renew: Vec::new(),
             acquire: Vec::new(),
-            release: give,
+            release: to_release,
             need: 0,
             priority_need: 0,
             need_with_reserve: 0,
             weight: 0,
         };
-        self.asked.clear();
-        self.ask_at = now + EVERY;
+        self.requests_sent.clear();
+        self.next_request_at = now + REQUEST_INTERVAL;
         (0..self.division.voters)
-            .map(|voter| (VoterId(voter), ask.clone()))
+            .map(|voter| (VoterId(voter), request.clone()))
             .collect()
     }
 
-    /// What is given back: at once what is beyond its part while others want, and after a while what it has no need of.
-    fn gives(&mut self, now: Timestamp, wanted: u16) -> Vec<TicketId> {
-        // Of a ticket that others have as many words for, one of them has to let go.
-        let split = self
-            .words
+    /// Chooses the tickets to give back: at once those beyond the fair number while others want
+    /// them, and after a while those that are not needed.
+    fn choose_releases(&mut self, now: Timestamp, wanted: u16) -> Vec<TicketId> {
+        // When others hold as many leases for a ticket, one of the holders has to release it.
+        let contested = self
+            .leases
             .iter()
-            .filter(|(_, words)| !self.holds(now, words));
-        let split: Vec<TicketId> = split.map(|(&ticket, _)| ticket).collect();
-        let split: BTreeSet<TicketId> = split.into_iter().filter(|_| self.chance.bool()).collect();
-        let have = self
-            .words
+            .filter(|(_, leases)| !self.is_usable(now, leases));
+        let contested: Vec<TicketId> = contested.map(|(&ticket, _)| ticket).collect();
+        let contested: BTreeSet<TicketId> =
+            contested.into_iter().filter(|_| self.rng.bool()).collect();
+        let held = self
+            .leases
             .keys()
             .copied()
-            .filter(|ticket| !split.contains(ticket));
-        let have: Vec<TicketId> = have.collect();
-        let little = f64::from(wanted) < have.len() as f64 * SLACK;
-        let mut keep = if little {
+            .filter(|ticket| !contested.contains(ticket));
+        let held: Vec<TicketId> = held.collect();
+        let needs_little = f64::from(wanted) < held.len() as f64 * RELEASE_BELOW;
+        let mut keep_count = if needs_little {
             usize::from(wanted)
         } else {
-            have.len()
+            held.len()
         };
-        if !self.fair.is_empty() {
-            keep = keep.min(usize::from(self.fair_share().max(u16::from(wanted > 0))));
+        if !self.fair_shares.is_empty() {
+            keep_count = keep_count.min(usize::from(self.fair_share().max(u16::from(wanted > 0))));
         }
-        // Of what only some have given their word for, it lets go first.
-        let mut have: Vec<(usize, TicketId)> = have
+        // Tickets that only some voters granted are released first.
+        let mut held: Vec<(usize, TicketId)> = held
             .into_iter()
-            .map(|ticket| (self.words[&ticket].len(), ticket))
+            .map(|ticket| (self.leases[&ticket].len(), ticket))
             .collect();
-        have.sort_unstable_by(|a, b| b.cmp(a));
-        let beyond = have.into_iter().skip(keep).map(|(_, ticket)| ticket);
-        beyond.chain(split).collect()
+        held.sort_unstable_by(|a, b| b.cmp(a));
+        let beyond = held.into_iter().skip(keep_count).map(|(_, ticket)| ticket);
+        beyond.chain(contested).collect()
     }
 
-    /// Further tickets, of those that most voters say are nobody's; drawn, so that several don't want the same.
-    fn picks(&mut self, most: usize) -> Vec<TicketId> {
-        let known = |ticket: &&TicketId| !self.words.contains_key(ticket);
+    /// Chooses further tickets among those that most voters report as free, at random, so that
+    /// holders do not choose the same ones.
+    fn choose_free(&mut self, max_count: usize) -> Vec<TicketId> {
+        let known = |ticket: &&TicketId| !self.leases.contains_key(ticket);
         let free = self
             .free
             .iter()
             .filter(|(ticket, by)| known(ticket) && by.len() >= self.division.majority());
         let mut free: Vec<TicketId> = free.map(|(&ticket, _)| ticket).collect();
         if free.is_empty() && self.free.is_empty() {
-            // Nothing was heard yet.
+            // No voter has answered yet.
             free = (0..self.division.tickets)
                 .map(TicketId)
                 .filter(|ticket| known(&ticket))
                 .collect();
         }
-        self.chance.shuffle(&mut free);
-        free.truncate(most);
+        self.rng.shuffle(&mut free);
+        free.truncate(max_count);
         free
     }
 
-    /// A voter answers.
-    pub fn on_grant(&mut self, now: Timestamp, voter: VoterId, word: &LeaseGrant) {
-        let ours = Some(voter).filter(|_| word.boot == self.life);
-        let Some(asked) = ours.and_then(|voter| self.asked.remove(&(voter, word.no))) else {
+    /// Handles the answer of a voter.
+    pub fn on_grant(&mut self, now: Timestamp, voter: VoterId, grant: &LeaseGrant) {
+        let own_grant = Some(voter).filter(|_| grant.boot == self.boot);
+        let Some(sent_at) =
+            own_grant.and_then(|voter| self.requests_sent.remove(&(voter, grant.no)))
+        else {
             return;
         };
-        self.fair.insert(voter, word.fair_share);
-        self.heard.insert(voter, now);
-        for ticket in &word.free {
+        self.fair_shares.insert(voter, grant.fair_share);
+        self.last_answer_at.insert(voter, now);
+        for ticket in &grant.free {
             self.free.entry(*ticket).or_default().insert(voter);
         }
-        let until = asked + self.division.holder_lease();
-        // What is not given again runs out by itself.
-        for &ticket in word.granted.iter().filter(|_| now < until) {
+        let until = sent_at + self.division.holder_lease();
+        // A lease that is not renewed expires by itself.
+        for &ticket in grant.granted.iter().filter(|_| now < until) {
             if self
-                .dropped
+                .released
                 .get(&ticket)
-                .is_some_and(|&dropped| word.no < dropped)
+                .is_some_and(|&released| grant.no < released)
             {
                 continue;
             }
-            // An answer may be older than one that came before it.
-            let words = self.words.entry(ticket).or_default();
-            let known = words.entry(voter).or_insert(until);
+            // This answer may be older than one received before it.
+            let leases = self.leases.entry(ticket).or_default();
+            let known = leases.entry(voter).or_insert(until);
             *known = (*known).max(until);
         }
     }
--- a/crates/budgets/src/decide/mod.rs
+++ b/crates/budgets/src/decide/mod.rs
@@ -1,55 +1,62 @@
-//! One notion of a budget, and the two sides of its division.
+//! What a budget is, and the two sides that divide it.
 //!
-//! A budget's *whole* is split once and for all: a *floor* for each seat, which is that dispatcher's own even when it is
-//! cut off, and a *pool* of equal tickets. A ticket is used by whoever holds the word of more than half of the voters for
-//! it, and a voter gives its word for a ticket to one at a time. Words run out by themselves: with the holder, who counts
-//! from when it asked, before the voter, who counts from when it answered, and a little longer. So whatever is lost, late,
-//! paused or cut, two never use one ticket, and floors and tickets together never are more than the whole.
-
+//! The total of a budget is split in a fixed way: a *floor* for each dispatcher, which it may use
+//! even when it is partitioned, and a *pool* of equal tickets. A dispatcher may use a ticket while
+//! it holds leases for it from more than half of the voters, and a voter leases a ticket to one
+//! dispatcher at a time. Leases expire by themselves: at the holder, which counts from when it sent
+//! the request, before they do at the voter, which counts from when it answered and a little
+//! longer. So whatever is lost, late, paused or partitioned, no two dispatchers use one ticket, and
+//! floors and tickets together never exceed the total.
+
+/// The budgets of one dispatcher and what uses each of them.
 pub mod follower;
+/// The side that requests leases.
 pub mod holder;
+/// All budgets of one dispatcher.
 pub mod shares;
+/// The rate of requests, as a weight.
 pub mod traffic;
+/// The side that grants leases.
 pub mod voter;
 
 use serde::{Deserialize, Serialize};
 use trailproxy::units::TimeSpan;
 
-/// A dispatcher, by the number that all know it by.
+/// A dispatcher, under the same number for all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct HolderId(pub u64);
 
 impl HolderId {
-    /// By its name, as it is known to the others.
+    /// The number for a name by which the other dispatchers know this one.
     pub fn of_name(name: &str) -> HolderId {
         HolderId(trailproxy::units::HostId::of_name(name).0)
     }
 }
 
-/// One process of a dispatcher: what a former one held is not this one's.
+/// One process of a dispatcher. Leases of a former process do not belong to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootId(pub u64);
 
-/// A budget, by its name.
+/// A budget, identified by its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetId(pub u64);
 
 impl BudgetId {
-    /// The same in every dispatcher.
+    /// The number for a name; the same in every dispatcher.
     pub fn of_name(name: &str) -> BudgetId {
         BudgetId(trailproxy::units::HostId::of_name(name).0)
     }
 }
 
-/// A voter, by its place among them.
+/// A voter, by its position in the list of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VoterId(pub u8);
 
-/// A part of the pool.
+/// One ticket of the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TicketId(pub u16);
 
-/// One question and its answer.
+/// Number of a lease request, which its answer repeats.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -58,34 +65,39 @@
 /// How a budget is divided; the same in all dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Division {
-    /// Seats that a floor is kept for, and the part of the whole that all floors together have.
+    /// Number of dispatchers that a floor is kept for.
     pub dispatchers: u32,
+    /// Share of the total that all floors together have.
     pub floor_share: f64,
-    /// Twice as many as seats, or more: with fewer some have none when all want.
+    /// At least twice as many as dispatchers; with fewer, some dispatchers have none when all want
+    /// tickets.
     pub tickets: u16,
+    /// Number of voters.
     pub voters: u8,
-    /// How long a word lasts with its holder. Longer is steadier, shorter gives a dead one's part back sooner.
+    /// How long a lease lasts at its holder. A longer lease is steadier, a shorter one frees the
+    /// part of a dead dispatcher sooner.
     pub lease_duration: TimeSpan,
-    /// What has begun under a ticket may go on for so long after its end: nothing for a rate, the outer limit for work
-    /// under way.
+    /// How long work that was started under a ticket may continue after the lease ends: zero for a
+    /// rate, the deadline of requests for work in flight.
     pub guard_time: TimeSpan,
 }
 
-/// By how much two clocks may drift apart over a word, as a part of it.
+/// By how much two clocks may drift apart during a lease, as a fraction of it.
 pub const DRIFT: f64 = 0.02;
 
 impl Division {
-    /// One floor, as a part of the whole.
+    /// One floor, as a fraction of the total.
     pub fn floor(&self) -> f64 {
         self.floor_share / f64::from(self.dispatchers.max(1))
     }
 
-    /// One ticket, as a part of the whole.
+    /// One ticket, as a fraction of the total.
     pub fn ticket(&self) -> f64 {
         (1.0 - self.floor_share) / f64::from(self.tickets.max(1))
     }
 
-    /// Tells this division from any other: words of one say nothing of another's tickets.
+    /// Distinguishes this division from any other. A lease under one division says nothing about
+    /// the tickets of another.
     pub fn checksum(&self) -> u32 {
         let parts = [
             u64::from(self.dispatchers),
@@ -103,50 +115,60 @@
         (folded >> 32) as u32
     }
 
+    /// Number of voters that is more than half.
     pub fn majority(&self) -> usize {
         usize::from(self.voters) / 2 + 1
     }
 
-    /// With a voter, a word ends after this.
+    /// Duration of a lease at the voter.
     pub fn voter_lease(&self) -> TimeSpan {
         self.lease_duration.mul_f64(1.0 + DRIFT) + self.guard_time
     }
 
-    /// With its holder, counted from when it asked.
+    /// Duration of a lease at its holder, counted from when the request was sent.
     pub fn holder_lease(&self) -> TimeSpan {
         self.lease_duration.mul_f64(1.0 - DRIFT)
     }
 }
 
-/// From a holder to a voter.
+/// Message from a holder to a voter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRequest {
+    /// Number of the request.
     pub no: RequestNo,
+    /// The dispatcher that sends the request.
     pub holder: HolderId,
+    /// Its process.
     pub boot: BootId,
-    /// Held tickets, whose words are to go on, then further ones that are wanted.
+    /// Held tickets whose leases are to be renewed.
     pub renew: Vec<TicketId>,
+    /// Further tickets that are wanted.
     pub acquire: Vec<TicketId>,
-    /// Not used any more, and not before they are asked for again.
+    /// Tickets that are no longer used, and will not be before they are requested again.
     pub release: Vec<TicketId>,
-    /// How many it could use in all, how many of those for what goes first, and how many with something in reserve.
+    /// How many tickets the holder could use in all.
     pub need: u16,
+    /// How many of those are for what has priority.
     pub priority_need: u16,
+    /// How many it could use including a reserve.
     pub need_with_reserve: u16,
-    /// Where all is to be given out by weight, whatever each could use: this one's; else 0.
+    /// For a budget that is divided by weight, whatever each dispatcher could use: the holder's
+    /// weight; else 0.
     pub weight: u32,
 }
 
-/// From a voter to a holder.
+/// Message from a voter to a holder.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
+    /// Number of the request that this answers.
     pub no: RequestNo,
-    /// Whom it is for: a process that took another's place must not take its words.
+    /// The process that sent the request: a process that takes another's place must not use its
+    /// leases.
     pub boot: BootId,
-    /// These are the holder's, as far as this voter goes.
+    /// Tickets that this voter leases to the holder.
     pub granted: Vec<TicketId>,
-    /// Nobody's, as far as this voter goes: some of them.
+    /// Some of the tickets that this voter leases to nobody.
     pub free: Vec<TicketId>,
-    /// So many may stay with the holder while others want.
+    /// How many tickets the holder may keep while others want some.
     pub fair_share: u16,
 }
--- a/crates/budgets/src/decide/voter.rs
+++ b/crates/budgets/src/decide/voter.rs
@@ -1,181 +1,204 @@
-//! Who has a voter's word for which ticket.
+//! The side that grants leases: which holder has the lease of this voter for which ticket.
 //!
-//! A voter has no memory but its own. One that starts may have given its word before, and keeps silent until every word
-//! that it could have given has run out.
+//! A voter remembers nothing across restarts. One that has just started may have granted leases
+//! before, and grants none until every lease that it could have granted has expired.
 
 use super::{BootId, Division, HolderId, LeaseGrant, LeaseRequest, RequestNo, TicketId};
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// Free tickets told with one answer.
-const FREE_TOLD: usize = 128;
-/// A holder that is not heard of for so long wants nothing.
-const WANTS_FOR: TimeSpan = TimeSpan::from_secs(2);
+/// Limit of free tickets reported in one answer.
+const MAX_FREE_REPORTED: usize = 128;
+/// A holder that was not heard of for this long needs nothing.
+const NEED_RETENTION: TimeSpan = TimeSpan::from_secs(2);
 
+/// A lease that this voter granted.
 #[derive(Clone, Copy, Debug)]
-struct Given {
-    to: (HolderId, BootId),
-    /// The last question that it was given to: what was said before that gives nothing back.
+struct GrantedLease {
+    holder: (HolderId, BootId),
+    /// The last request that it was granted to. Earlier requests can't release it.
     no: RequestNo,
-    until: Timestamp,
+    valid_until: Timestamp,
 }
 
+/// What a holder said of its needs.
 #[derive(Clone, Copy, Debug)]
-struct Wants {
+struct HolderNeeds {
     need: u16,
-    first: u16,
-    ahead: u16,
+    priority_need: u16,
+    need_with_reserve: u16,
     weight: u32,
-    heard: Timestamp,
+    last_seen_at: Timestamp,
 }
 
+/// The leases that one voter granted for one budget.
 #[derive(Clone, Debug)]
 pub struct LeaseVoter {
     division: Division,
     silent_until: Timestamp,
-    given: BTreeMap<TicketId, Given>,
-    wants: BTreeMap<HolderId, Wants>,
+    leases: BTreeMap<TicketId, GrantedLease>,
+    needs: BTreeMap<HolderId, HolderNeeds>,
 }
 
-/// More holders are not kept in mind; they are served, and not counted on.
-const MOST_HOLDERS: usize = 1_024;
+/// Needs of more holders are not remembered; those holders get leases, but are not counted in the
+/// division.
+const MAX_HOLDERS: usize = 1_024;
 
 impl LeaseVoter {
-    /// A voter that remembers nothing.
+    /// A voter that has just started and remembers nothing.
     pub fn new(now: Timestamp, division: Division) -> LeaseVoter {
         LeaseVoter {
             silent_until: now + division.voter_lease(),
             division,
-            given: BTreeMap::new(),
-            wants: BTreeMap::new(),
+            leases: BTreeMap::new(),
+            needs: BTreeMap::new(),
         }
     }
 
-    /// Words that stand, for a check.
+    /// Leases that are valid, for checks.
     pub fn granted_leases(&self, now: Timestamp) -> impl Iterator<Item = (TicketId, HolderId)> {
-        let stands = self
-            .given
+        let valid = self
+            .leases
             .iter()
-            .filter(move |(_, given)| now < given.until);
-        stands.map(|(&ticket, given)| (ticket, given.to.0))
+            .filter(move |(_, lease)| now < lease.valid_until);
+        valid.map(|(&ticket, lease)| (ticket, lease.holder.0))
     }
 
-    /// `None`: it can't give its word yet.
-    pub fn on_request(&mut self, now: Timestamp, ask: &LeaseRequest) -> Option<LeaseGrant> {
+    /// Answers a request; `None` while the voter can't grant leases yet.
+    pub fn on_request(&mut self, now: Timestamp, request: &LeaseRequest) -> Option<LeaseGrant> {
         if now < self.silent_until {
             return None;
         }
-        self.given.retain(|_, given| now < given.until);
-        self.wants
-            .retain(|_, wants| now.since(wants.heard) < WANTS_FOR);
-        let by = (ask.holder, ask.boot);
-        for ticket in &ask.release {
-            let given = self.given.get(ticket);
-            if given.is_some_and(|given| given.to == by && given.no < ask.no) {
-                self.give_back(now, *ticket);
+        self.leases.retain(|_, lease| now < lease.valid_until);
+        self.needs
+            .retain(|_, needs| now.since(needs.last_seen_at) < NEED_RETENTION);
+        let requester = (request.holder, request.boot);
+        for ticket in &request.release {
+            let lease = self.leases.get(ticket);
+            if lease.is_some_and(|lease| lease.holder == requester && lease.no < request.no) {
+                self.take_back(now, *ticket);
             }
         }
-        if self.wants.len() < MOST_HOLDERS || self.wants.contains_key(&ask.holder) {
-            let (need, first, heard) = (ask.need, ask.priority_need.min(ask.need), now);
-            let (ahead, weight) = (ask.need_with_reserve.max(need), ask.weight);
-            self.wants.insert(
-                ask.holder,
-                Wants {
+        if self.needs.len() < MAX_HOLDERS || self.needs.contains_key(&request.holder) {
+            let (need, priority_need, last_seen_at) =
+                (request.need, request.priority_need.min(request.need), now);
+            let (need_with_reserve, weight) = (request.need_with_reserve.max(need), request.weight);
+            self.needs.insert(
+                request.holder,
+                HolderNeeds {
                     need,
-                    first,
-                    ahead,
+                    priority_need,
+                    need_with_reserve,
                     weight,
-                    heard,
+                    last_seen_at,
                 },
             );
         }
-        let fair = self.fair(ask.holder);
-        let until = now + self.division.voter_lease();
-        let mut given = Vec::new();
-        // What it has beyond its part runs out where others want it; what it has within is renewed first.
-        for &ticket in ask.renew.iter().chain(&ask.acquire) {
-            let room = given.len() < usize::from(fair) && ticket.0 < self.division.tickets;
-            let theirs = self.given.get(&ticket).is_none_or(|known| known.to == by);
-            if room && theirs && !given.contains(&ticket) {
-                let known = self.given.get(&ticket).map_or(ask.no, |given| given.no);
-                let no = known.max(ask.no);
-                self.given.insert(ticket, Given { to: by, no, until });
-                given.push(ticket);
+        let fair_share = self.fair_share(request.holder);
+        let valid_until = now + self.division.voter_lease();
+        let mut granted = Vec::new();
+        // Tickets beyond the fair number are not renewed; those within it are renewed before new
+        // ones are granted.
+        for &ticket in request.renew.iter().chain(&request.acquire) {
+            let has_room =
+                granted.len() < usize::from(fair_share) && ticket.0 < self.division.tickets;
+            let is_available = self
+                .leases
+                .get(&ticket)
+                .is_none_or(|known| known.holder == requester);
+            if has_room && is_available && !granted.contains(&ticket) {
+                let known = self
+                    .leases
+                    .get(&ticket)
+                    .map_or(request.no, |lease| lease.no);
+                let no = known.max(request.no);
+                self.leases.insert(
+                    ticket,
+                    GrantedLease {
+                        holder: requester,
+                        no,
+                        valid_until,
+                    },
+                );
+                granted.push(ticket);
             }
         }
         Some(LeaseGrant {
-            no: ask.no,
-            boot: ask.boot,
-            granted: given,
-            free: self.free(ask),
-            fair_share: fair,
+            no: request.no,
+            boot: request.boot,
+            granted,
+            free: self.free(request),
+            fair_share,
         })
     }
 
-    /// What was given back may still have work under way.
-    fn give_back(&mut self, now: Timestamp, ticket: TicketId) {
-        let until = now + self.division.guard_time;
+    /// Takes a ticket back. Work that was started under it may still be running.
+    fn take_back(&mut self, now: Timestamp, ticket: TicketId) {
+        let valid_until = now + self.division.guard_time;
         if self.division.guard_time == TimeSpan::ZERO {
-            self.given.remove(&ticket);
-        } else if let Some(given) = self.given.get_mut(&ticket) {
-            // Nobody's, and not to be had before then.
-            given.to = (HolderId(u64::MAX), BootId(u64::MAX));
-            given.until = given.until.min(until);
+            self.leases.remove(&ticket);
+        } else if let Some(lease) = self.leases.get_mut(&ticket) {
+            // Belongs to nobody and can't be leased before that time.
+            lease.holder = (HolderId(u64::MAX), BootId(u64::MAX));
+            lease.valid_until = lease.valid_until.min(valid_until);
         }
     }
 
-    /// From a place on that is the same for one question at all voters, and another for each asker.
-    fn free(&self, ask: &LeaseRequest) -> Vec<TicketId> {
+    /// Some free tickets. The first one is the same at all voters for one request, and differs
+    /// between holders.
+    fn free(&self, request: &LeaseRequest) -> Vec<TicketId> {
         let tickets = u64::from(self.division.tickets.max(1));
-        let from = ask
+        let first = request
             .holder
             .0
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
             .rotate_left(17);
-        let from = from.wrapping_add(ask.no.0.wrapping_mul(FREE_TOLD as u64)) % tickets;
-        let all = (0..tickets).map(|n| TicketId(((from + n) % tickets) as u16));
-        let free = all.filter(|ticket| !self.given.contains_key(ticket));
-        free.take(FREE_TOLD).collect()
+        let first =
+            first.wrapping_add(request.no.0.wrapping_mul(MAX_FREE_REPORTED as u64)) % tickets;
+        let all = (0..tickets).map(|n| TicketId(((first + n) % tickets) as u16));
+        let free = all.filter(|ticket| !self.leases.contains_key(ticket));
+        free.take(MAX_FREE_REPORTED).collect()
     }
 
-    /// How many tickets are this holder's part: all that it needs where there is enough, with its reserve; else what goes first
-    /// of all before the rest of any, and that before any reserve, each evenly, what one does not need going to the others.
-    fn fair(&self, holder: HolderId) -> u16 {
-        let Some(own) = self.wants.get(&holder) else {
+    /// The fair number of tickets of a holder: all that it needs with its reserve where there is
+    /// enough. Otherwise the priority needs of all come before any other need, and those before any
+    /// reserve. Each is divided evenly, and what one holder does not need goes to the others.
+    fn fair_share(&self, holder: HolderId) -> u16 {
+        let Some(own) = self.needs.get(&holder) else {
             return 0;
         };
-        let all = || self.wants.values();
+        let all = || self.needs.values();
         if own.weight > 0 {
-            let weights: u64 = all().map(|wants| u64::from(wants.weight)).sum();
+            let weights: u64 = all().map(|needs| u64::from(needs.weight)).sum();
             let part = u64::from(self.division.tickets) * u64::from(own.weight) / weights.max(1);
             return part.max(1) as u16;
         }
-        let (first, left) = evenly(
+        let (priority_need, left) = divide_evenly(
             self.division.tickets,
-            all().map(|wants| wants.first),
-            own.first,
+            all().map(|needs| needs.priority_need),
+            own.priority_need,
         );
-        let rest = |wants: &Wants| wants.need - wants.first;
-        let (more, left) = evenly(left, all().map(rest), rest(own));
-        let reserve = |wants: &Wants| wants.ahead - wants.need;
-        let (reserve, _) = evenly(left, all().map(reserve), reserve(own));
-        let fair = first + more + reserve;
-        fair.max(u16::from(own.need > 0))
+        let other_need = |needs: &HolderNeeds| needs.need - needs.priority_need;
+        let (other, left) = divide_evenly(left, all().map(other_need), other_need(own));
+        let reserve = |needs: &HolderNeeds| needs.need_with_reserve - needs.need;
+        let (reserve, _) = divide_evenly(left, all().map(reserve), reserve(own));
+        let fair_share = priority_need + other + reserve;
+        fair_share.max(u16::from(own.need > 0))
     }
 }
 
-/// What of so many goes to one that needs `own` among all, and what is left when all have theirs.
-fn evenly(tickets: u16, needs: impl Iterator<Item = u16>, own: u16) -> (u16, u16) {
+/// What a holder that needs `own` gets of `tickets`, and what is left when all needs are met.
+fn divide_evenly(tickets: u16, needs: impl Iterator<Item = u16>, own: u16) -> (u16, u16) {
     let mut needs: Vec<u16> = needs.collect();
     needs.sort_unstable();
-    let (mut rest, mut count, mut theirs) = (tickets, needs.len() as u16, None);
+    let (mut rest, mut count, mut own_share) = (tickets, needs.len() as u16, None);
     for need in needs {
         let each = rest / count.max(1);
         if need > each {
-            return (theirs.unwrap_or_else(|| own.min(each)), 0);
+            return (own_share.unwrap_or_else(|| own.min(each)), 0);
         }
         if need == own {
-            theirs = Some(own);
+            own_share = Some(own);
         }
         (rest, count) = (rest - need, count - 1);
     }
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,24 +1,28 @@
-//! Budgets of the whole fleet: what all dispatchers together may do, divided among them by need and divided anew.
+//! Budgets for all dispatchers together, divided among them by need and divided again as needs
+//! change.
 //!
-//! [`decide::voter::LeaseVoter`] and [`decide::holder::LeaseHolder`] are the two sides, [`decide::shares::BudgetShares`] all of one
-//! dispatcher's budgets, without I/O and without a clock; [`config`] is what the operator's file says. `docs/budgets.md` is
-//! the operators' page, `docs/budgets-design.md` has the ways weighed.
+//! [`decide::voter::LeaseVoter`] and [`decide::holder::LeaseHolder`] are the two sides,
+//! [`decide::shares::BudgetShares`] holds all budgets of one dispatcher; they do no I/O and read no
+//! clock. [`config`] is the operator's section. `docs/budgets.md` is the operators' page,
+//! `docs/budgets-design.md` compares the designs that were considered.
 
+/// The operator's section about budgets.
 pub mod config;
+/// The decisions.
 pub mod decide;
 
 use decide::shares::BudgetMessage;
 
-/// The number of this subsystem's words among those of the dispatchers.
+/// Number of this subsystem in messages between dispatchers.
 pub const SUBSYSTEM_ID: u8 = 1;
 
-/// A word as it goes to another dispatcher.
-pub fn write(note: &BudgetMessage) -> Vec<u8> {
-    // Its parts are numbers and lists of numbers: nothing that can't be written.
-    postcard::to_allocvec(note).unwrap_or_default()
+/// Encodes a message for another dispatcher.
+pub fn write(message: &BudgetMessage) -> Vec<u8> {
+    // It consists of numbers and lists of numbers, which can always be encoded.
+    postcard::to_allocvec(message).unwrap_or_default()
 }
 
-/// `None`: no word of this version.
+/// Decodes a message; `None` if it is none of this version.
 pub fn read(bytes: &[u8]) -> Option<BudgetMessage> {
     postcard::from_bytes(bytes).ok()
 }
