--- a/crates/zones/src/decide/budget.rs
+++ b/crates/zones/src/decide/budget.rs
@@ -1,54 +1,64 @@
-//! How much may cross: a rate with a burst, a part of it kept for what goes first, and the share of one dispatcher.
+//! How much traffic may cross: a rate with a burst, of which a part is reserved for priority
+//! traffic, and the share of one dispatcher.
 //!
-//! Dispatchers share nothing, so each has an equal share of the rate and of the burst. With hundreds of them a share
-//! is less than one object, and two plain ways fail: whoever must have saved up all of an object's KB first, and
-//! caps what it saves at its share of the burst, never sends; whoever may overdraw once sends an object each, all at
-//! once, when a zone wakes up. Here each draws a point once, and that part of an object may stand as debt: it sends
-//! when it has saved the rest. All together they send what the burst allows at once, and the rate from then on.
+//! Where budgets are not divided, each dispatcher has an equal share of the rate and of the burst.
+//! With hundreds of dispatchers a share is smaller than one object, and two simple rules fail. If a
+//! dispatcher has to save all KB of an object first and its savings are capped at its share of the
+//! burst, it never sends. If it may overdraw once, every dispatcher sends an object at the same
+//! time when a zone starts up. Here each dispatcher draws a random number once, and that part of an
+//! object may be debt: it sends when it has saved the rest. All together they send what the burst
+//! allows at once, and the rate from then on.
 //!
-//! Three buckets in a row: what goes first, what is small beside the usual size, and the rest. What one leaves over runs
-//! into the next and never back. The first two may be overdrawn by one object, which is waited off; small reads may
-//! besides go on by a part of the burst while large ones wait for a debt to be paid.
+//! There are three buckets in a row: for priority traffic, for objects that are small compared with
+//! the usual size, and for the rest. What overflows one bucket fills the next and never goes back.
+//! The first two may be overdrawn by one object, which is then waited off. Small reads may also use
+//! a part of the burst while large ones wait until a debt is paid.
 
 use std::cell::Cell;
 use trailproxy::units::{TimeSpan, Timestamp, ZoneId};
 
-/// What goes first, and everything else.
+/// Priority of traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
+    /// It uses the reserved bucket.
     First,
+    /// It uses the other buckets.
     Plain,
 }
 
-/// One budget, as the operator sets it.
+/// One limit, as the operator sets it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limit {
+    /// The name; a limit is the same if its name is.
     pub name: String,
-    /// `None`: from all other zones together, that is the link into the zone.
+    /// The zone that traffic comes from; `None`: all other zones together.
     pub from: Option<ZoneId>,
+    /// The zone that traffic goes to.
     pub to: ZoneId,
-    /// Of all dispatchers of the zone together. Where it is learned, the rate to begin with.
+    /// Rate of all dispatchers of the zone together. Where it is learned, the initial rate.
     pub kb_per_s: f64,
+    /// Burst of all dispatchers of the zone together.
     pub burst_kb: f64,
-    /// The part that is kept for what goes first, from 0 to 1.
+    /// The part that is reserved for priority traffic, from 0 to 1.
     pub reserve: f64,
-    /// Found out by how quick fills are, between these two.
+    /// The rate is learned from the speed of fills, between these two; `None`: it is fixed.
     pub learned: Option<(f64, f64)>,
 }
 
-/// How long a size that was turned away is saved up for after it was last asked.
-const WANTED_FOR: TimeSpan = TimeSpan::from_secs(2);
+/// How long a refused size is saved up for after it was last refused.
+const REFUSED_SIZE_RETENTION: TimeSpan = TimeSpan::from_secs(2);
 
+/// One token bucket.
 #[derive(Debug)]
 struct Bucket {
-    /// KB saved, or owed where negative.
+    /// KB saved; negative where KB are owed.
     level: f64,
     rate: f64,
     cap: f64,
 }
 
 impl Bucket {
-    /// Adds what time brings; what is over the cap comes back.
+    /// Adds KB up to a cap and returns the rest.
     fn fill(&mut self, kb: f64, cap: f64) -> f64 {
         let full = self.level + kb;
         self.level = full.min(cap);
@@ -56,96 +66,105 @@
     }
 }
 
-/// A part of the whole that is this dispatcher's for a while, where budgets are divided by need.
+/// The fraction of a total that one dispatcher may use for a while, where budgets are divided by
+/// need.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetPart {
     /// From 0 to 1.
     pub fraction: f64,
-    /// Then it is the floor; `None`: it is that already.
+    /// Then the fraction becomes the floor; `None`: it is the floor already.
     pub valid_until: Option<Timestamp>,
+    /// The fraction that never expires.
     pub floor: f64,
 }
 
-/// How soon what was wanted is half forgotten. Shorter follows chance, longer holds on to parts that others need.
-const WANTED_HALVES: TimeSpan = TimeSpan::from_secs(1);
+/// Half-life of the recent demand. A shorter one follows random changes, a longer one keeps parts
+/// that others need.
+const DEMAND_HALF_LIFE: TimeSpan = TimeSpan::from_secs(1);
 
-/// What was wanted lately, whether it had room or not: KB a second, and of that what goes first.
+/// Recent demand, whether it had room or not: KB a second, and how much of that has priority.
 #[derive(Clone, Copy, Debug, Default)]
-struct Wanted {
+struct Demand {
     all: f64,
     first: f64,
     at: Timestamp,
 }
 
-impl Wanted {
-    fn at(self, now: Timestamp) -> Wanted {
-        let halvings = now.since(self.at).as_secs_f64() / WANTED_HALVES.as_secs_f64();
-        let kept = 0.5f64.powf(halvings);
+impl Demand {
+    /// The demand with the decay up to now.
+    fn at(self, now: Timestamp) -> Demand {
+        let halvings = now.since(self.at).as_secs_f64() / DEMAND_HALF_LIFE.as_secs_f64();
+        let factor = 0.5f64.powf(halvings);
         let at = self.at.max(now);
-        Wanted {
-            all: self.all * kept,
-            first: self.first * kept,
+        Demand {
+            all: self.all * factor,
+            first: self.first * factor,
             at,
         }
     }
 
-    fn add(&mut self, now: Timestamp, class: Priority, kb: f64) {
+    fn add(&mut self, now: Timestamp, priority: Priority, kb: f64) {
         *self = self.at(now);
-        // Evenly wanted, so many KB a second come to as much here.
-        let rate = kb * std::f64::consts::LN_2 / WANTED_HALVES.as_secs_f64();
+        // An even demand of so many KB a second adds up to as much here.
+        let rate = kb * std::f64::consts::LN_2 / DEMAND_HALF_LIFE.as_secs_f64();
         self.all += rate;
-        self.first += if class == Priority::First { rate } else { 0.0 };
+        self.first += if priority == Priority::First {
+            rate
+        } else {
+            0.0
+        };
     }
 }
 
-/// One dispatcher's share of one limit.
+/// The share of one dispatcher in one limit.
 #[derive(Debug)]
 pub struct Budget {
+    /// The limit.
     pub limit: Limit,
-    /// The share now; where nothing is divided, the equal one.
+    /// The present share; equal for all dispatchers where the limit is not divided.
     share: f64,
-    equal: f64,
-    divided: Option<BudgetPart>,
-    /// Of the share, what was given away and may still be saved here.
-    gone: f64,
-    demand: Wanted,
-    kept: Bucket,
+    equal_share: f64,
+    part: Option<BudgetPart>,
+    /// Share that was given up and whose savings may still be held here.
+    given_up_share: f64,
+    demand: Demand,
+    reserved: Bucket,
     small: Bucket,
     common: Bucket,
-    /// The largest size turned away lately, and when that was last asked.
-    wanted: Cell<(f64, Timestamp)>,
-    /// The part of a size that may stand as debt; drawn once, so that sends are evenly spaced.
-    part: f64,
-    /// The usual size of what was sent, in KB, and of how many.
-    usual: f64,
-    sent: u32,
+    /// The largest size refused recently, and when it was last refused.
+    refused_size: Cell<(f64, Timestamp)>,
+    /// The part of a size that may be debt; drawn once, so that sends are evenly spaced over
+    /// dispatchers.
+    debt_fraction: f64,
+    /// The usual size of what was sent, in KB, and the number of sends.
+    usual_kb: f64,
+    send_count: u32,
     at: Timestamp,
 }
 
-/// The part of the common burst that is saved up; the rest may be owed.
-const SAVED: f64 = 0.5;
-/// The part of what is not kept that small reads have to themselves, and the part of the usual size that is small.
-const SMALL_PART: f64 = 0.2;
-const SMALL: f64 = 0.25;
-/// Weight of the newest size in the usual one.
+/// The part of the common burst that is saved up; the rest may be debt.
+const SAVED_BURST_SHARE: f64 = 0.5;
+/// The part of the rate, beside the reserve, that is for small reads, and the fraction of the usual
+/// size up to which an object is small.
+const SMALL_READS_SHARE: f64 = 0.2;
+const SMALL_SIZE_FRACTION: f64 = 0.25;
+/// Weight of the newest size in the usual size.
 const USUAL_GAIN: f64 = 0.02;
 
-/// Where a charge was taken from: a correction goes back there.
+/// The bucket that a charge was taken from; a correction goes back there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BucketKind {
-    Kept,
+    /// For priority traffic.
+    Reserved,
+    /// For small objects.
     Small,
+    /// For the rest.
     Common,
 }
 
 impl Budget {
     /// `dispatchers`: those of the zone that the limit leads into.
-    pub fn new(
-        limit: Limit,
-        dispatchers: f64,
-        now: Timestamp,
-        chance: &mut fastrand::Rng,
-    ) -> Budget {
+    pub fn new(limit: Limit, dispatchers: f64, now: Timestamp, rng: &mut fastrand::Rng) -> Budget {
         let empty = || Bucket {
             level: 0.0,
             rate: 0.0,
@@ -154,230 +173,249 @@
         let mut budget = Budget {
             limit,
             share: 1.0 / dispatchers.max(1.0),
-            equal: 1.0 / dispatchers.max(1.0),
-            divided: None,
-            gone: 0.0,
-            demand: Wanted::default(),
-            kept: empty(),
+            equal_share: 1.0 / dispatchers.max(1.0),
+            part: None,
+            given_up_share: 0.0,
+            demand: Demand::default(),
+            reserved: empty(),
             small: empty(),
             common: empty(),
-            wanted: Cell::new((0.0, Timestamp(0))),
-            part: chance.f64(),
-            usual: 0.0,
-            sent: 0,
+            refused_size: Cell::new((0.0, Timestamp(0))),
+            debt_fraction: rng.f64(),
+            usual_kb: 0.0,
+            send_count: 0,
             at: now,
         };
-        budget.spread();
+        budget.set_rates();
         budget
     }
 
-    /// Divides the limit's figures over the buckets.
-    fn spread(&mut self) {
+    /// Distributes the limit's rate and burst over the buckets.
+    fn set_rates(&mut self) {
         let (rate, burst) = (
             self.limit.kb_per_s * self.share,
             self.limit.burst_kb * self.share,
         );
-        let kept = self.limit.reserve.clamp(0.0, 1.0);
-        let (first, rest) = (kept, 1.0 - kept);
-        (self.kept.rate, self.kept.cap) = (rate * first, burst * first);
-        let small = rest * SMALL_PART;
+        let reserved = self.limit.reserve.clamp(0.0, 1.0);
+        let (first, rest) = (reserved, 1.0 - reserved);
+        (self.reserved.rate, self.reserved.cap) = (rate * first, burst * first);
+        let small = rest * SMALL_READS_SHARE;
         (self.small.rate, self.small.cap) = (rate * small, burst * small);
-        let common = rest * (1.0 - SMALL_PART);
-        (self.common.rate, self.common.cap) = (rate * common, burst * common * SAVED);
+        let common = rest * (1.0 - SMALL_READS_SHARE);
+        (self.common.rate, self.common.cap) = (rate * common, burst * common * SAVED_BURST_SHARE);
     }
 
-    /// Another limit in place of this one: debts stay, savings shrink to the new caps.
+    /// Replaces the limit: debts stay, savings shrink to the new caps.
     pub fn apply_limit(&mut self, limit: Limit, dispatchers: f64) {
-        (self.limit, self.equal) = (limit, 1.0 / dispatchers.max(1.0));
-        self.share = self.divided.map_or(self.equal, |divided| divided.fraction);
-        self.shrink();
+        (self.limit, self.equal_share) = (limit, 1.0 / dispatchers.max(1.0));
+        self.share = self.part.map_or(self.equal_share, |part| part.fraction);
+        self.cut_savings();
     }
 
-    /// From now on this part of the whole; `None`: an equal share again. What is saved or owed stays, in KB: what one gave
-    /// back another saves up anew.
+    /// Sets the part of this dispatcher; `None`: an equal share again. What is saved or owed stays,
+    /// in KB: what one dispatcher gives back another has to save up again.
     pub fn set_part(&mut self, now: Timestamp, part: Option<BudgetPart>) {
         self.advance(now);
-        self.divided = part;
-        let share = part.map_or(self.equal, |part| part.fraction);
-        self.give_away(share);
-        self.lapse(now);
+        self.part = part;
+        let share = part.map_or(self.equal_share, |part| part.fraction);
+        self.set_share(share);
+        self.expire_part(now);
     }
 
-    /// A share that shrinks takes none of what is saved at once: that runs off as quickly as whoever has the rest now saves
-    /// it up, so that all together never have more than the burst.
-    fn give_away(&mut self, share: f64) {
-        self.gone = (self.gone + self.share - share).max(0.0);
+    /// Reduces or raises the share. Savings under a share that shrinks are not taken at once: they
+    /// run off as fast as the dispatcher that now has the rest saves it up, so that all together
+    /// never have more than the burst.
+    fn set_share(&mut self, share: f64) {
+        self.given_up_share = (self.given_up_share + self.share - share).max(0.0);
         self.share = share;
-        self.spread();
+        self.set_rates();
     }
 
-    /// A part that has run out is the floor, whoever has told anything or not.
-    fn lapse(&mut self, now: Timestamp) {
-        if let Some(part) = self.divided
+    /// Replaces a part that has expired by the floor, whether or not a message said so.
+    fn expire_part(&mut self, now: Timestamp) {
+        if let Some(part) = self.part
             && part.valid_until.is_some_and(|until| until <= now)
         {
             let floor = part.floor.min(part.fraction);
-            self.divided = Some(BudgetPart {
+            self.part = Some(BudgetPart {
                 fraction: floor,
                 valid_until: None,
                 floor,
             });
-            self.give_away(floor);
+            self.set_share(floor);
         }
     }
 
-    fn shrink(&mut self) {
-        self.spread();
-        for bucket in [&mut self.kept, &mut self.small, &mut self.common] {
+    /// Cuts savings to the caps.
+    fn cut_savings(&mut self) {
+        self.set_rates();
+        for bucket in [&mut self.reserved, &mut self.small, &mut self.common] {
             bucket.level = bucket.level.min(bucket.cap);
         }
     }
 
-    /// Something was wanted, whether it had room or not.
-    pub fn on_demand(&mut self, now: Timestamp, class: Priority, kb: f64) {
-        self.demand.add(now, class, kb);
+    /// Counts a demand, whether it had room or not.
+    pub fn on_demand(&mut self, now: Timestamp, priority: Priority, kb: f64) {
+        self.demand.add(now, priority, kb);
     }
 
-    /// The part of the whole that was wanted lately, and of that what goes first.
+    /// The fraction of the limit that was recently wanted, and how much of that has priority.
     pub fn need(&self, now: Timestamp) -> (f64, f64) {
         let (demand, rate) = (self.demand.at(now), self.limit.kb_per_s.max(1e-9));
         (demand.all / rate, demand.first / rate)
     }
 
+    /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
-        // A clock that went back brings nothing and takes nothing.
-        let until = self.divided.and_then(|part| part.valid_until);
+        // A clock that went back adds nothing and takes nothing.
+        let until = self.part.and_then(|part| part.valid_until);
         let ends = until.filter(|&until| until <= now);
         if let Some(until) = ends {
-            // Up to its end the part brings what it is; from then on the floor does.
-            self.pass(until);
-            self.lapse(until);
+            // The part applies up to its expiry, the floor from then on.
+            self.fill_buckets(until);
+            self.expire_part(until);
         }
-        self.pass(now);
+        self.fill_buckets(now);
     }
 
-    /// What is saved beyond the caps runs off.
-    fn run_off(&mut self, passed: f64) {
-        if self.gone <= 0.0 {
+    /// Reduces savings above the caps.
+    fn reduce_excess(&mut self, passed: f64) {
+        if self.given_up_share <= 0.0 {
             return;
         }
-        let mut off = self.gone * self.limit.kb_per_s * passed;
+        let mut off = self.given_up_share * self.limit.kb_per_s * passed;
         let mut beyond = 0.0;
-        for bucket in [&mut self.common, &mut self.small, &mut self.kept] {
+        for bucket in [&mut self.common, &mut self.small, &mut self.reserved] {
             let takes = off.min((bucket.level - bucket.cap).max(0.0));
             (bucket.level, off) = (bucket.level - takes, off - takes);
             beyond += (bucket.level - bucket.cap).max(0.0);
         }
         if beyond <= 0.0 {
-            self.gone = 0.0;
+            self.given_up_share = 0.0;
         }
     }
 
-    fn pass(&mut self, now: Timestamp) {
+    /// Fills the buckets for the time since the last call.
+    fn fill_buckets(&mut self, now: Timestamp) {
         let passed = now.since(self.at).as_secs_f64();
         self.at = now;
-        self.run_off(passed);
-        let running = self.gone > 0.0;
-        // What was saved under a larger share stays as long as it runs off.
+        self.reduce_excess(passed);
+        let running = self.given_up_share > 0.0;
+        // Savings from a larger share stay until they have run off.
         let cap = |bucket: &Bucket, cap: f64| if running { cap.max(bucket.level) } else { cap };
-        let kept = cap(&self.kept, self.kept.cap);
-        let over = self.kept.fill(self.kept.rate * passed, kept);
+        let reserved = cap(&self.reserved, self.reserved.cap);
+        let over = self.reserved.fill(self.reserved.rate * passed, reserved);
         let small = cap(&self.small, self.small.cap);
         let over = self.small.fill(self.small.rate * passed + over, small);
-        let common = cap(&self.common, self.common.cap.max(self.wanted(now)));
+        let common = cap(&self.common, self.common.cap.max(self.refused_size(now)));
         self.common.fill(self.common.rate * passed + over, common);
     }
 
-    fn wanted(&self, now: Timestamp) -> f64 {
-        let (kb, asked) = self.wanted.get();
+    /// The refused size that is still saved up for.
+    fn refused_size(&self, now: Timestamp) -> f64 {
+        let (kb, refused_at) = self.refused_size.get();
         let rate = self.common.rate.max(1e-9);
-        // As long as it takes to save it up, or with a few objects a minute nothing large ever went.
-        let long = WANTED_FOR + TimeSpan::from_secs_f64(kb / rate);
-        if now.since(asked) <= long { kb } else { 0.0 }
+        // At least as long as it takes to save the size up; otherwise, with a few objects a minute,
+        // a large one would never be sent.
+        let retention = REFUSED_SIZE_RETENTION + TimeSpan::from_secs_f64(kb / rate);
+        if now.since(refused_at) <= retention {
+            kb
+        } else {
+            0.0
+        }
     }
 
-    /// Where a send of so many KB would be taken from; `None`: there is no room for it now.
-    pub fn bucket_with_room(&self, now: Timestamp, class: Priority, kb: f64) -> Option<BucketKind> {
-        let need = kb * (1.0 - self.part);
+    /// The bucket from which so many KB can be sent now; `None` if there is no room.
+    pub fn bucket_with_room(
+        &self,
+        now: Timestamp,
+        priority: Priority,
+        kb: f64,
+    ) -> Option<BucketKind> {
+        let need = kb * (1.0 - self.debt_fraction);
         let passed = now.since(self.at).as_secs_f64();
         let has = |bucket: &Bucket| bucket.level + bucket.rate * passed;
         let common = has(&self.common);
-        match class {
-            Priority::First if has(&self.kept) >= 0.0 => Some(BucketKind::Kept),
-            // What goes first may put the others into debt, by a share of the burst.
-            Priority::First if common + self.owes() >= need => Some(BucketKind::Common),
-            Priority::Plain if kb <= SMALL * self.usual && has(&self.small) >= 0.0 => {
+        match priority {
+            Priority::First if has(&self.reserved) >= 0.0 => Some(BucketKind::Reserved),
+            // Priority traffic may put the common bucket into debt, by a share of the burst.
+            Priority::First if common + self.max_debt() >= need => Some(BucketKind::Common),
+            Priority::Plain
+                if kb <= SMALL_SIZE_FRACTION * self.usual_kb && has(&self.small) >= 0.0 =>
+            {
                 Some(BucketKind::Small)
             }
-            Priority::Plain if common + self.owes() * self.smallness(kb) >= need => {
+            Priority::Plain if common + self.max_debt() * self.smallness(kb) >= need => {
                 Some(BucketKind::Common)
             }
             _ => None,
         }
     }
 
-    /// What may be owed to the common bucket.
-    fn owes(&self) -> f64 {
-        self.common.cap / SAVED * (1.0 - SAVED)
+    /// The debt that the common bucket may have.
+    fn max_debt(&self) -> f64 {
+        self.common.cap / SAVED_BURST_SHARE * (1.0 - SAVED_BURST_SHARE)
     }
 
-    /// 1 for nothing, a quarter for the usual size, towards 0 for what is large beside it.
+    /// 1 for size 0, a quarter for the usual size, towards 0 for large sizes.
     fn smallness(&self, kb: f64) -> f64 {
-        let usual = self.usual.max(1e-9);
-        (usual / (usual + kb)).powi(2)
+        let usual_kb = self.usual_kb.max(1e-9);
+        (usual_kb / (usual_kb + kb)).powi(2)
     }
 
-    /// Notes that so much was turned away, so that it is saved up for.
+    /// Remembers a refused size, so that it is saved up for.
     pub fn on_refused(&self, now: Timestamp, kb: f64) {
-        let before = self.wanted(now);
+        let before = self.refused_size(now);
         if kb >= before {
-            self.wanted.set((kb, now));
+            self.refused_size.set((kb, now));
         }
     }
 
+    /// Charges what is expected of a send.
     pub fn charge(&mut self, now: Timestamp, from: BucketKind, kb: f64) {
         self.advance(now);
         self.correct(from, kb);
-        self.sent = self.sent.saturating_add(1);
-        self.usual += (kb - self.usual) * USUAL_GAIN.max(1.0 / f64::from(self.sent));
-        if self.wanted.get().0 <= kb {
-            self.wanted.set((0.0, Timestamp(0)));
+        self.send_count = self.send_count.saturating_add(1);
+        self.usual_kb += (kb - self.usual_kb) * USUAL_GAIN.max(1.0 / f64::from(self.send_count));
+        if self.refused_size.get().0 <= kb {
+            self.refused_size.set((0.0, Timestamp(0)));
         }
     }
 
-    /// Takes so many KB more, or gives some back where negative.
+    /// Takes KB from a bucket, or gives KB back where negative.
     pub fn correct(&mut self, from: BucketKind, kb: f64) {
         match from {
-            BucketKind::Kept => self.kept.level -= kb,
+            BucketKind::Reserved => self.reserved.level -= kb,
             BucketKind::Small => self.small.level -= kb,
             BucketKind::Common => self.common.level -= kb,
         }
     }
 
-    /// How long until something plain has room again; `None`: it has.
+    /// Time until plain traffic has room again; `None` if it has room.
     pub fn time_until_room(&self, now: Timestamp) -> Option<TimeSpan> {
-        let wanted = self.wanted(now) * (1.0 - self.part);
+        let refused_size = self.refused_size(now) * (1.0 - self.debt_fraction);
         let level = self.common.level + self.common.rate * now.since(self.at).as_secs_f64();
-        let lacks = wanted.max(0.0) - level;
-        (lacks > 0.0).then(|| TimeSpan::from_secs_f64(lacks / self.common.rate.max(1e-6)))
+        let missing_kb = refused_size.max(0.0) - level;
+        (missing_kb > 0.0).then(|| TimeSpan::from_secs_f64(missing_kb / self.common.rate.max(1e-6)))
     }
 
     /// KB saved in all buckets, for reports and checks.
     pub fn saved_kb(&self) -> f64 {
-        self.kept.level + self.small.level + self.common.level
+        self.reserved.level + self.small.level + self.common.level
     }
 
-    /// The rate of all dispatchers together that holds now.
+    /// The present rate of all dispatchers together.
     pub fn rate(&self) -> f64 {
         self.limit.kb_per_s
     }
 }
 
-/// Finds the rate of a link by how quick its fills are: more while all are quick and some were turned away, less at
-/// once when they slow down. It follows the dispatcher's own share, so that a dead neighbour's is taken up in time.
+/// Learns the rate of a link from the speed of its fills: it raises the rate while all fills are
+/// fast and some requests were refused, and lowers it at once when fills slow down. It follows the
+/// dispatcher's own share, so that the share of a dead dispatcher is taken over in time.
 #[derive(Debug, Default)]
 pub struct RateLearner {
-    /// Pace of fills, in KB/s: a slowly falling best, and the mean of the running step.
+    /// Speed of fills in KB/s: a slowly decreasing best, and the sum over the present step.
     best: f64,
     sum: f64,
     n: u32,
@@ -385,51 +423,57 @@
     step_at: Timestamp,
 }
 
-const STEP: TimeSpan = TimeSpan::from_secs(1);
-const RISES: f64 = 1.05;
-const FALLS: f64 = 0.85;
-/// Below this part of the best pace a link counts as full: two fills that share it run at half.
-const FULL: f64 = 0.6;
-const BEST_FADES: f64 = 0.995;
-/// A pace says something from this size on; of less, most is distance.
-const TELLS_KB: f64 = 16.0;
+/// Interval between changes of the rate.
+const LEARNING_STEP: TimeSpan = TimeSpan::from_secs(1);
+/// Factor of a raise.
+const RAISE_FACTOR: f64 = 1.05;
+/// Factor of a reduction.
+const REDUCE_FACTOR: f64 = 0.85;
+/// Below this fraction of the best speed a link counts as full: two fills that share it run at
+/// half.
+const FULL_BELOW: f64 = 0.6;
+/// Factor by which the best speed decreases with each step.
+const BEST_DECAY: f64 = 0.995;
+/// Smallest fill whose speed counts; the time of a smaller one is mostly latency.
+const MIN_FILL_KB: f64 = 16.0;
 
 impl RateLearner {
-    /// A fill of so many KB took so long from its first byte on.
-    pub fn on_fill(&mut self, kb: f64, took: TimeSpan) {
-        if kb < TELLS_KB || took == TimeSpan::ZERO {
+    /// Handles a fill that took `elapsed` from its first byte on.
+    pub fn on_fill(&mut self, kb: f64, elapsed: TimeSpan) {
+        if kb < MIN_FILL_KB || elapsed == TimeSpan::ZERO {
             return;
         }
-        let pace = kb / took.as_secs_f64();
+        let pace = kb / elapsed.as_secs_f64();
         self.best = self.best.max(pace);
         (self.sum, self.n) = (self.sum + pace, self.n + 1);
     }
 
+    /// Handles a refused request.
     pub fn on_refused(&mut self) {
         self.refused = true;
     }
 
-    /// The rate that follows from the step that ended, if one did.
-    pub fn step(&mut self, now: Timestamp, rate: f64, between: (f64, f64)) -> Option<f64> {
-        if now.since(self.step_at) < STEP {
+    /// The new rate at the end of a step; `None` within a step.
+    pub fn step(&mut self, now: Timestamp, rate: f64, bounds: (f64, f64)) -> Option<f64> {
+        if now.since(self.step_at) < LEARNING_STEP {
             return None;
         }
         self.step_at = now;
         let mean = (self.n > 0).then(|| self.sum / f64::from(self.n));
-        let full = mean.is_some_and(|mean| mean < FULL * self.best);
+        let full = mean.is_some_and(|mean| mean < FULL_BELOW * self.best);
         let next = match (full, self.refused) {
-            (true, _) => rate * FALLS,
-            (false, true) => rate * RISES,
+            (true, _) => rate * REDUCE_FACTOR,
+            (false, true) => rate * RAISE_FACTOR,
             (false, false) => rate,
         };
         (self.sum, self.n, self.refused) = (0.0, 0, false);
-        self.best *= BEST_FADES;
-        Some(next.clamp(between.0, between.1.max(between.0)))
+        self.best *= BEST_DECAY;
+        Some(next.clamp(bounds.0, bounds.1.max(bounds.0)))
     }
 }
 
 impl Budget {
-    /// Among how many it is divided.
+    /// Among how many dispatchers the limit is divided.
     pub fn dispatchers(&self) -> f64 {
         1.0 / self.share
     }
--- a/crates/zones/src/decide/config.rs
+++ b/crates/zones/src/decide/config.rs
@@ -1,7 +1,8 @@
-//! What the operator's file says of traffic between zones, in names, and what must hold of it.
+//! The operator's sections about traffic between zones, in names, and their checks.
 //!
-//! The script is read by the command line, which hands it on as JSON; whoever knows the zones and tracks turns the
-//! names into ids with [`ZonesConfig::resolve`]. Each complaint names file, line, column, section and field.
+//! The command line reads the file and passes the sections on as JSON. [`ZonesConfig::resolve`]
+//! turns the names of zones and classes into ids. Each error names file, line, column, section and
+//! field.
 
 use super::Rules;
 use super::budget::Limit;
@@ -11,50 +12,72 @@
 use std::fmt;
 use trailproxy::units::*;
 
-/// Line and column of each field, from 1; of the section itself under the empty name.
+/// Line and column of each field, from 1; the empty name stands for the section itself.
 pub type Positions = BTreeMap<String, (usize, usize)>;
 
+/// The section `zones` with all sections `crossing`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ZonesConfig {
+    /// The file that holds the sections.
     pub file: String,
+    /// Whether the sections apply.
     pub on: bool,
+    /// Interval between reports, in seconds.
     pub report_s: f64,
-    /// Tracks that go first beside the written, fingerprinted and binding ones.
+    /// Classes that have priority beside writes, keyed and non-idempotent ones.
     #[serde(rename = "first")]
     pub priority_classes: Vec<String>,
-    /// A file that Prometheus text is written to; empty: none.
+    /// A file to which metrics are written as Prometheus text; empty: none.
     pub metrics: String,
+    /// Settings of the detection of rises; `None`: no alarms.
     pub alarm: Option<Alarm>,
+    /// Where each field stands.
     #[serde(rename = "places")]
     pub positions: Positions,
+    /// The sections `crossing`.
     pub crossings: Vec<CrossingConfig>,
 }
 
+/// One section `crossing`: a limit of traffic into a zone.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CrossingConfig {
+    /// Name of the limit.
     pub name: String,
-    /// Empty: from all other zones together.
+    /// The zone that traffic comes from; empty: all other zones together.
     pub out_of: String,
+    /// The zone that traffic goes to.
     pub into: String,
-    /// 0: it is learned.
+    /// The rate; 0: it is learned.
     pub kb_per_s: f64,
+    /// The burst.
     pub burst_kb: f64,
+    /// The part of the rate that is reserved for priority traffic.
     pub reserve_kb_per_s: f64,
+    /// The largest object that has to fit; 0: not checked.
     pub largest_kb: f64,
+    /// The smallest learned rate.
     pub least_kb_per_s: f64,
+    /// The largest learned rate.
     pub most_kb_per_s: f64,
+    /// Where each field stands.
     #[serde(rename = "places")]
     pub positions: Positions,
 }
 
-/// What does not fit.
+/// A value that is not acceptable, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
+    /// The file.
     pub file: String,
+    /// Line and column, from 1.
     pub position: (usize, usize),
+    /// The section.
     pub section: &'static str,
+    /// The field.
     pub field: &'static str,
+    /// The value that was found.
     pub found: String,
+    /// The values that are accepted.
     pub wanted: String,
 }
 
@@ -72,7 +95,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// The zones and tracks that there are, each at the place of its id.
+/// Names of zones and classes; the index of each is its id.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     pub zones: Vec<String>,
@@ -80,7 +103,8 @@
 }
 
 impl ZonesConfig {
-    fn unfit(
+    /// The error for a field.
+    fn error(
         &self,
         places: &Positions,
         at: (&'static str, &'static str),
@@ -104,11 +128,11 @@
         }
     }
 
-    /// What must hold whatever zones and tracks there are.
+    /// Checks what does not depend on the names of zones and classes.
     pub fn check(&self) -> Result<(), ConfigError> {
         for crossing in &self.crossings {
-            let wrong = |field: &'static str, found: f64, wanted: String| {
-                Err(self.unfit(
+            let reject = |field: &'static str, found: f64, wanted: String| {
+                Err(self.error(
                     &crossing.positions,
                     ("crossing", field),
                     found.to_string(),
@@ -121,41 +145,41 @@
                 let wanted =
                     "a rate above 0, or 0 with least_kb_per_s above 0 and most_kb_per_s no less"
                         .into();
-                return wrong("kb_per_s", crossing.kb_per_s, wanted);
+                return reject("kb_per_s", crossing.kb_per_s, wanted);
             }
             let rate = if learned { least } else { crossing.kb_per_s };
-            // What a second and the burst together can't carry would wait for a free moment that never comes.
+            // What exceeds one second and the burst together could never be sent.
             if crossing.largest_kb > rate + crossing.burst_kb {
                 let wanted = format!(
                     "{} or less: what one second and the burst carry",
                     rate + crossing.burst_kb
                 );
-                return wrong("largest_kb", crossing.largest_kb, wanted);
+                return reject("largest_kb", crossing.largest_kb, wanted);
             }
             if crossing.reserve_kb_per_s > rate {
                 let wanted =
                     format!("{rate} or less: the whole rate, or the least one where it is learned");
-                return wrong("reserve_kb_per_s", crossing.reserve_kb_per_s, wanted);
+                return reject("reserve_kb_per_s", crossing.reserve_kb_per_s, wanted);
             }
             if crossing.out_of == crossing.into {
                 let wanted = "another zone than into".into();
                 let found = format!("{:?}", crossing.out_of);
-                return Err(self.unfit(&crossing.positions, ("crossing", "out_of"), found, wanted));
+                return Err(self.error(&crossing.positions, ("crossing", "out_of"), found, wanted));
             }
         }
         Ok(())
     }
 
-    /// The rules, with names as ids.
+    /// The settings, with ids in place of names.
     pub fn resolve(&self, names: &Names) -> Result<Rules, ConfigError> {
         self.check()?;
-        let among = |all: &[String], name: &str| all.iter().position(|known| known == name);
+        let index_of = |all: &[String], name: &str| all.iter().position(|known| known == name);
         let zone = |crossing: &CrossingConfig, field: &'static str, name: &str| {
-            among(&names.zones, name)
+            index_of(&names.zones, name)
                 .map(|nth| ZoneId(nth as u16))
                 .ok_or_else(|| {
                     let wanted = format!("one of {}", names.zones.join(", "));
-                    self.unfit(
+                    self.error(
                         &crossing.positions,
                         ("crossing", field),
                         format!("{name:?}"),
@@ -169,16 +193,16 @@
             ..Rules::default()
         };
         for name in &self.priority_classes {
-            let track = among(&names.classes, name).ok_or_else(|| {
+            let class = index_of(&names.classes, name).ok_or_else(|| {
                 let wanted = format!("names among {}", names.classes.join(", "));
-                self.unfit(
+                self.error(
                     &self.positions,
                     ("zones", "first"),
                     format!("{name:?}"),
                     wanted,
                 )
             })?;
-            rules.priority_classes.push(ClassId(track as u16));
+            rules.priority_classes.push(ClassId(class as u16));
         }
         for crossing in &self.crossings {
             let from = match crossing.out_of.as_str() {
--- a/crates/zones/src/decide/merge.rs
+++ b/crates/zones/src/decide/merge.rs
@@ -1,68 +1,83 @@
-//! Reports of several dispatchers, over several starts, as one account.
+//! Merges the reports of several dispatchers, over several restarts, into one account.
 
 use crate::report::Report;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// A way between zones with its track, tier and cause, in names.
+/// A route between zones with tier, class and cause, all by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Row {
+    /// Zone of the source.
     pub from: String,
+    /// Zone that the bytes go to.
     pub to: String,
+    /// Tier of the source.
     pub tier: String,
+    /// Class of the requests.
     #[serde(rename = "track")]
     pub class: String,
+    /// Why the bytes crossed.
     pub cause: String,
 }
 
+/// Sum of one row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Total {
+    /// Number of transfers.
     pub moves: u64,
+    /// KB of 1,024 bytes.
     pub kb: f64,
 }
 
-/// What crossed and what found no room in one slot of time, by way and track.
+/// What crossed and what was refused in one time slot.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Slot {
+    /// KB by source zone, destination zone and class.
     pub crossed: BTreeMap<(String, String, String), f64>,
-    /// By track.
+    /// KB by class.
     pub refused: BTreeMap<String, f64>,
 }
 
-/// One account of all that was read.
+/// One account of all reports.
 #[derive(Clone, Debug, Default)]
 pub struct Merged {
+    /// The sums by row.
     pub rows: BTreeMap<Row, Total>,
-    /// Slots by their number from the Unix epoch on.
+    /// Slots by number, counted from the Unix epoch.
     pub slots: BTreeMap<u64, Slot>,
+    /// Length of a slot in microseconds.
     pub slot_us: u64,
+    /// Number of reports.
     pub reports: usize,
+    /// Number of dispatcher processes that the reports come from.
     pub boots: usize,
-    /// Reports whose totals fell within one life, or that came twice: not counted.
+    /// Reports that came twice or whose totals decreased within one process; they are not counted.
     pub out_of_order: usize,
+    /// Refused requests by class.
     pub refused: BTreeMap<String, Total>,
+    /// KB that the dispatchers had no line for.
     pub left_out_kb: f64,
 }
 
-/// The most slots that are kept; beyond, a day's reports go into wider ones.
-const MOST_SLOTS: u64 = 20_000;
+/// Limit of slots; longer accounts have wider slots.
+const MAX_SLOTS: u64 = 20_000;
 
-/// Adds up the differences between one report and the next of each life.
+/// Adds up the differences between successive reports of each dispatcher process.
 pub fn merge(mut reports: Vec<Report>, slot_us: u64) -> Merged {
     reports.sort_by(|a, b| (&a.dispatcher, a.boot, a.at_us).cmp(&(&b.dispatcher, b.boot, b.at_us)));
     let first = reports.iter().map(|report| report.at_us).min().unwrap_or(0);
     let last = reports.iter().map(|report| report.at_us).max().unwrap_or(0);
-    let slot_us = slot_us.max(1).max((last - first) / MOST_SLOTS);
+    let slot_us = slot_us.max(1).max((last - first) / MAX_SLOTS);
     let mut merged = Merged {
         slot_us,
         reports: reports.len(),
         ..Merged::default()
     };
-    let mut before: Option<(&Report, BTreeMap<Row, Total>)> = None;
+    let mut previous: Option<(&Report, BTreeMap<Row, Total>)> = None;
     for report in &reports {
         let same =
             |other: &Report| (&other.dispatcher, other.boot) == (&report.dispatcher, report.boot);
-        let former = before.take().filter(|(other, _)| same(other));
+        let former = previous.take().filter(|(other, _)| same(other));
         let mut now: BTreeMap<Row, Total> = BTreeMap::new();
         for line in &report.lines {
             let row = Row {
@@ -76,10 +91,11 @@
             (total.moves, total.kb) = (total.moves + line.moves, total.kb + line.kb);
         }
         let old = former.as_ref().map(|(_, old)| old);
-        let fell = |(row, was): (&Row, &Total)| now.get(row).is_none_or(|is| is.moves < was.moves);
-        if old.is_some_and(|old| old.iter().any(fell)) {
+        let decreased =
+            |(row, was): (&Row, &Total)| now.get(row).is_none_or(|is| is.moves < was.moves);
+        if old.is_some_and(|old| old.iter().any(decreased)) {
             merged.out_of_order += 1;
-            before = former;
+            previous = former;
             continue;
         }
         merged.boots += usize::from(former.is_none());
@@ -92,8 +108,8 @@
             let (moves, kb) = (is.moves - was.moves, is.kb - was.kb);
             let total = merged.rows.entry(row.clone()).or_default();
             (total.moves, total.kb) = (total.moves + moves, total.kb + kb);
-            let way = (row.from.clone(), row.to.clone(), row.class.clone());
-            *slot.crossed.entry(way).or_default() += kb;
+            let route = (row.from.clone(), row.to.clone(), row.class.clone());
+            *slot.crossed.entry(route).or_default() += kb;
         }
         let earlier = former.as_ref().map(|(other, _)| *other);
         for refused in &report.refused {
@@ -106,13 +122,13 @@
             *slot.refused.entry(refused.class.clone()).or_default() += refused.kb - kb;
         }
         merged.left_out_kb += report.left_out_kb - earlier.map_or(0.0, |other| other.left_out_kb);
-        before = Some((report, now));
+        previous = Some((report, now));
     }
     merged
 }
 
 impl Merged {
-    /// Sums over rows that agree in what `key` takes of them.
+    /// Sums of the rows for which `key` is the same.
     pub fn by<K: Ord>(&self, key: impl Fn(&Row) -> K) -> BTreeMap<K, Total> {
         let mut sums: BTreeMap<K, Total> = BTreeMap::new();
         for (row, total) in &self.rows {
--- a/crates/zones/src/decide/mod.rs
+++ b/crates/zones/src/decide/mod.rs
@@ -1,10 +1,17 @@
-//! Why something crosses, what it is expected to cost, and what it turns out to have cost.
+//! Traffic between zones: why an attempt crosses, what it is expected to transfer, and what it
+//! transferred.
 
+/// Account of the transfers.
 pub mod account;
+/// Budgets of crossing limits.
 pub mod budget;
+/// The operator's section.
 pub mod config;
+/// History of objects, hosts and purges.
 pub mod history;
+/// One account out of the reports of several dispatchers.
 pub mod merge;
+/// Detection of sudden rises.
 pub mod rise;
 
 use account::{Account, AccountKey, Cause, Transfer};
@@ -16,13 +23,16 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 
-/// What the operator sets.
+/// The operator's settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
+    /// The limits of traffic between zones.
     pub limits: Vec<Limit>,
-    /// Tracks that go first beside the written, fingerprinted and binding ones.
+    /// Classes that have priority beside writes, keyed and non-idempotent ones.
     pub priority_classes: Vec<ClassId>,
+    /// How sensitive the detection of rises is; `None`: no alarms.
     pub alarm: Option<Alarm>,
+    /// Interval between reports.
     pub report_every: TimeSpan,
 }
 
@@ -37,60 +47,61 @@
     }
 }
 
-/// How much the newest outcome counts in the share of accesses that crossed.
-const GAIN: f64 = 0.03;
-/// What one answer takes beside its sending, where only its time tells a hit from a fill.
-const HOP: TimeSpan = TimeSpan::from_millis(40);
-/// Ways that are watched; traffic is booked for all.
-const MOST_WATCHED: usize = 64;
-/// Rises kept until they are taken.
-const MOST_TOLD: usize = 64;
+/// Weight of the newest outcome in the share of requests that crossed.
+const CROSSED_GAIN: f64 = 0.03;
+/// Time that an answer takes beside its transfer, where only its duration tells a hit from a fill.
+const ANSWER_OVERHEAD: TimeSpan = TimeSpan::from_millis(40);
+/// Limit of routes that are watched for rises; transfers are accounted for all routes.
+const MAX_WATCHED_ROUTES: usize = 64;
+/// Limit of alerts kept until they are taken.
+const MAX_PENDING_ALERTS: usize = 64;
 
-/// One hand-off that may cross and is not over.
+/// One attempt that may cross and has not ended.
 #[derive(Debug)]
 struct InFlightCrossing {
     crossing: Crossing,
-    why: CrossingCause,
+    reason: CrossingCause,
     expected: f64,
     charged: Vec<(usize, budget::BucketKind)>,
-    sent: Timestamp,
+    sent_at: Timestamp,
     joined: bool,
-    left: bool,
+    client_gone: bool,
 }
 
+/// Settings of one class.
 struct ClassInfo {
-    class: Priority,
-    written: bool,
-    fresh: Option<TimeSpan>,
+    priority: Priority,
+    is_write: bool,
+    fresh_for: Option<TimeSpan>,
 }
 
-/// Account, budgets and watches of one dispatcher.
+/// Account, budgets and rise detection of one dispatcher.
 pub struct Zones {
     zone: ZoneId,
-    seats: Vec<u32>,
+    dispatchers_by_zone: Vec<u32>,
     dispatchers: u32,
-    notes: NoteLevel,
-    flow_kb_per_s: f64,
-    tracks: Vec<ClassInfo>,
+    note_level: NoteLevel,
+    stream_kb_per_s: f64,
+    classes: Vec<ClassInfo>,
     rules: Rules,
-    chance: fastrand::Rng,
+    rng: fastrand::Rng,
     budgets: Vec<Budget>,
     learners: Vec<RateLearner>,
     account: Account,
-    memory: ObjectHistory,
+    history: ObjectHistory,
     in_flight: BTreeMap<(RequestId, AttemptNo), InFlightCrossing>,
-    /// The share of accesses that crossed, by track and cause.
+    /// The share of requests that crossed, by class and cause.
     crossed: Vec<[f64; Cause::ALL.len()]>,
     watches: BTreeMap<(ZoneId, ZoneId), Watch>,
-    told: Vec<Rise>,
-    /// What was turned away since time last passed, each access once.
-    refused: RefCell<Vec<(Crossing, f64, CrossingCause)>>,
+    pending_alerts: Vec<Rise>,
+    /// Refused requests since the last `advance`, each once.
+    pending_refusals: RefCell<Vec<(Crossing, f64, CrossingCause)>>,
     last_refused: Cell<Option<RequestId>>,
-    turned_away: RefCell<Vec<(u64, f64)>>,
+    refused_totals: RefCell<Vec<(u64, f64)>>,
 }
 
-/// How likely something crosses before any was seen.
-fn first_guess(cause: Cause) -> f64 {
+/// Probability that an attempt crosses, before any outcome is known.
+fn initial_crossing_probability(cause: Cause) -> f64 {
     match cause {
         Cause::Written | Cause::Straight => 1.0,
         Cause::First => 0.7,
@@ -102,32 +113,32 @@
 }
 
 impl Zones {
-    /// `terms` as the decisions have them; the seed draws this dispatcher's points in its budgets.
-    pub fn new(terms: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
-        let class_info = |track: &ClassSettings| ClassInfo {
-            class: priority_of(track),
-            written: track.is_write,
-            fresh: track.fresh_for,
+    /// `settings` are those of the dispatcher; the seed draws its random values in the budgets.
+    pub fn new(settings: &DispatcherSettings, rules: Rules, seed: u64) -> Zones {
+        let class_info = |class: &ClassSettings| ClassInfo {
+            priority: priority_of(class),
+            is_write: class.is_write,
+            fresh_for: class.fresh_for,
         };
         let mut zones = Zones {
-            zone: terms.zone,
-            seats: terms.dispatchers_by_zone.clone(),
-            dispatchers: terms.dispatchers,
-            notes: terms.note_level,
-            flow_kb_per_s: terms.stream_kb_per_s,
-            tracks: terms.classes.iter().map(class_info).collect(),
-            chance: fastrand::Rng::with_seed(seed),
+            zone: settings.zone,
+            dispatchers_by_zone: settings.dispatchers_by_zone.clone(),
+            dispatchers: settings.dispatchers,
+            note_level: settings.note_level,
+            stream_kb_per_s: settings.stream_kb_per_s,
+            classes: settings.classes.iter().map(class_info).collect(),
+            rng: fastrand::Rng::with_seed(seed),
             budgets: Vec::new(),
             learners: Vec::new(),
             account: Account::default(),
-            memory: ObjectHistory::new(terms.parent_kind, terms.origin_kind),
+            history: ObjectHistory::new(settings.parent_kind, settings.origin_kind),
             in_flight: BTreeMap::new(),
-            crossed: vec![Cause::ALL.map(first_guess); terms.classes.len()],
+            crossed: vec![Cause::ALL.map(initial_crossing_probability); settings.classes.len()],
             watches: BTreeMap::new(),
-            told: Vec::new(),
-            refused: RefCell::default(),
+            pending_alerts: Vec::new(),
+            pending_refusals: RefCell::default(),
             last_refused: Cell::new(None),
-            turned_away: RefCell::new(vec![(0, 0.0); terms.classes.len()]),
+            refused_totals: RefCell::new(vec![(0, 0.0); settings.classes.len()]),
             rules: Rules {
                 limits: Vec::new(),
                 ..rules.clone()
@@ -137,11 +148,12 @@
         zones
     }
 
-    /// Other rules in place of these. Counts, debts and what is under way stay; a limit is the same by its name.
+    /// Replaces the settings. Counts, debts and crossings in flight are kept; a limit is the same
+    /// if its name is.
     pub fn apply_rules(&mut self, now: Timestamp, rules: Rules) {
-        for (nth, track) in (0..).zip(&mut self.tracks) {
+        for (nth, class) in (0..).zip(&mut self.classes) {
             if rules.priority_classes.contains(&ClassId(nth)) {
-                track.class = Priority::First;
+                class.priority = Priority::First;
             }
         }
         let mut old: Vec<Option<Budget>> = std::mem::take(&mut self.budgets)
@@ -153,29 +165,33 @@
             .map(|budget| budget.as_ref().map(|budget| budget.limit.name.clone()))
             .collect();
         for limit in &rules.limits {
-            let seats = self.seats.get(usize::from(limit.to.0)).copied();
-            let dispatchers = f64::from(seats.unwrap_or(self.dispatchers).max(1));
+            let in_zone = self
+                .dispatchers_by_zone
+                .get(usize::from(limit.to.0))
+                .copied();
+            let dispatchers = f64::from(in_zone.unwrap_or(self.dispatchers).max(1));
             let same = before
                 .iter()
                 .position(|name| name.as_ref() == Some(&limit.name));
             let kept = same.and_then(|nth| old[nth].take());
-            let ways =
+            let is_same_route =
                 |budget: &Budget| (budget.limit.from, budget.limit.to) == (limit.from, limit.to);
-            self.budgets.push(match kept.filter(ways) {
+            self.budgets.push(match kept.filter(is_same_route) {
                 Some(mut budget) => {
                     budget.advance(now);
                     budget.apply_limit(limit.clone(), dispatchers);
                     if limit.learned.is_some() {
-                        // Its whole is not the same with all: it is not divided any more.
+                        // The total of a learned limit differs between dispatchers, so the limit is
+                        // no longer divided.
                         budget.set_part(now, None);
                     }
                     budget
                 }
-                None => Budget::new(limit.clone(), dispatchers, now, &mut self.chance),
+                None => Budget::new(limit.clone(), dispatchers, now, &mut self.rng),
             });
         }
-        // A charge that is under way goes on with its limit, or is free of it.
-        let place = |nth: usize| {
+        // A charge for a crossing in flight follows its limit, or is dropped with it.
+        let new_index = |nth: usize| {
             let name = before.get(nth)?.as_deref()?;
             rules.limits.iter().position(|limit| limit.name == name)
         };
@@ -183,7 +199,7 @@
             let moved = in_flight
                 .charged
                 .iter()
-                .filter_map(|&(nth, from)| Some((place(nth)?, from)));
+                .filter_map(|&(nth, from)| Some((new_index(nth)?, from)));
             in_flight.charged = moved.collect();
         }
         self.learners = rules
@@ -194,43 +210,51 @@
         self.rules = rules;
     }
 
+    /// The settings.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
+    /// The account of transfers.
     pub fn account(&self) -> &Account {
         &self.account
     }
 
+    /// The budgets of all limits.
     pub fn budgets(&self) -> &[Budget] {
         &self.budgets
     }
 
-    /// The limits into the own zone whose rate is the operator's: the same with all dispatchers of the zone.
+    /// The limits into the own zone with a rate that the operator set: the same in all dispatchers
+    /// of the zone.
     pub fn divisible_limits(&self) -> impl Iterator<Item = &Limit> {
         let limits = self.budgets.iter().map(|budget| &budget.limit);
         limits.filter(|limit| limit.to == self.zone && limit.learned.is_none())
     }
 
-    /// A limit's part is this from now on; `None`: an equal share.
+    /// Sets the part of a limit; `None`: an equal share.
     pub fn set_part(&mut self, now: Timestamp, name: &str, part: Option<BudgetPart>) {
-        for budget in self.budgets.iter_mut().filter(|of| of.limit.name == name) {
+        for budget in self
+            .budgets
+            .iter_mut()
+            .filter(|budget| budget.limit.name == name)
+        {
             budget.set_part(now, part);
         }
     }
 
-    /// The part of a limit that was wanted lately, and of that what goes first.
+    /// The fraction of a limit that was recently wanted, and how much of that has priority.
     pub fn need(&self, now: Timestamp, name: &str) -> (f64, f64) {
-        let of = self.budgets.iter().find(|of| of.limit.name == name);
-        of.map_or((0.0, 0.0), |budget| budget.need(now))
+        let budget = self.budgets.iter().find(|budget| budget.limit.name == name);
+        budget.map_or((0.0, 0.0), |budget| budget.need(now))
     }
 
-    /// Accesses that found no room, by track, and the KB they were expected to move.
+    /// Number of refused requests by class, and the KB that they were expected to transfer.
     pub fn refused(&self) -> Vec<(u64, f64)> {
-        self.turned_away.borrow().clone()
+        self.refused_totals.borrow().clone()
     }
 
-    /// KB expected of what is under way.
+    /// KB that the crossings in flight are expected to transfer.
     pub fn in_flight_kb(&self) -> f64 {
         self.in_flight
             .values()
@@ -238,28 +262,29 @@
             .sum()
     }
 
-    /// What it keeps, for a check that nothing grows: hand-offs, objects, purges and hosts.
+    /// Numbers of remembered attempts and of objects, purges and hosts, for checks that they stay
+    /// bounded.
     pub fn tracked_counts(&self) -> (usize, usize) {
-        (self.in_flight.len(), self.memory.tracked_count())
+        (self.in_flight.len(), self.history.tracked_count())
     }
 
-    /// Lets time pass, and takes what is to be told.
+    /// Lets time pass, and takes the pending alerts.
     pub fn advance(&mut self, now: Timestamp) -> Vec<Rise> {
         self.account.advance(now);
         self.budgets
             .iter_mut()
             .for_each(|budget| budget.advance(now));
-        for (crossing, kb, why) in self.refused.take() {
-            self.watch(&crossing, kb, why);
+        for (crossing, kb, reason) in self.pending_refusals.take() {
+            self.watch(&crossing, kb, reason);
             for (learner, budget) in self.learners.iter_mut().zip(&self.budgets) {
-                if Zones::concerns(&budget.limit, &crossing) {
+                if Zones::applies_to(&budget.limit, &crossing) {
                     learner.on_refused();
                 }
             }
-            let class = self.class(crossing.arrival.class);
+            let priority = self.priority(crossing.arrival.class);
             for budget in &mut self.budgets {
-                if Zones::concerns(&budget.limit, &crossing) {
-                    budget.on_demand(now, class, kb);
+                if Zones::applies_to(&budget.limit, &crossing) {
+                    budget.on_demand(now, priority, kb);
                 }
             }
         }
@@ -279,8 +304,8 @@
         }
         if let Some(alarm) = self.rules.alarm {
             for (&(from, to), watch) in &mut self.watches {
-                let turn = watch.advance(now, alarm);
-                let told = turn.map(|(begins, kb, usual, reason, share)| Rise {
+                let change = watch.advance(now, alarm);
+                let alert = change.map(|(begins, kb, usual, reason, share)| Rise {
                     from: from.0,
                     to: to.0,
                     begins,
@@ -289,42 +314,46 @@
                     reason,
                     share,
                 });
-                self.told
-                    .extend(told.filter(|_| self.told.len() < MOST_TOLD));
+                self.pending_alerts
+                    .extend(alert.filter(|_| self.pending_alerts.len() < MAX_PENDING_ALERTS));
             }
         }
-        std::mem::take(&mut self.told)
+        std::mem::take(&mut self.pending_alerts)
     }
 
-    fn watch(&mut self, crossing: &Crossing, kb: f64, why: CrossingCause) {
-        let way = (crossing.from, crossing.to);
-        if self.watches.contains_key(&way) || self.watches.len() < MOST_WATCHED {
-            self.watches.entry(way).or_default().add(CrossingSample {
+    /// Adds expected or corrected KB to the watch of the route.
+    fn watch(&mut self, crossing: &Crossing, kb: f64, reason: CrossingCause) {
+        let route = (crossing.from, crossing.to);
+        if self.watches.contains_key(&route) || self.watches.len() < MAX_WATCHED_ROUTES {
+            self.watches.entry(route).or_default().add(CrossingSample {
                 kb,
-                cause: why.cause,
+                cause: reason.cause,
                 object: crossing.arrival.object,
-                lost: why.lost,
-                purge: why.purge,
+                lost_host: reason.lost_host,
+                purge: reason.purge,
             });
         }
     }
 
-    fn why(&self, now: Timestamp, crossing: &Crossing) -> CrossingCause {
-        let track = &self.tracks[usize::from(crossing.arrival.class.0)];
-        if track.written {
+    /// Why an attempt crosses.
+    fn reason(&self, now: Timestamp, crossing: &Crossing) -> CrossingCause {
+        let class = &self.classes[usize::from(crossing.arrival.class.0)];
+        if class.is_write {
             return CrossingCause::of(Cause::Written);
         }
         if crossing.host == crossing.source {
             return CrossingCause::of(Cause::Straight);
         }
-        self.memory.explain(now, crossing, track.fresh)
+        self.history.explain(now, crossing, class.fresh_for)
     }
 
-    /// KB that this is expected to move: what it may, by how often its like did.
-    fn expected(&self, crossing: &Crossing, why: CrossingCause) -> f64 {
-        let joined = self.joins(crossing);
-        let likely = self.crossed[usize::from(crossing.arrival.class.0)][why.cause as usize];
-        // What was told falsely small is corrected when it has come; nothing is free.
+    /// KB that an attempt is expected to transfer: its size, times the share of similar attempts
+    /// that crossed.
+    fn expected(&self, crossing: &Crossing, reason: CrossingCause) -> f64 {
+        let joined = self.joins_fill(crossing);
+        let likely = self.crossed[usize::from(crossing.arrival.class.0)][reason.cause as usize];
+        // A size that was stated too small is corrected when the answer has come; no attempt is
+        // free.
         let kb = if crossing.kb.is_finite() {
             crossing.kb.max(0.0)
         } else {
@@ -333,43 +362,47 @@
         if joined { 0.0 } else { kb * likely }
     }
 
-    /// Whether an own fill of the same part at the same cache is under way, which this one then joins.
-    fn joins(&self, crossing: &Crossing) -> bool {
-        let way = (
+    /// Whether this dispatcher is already filling the same part at the same cache, so that this
+    /// attempt joins that fill.
+    fn joins_fill(&self, crossing: &Crossing) -> bool {
+        let cached_part = (
             crossing.host,
             crossing.arrival.object,
             crossing.arrival.part,
         );
-        crossing.join && self.memory.is_filling(way)
+        crossing.join && self.history.is_filling(cached_part)
     }
 
-    fn concerns(limit: &Limit, crossing: &Crossing) -> bool {
+    /// Whether a limit applies to a crossing.
+    fn applies_to(limit: &Limit, crossing: &Crossing) -> bool {
         limit.to == crossing.to && limit.from.is_none_or(|from| from == crossing.from)
     }
 
-    fn class(&self, track: ClassId) -> Priority {
-        self.tracks
-            .get(usize::from(track.0))
-            .map_or(Priority::Plain, |track| track.class)
+    fn priority(&self, class: ClassId) -> Priority {
+        self.classes
+            .get(usize::from(class.0))
+            .map_or(Priority::Plain, |class| class.priority)
     }
 
-    /// What came of a hand-off that might cross: KB that crossed, as far as it is told or can be inferred.
-    fn came(&self, outcome: &Outcome, in_flight: &InFlightCrossing) -> (f64, bool) {
-        let told = in_flight.crossing.kb.max(0.0);
-        let kb = outcome.received_kb.unwrap_or(told);
-        let sure = in_flight.why.cause == Cause::Straight;
-        let alone = TimeSpan::from_secs_f64(told / self.flow_kb_per_s.max(1e-9)) + HOP;
+    /// KB that crossed with an attempt, as far as they are reported or can be inferred, and whether
+    /// that is certain.
+    fn transferred(&self, outcome: &Outcome, in_flight: &InFlightCrossing) -> (f64, bool) {
+        let stated_kb = in_flight.crossing.kb.max(0.0);
+        let kb = outcome.received_kb.unwrap_or(stated_kb);
+        let is_straight = in_flight.reason.cause == Cause::Straight;
+        let hit_time =
+            TimeSpan::from_secs_f64(stated_kb / self.stream_kb_per_s.max(1e-9)) + ANSWER_OVERHEAD;
         match (outcome.ending, outcome.note) {
-            // Of what is written, the request crosses and not its answer.
-            (Ending::Done, _) if in_flight.why.cause == Cause::Written => (told, true),
-            (Ending::Done, _) if sure => (kb, true),
+            // Of a write the request crosses, not its answer.
+            (Ending::Done, _) if in_flight.reason.cause == Cause::Written => (stated_kb, true),
+            (Ending::Done, _) if is_straight => (kb, true),
             (Ending::Done, Note::Hit | Note::Stale | Note::Joined) => (0.0, true),
             (Ending::Done, Note::Filled | Note::FilledByOrigin) => (kb, true),
             (Ending::Done, _) if in_flight.joined => (0.0, false),
-            // Where hits are told, what is not one was filled.
-            (Ending::Done, _) if self.notes != NoteLevel::None => (kb, true),
-            (Ending::Done, _) => (if outcome.elapsed > alone { kb } else { 0.0 }, false),
-            // It may go on behind: what was expected of it stays booked.
+            // Where hits are reported, anything else was filled.
+            (Ending::Done, _) if self.note_level != NoteLevel::None => (kb, true),
+            (Ending::Done, _) => (if outcome.elapsed > hit_time { kb } else { 0.0 }, false),
+            // The transfer may continue; the expected amount stays accounted.
             (Ending::ConnectionLost | Ending::TimedOut | Ending::Cancelled, _) => {
                 (in_flight.expected, false)
             }
@@ -377,59 +410,67 @@
         }
     }
 
-    fn outcome(&mut self, now: Timestamp, outcome: &Outcome) {
+    fn on_outcome(&mut self, now: Timestamp, outcome: &Outcome) {
         let Some(in_flight) = self.in_flight.remove(&(outcome.id, outcome.attempt)) else {
             return;
         };
         let crossing = in_flight.crossing;
-        let (kb, certain) = self.came(outcome, &in_flight);
+        let (kb, certain) = self.transferred(outcome, &in_flight);
         let done = outcome.ending == Ending::Done;
         for &(nth, from) in &in_flight.charged {
             self.budgets[nth].correct(from, kb - in_flight.expected);
         }
-        let (track, cause) = (usize::from(crossing.arrival.class.0), in_flight.why.cause);
+        let (class, cause) = (
+            usize::from(crossing.arrival.class.0),
+            in_flight.reason.cause,
+        );
         if certain && done && !in_flight.joined {
-            let share = &mut self.crossed[track][cause as usize];
-            let now = if kb > 0.0 { 1.0 } else { 0.0 };
-            *share += (now - *share) * GAIN;
+            let share = &mut self.crossed[class][cause as usize];
+            let crossed = if kb > 0.0 { 1.0 } else { 0.0 };
+            *share += (crossed - *share) * CROSSED_GAIN;
         }
         let filled = done && kb > 0.0;
-        // The watch saw what was expected when it went out.
-        self.watch(&crossing, kb - in_flight.expected, in_flight.why);
-        let way = (
+        // The watch counted the expected amount when the attempt was sent.
+        self.watch(&crossing, kb - in_flight.expected, in_flight.reason);
+        let cached_part = (
             crossing.host,
             crossing.arrival.object,
             crossing.arrival.part,
         );
-        // A hit where a refill was expected says that another dispatcher's came first.
-        let anew = filled || matches!(cause, Cause::Purge | Cause::HostLost);
-        self.memory
-            .on_attempt_ended(now, way, outcome.ending, anew, !in_flight.joined);
+        // A hit where a refill was expected means that another dispatcher filled the part first.
+        let is_refill = filled || matches!(cause, Cause::Purge | Cause::HostLost);
+        self.history.on_attempt_ended(
+            now,
+            cached_part,
+            outcome.ending,
+            is_refill,
+            !in_flight.joined,
+        );
         if kb <= 0.0 {
             return;
         }
-        let wasted = !done || in_flight.left;
-        let begun = outcome
+        let wasted = !done || in_flight.client_gone;
+        let began_at = outcome
             .first_byte_latency
-            .map_or(in_flight.sent, |waited| in_flight.sent + waited);
+            .map_or(in_flight.sent_at, |waited| in_flight.sent_at + waited);
         let key = AccountKey {
             from: crossing.from,
             to: crossing.to,
-            tier: self.memory.tier(crossing.source),
+            tier: self.history.tier(crossing.source),
             class: crossing.arrival.class,
             cause: if wasted { Cause::Waste } else { cause },
         };
         let moved = Transfer {
             key,
             kb,
-            from: begun,
+            from: began_at,
             until: now,
         };
         self.account.record(now, moved);
         if filled {
-            let took = now.since(begun);
+            let took = now.since(began_at);
             for (learner, budget) in self.learners.iter_mut().zip(&self.budgets) {
-                if Zones::concerns(&budget.limit, &crossing) {
+                if Zones::applies_to(&budget.limit, &crossing) {
                     learner.on_fill(kb, took);
                 }
             }
@@ -437,15 +478,15 @@
     }
 }
 
-/// Orders and all that may not simply run again go first.
-pub fn priority_of(track: &ClassSettings) -> Priority {
-    match track.is_write || track.effect != Effect::Idempotent {
+/// Writes and everything that may not simply be repeated have priority.
+pub fn priority_of(class: &ClassSettings) -> Priority {
+    match class.is_write || class.effect != Effect::Idempotent {
         true => Priority::First,
         false => Priority::Plain,
     }
 }
 
-/// What is known of other dispatchers' accesses is not its matter.
+/// Requests of other dispatchers are not handled here.
 impl PeerKnowledge for Zones {}
 
 impl CrossingLimits for Zones {
@@ -454,16 +495,16 @@
             .iter_mut()
             .for_each(|budget| budget.advance(now));
         match event {
-            Event::HostList { kind, entries } => self.memory.on_host_list(now, *kind, entries),
+            Event::HostList { kind, entries } => self.history.on_host_list(now, *kind, entries),
             Event::Purged {
                 object, group, age, ..
-            } => self.memory.on_purge(now - *age, *object, *group),
-            Event::Outcome(outcome) => self.outcome(now, outcome),
+            } => self.history.on_purge(now - *age, *object, *group),
+            Event::Outcome(outcome) => self.on_outcome(now, outcome),
             Event::ClientGone { id } => {
                 let all = (*id, AttemptNo(0))..=(*id, AttemptNo(u8::MAX));
                 self.in_flight
                     .range_mut(all)
-                    .for_each(|(_, in_flight)| in_flight.left = true);
+                    .for_each(|(_, in_flight)| in_flight.client_gone = true);
             }
             Event::Arrived(_)
             | Event::ResponseStarted { .. }
@@ -477,16 +518,16 @@
         if self.budgets.is_empty() {
             return true;
         }
-        let why = self.why(now, crossing);
-        let kb = self.expected(crossing, why);
-        let class = self.class(crossing.arrival.class);
+        let reason = self.reason(now, crossing);
+        let kb = self.expected(crossing, reason);
+        let priority = self.priority(crossing.arrival.class);
         let concerned = self
             .budgets
             .iter()
-            .filter(|budget| Zones::concerns(&budget.limit, crossing));
+            .filter(|budget| Zones::applies_to(&budget.limit, crossing));
         let mut fits = true;
         for budget in concerned {
-            if budget.bucket_with_room(now, class, kb).is_none() {
+            if budget.bucket_with_room(now, priority, kb).is_none() {
                 budget.on_refused(now, kb);
                 fits = false;
             }
@@ -495,62 +536,62 @@
             && self.last_refused.replace(Some(crossing.arrival.id)) != Some(crossing.arrival.id)
         {
             if let Some(sum) = self
-                .turned_away
+                .refused_totals
                 .borrow_mut()
                 .get_mut(usize::from(crossing.arrival.class.0))
             {
                 *sum = (sum.0 + 1, sum.1 + kb);
             }
-            let mut refused = self.refused.borrow_mut();
-            if refused.len() < 10_000 {
-                refused.push((*crossing, kb, why));
+            let mut pending_refusals = self.pending_refusals.borrow_mut();
+            if pending_refusals.len() < 10_000 {
+                pending_refusals.push((*crossing, kb, reason));
             }
         }
         fits
     }
 
     fn on_sent(&mut self, now: Timestamp, crossing: &Crossing) {
-        let why = self.why(now, crossing);
-        let joined = self.joins(crossing);
-        let expected = self.expected(crossing, why);
-        let class = self.class(crossing.arrival.class);
+        let reason = self.reason(now, crossing);
+        let joined = self.joins_fill(crossing);
+        let expected = self.expected(crossing, reason);
+        let priority = self.priority(crossing.arrival.class);
         let mut charged = Vec::new();
         for nth in 0..self.budgets.len() {
             let budget = &mut self.budgets[nth];
-            if Zones::concerns(&budget.limit, crossing) {
+            if Zones::applies_to(&budget.limit, crossing) {
                 let from = budget
-                    .bucket_with_room(now, class, expected)
+                    .bucket_with_room(now, priority, expected)
                     .unwrap_or(budget::BucketKind::Common);
                 budget.charge(now, from, expected);
-                budget.on_demand(now, class, expected);
+                budget.on_demand(now, priority, expected);
                 charged.push((nth, from));
             }
         }
-        if why.cause != Cause::Written && why.cause != Cause::Straight {
-            let way = (
+        if reason.cause != Cause::Written && reason.cause != Cause::Straight {
+            let cached_part = (
                 crossing.host,
                 crossing.arrival.object,
                 crossing.arrival.part,
             );
-            self.memory.on_sent(now, way, !joined);
+            self.history.on_sent(now, cached_part, !joined);
         }
         let in_flight = InFlightCrossing {
             crossing: *crossing,
-            why,
+            reason,
             expected,
             charged,
-            sent: now,
+            sent_at: now,
             joined,
-            left: false,
+            client_gone: false,
         };
-        self.watch(crossing, expected, why);
+        self.watch(crossing, expected, reason);
         self.in_flight
             .insert((crossing.arrival.id, crossing.attempt), in_flight);
     }
 
-    fn retry_after(&self, now: Timestamp, track: ClassId) -> Option<TimeSpan> {
+    fn retry_after(&self, now: Timestamp, class: ClassId) -> Option<TimeSpan> {
         let own = |budget: &&Budget| budget.limit.to == self.zone;
-        let plain = self.class(track) == Priority::Plain;
+        let plain = self.priority(class) == Priority::Plain;
         let full = self.budgets.iter().filter(own).filter(|_| plain);
         full.filter_map(|budget| budget.time_until_room(now)).max()
     }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -54,7 +54,7 @@
         };
         let mut chance = fastrand::Rng::with_seed(seed);
         let mut budget = Budget::new(limit, 1.0, at(0), &mut chance);
-        let from = if kept { BucketKind::Kept } else { BucketKind::Common };
+        let from = if kept { BucketKind::Reserved } else { BucketKind::Common };
         budget.charge(at(0), from, kb);
         budget.correct(from, -kb);
         prop_assert!(budget.saved_kb().abs() < 1e-6);
