--- a/crates/zones-tools/src/decide/mod.rs
+++ b/crates/zones-tools/src/decide/mod.rs
@@ -1,3 +1,4 @@
-//! What a link and a reserve must be.
+//! Calculation of the link and the reserve that a service needs.
 
+/// The planner.
 pub mod plan;
--- a/crates/zones-tools/src/decide/plan.rs
+++ b/crates/zones-tools/src/decide/plan.rs
@@ -1,9 +1,10 @@
-//! The smallest link, and the smallest reserve, for a stated service: linear programs over an account.
+//! The smallest link rate and the smallest reserve for a stated service, by linear programs over an
+//! account.
 //!
-//! For each slot of time the account tells what each track asked for. A link of rate `L` with a burst `B` carries
-//! what fits into a bucket; of each track the stated part has to get through. The least `L`, and what binds, come
-//! from the solver. With first tracks flooded by all others, the least rate kept for them is the same program over
-//! their demand alone.
+//! For each time slot the account has the demand of each class. A link of rate `L` with a burst `B`
+//! carries what fits into a token bucket; of each class the stated share has to be carried. The
+//! solver finds the smallest `L` and what limits it. For priority classes on a link that all others
+//! flood, the smallest rate to reserve is the same program over their demand alone.
 
 use good_lp::{
     Expression, ProblemVariables, Solution, SolverModel, Variable, constraint, microlp, variable,
@@ -11,43 +12,50 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What was asked for: KB by slot, by track.
+/// Demand in KB by time slot and class.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
+    /// Length of a slot in seconds.
     pub slot_s: f64,
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// One row a slot, one column a track.
+    /// One row for each slot, one column for each class.
     pub kb: Vec<Vec<f64>>,
 }
 
-/// The part of its KB that must get through, for each track, from 0 to 1.
+/// The service that a link has to give.
 #[derive(Clone, Debug)]
 pub struct ServiceTargets {
+    /// The share of its KB that has to be carried, for each class, from 0 to 1.
     pub service: Vec<f64>,
+    /// Burst of the link.
     pub burst_kb: f64,
 }
 
+/// A planned link or reserve.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Plan {
-    /// The least rate, in KB a second.
+    /// The smallest rate, in KB a second.
     pub kb_per_s: f64,
-    /// Slots in which the link is wholly used, by number from 0.
+    /// Slots in which the link is fully used, by number from 0.
     pub binding_slots: Vec<usize>,
-    /// Tracks of which no more than promised gets through.
+    /// Classes of which no more than the target is carried.
     #[serde(rename = "binding_tracks")]
     pub binding_classes: Vec<String>,
-    /// What gets through, by track.
+    /// The share that is carried, by class.
     pub service: BTreeMap<String, f64>,
 }
 
-/// The most slots that are solved for; a longer account is cut into the slots that ask for most around its peak.
+/// Limit of slots that are solved for. A longer account is reduced to the slots with the highest
+/// demand around its peak.
 pub const MAX_SLOTS: usize = 240;
-const NEAR: f64 = 1e-6;
+/// Tolerance of the solver's results.
+const TOLERANCE: f64 = 1e-6;
 
-/// The least rate that keeps the promise.
-pub fn min_link_rate(demand: &Demand, promise: &ServiceTargets) -> Result<Plan, String> {
-    let (slots, tracks) = (demand.kb.len(), demand.classes.len());
-    if slots == 0 || tracks == 0 {
+/// The smallest rate that meets the targets.
+pub fn min_link_rate(demand: &Demand, targets: &ServiceTargets) -> Result<Plan, String> {
+    let (slots, class_count) = (demand.kb.len(), demand.classes.len());
+    if slots == 0 || class_count == 0 {
         return Err("the account holds no demand to plan for".into());
     }
     if slots > MAX_SLOTS {
@@ -55,7 +63,8 @@
             "{slots} slots: {MAX_SLOTS} at most; take wider ones"
         ));
     }
-    if promise.service.len() != tracks || demand.kb.iter().any(|row| row.len() != tracks) {
+    if targets.service.len() != class_count || demand.kb.iter().any(|row| row.len() != class_count)
+    {
         return Err("a service for each track, and a demand of each in every slot".into());
     }
     let scale = demand
@@ -65,7 +74,7 @@
         .fold(1.0f64, |most, kb| most.max(*kb));
     let mut variables = ProblemVariables::new();
     let rate = variables.add(variable().min(0.0));
-    let through: Vec<Vec<Variable>> = demand
+    let carried: Vec<Vec<Variable>> = demand
         .kb
         .iter()
         .map(|row| {
@@ -73,97 +82,101 @@
             row.iter().map(|kb| variables.add(one(kb))).collect()
         })
         .collect();
-    let burst = promise.burst_kb / scale;
+    let burst = targets.burst_kb / scale;
     let saved: Vec<Variable> = (0..slots)
         .map(|_| variables.add(variable().min(0.0).max(burst)))
         .collect();
     let mut model = variables.minimise(rate).using(microlp);
     for slot in 0..slots {
-        let used: Expression = through[slot].iter().sum();
-        // What was saved, and what comes in, covers what goes through and what is saved on.
-        let had = match slot {
+        let carried_in_slot: Expression = carried[slot].iter().sum();
+        // Savings and what the rate adds cover what is carried and what is saved on.
+        let available = match slot {
             0 => Expression::from(burst),
             _ => saved[slot - 1].into(),
         };
         model = model.with(constraint!(
-            used + saved[slot] <= had + rate * demand.slot_s
+            carried_in_slot + saved[slot] <= available + rate * demand.slot_s
         ));
     }
-    let asked: Vec<f64> = (0..tracks)
-        .map(|track| demand.kb.iter().map(|row| row[track] / scale).sum())
+    let demanded: Vec<f64> = (0..class_count)
+        .map(|class| demand.kb.iter().map(|row| row[class] / scale).sum())
         .collect();
-    for track in 0..tracks {
-        let all: Expression = through.iter().map(|row| row[track]).sum();
-        let least = asked[track] * promise.service[track].clamp(0.0, 1.0);
-        model = model.with(constraint!(all >= least * (1.0 - NEAR)));
+    for class in 0..class_count {
+        let all: Expression = carried.iter().map(|row| row[class]).sum();
+        let required = demanded[class] * targets.service[class].clamp(0.0, 1.0);
+        model = model.with(constraint!(all >= required * (1.0 - TOLERANCE)));
     }
-    let solved = model
+    let solution = model
         .solve()
         .map_err(|e| format!("the solver found no rate: {e}"))?;
-    let rate = solved.value(rate);
-    let sum = |track: usize| {
-        through
+    let rate = solution.value(rate);
+    let sum = |class: usize| {
+        carried
             .iter()
-            .map(|row| solved.value(row[track]))
+            .map(|row| solution.value(row[class]))
             .sum::<f64>()
     };
-    let service = |track: usize| {
-        if asked[track] > 0.0 {
-            sum(track) / asked[track]
+    let service = |class: usize| {
+        if demanded[class] > 0.0 {
+            sum(class) / demanded[class]
         } else {
             1.0
         }
     };
-    let used = |slot: usize| {
-        let through: f64 = through[slot].iter().map(|one| solved.value(*one)).sum();
+    let is_link_full = |slot: usize| {
+        let carried: f64 = carried[slot].iter().map(|one| solution.value(*one)).sum();
         let before = if slot == 0 {
             burst
         } else {
-            solved.value(saved[slot - 1])
+            solution.value(saved[slot - 1])
         };
-        through >= (before + rate * demand.slot_s) * (1.0 - 1e-4) && through > NEAR
+        carried >= (before + rate * demand.slot_s) * (1.0 - 1e-4) && carried > TOLERANCE
     };
-    let tight =
-        |track: &usize| asked[*track] > 0.0 && service(*track) <= promise.service[*track] + 1e-4;
+    let is_binding =
+        |class: &usize| demanded[*class] > 0.0 && service(*class) <= targets.service[*class] + 1e-4;
     Ok(Plan {
         kb_per_s: rate * scale,
-        binding_slots: (0..slots).filter(|slot| used(*slot)).collect(),
-        binding_classes: (0..tracks)
-            .filter(tight)
-            .map(|track| demand.classes[track].clone())
+        binding_slots: (0..slots).filter(|slot| is_link_full(*slot)).collect(),
+        binding_classes: (0..class_count)
+            .filter(is_binding)
+            .map(|class| demand.classes[class].clone())
             .collect(),
-        service: (0..tracks)
-            .map(|track| (demand.classes[track].clone(), service(track)))
+        service: (0..class_count)
+            .map(|class| (demand.classes[class].clone(), service(class)))
             .collect(),
     })
 }
 
-/// The least rate that must be kept for the first tracks, were all else to fill the link.
+/// The smallest rate that has to be reserved for the priority classes if all other traffic fills
+/// the link.
 pub fn min_reserve_rate(
     demand: &Demand,
-    promise: &ServiceTargets,
-    first: &[String],
+    targets: &ServiceTargets,
+    priority_classes: &[String],
 ) -> Result<Plan, String> {
-    let of: Vec<usize> = (0..demand.classes.len())
-        .filter(|track| first.contains(&demand.classes[*track]))
+    let columns: Vec<usize> = (0..demand.classes.len())
+        .filter(|class| priority_classes.contains(&demand.classes[*class]))
         .collect();
-    let own = Demand {
+    let priority_demand = Demand {
         slot_s: demand.slot_s,
-        classes: of
+        classes: columns
             .iter()
-            .map(|track| demand.classes[*track].clone())
+            .map(|class| demand.classes[*class].clone())
             .collect(),
         kb: demand
             .kb
             .iter()
-            .map(|row| of.iter().map(|track| row[*track]).collect())
+            .map(|row| columns.iter().map(|class| row[*class]).collect())
             .collect(),
     };
-    let service = of.iter().map(|track| promise.service[*track]).collect();
-    // All else may have spent the burst when they come.
-    let promise = ServiceTargets {
+    let service = columns
+        .iter()
+        .map(|class| targets.service[*class])
+        .collect();
+    // Other traffic may have used the burst before they come.
+    let targets = ServiceTargets {
         service,
         burst_kb: 0.0,
     };
-    min_link_rate(&own, &promise)
+    min_link_rate(&priority_demand, &targets)
 }
--- a/crates/zones-tools/src/lib.rs
+++ b/crates/zones-tools/src/lib.rs
@@ -1,6 +1,9 @@
-//! What serves traffic between zones beside the dispatcher, and what the dispatcher need not link: the operator's
-//! section out of its script, reports read again from logs, and a planner.
+//! Tools for traffic between zones that the dispatcher does not link: the operator's sections of
+//! the configuration file, reports parsed from logs, and a planner.
 
+/// The planner.
 pub mod decide;
+/// Reports in logs.
 pub mod log;
+/// The operator's sections.
 pub mod sections;
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -4,9 +4,10 @@
 use trailproxy_zones::decide::config::{CrossingConfig, Positions, ZonesConfig};
 use trailproxy_zones::decide::rise::Alarm;
 
+/// Accepted sizes and rates in KB.
 const KB: Shape = Shape::Number(0.0, 1e9);
 
-/// For the reader of the file.
+/// The two sections, for the reader of the file.
 pub const KINDS: &[Kind] = &[
     Kind {
         name: "zones",
@@ -48,16 +49,18 @@
     },
 ];
 
-fn places(section: &Section) -> Positions {
+/// Positions of a section and of its fields.
+fn positions(section: &Section) -> Positions {
     let of = |(name, field): (&String, &trailproxy_operator::Field)| {
         (name.clone(), (field.place.line, field.place.column))
     };
-    let mut places: Positions = section.fields.iter().map(of).collect();
-    places.insert(String::new(), (section.place.line, section.place.column));
-    places
+    let mut positions: Positions = section.fields.iter().map(of).collect();
+    positions.insert(String::new(), (section.place.line, section.place.column));
+    positions
 }
 
-/// What a checked script says; `None` where it has no section `zones`, or that is not on.
+/// The configuration in a checked file; `None` if it has no section `zones` or that is switched
+/// off.
 pub fn zones_config(script: &Script) -> Option<ZonesConfig> {
     let head = script.one("zones").filter(|head| head.flag("on"))?;
     let alarm = Alarm {
@@ -75,7 +78,7 @@
         largest_kb: section.number("largest_kb"),
         least_kb_per_s: section.number("least_kb_per_s"),
         most_kb_per_s: section.number("most_kb_per_s"),
-        positions: places(section),
+        positions: positions(section),
     };
     Some(ZonesConfig {
         file: script.file.clone(),
@@ -84,7 +87,7 @@
         priority_classes: head.names("first").into_iter().map(str::to_owned).collect(),
         metrics: head.text("metrics").into(),
         alarm: head.flag("alarm").then_some(alarm),
-        positions: places(head),
+        positions: positions(head),
         crossings: script.all("crossing").map(crossing).collect(),
     })
 }
