--- a/crates/budgets/tests/shares.rs
+++ b/crates/budgets/tests/shares.rs
@@ -1,4 +1,5 @@
-//! Stories of all budgets of a few dispatchers: other wholes, other divisions, names that go and come back, leaving.
+//! Scenarios of all budgets of a few dispatchers: differing totals and divisions, budgets that are
+//! removed and added again, dispatchers that stop.
 
 use std::collections::VecDeque;
 use trailproxy::units::*;
@@ -9,9 +10,9 @@
 
 const LINK: &str = "1/link";
 
-fn named(name: &str, whole: f64, seats: u32) -> NamedBudget {
+fn budget(name: &str, total: f64, dispatchers: u32) -> NamedBudget {
     let division = Division {
-        dispatchers: seats,
+        dispatchers,
         floor_share: 0.25,
         tickets: 64,
         voters: 3,
@@ -21,21 +22,21 @@
     let name = name.into();
     NamedBudget {
         name,
-        total: whole,
+        total,
         division,
     }
 }
 
-/// Dispatchers of which the first three vote, with ways that can be cut.
+/// Dispatchers, of which the first three are voters, with links that can be partitioned.
 struct Fleet {
     now: Timestamp,
     all: Vec<Option<BudgetShares>>,
-    cut: Vec<bool>,
+    partitioned: Vec<bool>,
     needs: Vec<f64>,
-    first: Vec<f64>,
-    flying: VecDeque<(usize, HolderId, BudgetMessage)>,
-    differs: Vec<(usize, String)>,
-    life: u64,
+    priority_needs: Vec<f64>,
+    in_flight: VecDeque<(usize, HolderId, BudgetMessage)>,
+    mismatches: Vec<(usize, String)>,
+    boot: u64,
 }
 
 impl Fleet {
@@ -43,23 +44,23 @@
         let mut fleet = Fleet {
             now: Timestamp(1_000_000_000),
             all: (0..n).map(|_| None).collect(),
-            cut: vec![false; n],
+            partitioned: vec![false; n],
             needs: vec![1.0; n],
-            first: vec![0.0; n],
-            flying: VecDeque::new(),
-            differs: Vec::new(),
-            life: 0,
+            priority_needs: vec![0.0; n],
+            in_flight: VecDeque::new(),
+            mismatches: Vec::new(),
+            boot: 0,
         };
-        (0..n).for_each(|nth| fleet.start(nth, vec![named(LINK, 100.0, n as u32)]));
+        (0..n).for_each(|nth| fleet.start(nth, vec![budget(LINK, 100.0, n as u32)]));
         fleet.run(8_000);
         fleet
     }
 
     fn start(&mut self, nth: usize, budgets: Vec<NamedBudget>) {
-        self.life += 1;
+        self.boot += 1;
         let voters = (0..3).map(HolderId).collect();
         let own = HolderId(nth as u64);
-        let mut shares = BudgetShares::new(own, BootId(self.life), voters, self.life);
+        let mut shares = BudgetShares::new(own, BootId(self.boot), voters, self.boot);
         shares.set_budgets(self.now, budgets);
         self.all[nth] = Some(shares);
     }
@@ -76,47 +77,49 @@
         while self.now < end {
             self.now = self.now + TimeSpan::from_millis(20);
             for nth in 0..self.all.len() {
-                let (now, need, first) = (self.now, self.needs[nth], self.first[nth]);
+                let (now, need, priority_needs) =
+                    (self.now, self.needs[nth], self.priority_needs[nth]);
                 if let Some(shares) = &mut self.all[nth] {
-                    shares.set_need(now, BudgetId::of_name(LINK), need, first);
+                    shares.set_need(now, BudgetId::of_name(LINK), need, priority_needs);
                     shares.advance(now);
                 }
-                self.act(nth);
+                self.handle_actions(nth);
             }
-            while let Some((to, from, note)) = self.flying.pop_front() {
+            while let Some((to, from, message)) = self.in_flight.pop_front() {
                 let now = self.now;
                 self.all[to]
                     .iter_mut()
-                    .for_each(|of| of.on_message(now, from, note.clone()));
-                self.act(to);
+                    .for_each(|of| of.on_message(now, from, message.clone()));
+                self.handle_actions(to);
             }
         }
     }
 
-    fn act(&mut self, nth: usize) {
-        for act in self.all[nth]
+    fn handle_actions(&mut self, nth: usize) {
+        for handle_actions in self.all[nth]
             .as_mut()
             .map(BudgetShares::take_actions)
             .unwrap_or_default()
         {
-            match act {
-                Action::Send(to, note) => {
+            match handle_actions {
+                Action::Send(to, message) => {
                     let to = to.0 as usize;
-                    if !self.cut[nth] && !self.cut[to] {
-                        self.flying.push_back((to, HolderId(nth as u64), note));
+                    if !self.partitioned[nth] && !self.partitioned[to] {
+                        self.in_flight
+                            .push_back((to, HolderId(nth as u64), message));
                     }
                 }
-                Action::Mismatch { name, .. } => self.differs.push((nth, name)),
+                Action::Mismatch { name, .. } => self.mismatches.push((nth, name)),
                 Action::PartChanged(..) => {}
             }
         }
     }
 
-    /// What all together may use now, in the unit of each one's own whole.
+    /// What all together may use now, in the unit of each dispatcher's own total.
     fn sum(&self) -> f64 {
         let parts = self.all.iter().flatten().map(|of| {
-            let (id, named) = of.budgets().next().expect("a budget");
-            of.part(self.now, id).expect("its part").fraction * named.total
+            let (id, budget) = of.budgets().next().expect("a budget");
+            of.part(self.now, id).expect("its part").fraction * budget.total
         });
         parts.sum()
     }
@@ -132,17 +135,17 @@
 fn a_lower_whole_that_one_has_read_holds_for_all_within_a_second_and_a_half() {
     let mut fleet = Fleet::new(5);
     assert!((90.0..=100.0).contains(&fleet.sum()), "{}", fleet.sum());
-    fleet.set(4, vec![named(LINK, 60.0, 5)]);
+    fleet.set(4, vec![budget(LINK, 60.0, 5)]);
     fleet.run(1_500);
     assert!(fleet.sum() <= 60.0 + 1e-6, "{}", fleet.sum());
     assert!(
         fleet
-            .differs
+            .mismatches
             .iter()
             .any(|(nth, name)| *nth == 0 && name == LINK)
     );
-    // All have read it.
-    (0..4).for_each(|nth| fleet.set(nth, vec![named(LINK, 60.0, 5)]));
+    // All have read the new file.
+    (0..4).for_each(|nth| fleet.set(nth, vec![budget(LINK, 60.0, 5)]));
     fleet.run(3_000);
     assert!((50.0..=60.0).contains(&fleet.sum()), "{}", fleet.sum());
 }
@@ -151,7 +154,7 @@
 fn a_higher_whole_holds_once_all_have_read_it() {
     let mut fleet = Fleet::new(5);
     for nth in 0..5 {
-        fleet.set(nth, vec![named(LINK, 200.0, 5)]);
+        fleet.set(nth, vec![budget(LINK, 200.0, 5)]);
         if nth < 4 {
             fleet.run(400);
             assert!(fleet.sum() <= 100.0 + 1e-6, "{nth}: {}", fleet.sum());
@@ -164,8 +167,8 @@
 #[test]
 fn whoever_is_cut_off_with_a_higher_whole_has_its_floor_of_it_and_no_more() {
     let mut fleet = Fleet::new(5);
-    fleet.cut[4] = true;
-    fleet.set(4, vec![named(LINK, 200.0, 5)]);
+    fleet.partitioned[4] = true;
+    fleet.set(4, vec![budget(LINK, 200.0, 5)]);
     for _ in 0..40 {
         fleet.run(250);
         assert!(fleet.sum() <= 200.0, "{}", fleet.sum());
@@ -176,9 +179,9 @@
 #[test]
 fn words_of_another_division_count_for_nothing_and_are_told_of() {
     let mut fleet = Fleet::new(3);
-    // Two have read of six seats: one alone has no majority among its like.
-    fleet.set(0, vec![named(LINK, 100.0, 6)]);
-    fleet.set(1, vec![named(LINK, 100.0, 6)]);
+    // Two have a file for six dispatchers; the third alone has no majority of voters with its own division.
+    fleet.set(0, vec![budget(LINK, 100.0, 6)]);
+    fleet.set(1, vec![budget(LINK, 100.0, 6)]);
     fleet.run(4_000);
     assert!(
         (fleet.part(2) - 0.25 / 3.0).abs() < 1e-9,
@@ -190,16 +193,16 @@
         "two of three voters agree"
     );
     assert!(fleet.sum() <= 100.0 + 1e-6, "{}", fleet.sum());
-    assert!(fleet.differs.iter().any(|(nth, _)| *nth == 2));
+    assert!(fleet.mismatches.iter().any(|(nth, _)| *nth == 2));
 }
 
 #[test]
 fn a_budget_that_was_taken_out_and_brought_back_begins_with_floors() {
     let mut fleet = Fleet::new(4);
-    fleet.set(0, vec![named("1/other", 1.0, 4)]);
+    fleet.set(0, vec![budget("1/other", 1.0, 4)]);
     fleet.run(200);
     assert_eq!(fleet.part(0), 0.0, "it has no such budget");
-    fleet.set(0, vec![named(LINK, 100.0, 4)]);
+    fleet.set(0, vec![budget(LINK, 100.0, 4)]);
     assert!((fleet.part(0) - 0.25 / 4.0).abs() < 1e-9);
     for _ in 0..20 {
         fleet.run(200);
@@ -213,7 +216,7 @@
     let mut fleet = Fleet::new(5);
     let now = fleet.now;
     fleet.all[4].iter_mut().for_each(|of| of.leave(now));
-    fleet.act(4);
+    fleet.handle_actions(4);
     fleet.needs = vec![1.0, 1.0, 1.0, 1.0, 0.0];
     fleet.all[4] = None;
     fleet.run(1_000);
@@ -236,12 +239,12 @@
     for nth in 2..5 {
         assert!((fleet.part(nth) - 0.05).abs() < 1e-9, "{nth}");
     }
-    // The operator names others: as every voter that starts, they first keep silent.
+    // The operator names other voters; like every voter that starts, they grant nothing at first.
     let voters: Vec<HolderId> = (2..5).map(HolderId).collect();
     for nth in 2..5 {
         let own = HolderId(nth as u64);
         let mut shares = BudgetShares::new(own, BootId(90 + nth as u64), voters.clone(), 5);
-        shares.set_budgets(fleet.now, vec![named(LINK, 100.0, 5)]);
+        shares.set_budgets(fleet.now, vec![budget(LINK, 100.0, 5)]);
         fleet.all[nth] = Some(shares);
     }
     fleet.run(1_900);
@@ -253,7 +256,7 @@
 #[test]
 fn what_goes_first_of_all_comes_before_the_rest_of_any() {
     let mut fleet = Fleet::new(3);
-    fleet.first[1] = 0.6;
+    fleet.priority_needs[1] = 0.6;
     fleet.run(8_000);
     assert!(fleet.part(1) > 0.5, "{}", fleet.part(1));
     assert!(
@@ -290,23 +293,23 @@
 #[test]
 fn a_weight_follows_traffic_and_not_every_change_of_it() {
     let (mut traffic, mut now) = (Traffic::default(), Timestamp(0));
-    let mut told = Vec::new();
+    let mut weights = Vec::new();
     for nth in 0..2_000 {
         // Forty a second, then eighty.
         now = now + TimeSpan::from_millis(if nth < 1_000 { 25 } else { 12 });
         traffic.on_arrival(now);
-        told.push(traffic.weight(now));
+        weights.push(traffic.weight(now));
     }
-    let steady = &told[600..1_000];
+    let steady = &weights[600..1_000];
     assert!(steady.iter().all(|of| *of == steady[0]), "{steady:?}");
-    assert!((100..=200).contains(&told[999]), "{}", told[999]);
-    assert!((240..=400).contains(&told[1_999]), "{}", told[1_999]);
+    assert!((100..=200).contains(&weights[999]), "{}", weights[999]);
+    assert!((240..=400).contains(&weights[1_999]), "{}", weights[1_999]);
     assert_eq!(traffic.weight(now + TimeSpan::from_secs(120)), 1);
 }
 
 #[test]
 fn a_section_with_wrong_voters_is_refused_by_place_and_field() {
-    let sheet = |voters: &[&str]| BudgetsConfig {
+    let config = |voters: &[&str]| BudgetsConfig {
         file: "f.star".into(),
         position: (3, 1),
         voters: voters.iter().map(|name| (*name).to_owned()).collect(),
@@ -314,30 +317,33 @@
         lasts_s: 2.0,
         cold: true,
     };
-    assert_eq!(sheet(&["a", "b", "c"]).check(), Ok(()));
-    for wrong in [&[][..], &["a", "b"], &["a", "a", "b"]] {
-        let told = sheet(wrong).check().expect_err("it does not fit");
+    assert_eq!(config(&["a", "b", "c"]).check(), Ok(()));
+    for voters in [&[][..], &["a", "b"], &["a", "a", "b"]] {
+        let message = config(voters).check().expect_err("unacceptable voters");
         assert!(
-            told.starts_with("f.star:3:1: section budgets, field voters: found"),
-            "{told}"
+            message.starts_with("f.star:3:1: section budgets, field voters: found"),
+            "{message}"
         );
     }
-    assert_eq!(sheet(&["a"]).division(300).tickets, 1_024);
+    assert_eq!(config(&["a"]).division(300).tickets, 1_024);
 }
 
 #[test]
 fn a_word_is_read_as_written_and_what_is_none_is_not() {
     let mut shares = BudgetShares::new(HolderId(7), BootId(1), vec![HolderId(1)], 3);
-    shares.set_budgets(Timestamp(0), vec![named(LINK, 5.0, 2)]);
+    shares.set_budgets(Timestamp(0), vec![budget(LINK, 5.0, 2)]);
     shares.advance(Timestamp(1_000_000));
-    let sent = shares.take_actions().into_iter().find_map(|act| match act {
-        Action::Send(_, note) => Some(note),
-        _ => None,
-    });
-    let note = sent.expect("a question");
+    let sent = shares
+        .take_actions()
+        .into_iter()
+        .find_map(|handle_actions| match handle_actions {
+            Action::Send(_, message) => Some(message),
+            _ => None,
+        });
+    let message = sent.expect("a question");
     assert_eq!(
-        trailproxy_budgets::read(&trailproxy_budgets::write(&note)),
-        Some(note)
+        trailproxy_budgets::read(&trailproxy_budgets::write(&message)),
+        Some(message)
     );
     for bytes in [&[][..], &[9, 9, 9], &[0xff; 40]] {
         assert_eq!(trailproxy_budgets::read(bytes), None);
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Short stories of a shared store: each tells of one failure.
+//! One scenario for each failure of a shared store.
 
 mod world;
 
@@ -8,13 +8,13 @@
 use trailproxy_shared_store::decide::trust::Trust;
 use world::*;
 
-const LEFT: TimeSpan = TimeSpan::from_secs(1);
+const TIME_LEFT: TimeSpan = TimeSpan::from_secs(1);
 
-/// Two dispatchers, both together with the store.
+/// Two dispatchers that both trust the store.
 fn pair(seed: u64) -> World {
     let mut world = World::new(2, seed);
     assert!(
-        world.together(TimeSpan::from_secs(20)),
+        world.wait_until_trusted(TimeSpan::from_secs(20)),
         "both trust a store that is well"
     );
     world
@@ -36,16 +36,16 @@
 #[test]
 fn a_retry_elsewhere_is_answered_from_the_record() {
     let mut world = pair(2);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    assert_eq!(world.verdict(0, first), Some(&RecordDecision::Proceed));
-    world.sent(0, first, 0);
-    world.ended(0, first, done(b"accepted"));
+    assert_eq!(world.decision(0, first), Some(&RecordDecision::Proceed));
+    world.send_attempt(0, first, 0);
+    world.end_request(0, first, done(b"accepted"));
     world.run(TimeSpan::from_millis(2));
-    let again = world.come(1, "order-1", LEFT);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
     assert_eq!(
-        world.verdict(1, again),
+        world.decision(1, repeats),
         Some(&RecordDecision::Answer(b"accepted".to_vec()))
     );
 }
@@ -53,17 +53,17 @@
 #[test]
 fn a_retry_elsewhere_joins_what_is_under_way() {
     let mut world = pair(3);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.sent(0, first, 0);
+    world.send_attempt(0, first, 0);
     world.run(TimeSpan::from_millis(2));
-    let again = world.come(1, "order-1", LEFT);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(40));
-    assert_eq!(world.verdict(1, again), None, "it waits for the first");
-    world.ended(0, first, done(b"accepted"));
+    assert_eq!(world.decision(1, repeats), None, "it waits for the first");
+    world.end_request(0, first, done(b"accepted"));
     world.run(TimeSpan::from_millis(200));
     assert_eq!(
-        world.verdict(1, again),
+        world.decision(1, repeats),
         Some(&RecordDecision::Answer(b"accepted".to_vec()))
     );
 }
@@ -71,21 +71,21 @@
 #[test]
 fn what_does_not_end_is_left_to_the_rules_with_its_place() {
     let mut world = pair(4);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.sent(0, first, 3);
+    world.send_attempt(0, first, 3);
     let sent = world.now;
     world.run(TimeSpan::from_millis(2));
-    let again = world.come(1, "order-1", LEFT);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(260));
     assert_eq!(
-        world.verdict(1, again),
+        world.decision(1, repeats),
         Some(&RecordDecision::Proceed),
         "after a quarter of its time"
     );
     let earlier = world.members[1]
-        .sharing
-        .earlier_attempt(again)
+        .state
+        .earlier_attempt(repeats)
         .expect("what was found binds it");
     assert_eq!(earlier.location, Some((ZoneId(0), CellId(3))));
     assert!(
@@ -97,13 +97,13 @@
 #[test]
 fn a_claim_without_a_place_may_have_run_anywhere() {
     let mut world = pair(5);
-    world.come(0, "order-1", LEFT);
+    world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    let again = world.come(1, "order-1", LEFT);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(300));
     let earlier = world.members[1]
-        .sharing
-        .earlier_attempt(again)
+        .state
+        .earlier_attempt(repeats)
         .expect("the claim");
     assert_eq!(earlier.location, None);
     assert!(!RepeatGroup::Cell.covers(earlier.location, (ZoneId(0), CellId(0))));
@@ -112,37 +112,37 @@
 #[test]
 fn what_never_ran_leaves_no_record() {
     let mut world = pair(6);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.ended(0, first, Completion::NeverRan);
+    world.end_request(0, first, Completion::NeverRan);
     world.run(TimeSpan::from_millis(2));
-    let again = world.come(1, "order-1", LEFT);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
-    assert_eq!(world.members[1].sharing.earlier_attempt(again), None);
+    assert_eq!(world.decision(1, repeats), Some(&RecordDecision::Proceed));
+    assert_eq!(world.members[1].state.earlier_attempt(repeats), None);
 }
 
 #[test]
 fn the_record_is_written_but_its_answer_lost() {
     let mut world = pair(7);
-    world.way.answers = false;
-    let first = world.come(0, "order-1", LEFT);
+    world.link.answers = false;
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(6));
     assert_eq!(
-        world.verdict(0, first),
+        world.decision(0, first),
         Some(&RecordDecision::Proceed),
         "it goes without, in time"
     );
-    let went = world.members[0].decided[&first][0].0;
+    let decided_at = world.members[0].decided[&first][0].0;
     assert!(
-        went.since(world.now) == TimeSpan::ZERO
-            && world.now.since(went) <= TimeSpan::from_millis(3)
+        decided_at.since(world.now) == TimeSpan::ZERO
+            && world.now.since(decided_at) <= TimeSpan::from_millis(3)
     );
-    world.way.answers = true;
-    let again = world.come(1, "order-1", LEFT);
+    world.link.answers = true;
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(300));
     assert!(
-        world.members[1].sharing.earlier_attempt(again).is_some(),
+        world.members[1].state.earlier_attempt(repeats).is_some(),
         "the claim stands all the same"
     );
 }
@@ -150,16 +150,16 @@
 #[test]
 fn an_answer_that_comes_after_the_fall_back_binds_and_answers_nothing() {
     let mut world = pair(8);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.sent(0, first, 0);
-    world.ended(0, first, done(b"accepted"));
+    world.send_attempt(0, first, 0);
+    world.end_request(0, first, done(b"accepted"));
     world.run(TimeSpan::from_millis(2));
-    world.way.back = TimeSpan::from_millis(30);
-    let again = world.come(1, "order-1", LEFT);
+    world.link.back = TimeSpan::from_millis(30);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(60));
-    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
-    let earlier = world.members[1].sharing.earlier_attempt(again);
+    assert_eq!(world.decision(1, repeats), Some(&RecordDecision::Proceed));
+    let earlier = world.members[1].state.earlier_attempt(repeats);
     assert!(earlier.is_some(), "its next hand-off is bound by it");
 }
 
@@ -167,14 +167,9 @@
 fn of_two_who_come_at_once_one_has_the_key() {
     for seed in 0..20 {
         let mut world = pair(100 + seed);
-        let ids = [0, 1].map(|nth| world.come(nth, "order-1", LEFT));
+        let ids = [0, 1].map(|nth| world.send_request(nth, "order-1", TIME_LEFT));
         world.run(TimeSpan::from_millis(300));
-        let bound = [0, 1].map(|nth| {
-            world.members[nth]
-                .sharing
-                .earlier_attempt(ids[nth])
-                .is_some()
-        });
+        let bound = [0, 1].map(|nth| world.members[nth].state.earlier_attempt(ids[nth]).is_some());
         assert_eq!(
             bound.iter().filter(|bound| **bound).count(),
             1,
@@ -186,20 +181,21 @@
 #[test]
 fn a_store_wiped_between_check_and_send_is_not_believed_on() {
     let mut world = pair(9);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
     world.stores[0].wipe();
-    world.sent(0, first, 0);
+    world.send_attempt(0, first, 0);
     world.run(TimeSpan::from_millis(2));
     assert_eq!(world.trust(0), Trust::Returning);
-    let again = world.come(1, "order-1", LEFT);
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(10));
-    // It goes the way it would alone; and nobody waits for a store that may have forgotten.
-    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
+    // It proceeds as it would without a store, and no request waits for a store that may have lost
+    // state.
+    assert_eq!(world.decision(1, repeats), Some(&RecordDecision::Proceed));
     assert_eq!(world.trust(1), Trust::Returning);
     assert!(
         world.members[1]
-            .turns
+            .trust_changes
             .iter()
             .any(|(.., why)| *why == "epoch")
     );
@@ -208,52 +204,56 @@
 #[test]
 fn a_budget_goes_by_the_store_to_where_it_is_needed_and_back() {
     let mut world = World::new(3, 11);
-    assert!(world.together(TimeSpan::from_secs(20)));
+    assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
     let run = |world: &mut World, needs: [f64; 3]| {
         for _ in 0..40 {
-            (0..3).for_each(|nth| world.needs(nth, needs[nth]));
+            (0..3).for_each(|nth| world.set_need(nth, needs[nth]));
             world.run(TimeSpan::from_millis(200));
         }
     };
     run(&mut world, [0.02, 0.02, 0.9]);
     assert!(world.part(2) > 0.7, "{}", world.part(2));
-    // The first wants its own again.
+    // The first one needs its part again.
     run(&mut world, [0.5, 0.02, 0.9]);
     assert!(world.part(0) > 0.4, "{}", world.part(0));
-    assert!(world.most_part <= 1.0 + 1e-6, "{}", world.most_part);
+    assert!(
+        world.max_part_in_use <= 1.0 + 1e-6,
+        "{}",
+        world.max_part_in_use
+    );
 }
 
 #[test]
 fn a_store_that_is_silent_rolled_back_or_empty_leaves_floors_and_never_more_than_the_whole() {
-    for strike in 0..3 {
-        let mut world = World::new(3, 20 + strike);
-        assert!(world.together(TimeSpan::from_secs(20)));
+    for fault in 0..3 {
+        let mut world = World::new(3, 20 + fault);
+        assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
         for tick in 0..120 {
-            (0..3).for_each(|nth| world.needs(nth, 0.9));
+            (0..3).for_each(|nth| world.set_need(nth, 0.9));
             match tick {
                 30 => world.snapshot = Some(world.stores[0].clone()),
-                40 if strike == 0 => world.way.answers = false,
-                40 => world.reborn(strike == 1, 0),
+                40 if fault == 0 => world.link.answers = false,
+                40 => world.restart_store(fault == 1, 0),
                 70 => {
                     let floor = 0.25 / 3.0;
                     let all: Vec<f64> = (0..3).map(|nth| world.part(nth)).collect();
                     let floors = all.iter().all(|part| (part - floor).abs() < 1e-9);
-                    assert!(strike > 0 || floors, "{all:?}");
-                    world.way.answers = true;
+                    assert!(fault > 0 || floors, "{all:?}");
+                    world.link.answers = true;
                 }
                 _ => {}
             }
             world.run(TimeSpan::from_millis(100));
         }
         assert!(
-            world.most_part <= 1.0 + 1e-6,
-            "{strike}: {}",
-            world.most_part
+            world.max_part_in_use <= 1.0 + 1e-6,
+            "{fault}: {}",
+            world.max_part_in_use
         );
         world.run(TimeSpan::from_secs(12));
-        (0..3).for_each(|nth| world.needs(nth, 0.9));
+        (0..3).for_each(|nth| world.set_need(nth, 0.9));
         let sum: f64 = (0..3).map(|nth| world.part(nth)).sum();
-        assert!(sum > 0.8, "{strike}: {sum} is in use again");
+        assert!(sum > 0.8, "{fault}: {sum} is in use again");
     }
 }
 
@@ -261,18 +261,18 @@
 fn a_store_whose_clock_is_half_a_second_off_bends_no_window() {
     for ahead in [-500, 500] {
         let mut world = World::new(2, 13);
-        world.reborn(false, ahead);
-        assert!(world.together(TimeSpan::from_secs(20)));
-        let first = world.come(0, "order-1", LEFT);
+        world.restart_store(false, ahead);
+        assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
+        let first = world.send_request(0, "order-1", TIME_LEFT);
         world.run(TimeSpan::from_millis(2));
-        world.sent(0, first, 0);
+        world.send_attempt(0, first, 0);
         let sent = world.now;
         world.run(TimeSpan::from_millis(2));
-        let again = world.come(1, "order-1", LEFT);
+        let repeats = world.send_request(1, "order-1", TIME_LEFT);
         world.run(TimeSpan::from_millis(300));
         let earlier = world.members[1]
-            .sharing
-            .earlier_attempt(again)
+            .state
+            .earlier_attempt(repeats)
             .expect("found");
         assert!(
             earlier.first_sent <= sent
@@ -284,13 +284,13 @@
 #[test]
 fn a_store_at_fifty_times_its_latency_holds_up_nobody() {
     let mut world = pair(14);
-    world.way.back = TimeSpan::from_millis(15);
+    world.link.back = TimeSpan::from_millis(15);
     let mut waits = Vec::new();
     for nth in 0..40 {
-        let come = world.now;
-        let id = world.come(0, &format!("order-{nth}"), LEFT);
+        let arrived_at = world.now;
+        let id = world.send_request(0, &format!("order-{nth}"), TIME_LEFT);
         world.run(TimeSpan::from_millis(25));
-        waits.push(world.members[0].decided[&id][0].0.since(come));
+        waits.push(world.members[0].decided[&id][0].0.since(arrived_at));
     }
     assert!(
         waits.iter().all(|wait| *wait <= WAIT + TimeSpan(100)),
@@ -301,7 +301,7 @@
         "it is doubted by then"
     );
     assert_eq!(world.trust(0), Trust::Doubtful);
-    world.way = Way::GOOD;
+    world.link = Link::GOOD;
     world.run(TimeSpan::from_secs(6));
     assert_eq!(world.trust(0), Trust::Together);
 }
@@ -309,34 +309,34 @@
 #[test]
 fn a_silent_store_is_left_within_two_seconds() {
     let mut world = pair(15);
-    world.way.paused = true;
+    world.link.paused = true;
     world.run(TimeSpan::from_secs(2));
     assert_eq!([0, 1].map(|nth| world.trust(nth)), [Trust::Alone; 2]);
-    let come = world.now;
-    let id = world.come(0, "order-1", LEFT);
+    let arrived_at = world.now;
+    let id = world.send_request(0, "order-1", TIME_LEFT);
     assert_eq!(
         world.members[0].decided[&id][0],
-        (come, RecordDecision::Proceed)
+        (arrived_at, RecordDecision::Proceed)
     );
 }
 
 #[test]
 fn a_window_that_ends_while_the_store_is_away_has_ended() {
     let mut world = pair(16);
-    let first = world.come(0, "order-1", LEFT);
+    let first = world.send_request(0, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.sent(0, first, 0);
+    world.send_attempt(0, first, 0);
     world.run(TimeSpan::from_millis(2));
     let sent = world.now;
-    // The connections break, the data stays.
-    world.way.reached = false;
-    [0, 1].into_iter().for_each(|nth| world.cut(nth));
+    // The connections end, the data stays.
+    world.link.reached = false;
+    [0, 1].into_iter().for_each(|nth| world.disconnect(nth));
     world.run(TimeSpan::from_secs(3));
-    world.way.reached = true;
-    assert!(world.together(TimeSpan::from_secs(12)));
-    let again = world.come(1, "order-1", LEFT);
+    world.link.reached = true;
+    assert!(world.wait_until_trusted(TimeSpan::from_secs(12)));
+    let repeats = world.send_request(1, "order-1", TIME_LEFT);
     world.run(TimeSpan::from_millis(300));
-    if let Some(earlier) = world.members[1].sharing.earlier_attempt(again) {
+    if let Some(earlier) = world.members[1].state.earlier_attempt(repeats) {
         assert!(earlier.first_sent <= sent);
         assert!(
             world.now >= earlier.first_sent + TimeSpan::from_secs(2),
@@ -350,7 +350,7 @@
     let mut world = pair(17);
     let (object, now) = (Some(ObjectId(99)), world.now);
     world.members[0]
-        .sharing
+        .state
         .on_purge(now, object, GroupId(0), TimeSpan::from_millis(50));
     world.run(TimeSpan::from_secs(2));
     world.restart(1);
@@ -371,7 +371,7 @@
     for _ in 0..2 {
         let now = world.now;
         world.members[0]
-            .sharing
+            .state
             .on_purge(now, Some(ObjectId(99)), GroupId(0), TimeSpan::ZERO);
         world.run(TimeSpan::from_secs(2));
     }
@@ -393,7 +393,7 @@
         state: HostState::Ready,
     };
     let now = world.now;
-    world.members[0].sharing.on_breaker_opened(now, entry);
+    world.members[0].state.on_breaker_opened(now, entry);
     world.run(TimeSpan::from_secs(1));
     assert_eq!(world.members[1].hints.len(), 1);
     assert!(world.members[0].hints.is_empty());
@@ -406,21 +406,27 @@
 #[test]
 fn hundreds_do_not_fall_upon_a_store_that_is_back() {
     let mut world = World::new(60, 20);
-    assert!(world.together(TimeSpan::from_secs(20)));
-    // What all ask together in a tenth of a second, on a quiet day: five seconds of it.
+    assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
+    // Operations of all dispatchers in a tenth of a second on an idle day, averaged over five
+    // seconds.
     let begun = world.now.0 / 100_000 + 1;
     world.run(TimeSpan::from_secs(5));
-    let usual: u64 = world.asked_in.range(begun..).map(|(_, &n)| n).sum::<u64>() / 50;
-    world.way.reached = false;
-    world.reborn(false, 0);
+    let usual: u64 = world
+        .ops_by_tenth
+        .range(begun..)
+        .map(|(_, &n)| n)
+        .sum::<u64>()
+        / 50;
+    world.link.reached = false;
+    world.restart_store(false, 0);
     world.run(TimeSpan::from_secs(3));
-    world.way.reached = true;
-    let back = world.now.0 / 100_000;
-    world.asked_in.clear();
+    world.link.reached = true;
+    let unanswered = world.now.0 / 100_000;
+    world.ops_by_tenth.clear();
     world.run(TimeSpan::from_secs(12));
     let most = world
-        .asked_in
-        .range(back..)
+        .ops_by_tenth
+        .range(unanswered..)
         .map(|(_, &n)| n)
         .max()
         .unwrap_or(0);
@@ -428,21 +434,21 @@
         most <= 3 * usual,
         "{most} in a tenth of a second, {usual} usually"
     );
-    assert!(world.together(TimeSpan::from_secs(20)));
+    assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
 }
 
 #[test]
 fn a_flood_of_new_keys_costs_no_memory() {
     let mut world = pair(21);
-    world.way.paused = true;
+    world.link.paused = true;
     for nth in 0..5_000 {
-        let id = world.come(0, &format!("key-{nth}"), LEFT);
-        world.ended(0, id, Completion::Unknown);
+        let id = world.send_request(0, &format!("key-{nth}"), TIME_LEFT);
+        world.end_request(0, id, Completion::Unknown);
     }
-    let (records, pending, _) = world.members[0].sharing.tracked_counts();
+    let (records, pending, _) = world.members[0].state.tracked_counts();
     assert_eq!(records, 0);
     assert!(pending <= 1_024, "{pending}");
-    assert!(world.members[0].sharing.counts().left_out > 0);
+    assert!(world.members[0].state.counts().left_out > 0);
 }
 
 #[test]
@@ -450,14 +456,14 @@
     let mut world = pair(22);
     world.stores[0].most_keys = 0;
     for nth in 0..4 {
-        let id = world.come(0, &format!("key-{nth}"), LEFT);
+        let id = world.send_request(0, &format!("key-{nth}"), TIME_LEFT);
         world.run(TimeSpan::from_millis(2));
-        assert_eq!(world.verdict(0, id), Some(&RecordDecision::Proceed));
+        assert_eq!(world.decision(0, id), Some(&RecordDecision::Proceed));
     }
     assert_eq!(world.trust(0), Trust::Doubtful);
     assert!(
         world.members[0]
-            .turns
+            .trust_changes
             .iter()
             .any(|(.., why)| *why == "refused")
     );
@@ -472,14 +478,14 @@
         purges: false,
         ..rules()
     };
-    let mut world = World::by(1, 23, none);
+    let mut world = World::with_rules(1, 23, none);
     world.run(TimeSpan::from_secs(8));
-    let before = world.members[0].sharing.counts().asked;
-    let id = world.come(0, "order-1", LEFT);
+    let before = world.members[0].state.counts().asked;
+    let id = world.send_request(0, "order-1", TIME_LEFT);
     let now = world.now;
     world.members[0]
-        .sharing
+        .state
         .on_purge(now, None, GroupId(1), TimeSpan::ZERO);
-    assert_eq!(world.verdict(0, id), Some(&RecordDecision::Proceed));
-    assert_eq!(world.members[0].sharing.counts().asked, before);
+    assert_eq!(world.decision(0, id), Some(&RecordDecision::Proceed));
+    assert_eq!(world.members[0].state.counts().asked, before);
 }
--- a/crates/shared-store/tests/sweep.rs
+++ b/crates/shared-store/tests/sweep.rs
@@ -1,6 +1,7 @@
-//! Every fault of the store, alone and in pairs, under clients that come again elsewhere; and every order of events of a
-//! small case. What is counted: verdicts of each access, effects of each key that were allowed by a belief in the store,
-//! and the parts of a budget that are in use at once. Mistakes are planted, and have to be found.
+//! Every fault of the store, alone and in pairs, under clients that repeat requests at another
+//! dispatcher; and every order of events in a small case. Counted are the decisions for each
+//! request, the effects of each key that a confirmed claim allowed, and the parts of a budget that
+//! are in use at once. Deliberate mistakes have to be found.
 
 mod world;
 
@@ -12,10 +13,10 @@
 use world::*;
 
 const WINDOW: TimeSpan = TimeSpan::from_secs(2);
-const LEFT: TimeSpan = TimeSpan::from_secs(1);
+const TIME_LEFT: TimeSpan = TimeSpan::from_secs(1);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Strike {
+enum Fault {
     Nothing,
     Pause,
     NoAnswers,
@@ -29,29 +30,29 @@
     NoMemory,
 }
 
-use Strike::*;
-const ALL: [Strike; 10] = [
+use Fault::*;
+const ALL: [Fault; 10] = [
     Pause, NoAnswers, Slow, Wipe, RollBack, Restart, FailOver, Split, Cut, NoMemory,
 ];
 
-fn strike(world: &mut World, strike: Strike) {
-    match strike {
+fn inject(world: &mut World, fault: Fault) {
+    match fault {
         Nothing => {}
-        Pause => world.way.paused = true,
-        NoAnswers => world.way.answers = false,
+        Pause => world.link.paused = true,
+        NoAnswers => world.link.answers = false,
         Slow => {
-            (world.way.there, world.way.back) =
+            (world.link.there, world.link.back) =
                 (TimeSpan::from_millis(5), TimeSpan::from_millis(10))
         }
         Wipe => world.stores[0].wipe(),
-        RollBack => world.reborn(true, 0),
-        Restart => world.reborn(false, 0),
+        RollBack => world.restart_store(true, 0),
+        Restart => world.restart_store(false, 0),
         FailOver => {
-            let ahead = if world.chance.bool() { 500 } else { -500 };
-            world.reborn(true, ahead);
+            let ahead = if world.rng.bool() { 500 } else { -500 };
+            world.restart_store(true, ahead);
         }
         Split => world.split(&[0]),
-        Cut => (0..world.members.len()).for_each(|nth| world.cut(nth)),
+        Cut => (0..world.members.len()).for_each(|nth| world.disconnect(nth)),
         NoMemory => world
             .stores
             .iter_mut()
@@ -59,24 +60,24 @@
     }
 }
 
-fn heal(world: &mut World) {
-    world.way = Way::GOOD;
+fn clear_faults(world: &mut World) {
+    world.link = Link::GOOD;
     world
         .stores
         .iter_mut()
         .for_each(|store| store.most_keys = usize::MAX);
 }
 
-/// What was counted over one run.
+/// Counts of one run.
 #[derive(Debug, Default)]
 struct Tally {
-    accesses: usize,
+    requests: usize,
     undecided: usize,
-    /// The longest that an access was held which nothing was found of.
-    held: TimeSpan,
-    /// Cells in which each key took effect, of hand-offs that a belief in the store allowed.
+    /// The longest wait of a request without an earlier attempt.
+    longest_wait: TimeSpan,
+    /// Cells in which each key took effect, by attempts that a confirmed claim allowed.
     believed: BTreeMap<String, BTreeSet<u16>>,
-    most_part: f64,
+    max_part_in_use: f64,
 }
 
 impl Tally {
@@ -90,82 +91,88 @@
     fn fails(&self) -> bool {
         self.undecided > 0
             || self.forbidden() > 0
-            || self.most_part > 1.0 + 1e-6
-            || self.held > WAIT + TimeSpan(200)
+            || self.max_part_in_use > 1.0 + 1e-6
+            || self.longest_wait > WAIT + TimeSpan(200)
     }
 }
 
 struct Open {
     nth: usize,
     id: RequestId,
-    mark: String,
-    come: Timestamp,
+    idempotency_key: String,
+    arrived_at: Timestamp,
     ends: Option<Timestamp>,
 }
 
-/// Clients whose keys come at one dispatcher and, unanswered after a while, at the next; each dispatcher has a cell of its
-/// own, so that a repeat elsewhere takes effect again.
-fn play(seed: u64, first: Strike, second: Strike, mistake: Option<Mistake>) -> Tally {
+/// Clients send each key to one dispatcher and repeat it at the next one after a while. Each
+/// dispatcher has a cell of its own, so that a repeat elsewhere takes effect again.
+fn run_case(seed: u64, first: Fault, second: Fault, mistake: Option<Mistake>) -> Tally {
     let mut world = World::new(3, seed);
     let mut tally = Tally::default();
-    assert!(world.together(TimeSpan::from_secs(20)));
+    assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
     world
         .stores
         .iter_mut()
         .for_each(|store| store.mistake = mistake);
     let mut open: Vec<Open> = Vec::new();
-    let mut again: Vec<(Timestamp, usize, String)> = Vec::new();
+    let mut repeats: Vec<(Timestamp, usize, String)> = Vec::new();
     for tick in 0..300u32 {
         match tick {
             20 => world.snapshot = Some(world.stores[0].clone()),
-            60 => strike(&mut world, first),
-            100 => strike(&mut world, second),
-            160 => heal(&mut world),
+            60 => inject(&mut world, first),
+            100 => inject(&mut world, second),
+            160 => clear_faults(&mut world),
             _ => {}
         }
         for nth in 0..3 {
             // Two of them need what the third leaves unused.
             let needs = nth < 2;
             let part = if needs { 0.9 } else { 0.02 };
-            world.needs(nth, part);
+            world.set_need(nth, part);
         }
         let now = world.now;
-        let nth = world.chance.usize(0..3);
+        let nth = world.rng.usize(0..3);
         let mut coming = vec![(nth, format!("key-{tick}"))];
-        let due = again.iter().filter(|(at, ..)| *at <= now);
-        coming.extend(due.map(|(_, nth, mark)| (*nth, mark.clone())));
-        again.retain(|(at, ..)| *at > now);
-        for (nth, mark) in coming {
-            let id = world.come(nth, &mark, LEFT);
-            tally.accesses += 1;
-            let first = !open.iter().any(|open| open.mark == mark);
+        let due = repeats.iter().filter(|(at, ..)| *at <= now);
+        coming.extend(due.map(|(_, nth, idempotency_key)| (*nth, idempotency_key.clone())));
+        repeats.retain(|(at, ..)| *at > now);
+        for (nth, idempotency_key) in coming {
+            let id = world.send_request(nth, &idempotency_key, TIME_LEFT);
+            tally.requests += 1;
+            let first = !open
+                .iter()
+                .any(|open| open.idempotency_key == idempotency_key);
             if first {
-                again.push((now + TimeSpan::from_millis(60), (nth + 1) % 3, mark.clone()));
+                repeats.push((
+                    now + TimeSpan::from_millis(60),
+                    (nth + 1) % 3,
+                    idempotency_key.clone(),
+                ));
             }
             open.push(Open {
                 nth,
                 id,
-                mark,
-                come: now,
+                idempotency_key,
+                arrived_at: now,
                 ends: None,
             });
         }
         world.run(TimeSpan::from_millis(10));
         let now = world.now;
-        for one in &mut open {
-            let Some(decided) = world.members[one.nth].decided.get(&one.id) else {
+        for request in &mut open {
+            let Some(decided) = world.members[request.nth].decided.get(&request.id) else {
                 continue;
             };
             assert_eq!(decided.len(), 1, "one verdict");
-            if one.ends.is_some() {
+            if request.ends.is_some() {
                 continue;
             }
-            let (at, verdict) = decided[0].clone();
-            let earlier = world.members[one.nth].sharing.earlier_attempt(one.id);
+            let (at, decision) = decided[0].clone();
+            let earlier = world.members[request.nth].state.earlier_attempt(request.id);
             if earlier.is_none() {
-                tally.held = tally.held.max(at.since(one.come));
+                tally.longest_wait = tally.longest_wait.max(at.since(request.arrived_at));
             }
-            let cell = one.nth as u16;
+            let cell = request.nth as u16;
             let covered = earlier.is_none_or(|earlier| {
                 let Effect::Keyed { group, window } = (Effect::Keyed {
                     group: RepeatGroup::Cell,
@@ -176,34 +183,38 @@
                 group.covers(earlier.location, (ZoneId(0), CellId(cell)))
                     && now < earlier.first_sent + window
             });
-            one.ends = Some(match verdict {
+            request.ends = Some(match decision {
                 RecordDecision::Answer(_) => now,
                 RecordDecision::Proceed if !covered => now,
                 RecordDecision::Proceed => {
-                    world.sent(one.nth, one.id, cell);
-                    if world.members[one.nth].believed[&one.id] {
+                    world.send_attempt(request.nth, request.id, cell);
+                    if world.members[request.nth].believed[&request.id] {
                         tally
                             .believed
-                            .entry(one.mark.clone())
+                            .entry(request.idempotency_key.clone())
                             .or_default()
                             .insert(cell);
                     }
-                    now + TimeSpan::from_millis(world.chance.u64(5..120))
+                    now + TimeSpan::from_millis(world.rng.u64(5..120))
                 }
             });
         }
-        let over = |one: &Open| one.ends.is_some_and(|ends| ends <= now);
-        for one in open.iter().filter(|one| over(one)) {
-            world.ended(one.nth, one.id, Completion::Done(Some(b"ok".to_vec())));
+        let over = |request: &Open| request.ends.is_some_and(|ends| ends <= now);
+        for request in open.iter().filter(|request| over(request)) {
+            world.end_request(
+                request.nth,
+                request.id,
+                Completion::Done(Some(b"ok".to_vec())),
+            );
         }
-        open.retain(|one| !over(one));
+        open.retain(|request| !over(request));
     }
     world.run(TimeSpan::from_secs(1));
     tally.undecided = open
         .iter()
-        .filter(|one| world.verdict(one.nth, one.id).is_none())
+        .filter(|request| world.decision(request.nth, request.id).is_none())
         .count();
-    tally.most_part = world.most_part;
+    tally.max_part_in_use = world.max_part_in_use;
     tally
 }
 
@@ -212,7 +223,7 @@
     for (nth, first) in ALL.into_iter().enumerate() {
         for second in [Nothing].into_iter().chain(ALL) {
             let seed = 1_000 + nth as u64;
-            let tally = play(seed, first, second, None);
+            let tally = run_case(seed, first, second, None);
             assert!(
                 !tally.fails(),
                 "{first:?} then {second:?}, seed {seed}: {tally:?}"
@@ -223,18 +234,18 @@
 
 #[test]
 fn a_store_that_lets_every_claim_stand_is_found() {
-    assert!(play(7, Nothing, Nothing, None).forbidden() == 0);
-    assert!(play(7, Nothing, Nothing, Some(Mistake::ClaimsAll)).forbidden() > 0);
+    assert!(run_case(7, Nothing, Nothing, None).forbidden() == 0);
+    assert!(run_case(7, Nothing, Nothing, Some(Mistake::ClaimsAll)).forbidden() > 0);
 }
 
 #[test]
 fn a_store_that_serves_under_any_epoch_is_found() {
-    let found =
-        (0..12).any(|seed| play(seed, Wipe, Wipe, Some(Mistake::IgnoresEpochs)).forbidden() > 0);
+    let found = (0..12)
+        .any(|seed| run_case(seed, Wipe, Wipe, Some(Mistake::IgnoresEpochs)).forbidden() > 0);
     assert!(found);
 }
 
-/// Every order of what can happen to two dispatchers that get one key, to this depth.
+/// Depth to which all orders of events are explored for two dispatchers that get the same key.
 const DEPTH: usize = 5;
 
 #[derive(Clone, Copy, Debug)]
@@ -264,24 +275,24 @@
 ];
 
 #[derive(Clone)]
-struct Case {
+struct SmallCase {
     world: World,
     open: Vec<(usize, RequestId, bool)>,
     cells: BTreeSet<u16>,
 }
 
-impl Case {
-    /// Sends whatever has been decided, as the module would.
+impl SmallCase {
+    /// Sends an attempt for each request that has been decided, as the dispatcher would.
     fn send(&mut self) {
         for (nth, id, sent) in &mut self.open {
-            let go = self.world.verdict(*nth, *id) == Some(&RecordDecision::Proceed);
+            let go = self.world.decision(*nth, *id) == Some(&RecordDecision::Proceed);
             if go && !*sent {
                 *sent = true;
-                let earlier = self.world.members[*nth].sharing.earlier_attempt(*id);
+                let earlier = self.world.members[*nth].state.earlier_attempt(*id);
                 let cell = *nth as u16;
                 if earlier.is_none_or(|earlier| earlier.location == Some((ZoneId(0), CellId(cell))))
                 {
-                    self.world.sent(*nth, *id, cell);
+                    self.world.send_attempt(*nth, *id, cell);
                     if self.world.members[*nth].believed[id] {
                         self.cells.insert(cell);
                     }
@@ -290,9 +301,9 @@
         }
     }
 
-    /// `false`: it can't happen now.
-    fn take(&mut self, one: Move) -> bool {
-        let can = match one {
+    /// Returns `false` if the event can't happen now.
+    fn apply_move(&mut self, event: Move) -> bool {
+        let can = match event {
             Move::Apply(nth) => self.world.apply_next(nth),
             Move::Answer(nth) => self.world.answer_next(nth, false),
             Move::Lose(nth) => self.world.answer_next(nth, true),
@@ -309,11 +320,11 @@
                 true
             }
             Move::RollBack => {
-                self.world.reborn(true, 0);
+                self.world.restart_store(true, 0);
                 true
             }
             Move::Retry if self.open.len() < 3 => {
-                let id = self.world.come(1, "order-1", LEFT);
+                let id = self.world.send_request(1, "order-1", TIME_LEFT);
                 self.open.push((1, id, false));
                 true
             }
@@ -324,36 +335,41 @@
     }
 }
 
-fn explore(case: &Case, depth: usize, way: &mut Vec<Move>, count: &mut usize) -> Option<Vec<Move>> {
+fn explore(
+    case: &SmallCase,
+    depth: usize,
+    path: &mut Vec<Move>,
+    count: &mut usize,
+) -> Option<Vec<Move>> {
     *count += 1;
-    if case.cells.len() > 1 || case.world.most_part > 1.0 + 1e-6 {
-        return Some(way.clone());
+    if case.cells.len() > 1 || case.world.max_part_in_use > 1.0 + 1e-6 {
+        return Some(path.clone());
     }
     if depth == 0 {
         return None;
     }
-    for one in MOVES {
+    for event in MOVES {
         let mut next = case.clone();
-        if next.take(one) {
-            way.push(one);
-            if let Some(found) = explore(&next, depth - 1, way, count) {
+        if next.apply_move(event) {
+            path.push(event);
+            if let Some(found) = explore(&next, depth - 1, path, count) {
                 return Some(found);
             }
-            way.pop();
+            path.pop();
         }
     }
     None
 }
 
-fn case(mistake: Option<Mistake>) -> Case {
+fn case(mistake: Option<Mistake>) -> SmallCase {
     let mut world = World::new(2, 5);
-    assert!(world.together(TimeSpan::from_secs(20)));
-    // Nothing else is under way.
+    assert!(world.wait_until_trusted(TimeSpan::from_secs(20)));
+    // No operation is pending.
     world.run(TimeSpan::from_millis(3));
     world.snapshot = Some(world.stores[0].clone());
     world.stores[0].mistake = mistake;
-    let open = [0, 1].map(|nth| (nth, world.come(nth, "order-1", LEFT), false));
-    Case {
+    let open = [0, 1].map(|nth| (nth, world.send_request(nth, "order-1", TIME_LEFT), false));
+    SmallCase {
         world,
         open: open.to_vec(),
         cells: BTreeSet::new(),
--- a/crates/shared-store/tests/world/mod.rs
+++ b/crates/shared-store/tests/world/mod.rs
@@ -1,4 +1,5 @@
-//! Some dispatchers' sharing, one store and the way between them, in virtual time and repeatable by its seed.
+//! Simulation of several dispatchers, one store and the links between them, in virtual time and
+//! repeatable by its seed.
 
 #![allow(dead_code)]
 
@@ -41,52 +42,52 @@
 }
 
 #[derive(Clone, Debug)]
-struct Asked {
+struct PendingOp {
     id: OpId,
     op: Op,
     epoch: u64,
     not_after_ms: u64,
     run: String,
-    /// Applied no sooner than this, and answered no sooner than that.
+    /// Earliest time at which the store applies it.
     apply_at: Timestamp,
 }
 
-/// One dispatcher's end.
+/// One dispatcher.
 #[derive(Clone)]
 pub struct Member {
-    pub sharing: SharedState,
-    /// Its budgets, whose words go by the store.
+    pub state: SharedState,
+    /// Its budgets, whose messages the store carries.
     pub shares: BudgetShares,
     pub connected: bool,
     /// Which half of a split store it reaches.
-    pub half: usize,
+    pub store_index: usize,
     run: String,
-    out: VecDeque<Asked>,
-    back: VecDeque<(Timestamp, OpId, Reply)>,
+    unapplied: VecDeque<PendingOp>,
+    unanswered: VecDeque<(Timestamp, OpId, Reply)>,
     connecting: Option<Timestamp>,
-    /// Accesses that were decided, how, and how often.
+    /// Decided requests, with the times and the decisions.
     pub decided: BTreeMap<RequestId, Vec<(Timestamp, RecordDecision)>>,
-    pub turns: Vec<(Timestamp, Trust, &'static str)>,
+    pub trust_changes: Vec<(Timestamp, Trust, &'static str)>,
     pub purges: Vec<(Timestamp, Option<ObjectId>, TimeSpan)>,
     pub hints: Vec<(Timestamp, HostId)>,
-    /// Whether an access was decided by what the store had answered.
+    /// Whether the store had confirmed the claim when the request was decided.
     pub believed: BTreeMap<RequestId, bool>,
 }
 
-/// How the way to the store is now.
+/// State of the links to the store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Way {
+pub struct Link {
     pub there: TimeSpan,
     pub back: TimeSpan,
-    /// On top, drawn evenly up to this, on the way back.
+    /// Additional delay of answers, drawn evenly up to this.
     pub more: TimeSpan,
     pub answers: bool,
     pub paused: bool,
     pub reached: bool,
 }
 
-impl Way {
-    pub const GOOD: Way = Way {
+impl Link {
+    pub const GOOD: Link = Link {
         there: TimeSpan(100),
         back: TimeSpan(100),
         more: TimeSpan(100),
@@ -101,46 +102,46 @@
     pub now: Timestamp,
     pub stores: [Redis; 2],
     pub snapshot: Option<Redis>,
-    pub way: Way,
+    pub link: Link,
     pub members: Vec<Member>,
-    pub chance: fastrand::Rng,
+    pub rng: fastrand::Rng,
     runs: u64,
-    next_access: u64,
+    next_request: u64,
     /// The largest sum of all parts of the budget that were in use at once.
-    pub most_part: f64,
-    /// How many operations reached the store in each tenth of a second.
-    pub asked_in: BTreeMap<u64, u64>,
+    pub max_part_in_use: f64,
+    /// Number of operations that reached the store in each tenth of a second.
+    pub ops_by_tenth: BTreeMap<u64, u64>,
 }
 
 impl World {
     pub fn new(members: usize, seed: u64) -> World {
-        World::by(members, seed, rules())
+        World::with_rules(members, seed, rules())
     }
 
-    pub fn by(members: usize, seed: u64, rules: Rules) -> World {
-        let mut chance = fastrand::Rng::with_seed(seed);
+    pub fn with_rules(members: usize, seed: u64, rules: Rules) -> World {
+        let mut rng = fastrand::Rng::with_seed(seed);
         let now = Timestamp(1_700_000_000_000_000);
         let redis = Redis::new(1);
         let mut world = World {
             now,
             stores: [redis.clone(), redis],
             snapshot: None,
-            way: Way::GOOD,
+            link: Link::GOOD,
             members: Vec::new(),
             runs: 1,
-            next_access: 0,
-            most_part: 0.0,
-            asked_in: BTreeMap::new(),
-            chance: chance.fork(),
+            next_request: 0,
+            max_part_in_use: 0.0,
+            ops_by_tenth: BTreeMap::new(),
+            rng: rng.fork(),
         };
         for nth in 0..members {
-            let member = world.fresh((nth, members), rules.clone(), chance.u64(..));
+            let member = world.new_member((nth, members), rules.clone(), rng.u64(..));
             world.members.push(member);
         }
         world
     }
 
-    fn fresh(&self, (nth, members): (usize, usize), rules: Rules, seed: u64) -> Member {
+    fn new_member(&self, (nth, members): (usize, usize), rules: Rules, seed: u64) -> Member {
         let voters = if members < 3 { 1 } else { 3 };
         let division = Division {
             dispatchers: members as u32,
@@ -150,44 +151,42 @@
             lease_duration: TimeSpan::from_secs(2),
             guard_time: TimeSpan::ZERO,
         };
-        let (name, whole) = (BUDGET.into(), 1.0);
+        let (name, total) = (BUDGET.into(), 1.0);
         let voters = (0..voters as u64).map(HolderId).collect();
         let mut shares = BudgetShares::new(HolderId(nth as u64), BootId(seed), voters, seed);
-        let named = NamedBudget {
+        let budget = NamedBudget {
             name,
-            total: whole,
+            total,
             division,
         };
-        shares.set_budgets(self.now, vec![named]);
+        shares.set_budgets(self.now, vec![budget]);
         Member {
             shares,
-            sharing: SharedState::new(self.now, rules, seed),
+            state: SharedState::new(self.now, rules, seed),
             connected: false,
-            half: 0,
+            store_index: 0,
             run: String::new(),
-            out: VecDeque::new(),
-            back: VecDeque::new(),
+            unapplied: VecDeque::new(),
+            unanswered: VecDeque::new(),
             connecting: None,
             decided: BTreeMap::new(),
-            turns: Vec::new(),
+            trust_changes: Vec::new(),
             purges: Vec::new(),
             hints: Vec::new(),
             believed: BTreeMap::new(),
         }
     }
 
-    /// A dispatcher starts anew and knows nothing.
+    /// Replaces a dispatcher by a new process without any state.
     pub fn restart(&mut self, nth: usize) {
-        let (rules, seed) = (
-            self.members[nth].sharing.rules().clone(),
-            self.chance.u64(..),
-        );
+        let (rules, seed) = (self.members[nth].state.rules().clone(), self.rng.u64(..));
         let of = (nth, self.members.len());
-        self.members[nth] = self.fresh(of, rules, seed);
+        self.members[nth] = self.new_member(of, rules, seed);
     }
 
-    /// The store's process is another, with what the last copy held or nothing, and a clock so far ahead.
-    pub fn reborn(&mut self, from_copy: bool, ahead_ms: i64) {
+    /// Replaces the store's process by one that holds the last snapshot or nothing, with its clock
+    /// ahead by `ahead_ms`.
+    pub fn restart_store(&mut self, from_copy: bool, ahead_ms: i64) {
         self.runs += 1;
         let empty = Redis::new(0);
         let copy = self
@@ -197,73 +196,74 @@
             .unwrap_or(&empty);
         let born = Redis::reborn(copy, self.runs, ahead_ms);
         self.stores = [born.clone(), born];
-        (0..self.members.len()).for_each(|nth| self.cut(nth));
+        (0..self.members.len()).for_each(|nth| self.disconnect(nth));
     }
 
-    /// Two halves from now on: who is named is cut off and finds the second by a new connection.
+    /// Splits the store in two halves. The given dispatchers are disconnected and reach the second
+    /// one by a new connection.
     pub fn split(&mut self, second: &[usize]) {
         self.runs += 1;
         let copy = self.snapshot.clone().unwrap_or(self.stores[0].clone());
         self.stores[1] = Redis::reborn(&copy, self.runs, 0);
         for &nth in second {
-            self.members[nth].half = 1;
-            self.cut(nth);
+            self.members[nth].store_index = 1;
+            self.disconnect(nth);
         }
     }
 
-    /// A connection ends: what is under way may have been applied, and no answer comes.
-    pub fn cut(&mut self, nth: usize) {
+    /// Ends a connection: pending operations may have been applied, and no answers come.
+    pub fn disconnect(&mut self, nth: usize) {
         let now = self.now;
         let member = &mut self.members[nth];
         if !std::mem::take(&mut member.connected) {
             return;
         }
-        member.back.clear();
-        member.out.retain(|asked| asked.id.0 % 2 == 0);
-        member.sharing.on_disconnected(now);
-        self.pump(nth);
+        member.unanswered.clear();
+        member.unapplied.retain(|pending| pending.id.0 % 2 == 0);
+        member.state.on_disconnected(now);
+        self.deliver(nth);
     }
 
-    pub fn come(&mut self, nth: usize, mark: &str, left: TimeSpan) -> RequestId {
-        self.next_access += 1;
-        let id = RequestId(self.next_access);
-        let due = self.now + left;
-        let key = KeyHasher::new("t").key(ClassId(1), mark);
-        self.members[nth].sharing.on_request(self.now, id, key, due);
-        self.pump(nth);
+    pub fn send_request(&mut self, nth: usize, idempotency_key: &str, left: TimeSpan) -> RequestId {
+        self.next_request += 1;
+        let id = RequestId(self.next_request);
+        let target = self.now + left;
+        let key = KeyHasher::new("t").key(ClassId(1), idempotency_key);
+        self.members[nth]
+            .state
+            .on_request(self.now, id, key, target);
+        self.deliver(nth);
         id
     }
 
-    pub fn sent(&mut self, nth: usize, id: RequestId, cell: u16) {
+    pub fn send_attempt(&mut self, nth: usize, id: RequestId, cell: u16) {
         let place = (ZoneId(0), CellId(cell));
-        self.members[nth]
-            .sharing
-            .on_attempt_sent(self.now, id, place);
-        self.pump(nth);
+        self.members[nth].state.on_attempt_sent(self.now, id, place);
+        self.deliver(nth);
     }
 
-    pub fn ended(&mut self, nth: usize, id: RequestId, came: Completion) {
+    pub fn end_request(&mut self, nth: usize, id: RequestId, completion: Completion) {
         self.members[nth]
-            .sharing
-            .on_request_ended(self.now, id, came);
-        self.pump(nth);
+            .state
+            .on_request_ended(self.now, id, completion);
+        self.deliver(nth);
     }
 
-    /// How one access was decided, if it was.
-    pub fn verdict(&self, nth: usize, id: RequestId) -> Option<&RecordDecision> {
+    /// The decision for a request, if there is one.
+    pub fn decision(&self, nth: usize, id: RequestId) -> Option<&RecordDecision> {
         let all = self.members[nth].decided.get(&id)?;
         assert_eq!(all.len(), 1, "one verdict for one access");
         Some(&all[0].1)
     }
 
     pub fn trust(&self, nth: usize) -> Trust {
-        self.members[nth].sharing.trust()
+        self.members[nth].state.trust()
     }
 
-    pub fn pump(&mut self, nth: usize) {
-        let (now, way) = (self.now, self.way);
+    pub fn deliver(&mut self, nth: usize) {
+        let (now, link) = (self.now, self.link);
         loop {
-            let actions = self.members[nth].sharing.take_actions();
+            let actions = self.members[nth].state.take_actions();
             if actions.is_empty() {
                 break;
             }
@@ -273,8 +273,8 @@
                     Action::Connect => member.connecting = Some(now + TimeSpan::from_millis(1)),
                     Action::Disconnect => {
                         member.connected = false;
-                        member.back.clear();
-                        member.sharing.on_disconnected(now);
+                        member.unanswered.clear();
+                        member.state.on_disconnected(now);
                     }
                     Action::Execute {
                         id,
@@ -283,8 +283,8 @@
                         not_after_ms,
                     } => {
                         let run = member.run.clone();
-                        let apply_at = now + way.there;
-                        member.out.push_back(Asked {
+                        let apply_at = now + link.there;
+                        member.unapplied.push_back(PendingOp {
                             id,
                             op,
                             epoch,
@@ -292,19 +292,14 @@
                             run,
                             apply_at,
                         });
-                        *self.asked_in.entry(now.0 / 100_000).or_default() += 1;
+                        *self.ops_by_tenth.entry(now.0 / 100_000).or_default() += 1;
                     }
-                    Action::Decided {
-                        id,
-                        decision: verdict,
-                    } => {
-                        let believed = member.sharing.is_claimed(id);
+                    Action::Decided { id, decision } => {
+                        let believed = member.state.is_claimed(id);
                         member.believed.insert(id, believed);
-                        member.decided.entry(id).or_default().push((now, verdict));
+                        member.decided.entry(id).or_default().push((now, decision));
                     }
-                    Action::Purged {
-                        object, age: ago, ..
-                    } => member.purges.push((now, object, ago)),
+                    Action::Purged { object, age, .. } => member.purges.push((now, object, age)),
                     Action::PeerBreakerOpened { host } => member.hints.push((now, host)),
                     Action::MessageReceived { from, bytes } => {
                         if let Some(note) = trailproxy_budgets::read(&bytes) {
@@ -312,16 +307,16 @@
                         }
                     }
                     Action::TrustChanged { trust, cause } => {
-                        member.turns.push((now, trust, cause.as_str()))
+                        member.trust_changes.push((now, trust, cause.as_str()))
                     }
                 }
             }
         }
-        self.words(nth);
+        self.deliver_messages(nth);
     }
 
-    /// What the budgets of one have to say goes into the store, and what all may use is counted.
-    fn words(&mut self, nth: usize) {
+    /// Posts the messages of a dispatcher's budgets to the store, and counts what all may use.
+    fn deliver_messages(&mut self, nth: usize) {
         let now = self.now;
         let member = &mut self.members[nth];
         let actions = member.shares.take_actions();
@@ -330,80 +325,86 @@
             if let shares::Action::Send(to, note) = act {
                 let (own, to) = (MailboxId(nth as u64), MailboxId(to.0));
                 let bytes = trailproxy_budgets::write(&note);
-                member.sharing.post_message(now, own, to, bytes);
+                member.state.post_message(now, own, to, bytes);
             }
         }
         let sum: f64 = (0..self.members.len()).map(|nth| self.part(nth)).sum();
-        self.most_part = self.most_part.max(sum);
+        self.max_part_in_use = self.max_part_in_use.max(sum);
         if said {
-            self.pump(nth);
+            self.deliver(nth);
         }
     }
 
-    /// The part of the budget that one may use now.
+    /// The part of the budget that a dispatcher may use now.
     pub fn part(&self, nth: usize) -> f64 {
         let id = BudgetId::of_name(BUDGET);
         let part = self.members[nth].shares.part(self.now, id);
         part.map_or(0.0, |part| part.fraction)
     }
 
-    /// What one could use of the budget.
-    pub fn needs(&mut self, nth: usize, part: f64) {
+    /// Sets the part of the budget that a dispatcher needs.
+    pub fn set_need(&mut self, nth: usize, part: f64) {
         let (now, id) = (self.now, BudgetId::of_name(BUDGET));
         self.members[nth].shares.set_need(now, id, part, 0.0);
     }
 
-    /// Applies what is due of one dispatcher's operations.
+    /// Applies the operations of a dispatcher that are due.
     fn apply(&mut self, nth: usize) {
-        while let Some(asked) = self.members[nth].out.front() {
-            if self.way.paused || asked.apply_at > self.now {
+        while let Some(pending) = self.members[nth].unapplied.front() {
+            if self.link.paused || pending.apply_at > self.now {
                 break;
             }
-            let Some(asked) = self.members[nth].out.pop_front() else {
+            let Some(pending) = self.members[nth].unapplied.pop_front() else {
                 break;
             };
-            self.apply_one(nth, asked);
+            self.apply_one(nth, pending);
         }
     }
 
-    fn apply_one(&mut self, nth: usize, asked: Asked) {
-        let half = self.members[nth].half;
-        let under = ScriptContext {
+    fn apply_one(&mut self, nth: usize, pending: PendingOp) {
+        let store_index = self.members[nth].store_index;
+        let context = ScriptContext {
             prefix: "t:",
-            run: &asked.run,
-            epoch: asked.epoch,
-            not_after_ms: asked.not_after_ms,
+            run: &pending.run,
+            epoch: pending.epoch,
+            not_after_ms: pending.not_after_ms,
         };
-        let request = script_request(&asked.op, &under);
-        let reply =
-            self.stores[half].script(self.now, request.script.name, &request.keys, &request.args);
+        let request = script_request(&pending.op, &context);
+        let reply = self.stores[store_index].script(
+            self.now,
+            request.script.name,
+            &request.keys,
+            &request.args,
+        );
         let reply = match value(reply).map(|value| parse_reply(&value)) {
             None => Reply::Refused,
             Some(None) => Reply::Lost,
             Some(Some(said)) => Reply::Result(said),
         };
-        if self.way.answers && self.members[nth].connected {
-            let drawn = self.chance.f64();
-            let at = self.now + self.way.back + self.way.more.mul_f64(drawn);
-            self.members[nth].back.push_back((at, asked.id, reply));
+        if self.link.answers && self.members[nth].connected {
+            let random = self.rng.f64();
+            let at = self.now + self.link.back + self.link.more.mul_f64(random);
+            self.members[nth]
+                .unanswered
+                .push_back((at, pending.id, reply));
         }
     }
 
-    /// When something happens to a dispatcher next.
-    fn due(&self, nth: usize) -> Option<Timestamp> {
+    /// The next time at which something happens to a dispatcher.
+    fn next_event(&self, nth: usize) -> Option<Timestamp> {
         let member = &self.members[nth];
-        let out = member
-            .out
+        let unapplied = member
+            .unapplied
             .front()
-            .filter(|_| !self.way.paused)
-            .map(|asked| asked.apply_at);
-        let back = member.back.front().map(|(at, ..)| *at);
+            .filter(|_| !self.link.paused)
+            .map(|pending| pending.apply_at);
+        let unanswered = member.unanswered.front().map(|(at, ..)| *at);
         let shares = member.shares.next_deadline();
         [
-            out,
-            back,
+            unapplied,
+            unanswered,
             member.connecting,
-            member.sharing.next_deadline(),
+            member.state.next_deadline(),
             shares,
         ]
         .into_iter()
@@ -411,51 +412,53 @@
         .min()
     }
 
-    /// On to what happens next, or to the end.
+    /// Advances to the next event, or to `end`.
     fn step(&mut self, end: Timestamp) {
-        let dues: Vec<_> = (0..self.members.len()).map(|nth| self.due(nth)).collect();
+        let dues: Vec<_> = (0..self.members.len())
+            .map(|nth| self.next_event(nth))
+            .collect();
         let next = dues.iter().flatten().min().copied();
         self.now = next.map_or(end, |at| at.max(self.now + TimeSpan(1)).min(end));
-        for (nth, due) in dues.into_iter().enumerate() {
-            if due.is_none_or(|at| at > self.now) {
+        for (nth, next_event) in dues.into_iter().enumerate() {
+            if next_event.is_none_or(|at| at > self.now) {
                 continue;
             }
             self.apply(nth);
-            while let Some((at, ..)) = self.members[nth].back.front() {
+            while let Some((at, ..)) = self.members[nth].unanswered.front() {
                 if *at > self.now {
                     break;
                 }
-                let Some((_, id, reply)) = self.members[nth].back.pop_front() else {
+                let Some((_, id, reply)) = self.members[nth].unanswered.pop_front() else {
                     break;
                 };
-                self.members[nth].sharing.on_reply(self.now, id, reply);
-                self.pump(nth);
+                self.members[nth].state.on_reply(self.now, id, reply);
+                self.deliver(nth);
             }
             if self.members[nth]
                 .connecting
                 .is_some_and(|at| at <= self.now)
             {
                 self.members[nth].connecting = None;
-                let reached = self.way.reached && !self.way.paused;
-                let half = self.members[nth].half;
+                let reached = self.link.reached && !self.link.paused;
+                let store_index = self.members[nth].store_index;
                 let member = &mut self.members[nth];
-                member.out.clear();
+                member.unapplied.clear();
                 match reached {
                     true => {
-                        (member.connected, member.run) = (true, self.stores[half].run_id());
-                        member.sharing.on_connected(self.now);
+                        (member.connected, member.run) = (true, self.stores[store_index].run_id());
+                        member.state.on_connected(self.now);
                     }
-                    false => member.sharing.on_disconnected(self.now),
+                    false => member.state.on_disconnected(self.now),
                 }
-                self.pump(nth);
+                self.deliver(nth);
             }
             if self.members[nth]
-                .sharing
+                .state
                 .next_deadline()
                 .is_some_and(|at| at <= self.now)
             {
-                self.members[nth].sharing.advance(self.now);
-                self.pump(nth);
+                self.members[nth].state.advance(self.now);
+                self.deliver(nth);
             }
             if self.members[nth]
                 .shares
@@ -463,7 +466,7 @@
                 .is_some_and(|at| at <= self.now)
             {
                 self.members[nth].shares.advance(self.now);
-                self.words(nth);
+                self.deliver_messages(nth);
             }
         }
     }
@@ -475,15 +478,15 @@
         }
     }
 
-    /// Until all are together, within so long.
-    pub fn together(&mut self, within: TimeSpan) -> bool {
+    /// Runs until all dispatchers trust the store; `false` if that takes longer than `within`.
+    pub fn wait_until_trusted(&mut self, within: TimeSpan) -> bool {
         let end = self.now + within;
         while self.now < end {
             self.step(end);
             if self
                 .members
                 .iter()
-                .all(|m| m.sharing.trust() == Trust::Together)
+                .all(|m| m.state.trust() == Trust::Together)
             {
                 return true;
             }
@@ -494,19 +497,19 @@
     // For exploration: single steps out of order.
 
     pub fn apply_next(&mut self, nth: usize) -> bool {
-        let next = self.members[nth].out.pop_front();
+        let next = self.members[nth].unapplied.pop_front();
         let any = next.is_some();
         next.into_iter()
-            .for_each(|asked| self.apply_one(nth, asked));
+            .for_each(|pending| self.apply_one(nth, pending));
         any
     }
 
     pub fn answer_next(&mut self, nth: usize, lost: bool) -> bool {
-        let next = self.members[nth].back.pop_front();
+        let next = self.members[nth].unanswered.pop_front();
         let any = next.is_some();
         if let Some((_, id, reply)) = next.filter(|_| !lost) {
-            self.members[nth].sharing.on_reply(self.now, id, reply);
-            self.pump(nth);
+            self.members[nth].state.on_reply(self.now, id, reply);
+            self.deliver(nth);
         }
         any
     }
@@ -514,9 +517,9 @@
     pub fn pass(&mut self, span: TimeSpan) {
         self.now = self.now + span;
         for nth in 0..self.members.len() {
-            self.members[nth].sharing.advance(self.now);
+            self.members[nth].state.advance(self.now);
             self.members[nth].shares.advance(self.now);
-            self.pump(nth);
+            self.deliver(nth);
         }
     }
 }
--- a/crates/zones-tools/tests/sheet.rs
+++ b/crates/zones-tools/tests/config.rs
@@ -1,4 +1,4 @@
-//! The operator's section: what fits, and where a complaint points.
+//! The sections of the operator's file: accepted values, and positions in errors.
 
 use trailproxy::units::*;
 use trailproxy_operator::{Bounds, read};
@@ -13,28 +13,28 @@
     }
 }
 
-fn script(text: &str) -> ZonesConfig {
-    let script =
-        read("operator.star", text.into(), KINDS, Bounds::default()).expect("a script that fits");
-    zones_config(&script).expect("a section that is on")
+fn zones_config_of(text: &str) -> ZonesConfig {
+    let zones_config_of =
+        read("operator.star", text.into(), KINDS, Bounds::default()).expect("an acceptable file");
+    zones_config(&zones_config_of).expect("a section that is switched on")
 }
 
-fn complaint(text: &str) -> String {
-    let unfit = script(text)
+fn error_text(text: &str) -> String {
+    let error = zones_config_of(text)
         .resolve(&names())
-        .expect_err("something that does not fit");
-    unfit.to_string()
+        .expect_err("an unacceptable value");
+    error.to_string()
 }
 
 #[test]
 fn a_script_becomes_rules_and_passes_through_json_unchanged() {
-    let told = script(
+    let config = zones_config_of(
         "zones(report_s = 5, first = [\"video\"])\n\
          crossing(name = \"link\", into = \"depot\", kb_per_s = 1000, burst_kb = 250, reserve_kb_per_s = 100)\n",
     );
-    let json = serde_json::to_string(&told).expect("JSON");
-    let again: ZonesConfig = serde_json::from_str(&json).expect("a sheet");
-    assert_eq!(again, told);
+    let json = serde_json::to_string(&config).expect("JSON");
+    let again: ZonesConfig = serde_json::from_str(&json).expect("a configuration");
+    assert_eq!(again, config);
     let rules = again.resolve(&names()).expect("rules");
     assert_eq!(rules.priority_classes, vec![ClassId(0)]);
     let limit = &rules.limits[0];
@@ -74,19 +74,19 @@
         ),
     ];
     for (text, wanted) in all {
-        let found = complaint(&text);
+        let found = error_text(&text);
         assert!(found.starts_with(wanted), "{found}\n{wanted}");
     }
 }
 
 #[test]
 fn a_section_that_is_off_says_nothing() {
-    let script = read(
+    let zones_config_of = read(
         "o.star",
         "zones(on = False)\n".into(),
         KINDS,
         Bounds::default(),
     )
     .expect("fits");
-    assert_eq!(zones_config(&script), None);
+    assert_eq!(zones_config(&zones_config_of), None);
 }
--- a/crates/zones/tests/properties.rs
+++ b/crates/zones/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What holds of budgets, accounts and merged reports whatever happens.
+//! Properties of budgets, accounts and merged reports under random input.
 
 use proptest::prelude::*;
 use trailproxy::units::*;
@@ -13,7 +13,7 @@
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
-    /// Over any time, no more goes out than rate and burst, one large object, and the corrections allow.
+    /// Over any time, no more is sent than rate and burst, one large object, and the corrections allow.
     #[test]
     fn a_budget_is_never_exceeded_by_more_than_its_burst_and_one_object(
         steps in prop::collection::vec((0u64..200_000, 1.0f64..400.0, any::<bool>()), 1..400),
@@ -25,9 +25,9 @@
         let limit = Limit {
             name: "l".into(), from: None, to: ZoneId(0), kb_per_s: rate, burst_kb: burst, reserve, learned: None,
         };
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let n = f64::from(dispatchers);
-        let mut budget = Budget::new(limit, n, at(0), &mut chance);
+        let mut budget = Budget::new(limit, n, at(0), &mut rng);
         let (mut now, mut sent) = (0u64, 0.0);
         for (gap, kb, first) in steps {
             now += gap;
@@ -46,21 +46,21 @@
         }
     }
 
-    /// What is charged and given back again leaves a budget as it was.
+    /// A charge that is corrected back leaves a budget unchanged.
     #[test]
     fn a_charge_given_back_is_no_charge(kb in 0.0f64..1e4, kept in any::<bool>(), seed in any::<u64>()) {
         let limit = Limit {
             name: "l".into(), from: None, to: ZoneId(0), kb_per_s: 100.0, burst_kb: 100.0, reserve: 0.5, learned: None,
         };
-        let mut chance = fastrand::Rng::with_seed(seed);
-        let mut budget = Budget::new(limit, 1.0, at(0), &mut chance);
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let mut budget = Budget::new(limit, 1.0, at(0), &mut rng);
         let from = if kept { BucketKind::Reserved } else { BucketKind::Common };
         budget.charge(at(0), from, kb);
         budget.correct(from, -kb);
         prop_assert!(budget.saved_kb().abs() < 1e-6);
     }
 
-    /// Seconds and totals of an account agree, whatever the order of bookings within its reach.
+    /// Seconds and totals of an account agree, whatever the order of transfers within its reach.
     #[test]
     fn the_seconds_of_an_account_sum_to_its_totals(
         moves in prop::collection::vec((0u64..50_000_000, 0u64..20_000_000, 0.0f64..1e4), 1..100),
@@ -81,15 +81,15 @@
         prop_assert!((account.totals()[&key].kb - all).abs() < 1e-6 * all.max(1.0));
     }
 
-    /// Lost, repeated and shuffled reports of several lives add up to the last total of each life.
+    /// Lost, repeated and shuffled reports of several processes add up to the last total of each process.
     #[test]
     fn merged_reports_add_up_to_the_last_of_each_life(
-        lives in prop::collection::vec(prop::collection::vec((1u64..50, 0.1f64..100.0, any::<bool>()), 1..20), 1..5),
+        boots in prop::collection::vec(prop::collection::vec((1u64..50, 0.1f64..100.0, any::<bool>()), 1..20), 1..5),
         order in any::<u64>(),
     ) {
         let mut reports = Vec::new();
         let mut wanted = 0.0;
-        for (life, steps) in (0u64..).zip(&lives) {
+        for (boot, steps) in (0u64..).zip(&boots) {
             let (mut moves, mut kb, mut last) = (0, 0.0, 0.0);
             for (nth, (more, more_kb, lost)) in (1u64..).zip(steps) {
                 (moves, kb) = (moves + more, kb + more_kb);
@@ -98,7 +98,7 @@
                 }
                 last = kb;
                 reports.push(Report {
-                    dispatcher: "n".into(), boot: life, at_us: nth * 1_000_000,
+                    dispatcher: "n".into(), boot, at_us: nth * 1_000_000,
                     lines: vec![ReportLine {
                         from: "hub".into(), to: "depot".into(), tier: "parent".into(), class: "video".into(),
                         cause: "first".into(), moves, kb,
--- a/crates/zones/tests/stories.rs
+++ b/crates/zones/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One short story for each hard case of the account, the budget and the watch.
+//! One scenario for each difficult case of the account, the budgets and the detection of rises.
 
 use trailproxy::interface::*;
 use trailproxy::units::*;
@@ -40,7 +40,7 @@
     }
 }
 
-fn terms(seats: u32) -> DispatcherSettings {
+fn settings(dispatchers: u32) -> DispatcherSettings {
     let video = ClassSettings {
         target: TimeSpan::from_millis(400),
         target_stretch: 2.0,
@@ -54,7 +54,7 @@
         is_write: true,
         ..video.clone()
     };
-    let cold = SlowStart {
+    let slow_start = SlowStart {
         initial_capacity: 0.25,
         duration: TimeSpan::from_secs(10),
         overload_factor: 2.0,
@@ -63,8 +63,8 @@
     };
     DispatcherSettings {
         zone: DEPOT,
-        dispatchers: seats,
-        dispatchers_by_zone: vec![0, seats],
+        dispatchers,
+        dispatchers_by_zone: vec![0, dispatchers],
         parent_kind: Some(KindId(1)),
         origin_kind: Some(KindId(2)),
         classes: vec![video, order],
@@ -80,8 +80,8 @@
         may_cancel: true,
         max_retry_after: None,
         host_list_on_request: false,
-        cache_slow_start: cold,
-        parent_slow_start: cold,
+        cache_slow_start: slow_start,
+        parent_slow_start: slow_start,
         purge_propagation: TimeSpan::from_secs(6),
     }
 }
@@ -104,25 +104,25 @@
     }
 }
 
-/// Zones with a list heard, and hand-offs made by hand.
-struct Desk {
+/// Zones with a host list, and attempts that the test sends itself.
+struct ZonesRig {
     zones: Zones,
     next: u64,
 }
 
-impl Desk {
-    fn new(rules: Rules, seats: u32) -> Desk {
-        let mut zones = Zones::new(&terms(seats), rules, 7);
+impl ZonesRig {
+    fn new(rules: Rules, dispatchers: u32) -> ZonesRig {
+        let mut zones = Zones::new(&settings(dispatchers), rules, 7);
         let hosts = [CACHES[0], CACHES[1], PARENT, ORIGIN];
         let entries = hosts
             .map(|host| entry(host, HostState::Ready, None))
             .to_vec();
         let kind = HostListKind::Full;
         zones.on_event(at(0), &Event::HostList { kind, entries });
-        Desk { zones, next: 0 }
+        ZonesRig { zones, next: 0 }
     }
 
-    fn way(&mut self, class: ClassId, object: u64, kb: f64) -> Crossing {
+    fn crossing(&mut self, class: ClassId, object: u64, kb: f64) -> Crossing {
         self.next += 1;
         let arrival = Arrival {
             id: RequestId(self.next),
@@ -148,18 +148,18 @@
 
     fn end(
         &mut self,
-        way: &Crossing,
+        crossing: &Crossing,
         ms: u64,
-        took: u64,
+        elapsed_ms: u64,
         ending: Ending,
         note: Note,
         received_kb: Option<f64>,
     ) {
         let outcome = Outcome {
-            id: way.arrival.id,
-            attempt: way.attempt,
+            id: crossing.arrival.id,
+            attempt: crossing.attempt,
             ending,
-            elapsed: TimeSpan::from_millis(took),
+            elapsed: TimeSpan::from_millis(elapsed_ms),
             request_closed: ending == Ending::Done,
             note,
             first_byte_latency: None,
@@ -170,12 +170,12 @@
         self.zones.on_event(at(ms), &Event::Outcome(outcome));
     }
 
-    /// One access that is sent at once and ends well.
+    /// A request that is sent at once and succeeds.
     fn play(&mut self, ms: u64, object: u64, kb: f64, note: Note) -> Crossing {
-        let way = self.way(VIDEO, object, kb);
-        self.zones.on_sent(at(ms), &way);
-        self.end(&way, ms + 50, 50, Ending::Done, note, Some(kb));
-        way
+        let crossing = self.crossing(VIDEO, object, kb);
+        self.zones.on_sent(at(ms), &crossing);
+        self.end(&crossing, ms + 50, 50, Ending::Done, note, Some(kb));
+        crossing
     }
 
     fn booked(&self, cause: Cause) -> f64 {
@@ -186,17 +186,17 @@
     }
 }
 
-fn chance() -> fastrand::Rng {
+fn rng() -> fastrand::Rng {
     fastrand::Rng::with_seed(3)
 }
 
 #[test]
 fn an_order_passes_while_the_budget_is_exactly_spent_and_a_video_does_not() {
-    let mut desk = Desk::new(rules(vec![limit(1_000.0, 400.0, 0.25)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(1_000.0, 400.0, 0.25)]), 1);
     desk.zones.advance(at(10_000));
     let mut sent = 0;
     loop {
-        let video = desk.way(VIDEO, 100 + sent, 100.0);
+        let video = desk.crossing(VIDEO, 100 + sent, 100.0);
         if !desk.zones.has_room(at(10_000), &video) {
             break;
         }
@@ -204,7 +204,7 @@
         sent += 1;
     }
     assert!((1..=8).contains(&sent), "{sent}");
-    let (order, video) = (desk.way(ORDER, 1, 4.0), desk.way(VIDEO, 2, 100.0));
+    let (order, video) = (desk.crossing(ORDER, 1, 4.0), desk.crossing(VIDEO, 2, 100.0));
     assert!(desk.zones.has_room(at(10_000), &order));
     assert!(!desk.zones.has_room(at(10_000), &video));
     assert!(desk.zones.retry_after(at(10_000), VIDEO).is_some());
@@ -213,10 +213,10 @@
 
 #[test]
 fn orders_alone_are_held_to_the_budget_in_the_end() {
-    let mut desk = Desk::new(rules(vec![limit(100.0, 40.0, 0.5)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(100.0, 40.0, 0.5)]), 1);
     let mut kb = 0.0;
     for ms in 0..10_000 {
-        let order = desk.way(ORDER, ms, 4.0);
+        let order = desk.crossing(ORDER, ms, 4.0);
         if desk.zones.has_room(at(ms), &order) {
             desk.zones.on_sent(at(ms), &order);
             kb += 4.0;
@@ -227,10 +227,10 @@
 
 #[test]
 fn nothing_is_turned_away_while_the_link_is_free() {
-    let mut desk = Desk::new(rules(vec![limit(10_000.0, 2_000.0, 0.2)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(10_000.0, 2_000.0, 0.2)]), 1);
     for n in 0..500 {
-        let video = desk.way(VIDEO, n, 100.0);
-        // 5 MB a second asked for, 10 MB a second there.
+        let video = desk.crossing(VIDEO, n, 100.0);
+        // 5 MB a second are requested, 10 MB a second are available.
         assert!(
             desk.zones.has_room(at(2_000 + n * 20), &video),
             "access {n}"
@@ -249,8 +249,8 @@
 
 #[test]
 fn a_large_video_waits_its_turn_and_gets_it_though_it_exceeds_a_share_of_the_burst() {
-    let mut chance = chance();
-    let mut budget = Budget::new(limit(1_000.0, 100.0, 0.1), 10.0, at(0), &mut chance);
+    let mut rng = rng();
+    let mut budget = Budget::new(limit(1_000.0, 100.0, 0.1), 10.0, at(0), &mut rng);
     let mut first = None;
     for ms in (0..60_000).step_by(100) {
         budget.advance(at(ms));
@@ -268,8 +268,8 @@
 
 #[test]
 fn small_reads_go_on_while_a_large_one_is_owed() {
-    let mut chance = chance();
-    let mut budget = Budget::new(limit(1_000.0, 400.0, 0.0), 1.0, at(0), &mut chance);
+    let mut rng = rng();
+    let mut budget = Budget::new(limit(1_000.0, 400.0, 0.0), 1.0, at(0), &mut rng);
     budget.advance(at(1_000));
     budget.charge(at(1_000), budget::BucketKind::Common, 1_000.0);
     assert!(budget.saved_kb() < 0.0, "{}", budget.saved_kb());
@@ -287,10 +287,10 @@
 
 #[test]
 fn hundreds_of_dispatchers_below_one_fill_a_second_send_the_burst_and_then_the_rate() {
-    let (n, mut chance) = (250, chance());
+    let (n, mut rng) = (250, rng());
     let shared = limit(36_000.0, 9_000.0, 0.0);
     let mut all: Vec<Budget> = (0..n)
-        .map(|_| Budget::new(shared.clone(), f64::from(n), at(0), &mut chance))
+        .map(|_| Budget::new(shared.clone(), f64::from(n), at(0), &mut rng))
         .collect();
     all.iter_mut().for_each(|budget| budget.advance(at(60_000)));
     let mut seconds = [0.0; 20];
@@ -319,10 +319,10 @@
 
 #[test]
 fn when_half_of_the_dispatchers_die_the_others_stay_within_the_budget() {
-    let (n, mut chance) = (40, chance());
+    let (n, mut rng) = (40, rng());
     let mut sum = 0.0;
     for _ in 0..n / 2 {
-        let mut budget = Budget::new(limit(4_000.0, 400.0, 0.2), f64::from(n), at(0), &mut chance);
+        let mut budget = Budget::new(limit(4_000.0, 400.0, 0.2), f64::from(n), at(0), &mut rng);
         for ms in (0..10_000).step_by(20) {
             budget.advance(at(ms));
             match budget.bucket_with_room(at(ms), Priority::Plain, 50.0) {
@@ -358,9 +358,9 @@
         learned: Some((100.0, 10_000.0)),
         ..limit(100.0, 50.0, 0.0)
     };
-    let mut desk = Desk::new(rules(vec![learned]), 1);
+    let mut desk = ZonesRig::new(rules(vec![learned]), 1);
     for ms in (0..30_000).step_by(100) {
-        let video = desk.way(VIDEO, ms, 100.0);
+        let video = desk.crossing(VIDEO, ms, 100.0);
         if desk.zones.has_room(at(ms), &video) {
             desk.zones.on_sent(at(ms), &video);
             desk.end(&video, ms + 20, 20, Ending::Done, Note::Filled, Some(100.0));
@@ -373,18 +373,18 @@
 
 #[test]
 fn a_budget_lowered_below_what_is_under_way_keeps_the_debt_and_the_counts() {
-    let mut desk = Desk::new(rules(vec![limit(10_000.0, 4_000.0, 0.2)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(10_000.0, 4_000.0, 0.2)]), 1);
     desk.zones.advance(at(5_000));
-    let ways: Vec<Crossing> = (0..5).map(|n| desk.way(VIDEO, n, 300.0)).collect();
+    let ways: Vec<Crossing> = (0..5).map(|n| desk.crossing(VIDEO, n, 300.0)).collect();
     ways.iter()
-        .for_each(|way| desk.zones.on_sent(at(5_000), way));
+        .for_each(|crossing| desk.zones.on_sent(at(5_000), crossing));
     desk.zones
         .apply_rules(at(5_001), rules(vec![limit(100.0, 50.0, 0.2)]));
-    for way in &ways {
-        desk.end(way, 5_050, 50, Ending::Done, Note::Filled, Some(300.0));
+    for crossing in &ways {
+        desk.end(crossing, 5_050, 50, Ending::Done, Note::Filled, Some(300.0));
     }
     assert_eq!(desk.booked(Cause::First), 1_500.0);
-    let next = desk.way(VIDEO, 50, 300.0);
+    let next = desk.crossing(VIDEO, 50, 300.0);
     assert!(!desk.zones.has_room(at(5_060), &next));
     let owed = desk.zones.budgets()[0].saved_kb();
     assert!(owed < 0.0, "{owed}");
@@ -392,22 +392,22 @@
 
 #[test]
 fn a_rule_that_goes_lets_what_is_under_way_end_free_of_it() {
-    let mut desk = Desk::new(rules(vec![limit(1_000.0, 400.0, 0.2)]), 1);
-    let way = desk.way(VIDEO, 1, 100.0);
-    desk.zones.on_sent(at(0), &way);
+    let mut desk = ZonesRig::new(rules(vec![limit(1_000.0, 400.0, 0.2)]), 1);
+    let crossing = desk.crossing(VIDEO, 1, 100.0);
+    desk.zones.on_sent(at(0), &crossing);
     desk.zones.apply_rules(at(1), rules(Vec::new()));
-    desk.end(&way, 50, 50, Ending::Done, Note::Filled, Some(100.0));
+    desk.end(&crossing, 50, 50, Ending::Done, Note::Filled, Some(100.0));
     assert_eq!(desk.booked(Cause::First), 100.0);
-    let next = desk.way(VIDEO, 2, 1e9);
+    let next = desk.crossing(VIDEO, 2, 1e9);
     assert!(desk.zones.has_room(at(60), &next));
 }
 
 #[test]
 fn each_cause_is_told_apart() {
-    let mut desk = Desk::new(rules(Vec::new()), 1);
+    let mut desk = ZonesRig::new(rules(Vec::new()), 1);
     desk.play(0, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::First), 10.0);
-    // Seen, held no more, and nothing says why.
+    // Seen before and no longer held, for no known reason.
     desk.play(100, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::Unknown), 10.0);
     let purge = Event::Purged {
@@ -425,13 +425,13 @@
         .on_event(at(310), &Event::HostList { kind, entries });
     desk.play(320, 2, 10.0, Note::Filled);
     assert_eq!(desk.booked(Cause::HostLost), 10.0);
-    let order = desk.way(ORDER, 9, 4.0);
+    let order = desk.crossing(ORDER, 9, 4.0);
     desk.zones.on_sent(at(400), &order);
     desk.end(&order, 450, 50, Ending::Done, Note::NotReported, None);
     assert_eq!(desk.booked(Cause::Written), 4.0);
     let straight = Crossing {
         host: PARENT,
-        ..desk.way(VIDEO, 77, 20.0)
+        ..desk.crossing(VIDEO, 77, 20.0)
     };
     desk.zones.on_sent(at(500), &straight);
     desk.end(&straight, 550, 50, Ending::Done, Note::Hit, Some(20.0));
@@ -440,40 +440,51 @@
 
 #[test]
 fn hits_and_joined_fills_cross_nothing_and_an_error_does_not_either() {
-    let mut desk = Desk::new(rules(Vec::new()), 1);
+    let mut desk = ZonesRig::new(rules(Vec::new()), 1);
     desk.play(0, 1, 10.0, Note::Hit);
     desk.play(10, 1, 10.0, Note::Joined);
-    let way = desk.way(VIDEO, 1, 10.0);
-    desk.zones.on_sent(at(20), &way);
-    desk.end(&way, 30, 10, Ending::Error, Note::SourceLost, None);
+    let crossing = desk.crossing(VIDEO, 1, 10.0);
+    desk.zones.on_sent(at(20), &crossing);
+    desk.end(&crossing, 30, 10, Ending::Error, Note::SourceLost, None);
     assert!(desk.zones.account().totals().is_empty());
 }
 
 #[test]
 fn a_fill_whose_client_left_counts_as_waste() {
-    let mut desk = Desk::new(rules(Vec::new()), 1);
-    let way = desk.way(VIDEO, 1, 100.0);
-    desk.zones.on_sent(at(0), &way);
-    desk.zones
-        .on_event(at(10), &Event::ClientGone { id: way.arrival.id });
-    desk.end(&way, 20, 20, Ending::Cancelled, Note::NotReported, None);
+    let mut desk = ZonesRig::new(rules(Vec::new()), 1);
+    let crossing = desk.crossing(VIDEO, 1, 100.0);
+    desk.zones.on_sent(at(0), &crossing);
+    desk.zones.on_event(
+        at(10),
+        &Event::ClientGone {
+            id: crossing.arrival.id,
+        },
+    );
+    desk.end(
+        &crossing,
+        20,
+        20,
+        Ending::Cancelled,
+        Note::NotReported,
+        None,
+    );
     assert!(desk.booked(Cause::Waste) > 50.0);
     assert_eq!(desk.booked(Cause::First), 0.0);
 }
 
 #[test]
 fn a_size_told_falsely_is_paid_for_when_it_has_come() {
-    let mut desk = Desk::new(rules(vec![limit(1_000.0, 400.0, 0.0)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(1_000.0, 400.0, 0.0)]), 1);
     desk.zones.advance(at(5_000));
     let before = desk.zones.budgets()[0].saved_kb();
-    let way = desk.way(VIDEO, 1, 0.001);
-    desk.zones.on_sent(at(5_000), &way);
-    desk.end(&way, 5_000, 0, Ending::Done, Note::Filled, Some(900.0));
+    let crossing = desk.crossing(VIDEO, 1, 0.001);
+    desk.zones.on_sent(at(5_000), &crossing);
+    desk.end(&crossing, 5_000, 0, Ending::Done, Note::Filled, Some(900.0));
     assert_eq!(desk.booked(Cause::First), 900.0);
     let after = desk.zones.budgets()[0].saved_kb();
     assert!((before - after - 900.0).abs() < 1.0, "{before} {after}");
     for kb in [f64::NAN, f64::INFINITY, -5.0] {
-        let odd = desk.way(VIDEO, 2, kb);
+        let odd = desk.crossing(VIDEO, 2, kb);
         desk.zones.has_room(at(5_001), &odd);
         desk.zones.on_sent(at(5_001), &odd);
         desk.end(&odd, 5_002, 1, Ending::Error, Note::NotReported, None);
@@ -483,8 +494,8 @@
 
 #[test]
 fn a_clock_that_jumps_neither_stops_the_budget_nor_floods_it() {
-    let mut chance = chance();
-    let mut budget = Budget::new(limit(1_000.0, 400.0, 0.25), 1.0, at(0), &mut chance);
+    let mut rng = rng();
+    let mut budget = Budget::new(limit(1_000.0, 400.0, 0.25), 1.0, at(0), &mut rng);
     budget.advance(at(3_600_000));
     let saved = budget.saved_kb();
     assert!(saved <= 400.0, "{saved}");
@@ -522,7 +533,7 @@
     assert!((second[&key].kb - 50.0).abs() < 1e-6, "{second:?}");
     let four = account.sums_within(at(4_000), TimeSpan::from_secs(10));
     assert!((four[&key].kb - 300.0).abs() < 1e-6, "{four:?}");
-    // A clock that goes back books into its newest second, one that leaps forgets seconds and no totals.
+    // When the clock goes back, transfers count in the newest second; when it leaps, seconds are dropped but no totals.
     account.record(
         at(1_000),
         Transfer {
@@ -551,21 +562,21 @@
         from: Some(HUB),
         ..limit(10.0, 10.0, 0.0)
     };
-    let mut desk = Desk::new(rules(vec![pair]), 1);
-    let way = desk.way(VIDEO, 1, 500.0);
-    desk.zones.on_sent(at(0), &way);
-    let way = desk.way(VIDEO, 3, 500.0);
-    assert!(!desk.zones.has_room(at(1), &way));
+    let mut desk = ZonesRig::new(rules(vec![pair]), 1);
+    let crossing = desk.crossing(VIDEO, 1, 500.0);
+    desk.zones.on_sent(at(0), &crossing);
+    let crossing = desk.crossing(VIDEO, 3, 500.0);
+    assert!(!desk.zones.has_room(at(1), &crossing));
     let dearer = Crossing {
         from: ZoneId(2),
-        ..way
+        ..crossing
     };
     assert!(desk.zones.has_room(at(1), &dearer));
 }
 
-/// Ten seconds of thirty objects a second in hits and few fills, from which on a strike is played.
-fn rise(strike: impl Fn(&mut Desk, u64, u64)) -> Vec<(u64, Reason)> {
-    let mut desk = Desk::new(rules(Vec::new()), 1);
+/// Thirty objects a second, mostly hits; after ten seconds a fault begins.
+fn rise(fault: impl Fn(&mut ZonesRig, u64, u64)) -> Vec<(u64, Reason)> {
+    let mut desk = ZonesRig::new(rules(Vec::new()), 1);
     let mut told = Vec::new();
     for ms in (0..70_000u64).step_by(50) {
         let n = ms / 50;
@@ -573,7 +584,7 @@
         let object = if n % 5 == 0 { 10_000 + n } else { n % 40 };
         desk.play(ms, object, 50.0 + (n % 7) as f64, note);
         if ms >= 60_000 {
-            strike(&mut desk, ms, n);
+            fault(&mut desk, ms, n);
         }
         let rises = desk.zones.advance(at(ms));
         told.extend(
@@ -600,12 +611,12 @@
             desk.zones
                 .on_event(at(ms), &Event::HostList { kind, entries });
         }
-        // What it had is filled at the other one.
-        let mut way = desk.way(VIDEO, (n % 20) * 2, 50.0);
-        way.host = CACHES[1];
-        desk.zones.on_sent(at(ms), &way);
-        desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(50.0));
-        // Named once each: what is filled there has its new home.
+        // What it held is filled at the other cache.
+        let mut crossing = desk.crossing(VIDEO, (n % 20) * 2, 50.0);
+        crossing.host = CACHES[1];
+        desk.zones.on_sent(at(ms), &crossing);
+        desk.end(&crossing, ms, 20, Ending::Done, Note::Filled, Some(50.0));
+        // Each object once: what was filled is now held there.
         let kind = HostListKind::Delta;
         let lost = entry(CACHES[1], HostState::Ready, Some(at(ms)));
         desk.zones.on_event(
@@ -651,10 +662,10 @@
         "{flood:?}"
     );
     let large = rise(|desk, ms, n| {
-        let mut way = desk.way(VIDEO, 900_001, 400.0);
-        way.arrival.part = n as u32;
-        desk.zones.on_sent(at(ms), &way);
-        desk.end(&way, ms, 20, Ending::Done, Note::Filled, Some(400.0));
+        let mut crossing = desk.crossing(VIDEO, 900_001, 400.0);
+        crossing.arrival.part = n as u32;
+        desk.zones.on_sent(at(ms), &crossing);
+        desk.end(&crossing, ms, 20, Ending::Done, Note::Filled, Some(400.0));
     });
     assert!(
         matches!(large.first(), Some((ms, Reason::Oversized(900_001))) if *ms <= 63_000),
@@ -664,16 +675,16 @@
 
 #[test]
 fn what_is_turned_away_is_seen_as_a_rise_too() {
-    let mut desk = Desk::new(rules(vec![limit(2_000.0, 500.0, 0.1)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(2_000.0, 500.0, 0.1)]), 1);
     let mut told = Vec::new();
     for ms in (0..70_000u64).step_by(50) {
         let n = ms / 50;
         desk.play(ms, n, 10.0, Note::Filled);
         for extra in (ms >= 60_000).then_some(0..8).into_iter().flatten() {
-            let way = desk.way(VIDEO, 1_000_000 + n * 8 + extra, 100.0);
-            if desk.zones.has_room(at(ms), &way) {
-                desk.zones.on_sent(at(ms), &way);
-                desk.end(&way, ms, 10, Ending::Done, Note::Filled, Some(100.0));
+            let crossing = desk.crossing(VIDEO, 1_000_000 + n * 8 + extra, 100.0);
+            if desk.zones.has_room(at(ms), &crossing) {
+                desk.zones.on_sent(at(ms), &crossing);
+                desk.end(&crossing, ms, 10, Ending::Done, Note::Filled, Some(100.0));
             }
         }
         told.extend(
@@ -694,7 +705,7 @@
 
 #[test]
 fn nothing_grows_under_a_flood_of_new_objects_hosts_and_purges() {
-    let mut desk = Desk::new(rules(vec![limit(1e6, 1e6, 0.1)]), 1);
+    let mut desk = ZonesRig::new(rules(vec![limit(1e6, 1e6, 0.1)]), 1);
     for n in 0..60_000u64 {
         desk.play(n * 10, n, 1.0, Note::Filled);
         let event = Event::Purged {
@@ -727,7 +738,7 @@
     }
 }
 
-/// Takes what has room, in pieces of ten KB, and tells how much that was.
+/// Charges pieces of ten KB as long as there is room, and returns the sum.
 fn drain(budget: &mut Budget, now: Timestamp) -> f64 {
     let mut taken = 0.0;
     budget.advance(now);
@@ -740,12 +751,12 @@
 
 #[test]
 fn a_part_that_has_run_out_is_the_floor_whoever_tells_it() {
-    let mut chance = fastrand::Rng::with_seed(4);
-    let mut budget = Budget::new(limit(1_000.0, 500.0, 0.0), 5.0, at(0), &mut chance);
+    let mut rng = fastrand::Rng::with_seed(4);
+    let mut budget = Budget::new(limit(1_000.0, 500.0, 0.0), 5.0, at(0), &mut rng);
     budget.set_part(at(0), Some(part(0.8, 2_000)));
     let busy: f64 = (0..20).map(|n| drain(&mut budget, at(n * 100))).sum();
     assert!(busy > 1_200.0, "{busy}");
-    // Nobody has told anything since: the dispatcher slept, or is cut off.
+    // No message since: the dispatcher was paused or is partitioned.
     let mut late = 0.0;
     for n in 0..40 {
         late += drain(&mut budget, at(10_000 + n * 100));
@@ -764,16 +775,16 @@
 #[test]
 fn parts_that_move_to_and_fro_bring_no_more_than_rate_and_burst() {
     for seed in 0..30 {
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let all = limit(1_000.0, 500.0, 0.1);
         let mut two: Vec<Budget> = (0..2)
-            .map(|_| Budget::new(all.clone(), 2.0, at(0), &mut chance))
+            .map(|_| Budget::new(all.clone(), 2.0, at(0), &mut rng))
             .collect();
         let mut by_step = Vec::new();
         for n in 0..200 {
             let now = n * 100;
             if n % 3 == 0 {
-                let first = 0.05 + 0.9 * chance.f64();
+                let first = 0.05 + 0.9 * rng.f64();
                 two[0].set_part(at(now), Some(part(first, now + 5_000)));
                 two[1].set_part(at(now), Some(part(1.0 - first, now + 5_000)));
             }
@@ -792,17 +803,17 @@
 
 #[test]
 fn what_is_wanted_is_told_whether_it_had_room_or_not() {
-    let mut desk = Desk::new(rules(vec![limit(100.0, 50.0, 0.0)]), 2);
+    let mut desk = ZonesRig::new(rules(vec![limit(100.0, 50.0, 0.0)]), 2);
     let mut told = Vec::new();
     for n in 0..400 {
-        let way = desk.way(VIDEO, n, 100.0);
-        if desk.zones.has_room(at(n * 100), &way) {
-            desk.zones.on_sent(at(n * 100), &way);
+        let crossing = desk.crossing(VIDEO, n, 100.0);
+        if desk.zones.has_room(at(n * 100), &crossing) {
+            desk.zones.on_sent(at(n * 100), &crossing);
         }
         desk.zones.advance(at(n * 100));
         told.push(desk.zones.need(at(n * 100), "link").0);
     }
-    // Ten a second of 100 KB, of which some are expected to cross: several times the rate.
+    // Ten a second of 100 KB, some of which are expected to cross: several times the rate.
     let last = told[399];
     assert!((2.0..=11.0).contains(&last), "{last}");
     assert!(
