--- a/crates/budgets/tests/figures.rs
+++ b/crates/budgets/tests/figures.rs
@@ -39,7 +39,7 @@
                 let alone = world.needs.iter().map(|need| need.min(share));
                 equal.push(alone.sum::<f64>() / max_in_use);
             }
-            world.assert_invariants("wanted whole");
+            world.check_invariants("wanted whole");
         }
         let mean = |all: &[f64]| all.iter().sum::<f64>() / all.len() as f64;
         figure(&format!("used_ratio_{holders}"), mean(&used));
@@ -51,9 +51,9 @@
 #[ignore = "a measurement"]
 fn how_soon_a_dead_ones_part_is_taken_over_and_a_newcomer_has_one() {
     let (mut reclaimed, mut joined) = (Vec::new(), Vec::new());
-    let until = |world: &mut World, assert_invariants: &dyn Fn(&World) -> bool| {
+    let until = |world: &mut World, check_invariants: &dyn Fn(&World) -> bool| {
         let begun = world.now;
-        while !assert_invariants(world) && world.now.since(begun) < TimeSpan::from_secs(30) {
+        while !check_invariants(world) && world.now.since(begun) < TimeSpan::from_secs(30) {
             world.run(TimeSpan::from_millis(20));
         }
         world.now.since(begun).as_secs_f64()
@@ -67,7 +67,7 @@
         reclaimed.push(until(&mut world, &|world| world.used() > 0.92));
         world.start(4);
         joined.push(until(&mut world, &|world| world.part(4) > 0.1));
-        world.assert_invariants("dead and back");
+        world.check_invariants("dead and back");
     }
     for (name, mut all) in [("reclaim_s", reclaimed), ("join_s", joined)] {
         all.sort_by(f64::total_cmp);
--- a/crates/budgets/tests/sweep.rs
+++ b/crates/budgets/tests/sweep.rs
@@ -25,7 +25,7 @@
         "{parts:?}"
     );
     assert!(world.used() > 0.93, "{parts:?}");
-    world.assert_invariants("busy");
+    world.check_invariants("busy");
 }
 
 #[test]
@@ -38,7 +38,7 @@
     world.needs[3] = 1.0;
     world.run(TimeSpan::from_millis(1_500));
     assert!(world.part(3) > 0.12, "{}", world.part(3));
-    world.assert_invariants("newcomer");
+    world.check_invariants("newcomer");
 }
 
 #[test]
@@ -56,7 +56,7 @@
     );
     world.run(TimeSpan::from_secs(4));
     assert!(world.part(1) > 0.75, "{}", world.part(1));
-    world.assert_invariants("dead");
+    world.check_invariants("dead");
 }
 
 #[test]
@@ -74,7 +74,7 @@
     );
     world.run(TimeSpan::from_secs(4));
     assert!(world.part(0) > 0.25);
-    world.assert_invariants("slept");
+    world.check_invariants("slept");
 }
 
 #[test]
@@ -88,7 +88,7 @@
     assert!((world.part(0) - 0.25 / 6.0).abs() < 1e-9);
     let rest: f64 = (2..6).map(|nth| world.part(nth)).sum();
     assert!(rest > 0.85, "{rest}");
-    world.assert_invariants("minority");
+    world.check_invariants("minority");
 }
 
 /// Random faults, drawn from a seed.
@@ -130,10 +130,10 @@
     for seed in 0..60 {
         for holders in [3, 7] {
             run_with_faults(holders, seed, None)
-                .assert_invariants(&format!("{holders} holders, seed {seed}"));
+                .check_invariants(&format!("{holders} holders, seed {seed}"));
         }
     }
-    run_with_faults(60, 1, None).assert_invariants("60 holders");
+    run_with_faults(60, 1, None).check_invariants("60 holders");
 }
 
 /// Work continues after the lease of its ticket ends, and the ticket is not leased again before it may have ended.
@@ -154,7 +154,7 @@
             "seed {seed}: {} of {max_in_use}",
             world.max_work_in_flight
         );
-        world.assert_invariants("under way");
+        world.check_invariants("under way");
     }
 }
 
@@ -303,5 +303,5 @@
     world.run(TimeSpan::from_secs(15));
     let busy: f64 = (0..20).map(|nth| world.part(nth)).sum();
     assert!(busy > 0.7, "{busy}");
-    world.assert_invariants("300");
+    world.check_invariants("300");
 }
--- a/crates/budgets/tests/world/mod.rs
+++ b/crates/budgets/tests/world/mod.rs
@@ -287,7 +287,7 @@
             .sum()
     }
 
-    pub fn assert_invariants(&self, name: &str) {
+    pub fn check_invariants(&self, name: &str) {
         assert!(
             self.max_in_use <= 1.0 + 1e-9,
             "{name}: {} of the whole at once",
