--- a/crates/capacity-live/tests/parts.rs
+++ b/crates/capacity-live/tests/parts.rs
@@ -11,9 +11,9 @@
 use trailproxy_capacity_live::slope::{Point, Slope};
 use trailproxy_capacity_live::usage::Usage;
 use trailproxy_capacity_live::worker::{Hollow, Order};
-use trailproxy_peers::decide::members::Own;
-use trailproxy_peers::decide::messages::{Address, Life, PeerId};
-use trailproxy_peers::decide::{Peers, Rules};
+use trailproxy_peers::decide::members::OwnMember;
+use trailproxy_peers::decide::messages::{Address, BootId, PeerId};
+use trailproxy_peers::decide::{Peers, PeersSettings};
 
 fn points(values: &[(f64, f64)]) -> Vec<Point> {
     values.iter().map(|&(x, y)| Point { x, y }).collect()
@@ -56,16 +56,16 @@
     assert!(Usage::of(u32::MAX).is_err(), "nobody has that id");
 }
 
-fn rules() -> Rules {
-    Rules {
+fn rules() -> PeersSettings {
+    PeersSettings {
         records: true,
         purges: true,
         hosts: true,
         hints: true,
-        refuse: false,
-        wait: TimeSpan::from_millis(5),
-        keep: TimeSpan::from_secs(10),
-        purges_last: TimeSpan::from_secs(3),
+        refuse_unconfirmed: false,
+        max_wait: TimeSpan::from_millis(5),
+        record_retention: TimeSpan::from_secs(10),
+        purge_retention: TimeSpan::from_secs(3),
     }
 }
 
@@ -76,16 +76,16 @@
         ip: [127, 0, 0, 1],
         port: 1,
     };
-    let own = Own {
+    let own = OwnMember {
         id: PeerId(1),
         address,
-        life: Life(1),
+        boot_id: BootId(1),
         seeds: Vec::new(),
         topology: None,
     };
     let now = Timestamp(1_000_000_000);
     let core = Peers::new(now, own, rules(), 1);
-    let read = standing(&core.show(now)).expect("it is understood");
+    let read = standing(&core.status_text(now)).expect("it is understood");
     assert_eq!((read.word.as_str(), read.alive), ("alone", 0));
     assert_eq!((read.messages_in, read.messages_out), (0, 0));
     assert_eq!(standing("no such words"), None);
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -25,8 +25,8 @@
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
 use trailproxy_budgets::decide::shares::Action as BudgetAction;
-use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, Note, PeerId};
-use trailproxy_peers::decide::{Action, Peers, Stands};
+use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, MessagePart, PeerId};
+use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::wire::Seal;
 use trailproxy_shared_store::decide::records::KeyHasher;
 
@@ -128,13 +128,13 @@
             for piece in updates.chunks(UPDATES_IN_MESSAGE) {
                 let message = Message {
                     from: own.id,
-                    life: own.life,
+                    boot_id: own.boot_id,
                     incarnation: own.incarnation,
                     stamp: now.0,
-                    notes: vec![Note::Updates(piece.to_vec())],
+                    parts: vec![MessagePart::MemberUpdates(piece.to_vec())],
                 };
                 let address = own.address;
-                self.with_peers(member, |peers| peers.heard(now, address, message));
+                self.with_peers(member, |peers| peers.on_message(now, address, message));
             }
         }
     }
@@ -152,7 +152,11 @@
     }
 
     fn updates_sent(&self) -> u64 {
-        let sent = |of: &Member| of.traffic.sent_of(&Note::Updates(Vec::new())).messages;
+        let sent = |of: &Member| {
+            of.traffic
+                .sent_of(&MessagePart::MemberUpdates(Vec::new()))
+                .messages
+        };
         self.members.iter().map(sent).sum()
     }
 
@@ -246,7 +250,7 @@
 
     /// Whether all that are up lack nothing and know just each other.
     pub fn is_settled(&self) -> bool {
-        self.up().all(|peers| peers.stands() == Stands::Whole) && self.agrees()
+        self.up().all(|peers| peers.state() == PeerState::InSync) && self.agrees()
     }
 
     /// Whether all that are up know just each other.
@@ -255,10 +259,10 @@
         let Some(first) = self.up().next() else {
             return true;
         };
-        let roster = first.members().roster();
+        let roster = first.members().membership_checksum();
         self.up().all(|peers| {
             let members = peers.members();
-            members.there().count() + 1 == count && members.roster() == roster
+            members.present().count() + 1 == count && members.membership_checksum() == roster
         })
     }
 
@@ -305,7 +309,7 @@
         let now = self.now;
         self.members[to].traffic.received(now, bytes);
         let address = member::address(from);
-        self.with_peers(to, |peers| peers.heard(now, address, message));
+        self.with_peers(to, |peers| peers.on_message(now, address, message));
     }
 
     fn wake(&mut self, member: usize) {
@@ -316,7 +320,11 @@
         of.wakes_at = None;
         let now = self.now;
         let begun = Instant::now();
-        if let Some(peers) = of.peers.as_mut().filter(|peers| peers.next() <= now) {
+        if let Some(peers) = of
+            .peers
+            .as_mut()
+            .filter(|peers| peers.next_deadline() <= now)
+        {
             peers.advance(now);
         }
         let due = |at: Option<Timestamp>| at.is_some_and(|at| at <= now);
@@ -350,7 +358,7 @@
             let Some(peers) = &mut self.members[member].peers else {
                 return;
             };
-            let actions = peers.take();
+            let actions = peers.take_actions();
             if actions.is_empty() {
                 break;
             }
@@ -370,12 +378,12 @@
                     self.purges.reached(self.now, object);
                 }
             }
-            Action::Beside(from, of, bytes) => self.beside(member, from, of, &bytes),
-            Action::Restricted { .. }
-            | Action::Freed { .. }
-            | Action::Hinted { .. }
-            | Action::Turned(_)
-            | Action::Member(..) => {}
+            Action::SubsystemMessage(from, of, bytes) => self.beside(member, from, of, &bytes),
+            Action::HostRestricted { .. }
+            | Action::HostRestrictionLifted { .. }
+            | Action::PeerBreakerOpened { .. }
+            | Action::StateChanged(_)
+            | Action::MemberStatusChanged(..) => {}
         }
     }
 
@@ -432,7 +440,7 @@
         for act in shares.take_actions() {
             if let BudgetAction::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
-                peers.beside(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
+                peers.send_to_subsystem(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
             }
         }
     }
--- a/crates/peers/src/decide/keyed.rs
+++ b/crates/peers/src/decide/keyed.rs
@@ -8,47 +8,49 @@
 
 impl Peers {
     /// An access with a key came. It goes on with [`Action::Decided`], at once or soon.
-    pub fn come(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
-        self.wake(now);
-        if !self.rules.records || self.quiet() {
+    pub fn on_request(&mut self, now: Timestamp, id: RequestId, key: Key, due: Timestamp) {
+        self.detect_pause(now);
+        if !self.settings.records || self.is_silent() {
             let verdict = RecordDecision::Proceed;
-            return self.acts.push(Action::Decided { id, verdict });
+            return self.actions.push(Action::Decided { id, verdict });
         }
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
-        let keepers = self.keepers.of(slot);
-        let reached = |id: &&PeerId| **id == own || self.members.alive(**id);
-        let some = keepers.iter().filter(reached).count() > keepers.len() / 2;
-        let wait = Some(self.rules.wait).filter(|_| some && self.claims.room());
+        let replicas = self.replicas.of(slot);
+        let reached = |id: &&PeerId| **id == own || self.members.is_reached(**id);
+        let some = replicas.iter().filter(reached).count() > replicas.len() / 2;
+        let wait = Some(self.settings.max_wait).filter(|_| some && self.claims.has_room());
         self.counts.waited += u64::from(wait.is_some());
         let steps = self.records.on_request(now, id, key, due, wait);
-        self.follow(now, steps);
+        self.run_steps(now, steps);
     }
 
     /// A hand-off of it goes out.
-    pub fn hand_off(&mut self, now: Timestamp, id: RequestId, place: (ZoneId, CellId)) {
-        let token = self.token();
-        self.records.on_attempt_sent(id, place);
-        let delay = match self.keepers.scope() {
+    pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, location: (ZoneId, CellId)) {
+        let token = self.new_token();
+        self.records.on_attempt_sent(id, location);
+        let delay = match self.replicas.scope() {
             Scope::Fleet => TimeSpan::ZERO,
             Scope::Zone => SENT_WITHIN,
         };
-        self.claims.sent(now, id, place, token, delay);
-        self.tell_owed(now);
+        self.claims.on_attempt_sent(now, id, location, token, delay);
+        self.send_pending_updates(now);
     }
 
     /// It has its final answer.
-    pub fn ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Completion) {
         self.records.on_request_ended(id, &came);
-        self.claims.ended(now, id, came);
-        self.tell_owed(now);
+        self.claims.on_request_ended(now, id, came);
+        self.send_pending_updates(now);
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
+    pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         let unsure = || {
             // It may have run anywhere, however long ago.
-            let refused = self.rules.refuse && !self.granted(id) && self.records.key(id).is_some();
+            let refused = self.settings.refuse_unconfirmed
+                && !self.is_granted(id)
+                && self.records.key(id).is_some();
             let (location, first_sent) = (None, Timestamp(0));
             refused.then_some(PeerAttempt {
                 location,
@@ -59,90 +61,103 @@
     }
 
     /// Whether the others said that no other has the key of this access.
-    pub fn granted(&self, id: RequestId) -> bool {
+    pub fn is_granted(&self, id: RequestId) -> bool {
         self.records.is_claimed(id)
     }
 
-    pub(super) fn token(&mut self) -> Token {
-        Token(self.chance.u64(16..))
+    pub(super) fn new_token(&mut self) -> Token {
+        Token(self.rng.u64(16..))
     }
 
-    pub(super) fn follow(&mut self, now: Timestamp, steps: Vec<RecordStep>) {
+    pub(super) fn run_steps(&mut self, now: Timestamp, steps: Vec<RecordStep>) {
         for step in steps {
             match step {
-                RecordStep::Claim(id, key) => self.claim(now, id, key),
+                RecordStep::Claim(id, key) => self.send_claim(now, id, key),
                 RecordStep::Decided(id, verdict) => {
                     self.counts.answered += u64::from(matches!(verdict, RecordDecision::Answer(_)));
-                    self.acts.push(Action::Decided { id, verdict });
+                    self.actions.push(Action::Decided { id, verdict });
                 }
             }
         }
     }
 
-    pub(super) fn claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
-        if !self.claims.room() {
+    pub(super) fn send_claim(&mut self, now: Timestamp, id: RequestId, key: Key) {
+        if !self.claims.has_room() {
             let steps = self.records.proceed(id);
-            return self.follow(now, steps);
+            return self.run_steps(now, steps);
         }
         self.counts.claimed += 1;
-        let token = self.token();
+        let token = self.new_token();
         let claim = self.claims.claim(now, id, key, token);
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
-        let keepers = self.keepers.of(slot).to_vec();
-        let enough = keepers.len() / 2 + 1;
-        let scope = self.keepers.scope();
+        let replicas = self.replicas.of(slot).to_vec();
+        let enough = replicas.len() / 2 + 1;
+        let scope = self.replicas.scope();
         let (whom, reserve) = match scope {
-            Scope::Fleet => (keepers, Vec::new()),
-            Scope::Zone => self.nearest(keepers, enough),
+            Scope::Fleet => (replicas, Vec::new()),
+            Scope::Zone => self.nearest_replicas(replicas, enough),
         };
         let whom: BTreeSet<PeerId> = whom.into_iter().collect();
-        let former: BTreeSet<PeerId> = self.keepers.former(now, slot).collect();
-        let no = self.no();
-        self.claims.ask(now, no, id, whom.clone(), reserve, enough);
+        let former: BTreeSet<PeerId> = self.replicas.former(now, slot).collect();
+        let inquiry_id = self.new_inquiry_id();
+        self.claims
+            .start_inquiry(now, inquiry_id, id, whom.clone(), reserve, enough);
         let key = key.0;
         for &whom in whom.union(&former).filter(|&&whom| whom != own) {
-            self.ask(now, whom, no, key, claim.clone());
+            self.send_claim_to(now, whom, inquiry_id, key, claim.clone());
         }
         if whom.contains(&own) {
-            let (sure, claims) = self.claimed(now, key, claim, scope);
-            self.stood(now, no, own, sure, claims);
+            let (sure, claims) = self.on_claim(now, key, claim, scope);
+            self.on_claim_status(now, inquiry_id, own, sure, claims);
         }
     }
 
     /// Of a key's replicas as many as have to be sure, the nearest ones that are reached, and the others in reserve.
-    fn nearest(&self, mut replicas: Vec<PeerId>, enough: usize) -> (Vec<PeerId>, Vec<PeerId>) {
+    fn nearest_replicas(
+        &self,
+        mut replicas: Vec<PeerId>,
+        enough: usize,
+    ) -> (Vec<PeerId>, Vec<PeerId>) {
         let own = self.members.own().id;
-        let here = self.keepers.topology().map(|topology| topology.own);
+        let here = self.replicas.topology().map(|topology| topology.own);
         let distance = |id: PeerId| {
             let places = here.zip(self.members.locality(id));
             places.map(|(here, there)| here.distance(there))
         };
         replicas.sort_by_key(|&id| match id == own {
             true => (false, None),
-            false => (!self.members.alive(id), distance(id)),
+            false => (!self.members.is_reached(id), distance(id)),
         });
         let reserve = replicas.split_off(enough.min(replicas.len()));
         (replicas, reserve)
     }
 
-    fn ask(
+    fn send_claim_to(
         &mut self,
         now: Timestamp,
         whom: PeerId,
-        no: AskNo,
+        inquiry_id: InquiryId,
         key: u128,
         claim: Option<facts::Claim>,
     ) {
-        let note = match self.keepers.scope() {
-            Scope::Fleet => Note::Claim { no, key, claim },
-            Scope::Zone => Note::ClaimInZone { no, key, claim },
+        let part = match self.replicas.scope() {
+            Scope::Fleet => MessagePart::Claim {
+                inquiry_id,
+                key,
+                claim,
+            },
+            Scope::Zone => MessagePart::ClaimInZone {
+                inquiry_id,
+                key,
+                claim,
+            },
         };
-        self.send_to(now, whom, vec![note]);
+        self.send_to(now, whom, vec![part]);
     }
 
     /// A claim at one who keeps its key: what is known of the key, and whether that is all.
-    pub(super) fn claimed(
+    pub(super) fn on_claim(
         &mut self,
         now: Timestamp,
         key: u128,
@@ -152,13 +167,14 @@
         let id = FactId::Record(key);
         // One who does not know that it keeps the key has fetched nothing of it. And whoever draws replicas from another set
         // of members asks others that this one agrees with nobody.
-        let keeps = self.keepers.keeps(self.members.own().id, id.slot());
-        let keeps = keeps && self.keepers.scope() == scope;
-        let (proved, mut known) = self.elsewhere(now, key);
-        let mut sure = keeps && self.sync.whole(id.slot()) && !self.island && proved;
+        let keeps = self.replicas.is_replica(self.members.own().id, id.slot());
+        let keeps = keeps && self.replicas.scope() == scope;
+        let (proved, mut known) = self.claims_in_other_zones(now, key);
+        let mut sure =
+            keeps && self.sync.is_in_sync(id.slot()) && !self.in_minority_partition && proved;
         if let Some(claim) = claim {
             let claims = vec![claim];
-            let taken = self.keep(now, Fact::Record { key, claims });
+            let taken = self.store(now, Fact::Record { key, claims });
             self.counts.full += u64::from(taken.is_none());
             sure &= taken.is_some();
         }
@@ -168,35 +184,37 @@
         (sure, known)
     }
 
-    pub(super) fn stood(
+    pub(super) fn on_claim_status(
         &mut self,
         now: Timestamp,
-        no: AskNo,
+        inquiry_id: InquiryId,
         from: PeerId,
         sure: bool,
         claims: Vec<facts::Claim>,
     ) {
-        self.learn(now, no, &claims);
-        let heard = self.claims.stood(now, no, from, sure, claims);
-        for (no, whom, key, claim) in self.claims.to_ask() {
-            self.ask(now, whom, no, key, claim);
+        self.store_answered_claims(now, inquiry_id, &claims);
+        let heard = self
+            .claims
+            .on_claim_status(now, inquiry_id, from, sure, claims);
+        for (inquiry_id, whom, key, claim) in self.claims.take_reserve_inquiries() {
+            self.send_claim_to(now, whom, inquiry_id, key, claim);
         }
         let Some((id, heard)) = heard else {
             return;
         };
         let steps = match heard {
-            Heard::Waits => return,
-            Heard::Mine => {
+            ClaimOutcome::Pending => return,
+            ClaimOutcome::Granted => {
                 self.counts.granted += u64::from(self.records.is_waiting(id));
                 // One that claimed at the same time has taken its claim back.
                 self.records.on_released(id);
                 self.records.on_claimed(id)
             }
-            Heard::Unsure => {
+            ClaimOutcome::Unsure => {
                 self.counts.unsure += 1;
                 self.records.proceed(id)
             }
-            Heard::Found(asked, record) => {
+            ClaimOutcome::Found(asked, record) => {
                 let news =
                     !self.records.is_waiting(id) && self.records.earlier_attempt(id).is_none();
                 let steps = self.records.on_found(now, asked, id, record);
@@ -206,59 +224,68 @@
                 steps
             }
         };
-        self.follow(now, steps);
-        self.tell_owed(now);
+        self.run_steps(now, steps);
+        self.send_pending_updates(now);
     }
 
     /// What others answer is taken into the own copy, where this one keeps one: whoever made the claim may not have known
     /// of it. In answers within a zone other zones' claims are among them, which are not the own zone's to tell.
-    fn learn(&mut self, now: Timestamp, no: AskNo, claims: &[facts::Claim]) {
-        let Some(key) = self.claims.asked(no).filter(|_| !claims.is_empty()) else {
+    fn store_answered_claims(
+        &mut self,
+        now: Timestamp,
+        inquiry_id: InquiryId,
+        claims: &[facts::Claim],
+    ) {
+        let Some(key) = self
+            .claims
+            .inquired_key(inquiry_id)
+            .filter(|_| !claims.is_empty())
+        else {
             return;
         };
         let slot = FactId::Record(key.0).slot();
         let own = self.members.own().id;
-        if self.keepers.scope() == Scope::Fleet && self.keepers.keeps(own, slot) {
+        if self.replicas.scope() == Scope::Fleet && self.replicas.is_replica(own, slot) {
             let (key, claims) = (key.0, claims.to_vec());
-            self.keep(now, Fact::Record { key, claims });
+            self.store(now, Fact::Record { key, claims });
         }
     }
 
     /// What keepers are owed goes out, and into the own copy.
-    pub(super) fn tell_owed(&mut self, now: Timestamp) {
+    pub(super) fn send_pending_updates(&mut self, now: Timestamp) {
         let own = self.members.own().id;
-        let (keepers, members, next) = (&self.keepers, &self.members, &mut self.next_no);
-        let no = || {
+        let (replicas, members, next) = (&self.replicas, &self.members, &mut self.next_inquiry_id);
+        let new_inquiry_id = || {
             *next += 1;
-            AskNo(*next)
+            InquiryId(*next)
         };
         let there =
-            |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.there());
+            |&id: &PeerId| id == own || members.get(id).is_some_and(|member| member.is_present());
         let of = |id: FactId| {
-            keepers
+            replicas
                 .of(id.slot())
                 .iter()
                 .copied()
                 .filter(there)
                 .collect()
         };
-        let scope = self.keepers.scope();
-        for (no, fact, to) in self.claims.advance(now, no, of) {
+        let scope = self.replicas.scope();
+        for (inquiry_id, fact, to) in self.claims.advance(now, new_inquiry_id, of) {
             if scope == Scope::Zone {
-                self.claims.told(fact.id());
+                self.claims.drop_update(fact.id());
             }
             for whom in to {
                 if whom == own {
-                    let taken = self.keep(now, fact.clone());
+                    let taken = self.store(now, fact.clone());
                     self.counts.full += u64::from(taken.is_none());
-                    self.claims.taken(no, own);
+                    self.claims.on_stored(inquiry_id, own);
                 } else {
                     let facts = vec![fact.clone()];
-                    let note = match scope {
-                        Scope::Fleet => Note::Put(no, facts),
-                        Scope::Zone => Note::Rumours(facts),
+                    let part = match scope {
+                        Scope::Fleet => MessagePart::Store(inquiry_id, facts),
+                        Scope::Zone => MessagePart::Gossip(facts),
                     };
-                    self.send_to(now, whom, vec![note]);
+                    self.send_to(now, whom, vec![part]);
                 }
             }
         }
--- a/crates/trailproxyd/src/buffered.rs
+++ b/crates/trailproxyd/src/buffered.rs
@@ -1,44 +1,48 @@
-//! The bytes that are held for connections, which the memory limit bounds.
+//! Counts the bytes buffered for all connections, which the memory limit bounds.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes held in rings and queues, all connections together.
+/// The number of bytes in buffers and queues of all connections together.
 #[derive(Clone, Default)]
-pub struct Held(Rc<Cell<usize>>);
+pub struct BufferedBytes(Rc<Cell<usize>>);
 
-impl Held {
+impl BufferedBytes {
+    /// Records that a buffer changed its size from `before` to `after` bytes.
     pub fn change(&self, before: usize, after: usize) {
         self.0.set((self.0.get() + after).saturating_sub(before));
     }
 
+    /// Returns the number of buffered bytes.
     pub fn bytes(&self) -> usize {
         self.0.get()
     }
 }
 
-/// The bytes of an object on their way from a host to a client, counted as held.
-pub struct Parcel {
+/// An object's body on its way from a host to a client, included in [`BufferedBytes`] until it is dropped.
+pub struct CountedBytes {
     bytes: Vec<u8>,
-    held: Held,
+    buffered: BufferedBytes,
 }
 
-impl Parcel {
-    pub fn new(bytes: &[u8], held: &Held) -> Parcel {
-        held.change(0, bytes.len());
-        Parcel {
+impl CountedBytes {
+    /// Copies `bytes` and adds them to `buffered`.
+    pub fn new(bytes: &[u8], buffered: &BufferedBytes) -> CountedBytes {
+        buffered.change(0, bytes.len());
+        CountedBytes {
             bytes: bytes.to_vec(),
-            held: held.clone(),
+            buffered: buffered.clone(),
         }
     }
 
+    /// The bytes of the body.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl Drop for Parcel {
+impl Drop for CountedBytes {
     fn drop(&mut self) {
-        self.held.change(self.bytes.len(), 0);
+        self.buffered.change(self.bytes.len(), 0);
     }
 }
--- a/crates/trailproxyd/src/dispatch/figures.rs
+++ b/crates/trailproxyd/src/dispatch/figures.rs
@@ -21,7 +21,7 @@
         if let (Some((accounts, ..)), Some(zones)) =
             (&mut self.accounts, &mut self.decisions.crossings.zones)
         {
-            accounts.tell(zones, now);
+            accounts.write_report(zones, now);
         }
     }
 
@@ -29,20 +29,20 @@
     pub(super) fn report(&self) {
         let (attempts, connections, pools) = self.pools.sizes();
         let state = &self.state;
-        info!(self.log, "figures"; "counts" => self.counts.words(), "open" => state.requests.len(),
+        info!(self.log, "figures"; "counts" => self.counts.summary(), "open" => state.requests.len(),
             "calls" => state.client_requests.len(), "clients" => state.clients.len(), "out" => attempts,
             "lines" => connections, "pools" => pools, "ids" => state.references.len(), "timers" => state.deadlines.len() + state.timers.len(),
-            "held" => self.pools.shared.held.bytes(), "process" => process_figures());
-        if let Some(shared) = &self.decisions.crossings.shared {
-            info!(self.log, "store counts"; "what" => shared.figures());
+            "held" => self.pools.shared.buffered.bytes(), "process" => process_figures());
+        if let Some(store) = &self.decisions.crossings.store {
+            info!(self.log, "store counts"; "what" => store.summary());
         }
         let now = self.clock.timestamp(Instant::now());
         if let Some(peers) = &self.decisions.crossings.peers {
-            info!(self.log, "peers counts"; "what" => peers.figures(now));
+            info!(self.log, "peers counts"; "what" => peers.summary(now));
         }
-        if let Some(divided) = &self.decisions.crossings.divided {
-            for line in divided
-                .following
+        if let Some(budgets) = &self.decisions.crossings.budgets {
+            for line in budgets
+                .follower
                 .show(now)
                 .lines()
                 .filter(|line| line.starts_with("budget"))
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -1,9 +1,9 @@
 //! Requests, from their arrival to their one final answer.
 
 use super::{Dispatch, PendingRequest};
-use crate::checks::{count, must};
+use crate::checks::{check_invariant, count};
 use crate::messages::{AttemptId, ClientRequest, ClientRequestId, Reply};
-use crate::subsystems::came;
+use crate::subsystems::completion;
 use std::rc::Rc;
 use trailproxy::interface::{Arrival, Effect, Event};
 use trailproxy::policy::permits;
@@ -11,9 +11,8 @@
 use trailproxy::units::{RequestId, TimeSpan, Timestamp};
 
 impl Dispatch {
-    /// Cancels the attempts of a request that are not written yet, also where the settings do not
-    /// allow the cancellation of attempts that are. Returns whether any attempt of the request was
-    /// pending.
+    /// Cancels the attempts of a request that are not written yet, also where the settings do not allow the
+    /// cancellation of attempts that are. Returns whether any attempt of the request was pending.
     pub(super) fn cancel_unsent(&mut self, request: RequestId) -> bool {
         let pending = self.state.requests.get(&request);
         let mut any_pending = false;
@@ -21,15 +20,14 @@
             .into_iter()
             .flat_map(PendingRequest::pending_attempts)
         {
-            self.pools.recall(AttemptId { request, attempt });
+            self.pools.drop_unsent(AttemptId { request, attempt });
             any_pending = true;
         }
         any_pending
     }
 
-    /// Takes a new request: refuses it if the table is full, fails it if its id is in use, and
-    /// otherwise hands it to the decisions, or first to the subsystem that knows earlier attempts
-    /// under its key.
+    /// Takes a new request: refuses it if the table is full, fails it if its id is in use, and otherwise hands it to
+    /// the decisions, or first to the subsystem that knows earlier attempts under its key.
     pub(super) fn on_request(&mut self, now: Timestamp, client_request: ClientRequest) {
         count(&self.counts.accesses);
         let max_open = self.pools.shared.bounds.max_open;
@@ -63,7 +61,7 @@
         self.pools
             .shared
             .trace
-            .taken(&client_request, arrival.time_left);
+            .request_read(&client_request, arrival.time_left);
         self.state.deadlines.insert((deadline, id));
         self.state.client_requests.insert(client_request.id, id);
         let keyed = self.effects[usize::from(client_request.class.0)] != Effect::Idempotent;
@@ -78,7 +76,7 @@
                 attempts,
             },
         );
-        let held = key.is_some_and(|key| self.decisions.crossings.come(now, arrival, &key));
+        let held = key.is_some_and(|key| self.decisions.crossings.on_request(now, arrival, &key));
         if !held {
             self.handle_event(now, Event::Arrived(arrival));
         }
@@ -100,14 +98,14 @@
     fn trace_closed(&self, id: RequestId, result: &str, reason: &str) {
         if let Some(request) = self.state.requests.get(&id) {
             let trace = &self.pools.shared.trace;
-            trace.closed(&request.client_request, result, reason);
+            trace.request_closed(&request.client_request, result, reason);
         }
     }
 
     /// Marks a request as closed: no answer is owed any more. Pending attempts may still end.
     pub(super) fn close_request(&mut self, id: RequestId) {
         if let Some(request) = self.state.requests.get_mut(&id) {
-            must(!request.closed, &self.counts.broken_two_finals);
+            check_invariant(!request.closed, &self.counts.broken_two_finals);
             request.closed = true;
             request.client_request.closed.set(true);
             self.state
@@ -117,8 +115,8 @@
         }
     }
 
-    /// Removes a request that is closed and has no pending attempt. Its id stays reserved for as
-    /// long as a host may still know the request.
+    /// Removes a request that is closed and has no pending attempt. Its id stays reserved for as long as a host may
+    /// still know the request.
     pub(super) fn remove_if_finished(&mut self, now: Timestamp, id: RequestId) {
         let max_deadline = self.pools.shared.bounds.longest_limit;
         let finished = |request: &PendingRequest| {
@@ -128,9 +126,9 @@
             && let Some(request) = self.state.requests.remove(&id)
         {
             let reference = request.client_request.reference.clone();
-            // No host keeps a request longer than its own deadline or the longest deadline of any
-            // class. The second bound matters because a client may state a wait of an hour, and
-            // that must not keep all ids that end behind it.
+            // No host keeps a request longer than its own deadline or the longest deadline of any class. The second
+            // bound matters because a client may state a wait of an hour, and that must not keep all ids that end
+            // behind it.
             let until = request.deadline.min(now + max_deadline) + max_deadline;
             self.state.retired_references.push_back((until, reference));
             let max_open = self.pools.shared.bounds.max_open;
@@ -142,16 +140,16 @@
         }
     }
 
-    /// Tells the subsystems shared with other dispatchers how a request with a key ended. `done`:
-    /// the body that was served, if any.
+    /// Tells the subsystems shared with other dispatchers how a request with a key ended. `done`: the body that was
+    /// served, if any.
     pub(super) fn report_outcome(&mut self, now: Timestamp, id: RequestId, done: Option<&[u8]>) {
         let subsystems = &mut self.decisions.crossings;
         if let Some(request) = self.state.requests.get(&id)
             && request.client_request.idempotency_key.is_some()
-            && subsystems.knows_keys()
+            && subsystems.shares_outcomes()
         {
             let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
-            subsystems.ended(now, id, &came(done, may_have_run));
+            subsystems.on_request_ended(now, id, &completion(done, may_have_run));
         }
     }
 
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -18,7 +18,7 @@
         let state = &self.state;
         let deadline = state.deadlines.first().map(|&(at, _)| at);
         let timer = state.timers.first().map(|&(at, _)| at);
-        let subsystems = self.decisions.crossings.next();
+        let subsystems = self.decisions.crossings.next_deadline();
         let timed = [deadline, timer, subsystems]
             .into_iter()
             .flatten()
@@ -31,13 +31,13 @@
                     false => (requested_at + SHUTDOWN_ACCEPT_TIME)
                         .max(Instant::now() + Duration::from_millis(10)),
                 });
-        let all = timed.chain(self.pools.next_expiry()).chain(shutdown);
+        let all = timed.chain(self.pools.next_deadline()).chain(shutdown);
         all.min()
             .unwrap_or_else(|| Instant::now() + REPORT_INTERVAL)
     }
 
-    /// Handles everything that is due by now: waits for connections, ids whose reservation is over,
-    /// deadlines and timers.
+    /// Handles everything that is due by now: waits for connections, ids whose reservation is over, deadlines and
+    /// timers.
     pub(super) fn advance_timers(&mut self, now: Timestamp) {
         self.pools.expire(self.clock.instant(now));
         while let Some((_, id)) = self
@@ -62,11 +62,10 @@
                     request: id,
                     attempt,
                 };
-                self.pools.kill(attempt);
+                self.pools.cancel(attempt);
                 self.on_attempt_ended(now, attempt, None, Answer::without_body(Ending::TimedOut));
             }
-            // The decisions give the final answer when this event or their own timer makes them
-            // look again.
+            // The decisions give the final answer when this event or their own timer makes them look again.
             self.handle_event(now, Event::TimerFired { timer: TimerId(0) });
         }
         while let Some(&(at, timer)) = self.state.timers.first().filter(|(at, _)| *at <= now) {
