--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -37,7 +37,7 @@
     fn retry_time(&self) -> Duration {
         let retry_time = match self {
             StepError::System(_, error) => startup_retry_period(errno(error)),
-            StepError::HalfWritten(_) => ADDRESS_IN_USE_RETRY_PERIOD,
+            StepError::HalfWritten(_) => EXTERNAL_CAUSE_RETRY_PERIOD,
             StepError::Invalid(_) => TimeSpan::ZERO,
         };
         Duration::from_micros(retry_time.0)
