--- a/crates/budgets/src/config.rs
+++ b/crates/budgets/src/config.rs
@@ -50,11 +50,11 @@
     }
 
     /// How a budget is divided among this many dispatchers.
-    pub fn division(&self, seats: u32) -> Division {
+    pub fn division(&self, dispatchers: u32) -> Division {
         // Enough tickets to tell parts apart that differ a little, and few enough for one message.
-        let tickets = (seats * 16).clamp(64, 1_024) as u16;
+        let tickets = (dispatchers * 16).clamp(64, 1_024) as u16;
         Division {
-            dispatchers: seats.max(1),
+            dispatchers: dispatchers.max(1),
             floor_share: self.floors,
             tickets,
             voters: self.voters.len() as u8,
--- a/crates/shared-store/src/config.rs
+++ b/crates/shared-store/src/config.rs
@@ -47,7 +47,7 @@
             let least = longest_window.as_secs_f64();
             return Err(format!(
                 "{}:{line}:{column}: section store, field keep_s: found {}, accepted: {least} or more, the longest window \
-                 of a track and its outer limit",
+                 of a class and its deadline",
                 self.file, self.keep_s
             ));
         }
--- a/crates/shared-store/tests/scenarios.rs
+++ b/crates/shared-store/tests/scenarios.rs
@@ -160,7 +160,7 @@
     world.run(TimeSpan::from_millis(60));
     assert_eq!(world.decision(1, repeats), Some(&RecordDecision::Proceed));
     let earlier = world.members[1].state.earlier_attempt(repeats);
-    assert!(earlier.is_some(), "its next hand-off is bound by it");
+    assert!(earlier.is_some(), "it restricts the next attempt");
 }
 
 #[test]
--- a/crates/zones-tools/src/decide/plan.rs
+++ b/crates/zones-tools/src/decide/plan.rs
@@ -65,7 +65,9 @@
     }
     if targets.service.len() != class_count || demand.kb.iter().any(|row| row.len() != class_count)
     {
-        return Err("a service for each track, and a demand of each in every slot".into());
+        return Err(
+            "expected a service for each class and a demand of each class in every slot".into(),
+        );
     }
     let scale = demand
         .kb
--- a/crates/zones/src/report.rs
+++ b/crates/zones/src/report.rs
@@ -152,9 +152,9 @@
                 })
                 .collect(),
             refused: refused
-                .map(|((accesses, kb), index)| RefusedRequests {
+                .map(|((requests, kb), index)| RefusedRequests {
                     class: class_name(ClassId(index)),
-                    requests: accesses,
+                    requests,
                     kb: round_kb(kb),
                 })
                 .collect(),
