--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -2,7 +2,7 @@
 
 use trailproxy::units::TimeSpan;
 use trailproxy_operator::decide::{Absent, Kind, Shape, may, must};
-use trailproxy_operator::{Bounds, Section, Sheet, Wrong, read};
+use trailproxy_operator::{Bounds, ConfigError, Section, Sheet, read};
 
 /// The description that is used where no file is named.
 const BUILT_IN: &str = include_str!("../../../scenarios/capacity/fleet.star");
@@ -167,23 +167,23 @@
 
 impl Description {
     /// The fleet that is expected in two years.
-    pub fn built_in() -> Result<Description, Box<Wrong>> {
+    pub fn built_in() -> Result<Description, Box<ConfigError>> {
         Description::parse(BUILT_IN_FILE, BUILT_IN.to_owned())
     }
 
     /// Reads a file.
-    pub fn load(path: &str) -> Result<Description, Box<Wrong>> {
+    pub fn load(path: &str) -> Result<Description, Box<ConfigError>> {
         let sheet = trailproxy_operator::read_file(path, KINDS)?;
         Description::from_sheet(&sheet)
     }
 
     /// Reads a text; `file` is the name that messages bear.
-    pub fn parse(file: &str, text: String) -> Result<Description, Box<Wrong>> {
+    pub fn parse(file: &str, text: String) -> Result<Description, Box<ConfigError>> {
         let sheet = read(file, text, KINDS, Bounds::default())?;
         Description::from_sheet(&sheet)
     }
 
-    fn from_sheet(sheet: &Sheet) -> Result<Description, Box<Wrong>> {
+    fn from_sheet(sheet: &Sheet) -> Result<Description, Box<ConfigError>> {
         let regions = names(sheet, "region");
         let zones = zones(sheet, &regions);
         let sites = sites(sheet, &zones);
@@ -201,7 +201,7 @@
         Ok(description)
     }
 
-    fn check_seats(&self, fleet: &Section) -> Result<(), Box<Wrong>> {
+    fn check_seats(&self, fleet: &Section) -> Result<(), Box<ConfigError>> {
         let seats: usize = self.sites.iter().map(|site| site.seats).sum();
         if self.members > seats {
             let wanted = format!("no more than the {seats} seats of all sites");
@@ -240,7 +240,7 @@
     sheet.all("site").map(site).collect()
 }
 
-fn demand(of: &Section) -> Result<Demand, Box<Wrong>> {
+fn demand(of: &Section) -> Result<Demand, Box<ConfigError>> {
     let seconds = |field: &str| TimeSpan::from_secs_f64(of.number(field));
     if of.number("repeat_least_s") > of.number("repeat_most_s") {
         return Err(of.wrong("repeat_least_s", "no more than repeat_most_s"));
@@ -260,7 +260,7 @@
     })
 }
 
-fn distances(sheet: &Sheet) -> Result<Distances, Box<Wrong>> {
+fn distances(sheet: &Sheet) -> Result<Distances, Box<ConfigError>> {
     Ok(Distances {
         site: distance(sheet, "site")?,
         zone: distance(sheet, "zone")?,
@@ -269,7 +269,7 @@
     })
 }
 
-fn distance(sheet: &Sheet, kind: &str) -> Result<Distance, Box<Wrong>> {
+fn distance(sheet: &Sheet, kind: &str) -> Result<Distance, Box<ConfigError>> {
     let mut sections = sheet.all("distance").filter(|of| of.text("kind") == kind);
     let of = sections.next();
     let of = of.ok_or_else(|| missing(sheet, &format!("distance of kind {kind}")))?;
@@ -287,8 +287,8 @@
     })
 }
 
-fn missing(sheet: &Sheet, section: &str) -> Box<Wrong> {
-    Box::new(Wrong {
+fn missing(sheet: &Sheet, section: &str) -> Box<ConfigError> {
+    Box::new(ConfigError {
         place: trailproxy_operator::Place {
             file: sheet.file.clone(),
             line: 1,
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
-use trailproxy_operator::Wrong;
+use trailproxy_operator::ConfigError;
 
 /// A mean and the 95% interval that it lies in, by Student's t over days.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq)]
@@ -277,13 +277,13 @@
     days: usize,
     seed: u64,
     mut each: impl FnMut(f64),
-) -> Result<Option<Found>, Box<Wrong>> {
+) -> Result<Option<Found>, Box<ConfigError>> {
     let read = |strikes: &[Strike]| {
         let lines: String = strikes.iter().map(|strike| format!("{strike}\n")).collect();
         let text = format!("{base}\n# Found by a search.\n{lines}");
         let sheet =
             trailproxy_operator::read(file, text.clone(), scenario::KINDS, Default::default())?;
-        Ok::<_, Box<Wrong>>((text, Scenario::from_sheet(&sheet)?))
+        Ok::<_, Box<ConfigError>>((text, Scenario::from_sheet(&sheet)?))
     };
     let (_, plain) = read(&[])?;
     let mut hunt = Hunt::new(targets(&plain), days, StdRng::seed_from_u64(seed));
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    Absent, FieldKind, Kind, Section, Shape as Takes, Sheet, Wrong, may, must,
+    Absent, ConfigError, FieldKind, Kind, Section, Shape as Takes, Sheet, may, must,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
@@ -343,11 +343,11 @@
 
 impl Scenario {
     /// Reads a script from disk.
-    pub fn load(path: &str) -> Result<Scenario, Box<Wrong>> {
+    pub fn load(path: &str) -> Result<Scenario, Box<ConfigError>> {
         Scenario::from_sheet(&trailproxy_operator::read_file(path, KINDS)?)
     }
 
-    pub fn from_sheet(sheet: &Sheet) -> Result<Scenario, Box<Wrong>> {
+    pub fn from_sheet(sheet: &Sheet) -> Result<Scenario, Box<ConfigError>> {
         let defaults = trailproxy_operator::read(
             "defaults",
             "fleet()".into(),
@@ -529,7 +529,7 @@
             .map(|told| told.resolve(&names));
         scenario.whole_bodies |= told.is_some();
         scenario.zones = told.transpose().map_err(|unfit| {
-            Box::new(Wrong {
+            Box::new(ConfigError {
                 place: trailproxy_operator::Place {
                     file: unfit.file,
                     line: unfit.place.0,
@@ -585,7 +585,7 @@
         &mut self,
         section: &Section,
         zone_at: &dyn Fn(&str) -> Option<usize>,
-    ) -> Result<(), Box<Wrong>> {
+    ) -> Result<(), Box<ConfigError>> {
         let (kind, target, by) = (
             section.text("kind"),
             section.text("target"),
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -19,7 +19,7 @@
 
 /// What does not fit: where, in which section and field, what was found and what is accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong {
+pub struct ConfigError {
     pub place: Place,
     pub section: String,
     pub field: Option<String>,
@@ -27,7 +27,7 @@
     pub wanted: String,
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: ", self.place)?;
         if !self.section.is_empty() {
@@ -41,7 +41,7 @@
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for ConfigError {}
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
@@ -236,9 +236,9 @@
 
 impl Section {
     /// A complaint about one field, at its place.
-    pub fn wrong(&self, field: &str, wanted: impl Into<String>) -> Box<Wrong> {
+    pub fn wrong(&self, field: &str, wanted: impl Into<String>) -> Box<ConfigError> {
         let at = self.fields.get(field);
-        Box::new(Wrong {
+        Box::new(ConfigError {
             place: at.map_or(&self.place, |field| &field.place).clone(),
             section: self.kind.clone(),
             field: Some(field.into()),
@@ -315,11 +315,11 @@
 }
 
 /// Checks each section against its kind and puts in what is not given.
-pub fn check(mut sheet: Sheet, kinds: &[Kind]) -> Result<Sheet, Box<Wrong>> {
+pub fn check(mut sheet: Sheet, kinds: &[Kind]) -> Result<Sheet, Box<ConfigError>> {
     for section in &mut sheet.sections {
         let Some(kind) = kinds.iter().find(|kind| kind.name == section.kind) else {
             let names: Vec<_> = kinds.iter().map(|kind| kind.name).collect();
-            return Err(Box::new(Wrong {
+            return Err(Box::new(ConfigError {
                 place: section.place.clone(),
                 section: String::new(),
                 field: None,
@@ -332,7 +332,7 @@
     for kind in kinds {
         let all: Vec<_> = sheet.all(kind.name).collect();
         if let Some(over) = all.get(kind.most) {
-            return Err(Box::new(Wrong {
+            return Err(Box::new(ConfigError {
                 place: over.place.clone(),
                 section: kind.name.into(),
                 field: None,
@@ -341,7 +341,7 @@
             }));
         }
         if kind.needed && all.is_empty() {
-            return Err(Box::new(Wrong {
+            return Err(Box::new(ConfigError {
                 place: Place {
                     file: sheet.file.clone(),
                     line: 1,
@@ -358,11 +358,11 @@
     Ok(sheet)
 }
 
-fn fill(section: &mut Section, kind: &Kind) -> Result<(), Box<Wrong>> {
+fn fill(section: &mut Section, kind: &Kind) -> Result<(), Box<ConfigError>> {
     let known = |name: &str| kind.fields.iter().any(|field| field.name == name);
     if let Some((name, field)) = section.fields.iter().find(|(name, _)| !known(name)) {
         let names: Vec<_> = kind.fields.iter().map(|field| field.name).collect();
-        return Err(Box::new(Wrong {
+        return Err(Box::new(ConfigError {
             place: field.place.clone(),
             section: kind.name.into(),
             field: None,
@@ -396,7 +396,7 @@
 }
 
 /// Names are given once in a kind, and what names a section of a kind finds one.
-fn references(sheet: &Sheet, kinds: &[Kind]) -> Result<(), Box<Wrong>> {
+fn references(sheet: &Sheet, kinds: &[Kind]) -> Result<(), Box<ConfigError>> {
     let named = |kind: &'static str| {
         let all = sheet
             .sections
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! A section is one call by keywords, `zone(name = "depot", link_kb_per_s = 36000)`. Loops, functions and
 //! conditions may stand around calls. What sections there are, their fields and ranges are told by a [`Kind`] each;
-//! what stands in the file and does not fit is a [`Wrong`] with file, line, column, what was found and what is
+//! what stands in the file and does not fit is a [`ConfigError`] with file, line, column, what was found and what is
 //! accepted. A script that runs or allocates without end is stopped by [`Bounds`].
 
 pub mod decide;
 mod reader;
 
-pub use decide::{Field, Kind, Place, Section, Shape, Sheet, Value, Wrong};
+pub use decide::{ConfigError, Field, Kind, Place, Section, Shape, Sheet, Value};
 pub use reader::{Bounds, read, read_file};
--- a/crates/operator/src/reader.rs
+++ b/crates/operator/src/reader.rs
@@ -1,6 +1,6 @@
 //! Runs the script and takes down its section calls. The language is Starlark with functions at top level.
 
-use crate::decide::{Field, Kind, Place, Section, Sheet, Value, Wrong, check};
+use crate::decide::{ConfigError, Field, Kind, Place, Section, Sheet, Value, check};
 use allocative::Allocative;
 use starlark::any::ProvidesStaticType;
 use starlark::codemap::FileSpan;
@@ -176,9 +176,14 @@
 const ENDS: &str = "known names, and a script that ends within its bounds of time and memory";
 
 /// Reads a script's text; `file` is the name that complaints bear.
-pub fn read(file: &str, text: String, kinds: &[Kind], bounds: Bounds) -> Result<Sheet, Box<Wrong>> {
+pub fn read(
+    file: &str,
+    text: String,
+    kinds: &[Kind],
+    bounds: Bounds,
+) -> Result<Sheet, Box<ConfigError>> {
     let whole = |found: String, wanted: &str| {
-        Box::new(Wrong {
+        Box::new(ConfigError {
             place: Place {
                 file: file.into(),
                 line: 1,
@@ -198,9 +203,9 @@
         let found = e.without_diagnostic().to_string();
         let found = found.lines().next().unwrap_or_default().to_owned();
         let place = e.span().map(place_of);
-        let mut wrong = whole(found, wanted);
-        wrong.place = place.unwrap_or(wrong.place);
-        wrong
+        let mut error = whole(found, wanted);
+        error.place = place.unwrap_or(error.place);
+        error
     };
     let dialect = Dialect {
         enable_top_level_stmt: true,
@@ -244,9 +249,9 @@
 }
 
 /// Reads a script from disk.
-pub fn read_file(path: &str, kinds: &[Kind]) -> Result<Sheet, Box<Wrong>> {
+pub fn read_file(path: &str, kinds: &[Kind]) -> Result<Sheet, Box<ConfigError>> {
     let text = std::fs::read_to_string(path).map_err(|e| {
-        Box::new(Wrong {
+        Box::new(ConfigError {
             place: Place {
                 file: path.into(),
                 line: 1,
