--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -2,7 +2,7 @@
 
 use trailproxy::units::TimeSpan;
 use trailproxy_operator::decide::{Absent, Kind, Shape, may, must};
-use trailproxy_operator::{Bounds, ConfigError, Section, Sheet, read};
+use trailproxy_operator::{Bounds, ConfigError, ParsedFile, Section, read};
 
 /// The description that is used where no file is named.
 const BUILT_IN: &str = include_str!("../../../scenarios/capacity/fleet.star");
@@ -183,7 +183,7 @@
         Description::from_sheet(&sheet)
     }
 
-    fn from_sheet(sheet: &Sheet) -> Result<Description, Box<ConfigError>> {
+    fn from_sheet(sheet: &ParsedFile) -> Result<Description, Box<ConfigError>> {
         let regions = names(sheet, "region");
         let zones = zones(sheet, &regions);
         let sites = sites(sheet, &zones);
@@ -211,7 +211,7 @@
     }
 }
 
-fn names(sheet: &Sheet, kind: &str) -> Vec<String> {
+fn names(sheet: &ParsedFile, kind: &str) -> Vec<String> {
     let sections = sheet.all(kind);
     sections.map(|of| of.text("name").to_owned()).collect()
 }
@@ -222,7 +222,7 @@
     names.position(|known| known == name).unwrap_or_default()
 }
 
-fn zones(sheet: &Sheet, regions: &[String]) -> Vec<Zone> {
+fn zones(sheet: &ParsedFile, regions: &[String]) -> Vec<Zone> {
     let zone = |of: &Section| Zone {
         name: of.text("name").into(),
         region: place_of(regions, of.text("region")),
@@ -230,7 +230,7 @@
     sheet.all("zone").map(zone).collect()
 }
 
-fn sites(sheet: &Sheet, zones: &[Zone]) -> Vec<Site> {
+fn sites(sheet: &ParsedFile, zones: &[Zone]) -> Vec<Site> {
     let site = |of: &Section| Site {
         name: of.text("name").into(),
         zone: place_of(zones.iter().map(|zone| &zone.name), of.text("zone")),
@@ -260,7 +260,7 @@
     })
 }
 
-fn distances(sheet: &Sheet) -> Result<Distances, Box<ConfigError>> {
+fn distances(sheet: &ParsedFile) -> Result<Distances, Box<ConfigError>> {
     Ok(Distances {
         site: distance(sheet, "site")?,
         zone: distance(sheet, "zone")?,
@@ -269,7 +269,7 @@
     })
 }
 
-fn distance(sheet: &Sheet, kind: &str) -> Result<Distance, Box<ConfigError>> {
+fn distance(sheet: &ParsedFile, kind: &str) -> Result<Distance, Box<ConfigError>> {
     let mut sections = sheet.all("distance").filter(|of| of.text("kind") == kind);
     let of = sections.next();
     let of = of.ok_or_else(|| missing(sheet, &format!("distance of kind {kind}")))?;
@@ -287,7 +287,7 @@
     })
 }
 
-fn missing(sheet: &Sheet, section: &str) -> Box<ConfigError> {
+fn missing(sheet: &ParsedFile, section: &str) -> Box<ConfigError> {
     Box::new(ConfigError {
         place: trailproxy_operator::Place {
             file: sheet.file.clone(),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    Absent, ConfigError, FieldKind, Kind, Section, Shape as Takes, Sheet, may, must,
+    Absent, ConfigError, FieldKind, Kind, ParsedFile, Section, Shape as Takes, may, must,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
@@ -347,7 +347,7 @@
         Scenario::from_sheet(&trailproxy_operator::read_file(path, KINDS)?)
     }
 
-    pub fn from_sheet(sheet: &Sheet) -> Result<Scenario, Box<ConfigError>> {
+    pub fn from_sheet(sheet: &ParsedFile) -> Result<Scenario, Box<ConfigError>> {
         let defaults = trailproxy_operator::read(
             "defaults",
             "fleet()".into(),
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -297,12 +297,12 @@
 
 /// All sections of a file, in their order.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sheet {
+pub struct ParsedFile {
     pub file: String,
     pub sections: Vec<Section>,
 }
 
-impl Sheet {
+impl ParsedFile {
     pub fn all<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Section> {
         self.sections
             .iter()
@@ -315,7 +315,7 @@
 }
 
 /// Checks each section against its kind and puts in what is not given.
-pub fn check(mut sheet: Sheet, kinds: &[Kind]) -> Result<Sheet, Box<ConfigError>> {
+pub fn check(mut sheet: ParsedFile, kinds: &[Kind]) -> Result<ParsedFile, Box<ConfigError>> {
     for section in &mut sheet.sections {
         let Some(kind) = kinds.iter().find(|kind| kind.name == section.kind) else {
             let names: Vec<_> = kinds.iter().map(|kind| kind.name).collect();
@@ -396,7 +396,7 @@
 }
 
 /// Names are given once in a kind, and what names a section of a kind finds one.
-fn references(sheet: &Sheet, kinds: &[Kind]) -> Result<(), Box<ConfigError>> {
+fn references(sheet: &ParsedFile, kinds: &[Kind]) -> Result<(), Box<ConfigError>> {
     let named = |kind: &'static str| {
         let all = sheet
             .sections
--- a/crates/operator/src/reader.rs
+++ b/crates/operator/src/reader.rs
@@ -1,6 +1,6 @@
 //! Runs the script and takes down its section calls. The language is Starlark with functions at top level.
 
-use crate::decide::{ConfigError, Field, Kind, Place, Section, Sheet, Value, check};
+use crate::decide::{ConfigError, Field, Kind, ParsedFile, Place, Section, Value, check};
 use allocative::Allocative;
 use starlark::any::ProvidesStaticType;
 use starlark::codemap::FileSpan;
@@ -181,7 +181,7 @@
     text: String,
     kinds: &[Kind],
     bounds: Bounds,
-) -> Result<Sheet, Box<ConfigError>> {
+) -> Result<ParsedFile, Box<ConfigError>> {
     let whole = |found: String, wanted: &str| {
         Box::new(ConfigError {
             place: Place {
@@ -240,7 +240,7 @@
         .unwrap_or_else(|_| Err(whole("a script that outgrew the interpreter".into(), ENDS)))?;
     let sections = notes.sections.into_inner();
     check(
-        Sheet {
+        ParsedFile {
             file: file.into(),
             sections,
         },
@@ -249,7 +249,7 @@
 }
 
 /// Reads a script from disk.
-pub fn read_file(path: &str, kinds: &[Kind]) -> Result<Sheet, Box<ConfigError>> {
+pub fn read_file(path: &str, kinds: &[Kind]) -> Result<ParsedFile, Box<ConfigError>> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         Box::new(ConfigError {
             place: Place {
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use trailproxy_operator::decide::{Absent, FieldKind, may, must};
-use trailproxy_operator::{Bounds, ConfigError, Kind, Shape, Sheet, read};
+use trailproxy_operator::{Bounds, ConfigError, Kind, ParsedFile, Shape, read};
 
 const FIELDS: &[FieldKind] = &[
     must("name", Shape::Name),
@@ -20,7 +20,7 @@
     fields: FIELDS,
 }];
 
-fn file(text: &str) -> Result<Sheet, Box<ConfigError>> {
+fn file(text: &str) -> Result<ParsedFile, Box<ConfigError>> {
     read("operator.star", text.into(), KINDS, Bounds::default())
 }
 
--- a/crates/trailproxy-cli/src/lab.rs
+++ b/crates/trailproxy-cli/src/lab.rs
@@ -14,7 +14,7 @@
 use trailproxy_lab::scenario::Scenario;
 use trailproxy_lab::tally::Summary;
 use trailproxy_operator::decide::{Absent, Kind, Shape, may};
-use trailproxy_operator::{Sheet, read_file};
+use trailproxy_operator::{ParsedFile, read_file};
 
 /// What the laboratory does where the command line does not say.
 pub const KIND: Kind = Kind {
@@ -134,7 +134,7 @@
         let told = |field: &str| {
             Some(
                 file.as_ref()
-                    .and_then(|sheet: &Sheet| sheet.one("lab"))?
+                    .and_then(|sheet: &ParsedFile| sheet.one("lab"))?
                     .whole(field) as u64,
             )
         };
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,7 +1,7 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_operator::decide::{Absent, Kind, Shape, Sheet as Script, may, must};
+use trailproxy_operator::decide::{Absent, Kind, ParsedFile, Shape, may, must};
 use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
@@ -52,7 +52,7 @@
 };
 
 /// What a checked script says; `None` where it has no section `store`, or that is not on.
-pub fn store_sheet(script: &Script) -> Option<StoreSheet> {
+pub fn store_sheet(script: &ParsedFile) -> Option<StoreSheet> {
     let of = script.one("store").filter(|of| of.flag("on"))?;
     Some(StoreSheet {
         file: script.file.clone(),
@@ -97,7 +97,7 @@
 };
 
 /// What a checked script says; `None` where it has no section `peers`, or that is not on.
-pub fn peers_sheet(script: &Script) -> Option<PeersConfig> {
+pub fn peers_sheet(script: &ParsedFile) -> Option<PeersConfig> {
     let of = script.one("peers").filter(|of| of.flag("on"))?;
     Some(PeersConfig {
         file: script.file.clone(),
@@ -137,7 +137,7 @@
 /// A bound on the sites of one file.
 const MOST_SITES: usize = 1_000;
 
-fn sites(script: &Script) -> Vec<Site> {
+fn sites(script: &ParsedFile) -> Vec<Site> {
     let site = script.all(SITE.name).map(|of| Site {
         position: (of.place.line, of.place.column),
         name: of.text("name").into(),
@@ -163,7 +163,7 @@
 };
 
 /// What a checked script says; `None` where it has no section `budgets`, or that is not on.
-pub fn budgets_sheet(script: &Script) -> Option<BudgetsSheet> {
+pub fn budgets_sheet(script: &ParsedFile) -> Option<BudgetsSheet> {
     let of = script.one("budgets").filter(|of| of.flag("on"))?;
     Some(BudgetsSheet {
         file: script.file.clone(),
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use std::fmt;
-use trailproxy_operator::decide::{Absent, Kind, Section, Shape, Sheet, may, must};
+use trailproxy_operator::decide::{Absent, Kind, ParsedFile, Section, Shape, may, must};
 
 /// One kind of thing that strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -239,7 +239,7 @@
 }
 
 impl Trial {
-    pub fn of(sheet: &Sheet) -> Option<Trial> {
+    pub fn of(sheet: &ParsedFile) -> Option<Trial> {
         let head = sheet.one("trial")?;
         Some(Trial {
             peers: head.flag("peers"),
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,6 +1,6 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
-use trailproxy_operator::decide::{Absent, Kind, Section, Shape, Sheet as Script, may, must};
+use trailproxy_operator::decide::{Absent, Kind, ParsedFile, Section, Shape, may, must};
 use trailproxy_zones::decide::rise::Alarm;
 use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
 
@@ -58,7 +58,7 @@
 }
 
 /// What a checked script says; `None` where it has no section `zones`, or that is not on.
-pub fn sheet(script: &Script) -> Option<Sheet> {
+pub fn sheet(script: &ParsedFile) -> Option<Sheet> {
     let head = script.one("zones").filter(|head| head.flag("on"))?;
     let alarm = Alarm {
         at: head.number("alarm_at"),
