--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -289,7 +289,7 @@
 
 fn missing(sheet: &ParsedFile, section: &str) -> Box<ConfigError> {
     Box::new(ConfigError {
-        place: trailproxy_operator::Place {
+        position: trailproxy_operator::Position {
             file: sheet.file.clone(),
             line: 1,
             column: 1,
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -530,7 +530,7 @@
         scenario.whole_bodies |= told.is_some();
         scenario.zones = told.transpose().map_err(|unfit| {
             Box::new(ConfigError {
-                place: trailproxy_operator::Place {
+                position: trailproxy_operator::Position {
                     file: unfit.file,
                     line: unfit.place.0,
                     column: unfit.place.1,
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -229,7 +229,11 @@
                     (kind.name, Some(field.name)),
                     "{text}"
                 );
-                assert_eq!((wrong.place.line, wrong.place.column), (4, 3), "{text}");
+                assert_eq!(
+                    (wrong.position.line, wrong.position.column),
+                    (4, 3),
+                    "{text}"
+                );
                 assert!(!wrong.wanted.is_empty() && !wrong.found.is_empty());
                 tried += 1;
             }
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -5,13 +5,13 @@
 
 /// Where something stands: the file as it was named, line and column from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Position {
     pub file: String,
     pub line: usize,
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -20,7 +20,7 @@
 /// What does not fit: where, in which section and field, what was found and what is accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
-    pub place: Place,
+    pub position: Position,
     pub section: String,
     pub field: Option<String>,
     pub found: String,
@@ -29,7 +29,7 @@
 
 impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: ", self.place)?;
+        write!(f, "{}: ", self.position)?;
         if !self.section.is_empty() {
             write!(f, "section {}", self.section)?;
             if let Some(field) = &self.field {
@@ -223,23 +223,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
     pub value: Value,
-    pub place: Place,
+    pub position: Position,
 }
 
 /// One section as it stands in the file; after [`check`], with every field of its kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Section {
     pub kind: String,
-    pub place: Place,
+    pub position: Position,
     pub fields: BTreeMap<String, Field>,
 }
 
 impl Section {
-    /// A complaint about one field, at its place.
+    /// A complaint about one field, at its position.
     pub fn wrong(&self, field: &str, wanted: impl Into<String>) -> Box<ConfigError> {
         let at = self.fields.get(field);
         Box::new(ConfigError {
-            place: at.map_or(&self.place, |field| &field.place).clone(),
+            position: at.map_or(&self.position, |field| &field.position).clone(),
             section: self.kind.clone(),
             field: Some(field.into()),
             found: at.map_or("nothing".into(), |field| field.value.to_string()),
@@ -320,7 +320,7 @@
         let Some(kind) = kinds.iter().find(|kind| kind.name == section.kind) else {
             let names: Vec<_> = kinds.iter().map(|kind| kind.name).collect();
             return Err(Box::new(ConfigError {
-                place: section.place.clone(),
+                position: section.position.clone(),
                 section: String::new(),
                 field: None,
                 found: format!("section {}", section.kind),
@@ -333,7 +333,7 @@
         let all: Vec<_> = sheet.all(kind.name).collect();
         if let Some(over) = all.get(kind.most) {
             return Err(Box::new(ConfigError {
-                place: over.place.clone(),
+                position: over.position.clone(),
                 section: kind.name.into(),
                 field: None,
                 found: format!("section {} of its kind", kind.most + 1),
@@ -342,7 +342,7 @@
         }
         if kind.needed && all.is_empty() {
             return Err(Box::new(ConfigError {
-                place: Place {
+                position: Position {
                     file: sheet.file.clone(),
                     line: 1,
                     column: 1,
@@ -363,7 +363,7 @@
     if let Some((name, field)) = section.fields.iter().find(|(name, _)| !known(name)) {
         let names: Vec<_> = kind.fields.iter().map(|field| field.name).collect();
         return Err(Box::new(ConfigError {
-            place: field.place.clone(),
+            position: field.position.clone(),
             section: kind.name.into(),
             field: None,
             found: format!("field {name}"),
@@ -385,10 +385,10 @@
                     Absent::Text(text) => Value::Text(text.into()),
                     Absent::Empty => Value::List(Vec::new()),
                 };
-                let place = section.place.clone();
+                let position = section.position.clone();
                 section
                     .fields
-                    .insert(field.name.into(), Field { value, place });
+                    .insert(field.name.into(), Field { value, position });
             }
         }
     }
--- a/crates/operator/src/reader.rs
+++ b/crates/operator/src/reader.rs
@@ -1,6 +1,6 @@
 //! Runs the script and takes down its section calls. The language is Starlark with functions at top level.
 
-use crate::decide::{ConfigError, Field, Kind, ParsedFile, Place, Section, Value, check};
+use crate::decide::{ConfigError, Field, Kind, ParsedFile, Position, Section, Value, check};
 use allocative::Allocative;
 use starlark::any::ProvidesStaticType;
 use starlark::codemap::FileSpan;
@@ -71,13 +71,13 @@
     ) -> starlark::Result<Held<'v>> {
         args.no_positional_args(eval.heap())?;
         let call = eval.call_stack_top_location();
-        let place = call.as_ref().map_or_else(nowhere, place_of);
+        let position = call.as_ref().map_or_else(nowhere, position_of);
         let mut fields = BTreeMap::new();
         for (name, held) in args.names_map()? {
             let at = call.as_ref().and_then(|call| keyword(call, name.as_str()));
-            let place = at.unwrap_or_else(|| place.clone());
+            let position = at.unwrap_or_else(|| position.clone());
             let value = take_down(held);
-            fields.insert(name.as_str().to_owned(), Field { value, place });
+            fields.insert(name.as_str().to_owned(), Field { value, position });
         }
         let notes = eval.extra.and_then(|extra| extra.downcast_ref::<Notes>());
         if let Some(notes) = notes {
@@ -88,7 +88,7 @@
             }
             sections.push(Section {
                 kind: self.kind.into(),
-                place,
+                position,
                 fields,
             });
         }
@@ -107,17 +107,17 @@
 
 impl std::error::Error for Stopped {}
 
-fn nowhere() -> Place {
-    Place {
+fn nowhere() -> Position {
+    Position {
         file: String::new(),
         line: 1,
         column: 1,
     }
 }
 
-fn place_of(span: &FileSpan) -> Place {
+fn position_of(span: &FileSpan) -> Position {
     let begin = span.resolve_span().begin;
-    Place {
+    Position {
         file: span.filename().to_owned(),
         line: begin.line + 1,
         column: begin.column + 1,
@@ -125,7 +125,7 @@
 }
 
 /// Where a keyword stands in the text of its call, so that a complaint points at the field.
-fn keyword(call: &FileSpan, name: &str) -> Option<Place> {
+fn keyword(call: &FileSpan, name: &str) -> Option<Position> {
     let text = call.source_span();
     let mut from = 0;
     while let Some(found) = text[from..].find(name) {
@@ -135,13 +135,13 @@
         let whole = before.is_some_and(|c| c == '(' || c == ',' || c.is_whitespace());
         let after = text[from..].trim_start();
         if whole && after.starts_with('=') && !after.starts_with("==") {
-            let base = place_of(call);
+            let base = position_of(call);
             let lines = text[..at].matches('\n').count();
             let column = match text[..at].rfind('\n') {
                 Some(newline) => text[newline + 1..at].chars().count() + 1,
                 None => base.column + text[..at].chars().count(),
             };
-            return Some(Place {
+            return Some(Position {
                 line: base.line + lines,
                 column,
                 ..base
@@ -184,7 +184,7 @@
 ) -> Result<ParsedFile, Box<ConfigError>> {
     let whole = |found: String, wanted: &str| {
         Box::new(ConfigError {
-            place: Place {
+            position: Position {
                 file: file.into(),
                 line: 1,
                 column: 1,
@@ -202,9 +202,9 @@
     let refused = |e: starlark::Error, wanted: &str| {
         let found = e.without_diagnostic().to_string();
         let found = found.lines().next().unwrap_or_default().to_owned();
-        let place = e.span().map(place_of);
+        let position = e.span().map(position_of);
         let mut error = whole(found, wanted);
-        error.place = place.unwrap_or(error.place);
+        error.position = position.unwrap_or(error.position);
         error
     };
     let dialect = Dialect {
@@ -252,7 +252,7 @@
 pub fn read_file(path: &str, kinds: &[Kind]) -> Result<ParsedFile, Box<ConfigError>> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         Box::new(ConfigError {
-            place: Place {
+            position: Position {
                 file: path.into(),
                 line: 1,
                 column: 1,
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -56,7 +56,7 @@
     let of = script.one("store").filter(|of| of.flag("on"))?;
     Some(StoreSheet {
         file: script.file.clone(),
-        place: (of.place.line, of.place.column),
+        place: (of.position.line, of.position.column),
         host: of.text("host").into(),
         port: of.number("port") as u16,
         password_file: of.text("password_file").into(),
@@ -101,7 +101,7 @@
     let of = script.one("peers").filter(|of| of.flag("on"))?;
     Some(PeersConfig {
         file: script.file.clone(),
-        position: (of.place.line, of.place.column),
+        position: (of.position.line, of.position.column),
         fleet: of.text("fleet").into(),
         secret_file: of.text("secret_file").into(),
         listen: of.text("listen").into(),
@@ -139,7 +139,7 @@
 
 fn sites(script: &ParsedFile) -> Vec<Site> {
     let site = script.all(SITE.name).map(|of| Site {
-        position: (of.place.line, of.place.column),
+        position: (of.position.line, of.position.column),
         name: of.text("name").into(),
         zone: of.text("zone").into(),
         region: of.text("region").into(),
@@ -167,7 +167,7 @@
     let of = script.one("budgets").filter(|of| of.flag("on"))?;
     Some(BudgetsSheet {
         file: script.file.clone(),
-        place: (of.place.line, of.place.column),
+        place: (of.position.line, of.position.column),
         voters: of.names("voters").into_iter().map(str::to_owned).collect(),
         floors: of.number("floors"),
         lasts_s: of.number("lasts_s"),
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -50,10 +50,13 @@
 
 fn places(section: &Section) -> Places {
     let of = |(name, field): (&String, &trailproxy_operator::Field)| {
-        (name.clone(), (field.place.line, field.place.column))
+        (name.clone(), (field.position.line, field.position.column))
     };
     let mut places: Places = section.fields.iter().map(of).collect();
-    places.insert(String::new(), (section.place.line, section.place.column));
+    places.insert(
+        String::new(),
+        (section.position.line, section.position.column),
+    );
     places
 }
 
