--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -1,7 +1,7 @@
 //! The fleet to be measured, read from a Starlark file and checked before anything begins.
 
 use trailproxy::units::TimeSpan;
-use trailproxy_operator::decide::{Absent, Kind, Shape, may, must};
+use trailproxy_operator::decide::{Absent, FieldType, Kind, may, must};
 use trailproxy_operator::{Bounds, ConfigError, ParsedFile, Section, read};
 
 /// The description that is used where no file is named.
@@ -10,9 +10,9 @@
 /// More members than that are not taken in by one fleet.
 const MOST_MEMBERS: i64 = 1_024;
 const MOST_PLACES: usize = 1_000;
-const PER_SECOND: Shape = Shape::Number(0.0, 1e6);
-const SHARE: Shape = Shape::Number(0.0, 1.0);
-const MILLISECONDS: Shape = Shape::Number(0.0, 10_000.0);
+const PER_SECOND: FieldType = FieldType::Number(0.0, 1e6);
+const SHARE: FieldType = FieldType::Number(0.0, 1.0);
+const MILLISECONDS: FieldType = FieldType::Number(0.0, 10_000.0);
 const DISTANCE_KINDS: [&str; 4] = ["site", "zone", "region", "between_regions"];
 
 /// Every section that a description may hold.
@@ -22,45 +22,53 @@
         most: 1,
         needed: true,
         fields: &[
-            must("members", Shape::Whole(2, MOST_MEMBERS)),
+            must("members", FieldType::Whole(2, MOST_MEMBERS)),
             may("purges_per_s", PER_SECOND, Absent::Number(7.5)),
             may("requests_per_s", PER_SECOND, Absent::Number(939.0)),
             may("keyed_share", SHARE, Absent::Number(0.035)),
             may("repeat_share", SHARE, Absent::Number(0.05)),
             may(
                 "repeat_least_s",
-                Shape::Number(0.0, 60.0),
+                FieldType::Number(0.0, 60.0),
                 Absent::Number(0.3),
             ),
             may(
                 "repeat_most_s",
-                Shape::Number(0.0, 60.0),
+                FieldType::Number(0.0, 60.0),
                 Absent::Number(2.0),
             ),
-            may("limit_s", Shape::Number(0.1, 60.0), Absent::Number(5.0)),
-            may("wait_ms", Shape::Number(0.5, 1_000.0), Absent::Number(5.0)),
-            may("keep_s", Shape::Number(1.0, 3_600.0), Absent::Number(30.0)),
+            may("limit_s", FieldType::Number(0.1, 60.0), Absent::Number(5.0)),
+            may(
+                "wait_ms",
+                FieldType::Number(0.5, 1_000.0),
+                Absent::Number(5.0),
+            ),
+            may(
+                "keep_s",
+                FieldType::Number(1.0, 3_600.0),
+                Absent::Number(30.0),
+            ),
             may(
                 "purges_last_s",
-                Shape::Number(1.0, 3_600.0),
+                FieldType::Number(1.0, 3_600.0),
                 Absent::Number(30.0),
             ),
-            may("refuse", Shape::Flag, Absent::Flag(false)),
+            may("refuse", FieldType::Flag, Absent::Flag(false)),
         ],
     },
     Kind {
         name: "region",
         most: MOST_PLACES,
         needed: true,
-        fields: &[must("name", Shape::Name)],
+        fields: &[must("name", FieldType::Name)],
     },
     Kind {
         name: "zone",
         most: MOST_PLACES,
         needed: true,
         fields: &[
-            must("name", Shape::Name),
-            must("region", Shape::Of("region")),
+            must("name", FieldType::Name),
+            must("region", FieldType::Reference("region")),
         ],
     },
     Kind {
@@ -68,12 +76,12 @@
         most: MOST_PLACES,
         needed: true,
         fields: &[
-            must("name", Shape::Name),
-            must("zone", Shape::Of("zone")),
-            must("seats", Shape::Whole(1, MOST_MEMBERS)),
+            must("name", FieldType::Name),
+            must("zone", FieldType::Reference("zone")),
+            must("seats", FieldType::Whole(1, MOST_MEMBERS)),
             may(
                 "load_factor",
-                Shape::Number(0.0, 1_000.0),
+                FieldType::Number(0.0, 1_000.0),
                 Absent::Number(1.0),
             ),
         ],
@@ -83,7 +91,7 @@
         most: DISTANCE_KINDS.len(),
         needed: true,
         fields: &[
-            must("kind", Shape::Word(&DISTANCE_KINDS)),
+            must("kind", FieldType::OneOf(&DISTANCE_KINDS)),
             must("least_ms", MILLISECONDS),
             must("most_ms", MILLISECONDS),
             may("loss", SHARE, Absent::Number(0.0)),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,18 +4,18 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    Absent, ConfigError, FieldKind, Kind, ParsedFile, Section, Shape as Takes, may, must,
+    Absent, ConfigError, FieldKind, FieldType, Kind, ParsedFile, Section, may, must,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
 use trailproxy_zones::Rules;
 use trailproxy_zones::decide::sheet::Names;
 
-const SECONDS: Takes = Takes::Number(0.0, 100_000.0);
-const MILLIS: Takes = Takes::Number(0.0, 10_000_000.0);
-const RATE: Takes = Takes::Number(0.0, 1_000_000.0);
-const KB: Takes = Takes::Number(0.0, 1e9);
-const SHARE: Takes = Takes::Number(0.0, 1.0);
+const SECONDS: FieldType = FieldType::Number(0.0, 100_000.0);
+const MILLIS: FieldType = FieldType::Number(0.0, 10_000_000.0);
+const RATE: FieldType = FieldType::Number(0.0, 1_000_000.0);
+const KB: FieldType = FieldType::Number(0.0, 1e9);
+const SHARE: FieldType = FieldType::Number(0.0, 1.0);
 
 const TROUBLES: &[&str] = &[
     "crash",
@@ -40,8 +40,8 @@
         most: 1,
         needed: true,
         fields: &[
-            must("name", Takes::Name),
-            must("seconds", Takes::Number(1.0, 100_000.0)),
+            must("name", FieldType::Name),
+            must("seconds", FieldType::Number(1.0, 100_000.0)),
             // Counted from this second on: before it, dispatchers learn and stores settle.
             may("from_s", SECONDS, Absent::Number(1.0)),
         ],
@@ -57,10 +57,10 @@
         most: 1_000,
         needed: true,
         fields: &[
-            must("name", Takes::Name),
+            must("name", FieldType::Name),
             may("link_kb_per_s", KB, Absent::Number(0.0)),
             may("distance_ms", MILLIS, Absent::Number(10.0)),
-            may("dispatchers", Takes::Whole(0, 10_000), Absent::Whole(0)),
+            may("dispatchers", FieldType::Whole(0, 10_000), Absent::Whole(0)),
         ],
     },
     Kind {
@@ -68,14 +68,14 @@
         most: 5_000,
         needed: true,
         fields: &[
-            must("role", Takes::Word(&["cache", "parent", "origin"])),
-            must("zone", Takes::Of("zone")),
-            may("count", Takes::Whole(1, 10_000), Absent::Whole(1)),
-            may("size", Takes::Number(0.1, 1e6), Absent::Number(8.0)),
+            must("role", FieldType::OneOf(&["cache", "parent", "origin"])),
+            must("zone", FieldType::Reference("zone")),
+            may("count", FieldType::Whole(1, 10_000), Absent::Whole(1)),
+            may("size", FieldType::Number(0.1, 1e6), Absent::Number(8.0)),
             may("room_kb", KB, Absent::Number(400_000.0)),
             may("first_byte_ms", MILLIS, Absent::Number(8.0)),
-            may("places", Takes::Whole(1, 1_000_000), Absent::Whole(400)),
-            may("cell", Takes::Whole(0, 60_000), Absent::Whole(0)),
+            may("places", FieldType::Whole(1, 1_000_000), Absent::Whole(400)),
+            may("cell", FieldType::Whole(0, 60_000), Absent::Whole(0)),
         ],
     },
     Kind {
@@ -83,29 +83,37 @@
         most: 100,
         needed: true,
         fields: &[
-            must("name", Takes::Name),
+            must("name", FieldType::Name),
             may("due_ms", MILLIS, Absent::Number(800.0)),
             may(
                 "limit_ms",
-                Takes::Number(10.0, 1e6),
+                FieldType::Number(10.0, 1e6),
                 Absent::Number(3_000.0),
             ),
-            may("stretch", Takes::Number(0.0, 100.0), Absent::Number(2.0)),
-            may("importance", Takes::Number(0.0, 1e6), Absent::Number(1.0)),
+            may(
+                "stretch",
+                FieldType::Number(0.0, 100.0),
+                Absent::Number(2.0),
+            ),
+            may(
+                "importance",
+                FieldType::Number(0.0, 1e6),
+                Absent::Number(1.0),
+            ),
             may(
                 "effect",
-                Takes::Word(&["retriable", "fingerprinted", "binding"]),
+                FieldType::OneOf(&["retriable", "fingerprinted", "binding"]),
                 Absent::Text("retriable"),
             ),
             may(
                 "group",
-                Takes::Word(&["all", "zone", "cell"]),
+                FieldType::OneOf(&["all", "zone", "cell"]),
                 Absent::Text("all"),
             ),
             may("window_ms", MILLIS, Absent::Number(2_000.0)),
             may("fresh_ms", MILLIS, Absent::Number(0.0)),
             may("grace_ms", MILLIS, Absent::Number(0.0)),
-            may("written", Takes::Flag, Absent::Flag(false)),
+            may("written", FieldType::Flag, Absent::Flag(false)),
         ],
     },
     Kind {
@@ -113,25 +121,29 @@
         most: 1_000,
         needed: true,
         fields: &[
-            must("track", Takes::Of("track")),
+            must("track", FieldType::Reference("track")),
             must("per_s", RATE),
-            may("zone", Takes::Of("zone"), Absent::Text("")),
+            may("zone", FieldType::Reference("zone"), Absent::Text("")),
             may(
                 "objects",
-                Takes::Whole(1, 100_000_000),
+                FieldType::Whole(1, 100_000_000),
                 Absent::Whole(5_000),
             ),
-            may("zipf", Takes::Number(0.0, 5.0), Absent::Number(0.9)),
-            may("median_kb", Takes::Number(0.01, 1e9), Absent::Number(80.0)),
+            may("zipf", FieldType::Number(0.0, 5.0), Absent::Number(0.9)),
+            may(
+                "median_kb",
+                FieldType::Number(0.01, 1e9),
+                Absent::Number(80.0),
+            ),
             // Of the logarithm of the sizes.
-            may("spread", Takes::Number(0.0, 4.0), Absent::Number(0.8)),
+            may("spread", FieldType::Number(0.0, 4.0), Absent::Number(0.8)),
             may("most_kb", KB, Absent::Number(20_000.0)),
-            may("parts", Takes::Whole(1, 1_000), Absent::Whole(1)),
+            may("parts", FieldType::Whole(1, 1_000), Absent::Whole(1)),
             may("local", SHARE, Absent::Number(0.2)),
             may("once", SHARE, Absent::Number(0.0)),
             may("from_s", SECONDS, Absent::Number(0.0)),
             may("until_s", SECONDS, Absent::Number(100_000.0)),
-            may("told", Takes::Flag, Absent::Flag(true)),
+            may("told", FieldType::Flag, Absent::Flag(true)),
         ],
     },
     Kind {
@@ -139,10 +151,10 @@
         most: 1_000,
         needed: false,
         fields: &[
-            must("track", Takes::Of("track")),
+            must("track", FieldType::Reference("track")),
             must("at_s", SECONDS),
             must("for_s", SECONDS),
-            must("times", Takes::Number(0.0, 1_000.0)),
+            must("times", FieldType::Number(0.0, 1_000.0)),
         ],
     },
     Kind {
@@ -150,7 +162,7 @@
         most: 1,
         needed: false,
         fields: &[
-            may("retries", Takes::Whole(0, 20), Absent::Whole(1)),
+            may("retries", FieldType::Whole(0, 20), Absent::Whole(1)),
             may("away_ms", MILLIS, Absent::Number(300.0)),
         ],
     },
@@ -159,15 +171,15 @@
         most: 10_000,
         needed: false,
         fields: &[
-            must("kind", Takes::Word(TROUBLES)),
+            must("kind", FieldType::OneOf(TROUBLES)),
             must("at_s", SECONDS),
             may("for_s", SECONDS, Absent::Number(5.0)),
             // The beginning of hosts' names, a zone for a link, a group for a purge, nothing for the list.
-            may("target", Takes::Name, Absent::Text("")),
-            may("by", Takes::Number(0.0, 1e6), Absent::Number(0.0)),
+            may("target", FieldType::Name, Absent::Text("")),
+            may("by", FieldType::Number(0.0, 1e6), Absent::Number(0.0)),
             // From one host to the next.
             may("step_s", SECONDS, Absent::Number(0.0)),
-            may("most", Takes::Whole(0, 100_000), Absent::Whole(100_000)),
+            may("most", FieldType::Whole(0, 100_000), Absent::Whole(100_000)),
         ],
     },
     Kind {
@@ -175,9 +187,9 @@
         most: 1,
         needed: false,
         fields: &[
-            may("voters", Takes::Whole(1, 9), Absent::Whole(3)),
-            may("floors", Takes::Number(0.0, 1.0), Absent::Number(0.25)),
-            may("cold", Takes::Flag, Absent::Flag(true)),
+            may("voters", FieldType::Whole(1, 9), Absent::Whole(3)),
+            may("floors", FieldType::Number(0.0, 1.0), Absent::Number(0.25)),
+            may("cold", FieldType::Flag, Absent::Flag(true)),
         ],
     },
     // Traffic between zones, as in the operator's own file.
@@ -188,20 +200,24 @@
 const FLEET: &[FieldKind] = &[
     may(
         "flow_kb_per_s",
-        Takes::Number(0.1, 1e9),
+        FieldType::Number(0.1, 1e9),
         Absent::Number(3_600.0),
     ),
-    may("fill_pace", Takes::Number(0.1, 100.0), Absent::Number(1.75)),
+    may(
+        "fill_pace",
+        FieldType::Number(0.1, 100.0),
+        Absent::Number(1.75),
+    ),
     may(
         "notes",
-        Takes::Word(&["all", "hits", "none"]),
+        FieldType::OneOf(&["all", "hits", "none"]),
         Absent::Text("hits"),
     ),
-    may("joins", Takes::Flag, Absent::Flag(true)),
-    may("straight", Takes::Flag, Absent::Flag(true)),
-    may("link_told", Takes::Flag, Absent::Flag(false)),
-    may("max_hand_offs", Takes::Whole(1, 100), Absent::Whole(6)),
-    may("withdraw", Takes::Flag, Absent::Flag(true)),
+    may("joins", FieldType::Flag, Absent::Flag(true)),
+    may("straight", FieldType::Flag, Absent::Flag(true)),
+    may("link_told", FieldType::Flag, Absent::Flag(false)),
+    may("max_hand_offs", FieldType::Whole(1, 100), Absent::Whole(6)),
+    may("withdraw", FieldType::Flag, Absent::Flag(true)),
     may("longest_away_ms", MILLIS, Absent::Number(2_000.0)),
     may("list_delay_ms", MILLIS, Absent::Number(300.0)),
     may("purge_delay_ms", MILLIS, Absent::Number(200.0)),
@@ -212,25 +228,25 @@
     may("fallen_ms", MILLIS, Absent::Number(5_000.0)),
     may("hop_ms", MILLIS, Absent::Number(1.0)),
     // On loopback bodies have all their bytes, as they do where traffic between zones is accounted for.
-    may("whole_bodies", Takes::Flag, Absent::Flag(false)),
+    may("whole_bodies", FieldType::Flag, Absent::Flag(false)),
     // Times what it can do; 0: it never falls over.
     may(
         "origin_bears",
-        Takes::Number(0.0, 1_000.0),
+        FieldType::Number(0.0, 1_000.0),
         Absent::Number(0.0),
     ),
     may("cold_from", SHARE, Absent::Number(0.25)),
     may("cold_ms", MILLIS, Absent::Number(14_000.0)),
     may(
         "cold_multiple",
-        Takes::Number(0.1, 1_000.0),
+        FieldType::Number(0.1, 1_000.0),
         Absent::Number(4.0),
     ),
     may("parent_cold_from", SHARE, Absent::Number(0.1)),
     may("parent_cold_ms", MILLIS, Absent::Number(20_000.0)),
     may(
         "parent_cold_multiple",
-        Takes::Number(0.1, 1_000.0),
+        FieldType::Number(0.1, 1_000.0),
         Absent::Number(2.0),
     ),
     may("cold_within_ms", MILLIS, Absent::Number(1_000.0)),
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -5,7 +5,7 @@
 use trailproxy_lab::model::{Day, run};
 use trailproxy_lab::scenario::{KINDS, Scenario};
 use trailproxy_operator::decide::FieldKind;
-use trailproxy_operator::{Bounds, Kind, Shape, read};
+use trailproxy_operator::{Bounds, FieldType, Kind, read};
 use trailproxy_standins::shape::{Cue, DAWN, Trouble};
 
 /// A small fleet, with more sections behind it.
@@ -168,23 +168,23 @@
 }
 
 /// A value that no field takes, and where it makes no sense either, the ends of its range.
-fn wrong_values(shape: Shape) -> Vec<String> {
+fn wrong_values(field_type: FieldType) -> Vec<String> {
     let mut values = vec!["{}".to_owned(), "None".to_owned()];
-    match shape {
-        Shape::Whole(least, most) => values.extend([
+    match field_type {
+        FieldType::Whole(least, most) => values.extend([
             (least - 1).to_string(),
             (most + 1).to_string(),
             "1.5".into(),
         ]),
-        Shape::Number(least, most) => {
+        FieldType::Number(least, most) => {
             values.extend([
                 format!("{:?}", least - 1.0),
                 format!("{:?}", most * 2.0 + 1.0),
                 "\"1\"".into(),
             ]);
         }
-        Shape::Word(_) | Shape::Of(_) => values.push("\"no-such-thing\"".into()),
-        Shape::Name => values.push("\"two words\"".into()),
+        FieldType::OneOf(_) | FieldType::Reference(_) => values.push("\"no-such-thing\"".into()),
+        FieldType::Name => values.push("\"two words\"".into()),
         _ => values.push("7".into()),
     }
     values
@@ -195,23 +195,25 @@
     let mut tried = 0;
     for kind in KINDS {
         for field in kind.fields {
-            for value in wrong_values(field.shape) {
+            for value in wrong_values(field.field_type) {
                 let given = |other: &&FieldKind| other.name != field.name && other.absent.is_none();
                 let others: String = kind
                     .fields
                     .iter()
                     .filter(given)
-                    .map(|other| match other.shape {
-                        Shape::Word(words) => format!("{} = \"{}\", ", other.name, words[0]),
-                        Shape::Number(least, _) => format!("{} = {least:?}, ", other.name),
+                    .map(|other| match other.field_type {
+                        FieldType::OneOf(words) => format!("{} = \"{}\", ", other.name, words[0]),
+                        FieldType::Number(least, _) => format!("{} = {least:?}, ", other.name),
                         _ => format!("{} = \"hub\", ", other.name),
                     })
                     .collect();
                 // Names are looked up last and in turn: another one that must be given is missed first.
-                let looked_up =
-                    matches!(field.shape, Shape::Of(_)) && value.contains("no-such-thing");
+                let looked_up = matches!(field.field_type, FieldType::Reference(_))
+                    && value.contains("no-such-thing");
                 let earlier = |f: &&FieldKind| {
-                    f.name != field.name && f.absent.is_none() && matches!(f.shape, Shape::Of(_))
+                    f.name != field.name
+                        && f.absent.is_none()
+                        && matches!(f.field_type, FieldType::Reference(_))
                 };
                 if looked_up && kind.fields.iter().any(|f| earlier(&f)) {
                     continue;
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -75,14 +75,14 @@
 
 /// What a field takes. Ranges hold both ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shape {
+pub enum FieldType {
     Flag,
     Whole(i64, i64),
     Number(f64, f64),
     /// A name: 1 to 64 letters, digits, `-`, `_`, `.` or `/`.
     Name,
     /// One of these words.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// A list of one number for each of several things.
     Numbers(f64, f64),
     Names,
@@ -92,50 +92,52 @@
     /// A list of IPv4 addresses, with or without a port, or networks.
     AddressRanges,
     /// The name of a section of this kind that stands in the same file.
-    Of(&'static str),
+    Reference(&'static str),
 }
 
-impl fmt::Display for Shape {
+impl fmt::Display for FieldType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Shape::Flag => f.write_str("True or False"),
-            Shape::Whole(least, most) => write!(f, "a whole number from {least} to {most}"),
-            Shape::Number(least, most) => write!(f, "a number from {least} to {most}"),
-            Shape::Name => f.write_str("a name of 1 to 64 letters, digits, '-', '_', '.' or '/'"),
-            Shape::Word(words) => write!(f, "one of {}", words.join(", ")),
-            Shape::Numbers(least, most) => write!(f, "a list of numbers from {least} to {most}"),
-            Shape::Names => f.write_str("a list of names"),
-            Shape::Address => f.write_str("an IPv4 address and a port, as in \"10.1.2.3:7946\""),
-            Shape::Addresses => f.write_str("a list of IPv4 addresses with ports"),
-            Shape::AddressRanges => f.write_str(
+            FieldType::Flag => f.write_str("True or False"),
+            FieldType::Whole(least, most) => write!(f, "a whole number from {least} to {most}"),
+            FieldType::Number(least, most) => write!(f, "a number from {least} to {most}"),
+            FieldType::Name => f.write_str("a name of 1 to 64 letters, digits, '-', '_', '.' or '/'"),
+            FieldType::OneOf(words) => write!(f, "one of {}", words.join(", ")),
+            FieldType::Numbers(least, most) => write!(f, "a list of numbers from {least} to {most}"),
+            FieldType::Names => f.write_str("a list of names"),
+            FieldType::Address => f.write_str("an IPv4 address and a port, as in \"10.1.2.3:7946\""),
+            FieldType::Addresses => f.write_str("a list of IPv4 addresses with ports"),
+            FieldType::AddressRanges => f.write_str(
                 "a list of IPv4 addresses, with or without a port, or networks as in \"10.1.2.0/24\"",
             ),
-            Shape::Of(kind) => write!(f, "the name of a {kind}"),
+            FieldType::Reference(kind) => write!(f, "the name of a {kind}"),
         }
     }
 }
 
-impl Shape {
-    fn takes(&self, value: &Value) -> bool {
+impl FieldType {
+    fn accepts(&self, value: &Value) -> bool {
         match (self, value) {
-            (Shape::Flag, Value::Flag(_)) => true,
-            (Shape::Whole(least, most), Value::Whole(n)) => (least..=most).contains(&n),
-            (Shape::Number(least, most), value) => value
+            (FieldType::Flag, Value::Flag(_)) => true,
+            (FieldType::Whole(least, most), Value::Whole(n)) => (least..=most).contains(&n),
+            (FieldType::Number(least, most), value) => value
                 .number()
                 .is_some_and(|n| n.is_finite() && (*least..=*most).contains(&n)),
-            (Shape::Name | Shape::Of(_), Value::Text(text)) => is_name(text),
-            (Shape::Word(words), Value::Text(text)) => words.contains(&text.as_str()),
-            (Shape::Numbers(least, most), Value::List(items)) => items
+            (FieldType::Name | FieldType::Reference(_), Value::Text(text)) => is_name(text),
+            (FieldType::OneOf(words), Value::Text(text)) => words.contains(&text.as_str()),
+            (FieldType::Numbers(least, most), Value::List(items)) => items
                 .iter()
-                .all(|item| Shape::Number(*least, *most).takes(item)),
-            (Shape::Address, Value::Text(text)) => is_address(text),
-            (Shape::Addresses, Value::List(items)) => {
-                items.iter().all(|item| Shape::Address.takes(item))
+                .all(|item| FieldType::Number(*least, *most).accepts(item)),
+            (FieldType::Address, Value::Text(text)) => is_address(text),
+            (FieldType::Addresses, Value::List(items)) => {
+                items.iter().all(|item| FieldType::Address.accepts(item))
             }
-            (Shape::AddressRanges, Value::List(items)) => items
+            (FieldType::AddressRanges, Value::List(items)) => items
                 .iter()
                 .all(|item| matches!(item, Value::Text(text) if is_address_range(text))),
-            (Shape::Names, Value::List(items)) => items.iter().all(|item| Shape::Name.takes(item)),
+            (FieldType::Names, Value::List(items)) => {
+                items.iter().all(|item| FieldType::Name.accepts(item))
+            }
             _ => false,
         }
     }
@@ -179,7 +181,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FieldKind {
     pub name: &'static str,
-    pub shape: Shape,
+    pub field_type: FieldType,
     pub absent: Option<Absent>,
 }
 
@@ -204,18 +206,18 @@
     pub fields: &'static [FieldKind],
 }
 
-pub const fn must(name: &'static str, shape: Shape) -> FieldKind {
+pub const fn must(name: &'static str, field_type: FieldType) -> FieldKind {
     FieldKind {
         name,
-        shape,
+        field_type,
         absent: None,
     }
 }
 
-pub const fn may(name: &'static str, shape: Shape, absent: Absent) -> FieldKind {
+pub const fn may(name: &'static str, field_type: FieldType, absent: Absent) -> FieldKind {
     FieldKind {
         name,
-        shape,
+        field_type,
         absent: Some(absent),
     }
 }
@@ -372,11 +374,11 @@
     }
     for field in kind.fields {
         match (section.fields.get(field.name), field.absent) {
-            (Some(given), _) if !field.shape.takes(&given.value) => {
-                return Err(section.wrong(field.name, field.shape.to_string()));
+            (Some(given), _) if !field.field_type.accepts(&given.value) => {
+                return Err(section.wrong(field.name, field.field_type.to_string()));
             }
             (Some(_), _) => {}
-            (None, None) => return Err(section.wrong(field.name, field.shape.to_string())),
+            (None, None) => return Err(section.wrong(field.name, field.field_type.to_string())),
             (None, Some(absent)) => {
                 let value = match absent {
                     Absent::Flag(flag) => Value::Flag(flag),
@@ -410,7 +412,7 @@
         };
         for field in kind.fields {
             let text = section.text(field.name);
-            let Shape::Of(other) = field.shape else {
+            let FieldType::Reference(other) = field.field_type else {
                 continue;
             };
             // An optional reference that is not given is empty.
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -8,5 +8,5 @@
 pub mod decide;
 mod reader;
 
-pub use decide::{ConfigError, Field, Kind, ParsedFile, Position, Section, Shape, Value};
+pub use decide::{ConfigError, Field, FieldType, Kind, ParsedFile, Position, Section, Value};
 pub use reader::{Bounds, read, read_file};
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -2,16 +2,20 @@
 
 use proptest::prelude::*;
 use trailproxy_operator::decide::{Absent, FieldKind, may, must};
-use trailproxy_operator::{Bounds, ConfigError, Kind, ParsedFile, Shape, read};
+use trailproxy_operator::{Bounds, ConfigError, FieldType, Kind, ParsedFile, read};
 
 const FIELDS: &[FieldKind] = &[
-    must("name", Shape::Name),
-    may("rate", Shape::Number(0.0, 100.0), Absent::Number(5.0)),
-    may("count", Shape::Whole(1, 9), Absent::Whole(1)),
-    may("sort", Shape::Word(&["hub", "depot"]), Absent::Text("hub")),
-    may("on", Shape::Flag, Absent::Flag(false)),
-    may("shares", Shape::Numbers(0.0, 1.0), Absent::Empty),
-    may("via", Shape::Of("zone"), Absent::Text("")),
+    must("name", FieldType::Name),
+    may("rate", FieldType::Number(0.0, 100.0), Absent::Number(5.0)),
+    may("count", FieldType::Whole(1, 9), Absent::Whole(1)),
+    may(
+        "sort",
+        FieldType::OneOf(&["hub", "depot"]),
+        Absent::Text("hub"),
+    ),
+    may("on", FieldType::Flag, Absent::Flag(false)),
+    may("shares", FieldType::Numbers(0.0, 1.0), Absent::Empty),
+    may("via", FieldType::Reference("zone"), Absent::Text("")),
 ];
 const KINDS: &[Kind] = &[Kind {
     name: "zone",
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,7 +1,7 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_operator::decide::{Absent, Kind, ParsedFile, Shape, may, must};
+use trailproxy_operator::decide::{Absent, FieldType, Kind, ParsedFile, may, must};
 use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
@@ -37,17 +37,25 @@
     most: 1,
     needed: false,
     fields: &[
-        may("on", Shape::Flag, Absent::Flag(true)),
-        must("host", Shape::Name),
-        may("port", Shape::Whole(1, 65_535), Absent::Number(6_379.0)),
-        may("password_file", Shape::Name, Absent::Text("")),
-        may("prefix", Shape::Name, Absent::Text("trailproxy/")),
-        may("wait_ms", Shape::Number(0.5, 100.0), Absent::Number(4.0)),
-        may("keep_s", Shape::Number(1.0, 3_600.0), Absent::Number(30.0)),
-        may("records", Shape::Flag, Absent::Flag(false)),
-        may("hints", Shape::Flag, Absent::Flag(false)),
-        may("purges", Shape::Flag, Absent::Flag(false)),
-        may("words", Shape::Flag, Absent::Flag(false)),
+        may("on", FieldType::Flag, Absent::Flag(true)),
+        must("host", FieldType::Name),
+        may("port", FieldType::Whole(1, 65_535), Absent::Number(6_379.0)),
+        may("password_file", FieldType::Name, Absent::Text("")),
+        may("prefix", FieldType::Name, Absent::Text("trailproxy/")),
+        may(
+            "wait_ms",
+            FieldType::Number(0.5, 100.0),
+            Absent::Number(4.0),
+        ),
+        may(
+            "keep_s",
+            FieldType::Number(1.0, 3_600.0),
+            Absent::Number(30.0),
+        ),
+        may("records", FieldType::Flag, Absent::Flag(false)),
+        may("hints", FieldType::Flag, Absent::Flag(false)),
+        may("purges", FieldType::Flag, Absent::Flag(false)),
+        may("words", FieldType::Flag, Absent::Flag(false)),
     ],
 };
 
@@ -76,23 +84,31 @@
     most: 1,
     needed: false,
     fields: &[
-        may("on", Shape::Flag, Absent::Flag(true)),
-        must("fleet", Shape::Name),
-        may("secret_file", Shape::Name, Absent::Text("")),
-        may("listen", Shape::Address, Absent::Text("")),
-        may("advertise", Shape::Address, Absent::Text("")),
-        must("seeds", Shape::Addresses),
+        may("on", FieldType::Flag, Absent::Flag(true)),
+        must("fleet", FieldType::Name),
+        may("secret_file", FieldType::Name, Absent::Text("")),
+        may("listen", FieldType::Address, Absent::Text("")),
+        may("advertise", FieldType::Address, Absent::Text("")),
+        must("seeds", FieldType::Addresses),
         may(
             "unsure",
-            Shape::Word(&["send", "refuse"]),
+            FieldType::OneOf(&["send", "refuse"]),
             Absent::Text("send"),
         ),
-        may("wait_ms", Shape::Number(0.5, 100.0), Absent::Number(5.0)),
-        may("keep_s", Shape::Number(1.0, 3_600.0), Absent::Number(30.0)),
-        may("records", Shape::Flag, Absent::Flag(true)),
-        may("purges", Shape::Flag, Absent::Flag(true)),
-        may("hosts", Shape::Flag, Absent::Flag(true)),
-        may("hints", Shape::Flag, Absent::Flag(true)),
+        may(
+            "wait_ms",
+            FieldType::Number(0.5, 100.0),
+            Absent::Number(5.0),
+        ),
+        may(
+            "keep_s",
+            FieldType::Number(1.0, 3_600.0),
+            Absent::Number(30.0),
+        ),
+        may("records", FieldType::Flag, Absent::Flag(true)),
+        may("purges", FieldType::Flag, Absent::Flag(true)),
+        may("hosts", FieldType::Flag, Absent::Flag(true)),
+        may("hints", FieldType::Flag, Absent::Flag(true)),
     ],
 };
 
@@ -127,10 +143,10 @@
     most: MOST_SITES,
     needed: false,
     fields: &[
-        must("name", Shape::Name),
-        must("zone", Shape::Name),
-        must("region", Shape::Name),
-        must("members", Shape::AddressRanges),
+        must("name", FieldType::Name),
+        must("zone", FieldType::Name),
+        must("region", FieldType::Name),
+        must("members", FieldType::AddressRanges),
     ],
 };
 
@@ -154,11 +170,11 @@
     most: 1,
     needed: false,
     fields: &[
-        may("on", Shape::Flag, Absent::Flag(true)),
-        must("voters", Shape::Names),
-        may("floors", Shape::Number(0.0, 1.0), Absent::Number(0.25)),
-        may("lasts_s", Shape::Number(0.5, 60.0), Absent::Number(2.0)),
-        may("cold", Shape::Flag, Absent::Flag(true)),
+        may("on", FieldType::Flag, Absent::Flag(true)),
+        must("voters", FieldType::Names),
+        may("floors", FieldType::Number(0.0, 1.0), Absent::Number(0.25)),
+        may("lasts_s", FieldType::Number(0.5, 60.0), Absent::Number(2.0)),
+        may("cold", FieldType::Flag, Absent::Flag(true)),
     ],
 };
 
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use std::fmt;
-use trailproxy_operator::decide::{Absent, Kind, ParsedFile, Section, Shape, may, must};
+use trailproxy_operator::decide::{Absent, FieldType, Kind, ParsedFile, Section, may, must};
 
 /// One kind of thing that strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -185,26 +185,38 @@
         most: 1,
         needed: true,
         fields: &[
-            may("peers", Shape::Flag, Absent::Flag(true)),
-            may("store", Shape::Flag, Absent::Flag(false)),
-            may("budgets", Shape::Flag, Absent::Flag(false)),
-            may("voters", Shape::Whole(1, 9), Absent::Whole(3)),
-            may("busy", Shape::Number(0.0, 1.0), Absent::Number(0.0)),
-            may("refuse", Shape::Flag, Absent::Flag(false)),
-            may("wait_ms", Shape::Number(0.5, 100.0), Absent::Number(5.0)),
-            may("keep_s", Shape::Number(1.0, 600.0), Absent::Number(5.0)),
-            may("lead_s", Shape::Number(0.0, 600.0), Absent::Number(7.0)),
-            may("zones", Shape::Whole(0, 6), Absent::Whole(0)),
-            may("sites", Shape::Flag, Absent::Flag(true)),
-            may("zone_ms", Shape::Number(0.0, 100.0), Absent::Number(10.0)),
-            may("region_ms", Shape::Number(0.0, 200.0), Absent::Number(40.0)),
+            may("peers", FieldType::Flag, Absent::Flag(true)),
+            may("store", FieldType::Flag, Absent::Flag(false)),
+            may("budgets", FieldType::Flag, Absent::Flag(false)),
+            may("voters", FieldType::Whole(1, 9), Absent::Whole(3)),
+            may("busy", FieldType::Number(0.0, 1.0), Absent::Number(0.0)),
+            may("refuse", FieldType::Flag, Absent::Flag(false)),
+            may(
+                "wait_ms",
+                FieldType::Number(0.5, 100.0),
+                Absent::Number(5.0),
+            ),
+            may("keep_s", FieldType::Number(1.0, 600.0), Absent::Number(5.0)),
+            may("lead_s", FieldType::Number(0.0, 600.0), Absent::Number(7.0)),
+            may("zones", FieldType::Whole(0, 6), Absent::Whole(0)),
+            may("sites", FieldType::Flag, Absent::Flag(true)),
+            may(
+                "zone_ms",
+                FieldType::Number(0.0, 100.0),
+                Absent::Number(10.0),
+            ),
+            may(
+                "region_ms",
+                FieldType::Number(0.0, 200.0),
+                Absent::Number(40.0),
+            ),
             may(
                 "patience_ms",
-                Shape::Number(50.0, 60_000.0),
+                FieldType::Number(50.0, 60_000.0),
                 Absent::Number(900.0),
             ),
-            may("again", Shape::Whole(0, 1_000), Absent::Whole(10)),
-            may("drawn", Shape::Whole(0, 20), Absent::Whole(0)),
+            may("again", FieldType::Whole(0, 1_000), Absent::Whole(10)),
+            may("drawn", FieldType::Whole(0, 20), Absent::Whole(0)),
         ],
     },
     Kind {
@@ -212,11 +224,15 @@
         most: 100,
         needed: false,
         fields: &[
-            must("what", Shape::Word(&WORDS)),
-            must("at_s", Shape::Number(0.0, 10_000.0)),
-            may("for_s", Shape::Number(0.0, 10_000.0), Absent::Number(2.0)),
-            must("who", Shape::Numbers(0.0, 63.0)),
-            may("amount", Shape::Number(-1.0, 4e6), Absent::Number(-1.0)),
+            must("what", FieldType::OneOf(&WORDS)),
+            must("at_s", FieldType::Number(0.0, 10_000.0)),
+            may(
+                "for_s",
+                FieldType::Number(0.0, 10_000.0),
+                Absent::Number(2.0),
+            ),
+            must("who", FieldType::Numbers(0.0, 63.0)),
+            may("amount", FieldType::Number(-1.0, 4e6), Absent::Number(-1.0)),
         ],
     },
 ];
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,10 +1,10 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
-use trailproxy_operator::decide::{Absent, Kind, ParsedFile, Section, Shape, may, must};
+use trailproxy_operator::decide::{Absent, FieldType, Kind, ParsedFile, Section, may, must};
 use trailproxy_zones::decide::rise::Alarm;
 use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
 
-const KB: Shape = Shape::Number(0.0, 1e9);
+const KB: FieldType = FieldType::Number(0.0, 1e9);
 
 /// For the reader of the file.
 pub const KINDS: &[Kind] = &[
@@ -13,19 +13,23 @@
         most: 1,
         needed: false,
         fields: &[
-            may("on", Shape::Flag, Absent::Flag(true)),
+            may("on", FieldType::Flag, Absent::Flag(true)),
             may(
                 "report_s",
-                Shape::Number(0.5, 3_600.0),
+                FieldType::Number(0.5, 3_600.0),
                 Absent::Number(10.0),
             ),
-            may("first", Shape::Names, Absent::Empty),
-            may("metrics", Shape::Name, Absent::Text("")),
-            may("alarm", Shape::Flag, Absent::Flag(true)),
-            may("alarm_at", Shape::Number(1.0, 1_000.0), Absent::Number(8.0)),
+            may("first", FieldType::Names, Absent::Empty),
+            may("metrics", FieldType::Name, Absent::Text("")),
+            may("alarm", FieldType::Flag, Absent::Flag(true)),
+            may(
+                "alarm_at",
+                FieldType::Number(1.0, 1_000.0),
+                Absent::Number(8.0),
+            ),
             may(
                 "alarm_slack",
-                Shape::Number(0.0, 100.0),
+                FieldType::Number(0.0, 100.0),
                 Absent::Number(2.0),
             ),
         ],
@@ -35,9 +39,9 @@
         most: 256,
         needed: false,
         fields: &[
-            must("name", Shape::Name),
-            may("out_of", Shape::Name, Absent::Text("")),
-            must("into", Shape::Name),
+            must("name", FieldType::Name),
+            may("out_of", FieldType::Name, Absent::Text("")),
+            must("into", FieldType::Name),
             must("kb_per_s", KB),
             must("burst_kb", KB),
             may("reserve_kb_per_s", KB, Absent::Number(0.0)),
