--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -1,7 +1,7 @@
 //! The fleet to be measured, read from a Starlark file and checked before anything begins.
 
 use trailproxy::units::TimeSpan;
-use trailproxy_operator::decide::{Absent, FieldType, Kind, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, may, must};
 use trailproxy_operator::{Bounds, ConfigError, ParsedFile, Section, read};
 
 /// The description that is used where no file is named.
@@ -23,37 +23,41 @@
         needed: true,
         fields: &[
             must("members", FieldType::Whole(2, MOST_MEMBERS)),
-            may("purges_per_s", PER_SECOND, Absent::Number(7.5)),
-            may("requests_per_s", PER_SECOND, Absent::Number(939.0)),
-            may("keyed_share", SHARE, Absent::Number(0.035)),
-            may("repeat_share", SHARE, Absent::Number(0.05)),
+            may("purges_per_s", PER_SECOND, DefaultValue::Number(7.5)),
+            may("requests_per_s", PER_SECOND, DefaultValue::Number(939.0)),
+            may("keyed_share", SHARE, DefaultValue::Number(0.035)),
+            may("repeat_share", SHARE, DefaultValue::Number(0.05)),
             may(
                 "repeat_least_s",
                 FieldType::Number(0.0, 60.0),
-                Absent::Number(0.3),
+                DefaultValue::Number(0.3),
             ),
             may(
                 "repeat_most_s",
                 FieldType::Number(0.0, 60.0),
-                Absent::Number(2.0),
+                DefaultValue::Number(2.0),
+            ),
+            may(
+                "limit_s",
+                FieldType::Number(0.1, 60.0),
+                DefaultValue::Number(5.0),
             ),
-            may("limit_s", FieldType::Number(0.1, 60.0), Absent::Number(5.0)),
             may(
                 "wait_ms",
                 FieldType::Number(0.5, 1_000.0),
-                Absent::Number(5.0),
+                DefaultValue::Number(5.0),
             ),
             may(
                 "keep_s",
                 FieldType::Number(1.0, 3_600.0),
-                Absent::Number(30.0),
+                DefaultValue::Number(30.0),
             ),
             may(
                 "purges_last_s",
                 FieldType::Number(1.0, 3_600.0),
-                Absent::Number(30.0),
+                DefaultValue::Number(30.0),
             ),
-            may("refuse", FieldType::Flag, Absent::Flag(false)),
+            may("refuse", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
     Kind {
@@ -82,7 +86,7 @@
             may(
                 "load_factor",
                 FieldType::Number(0.0, 1_000.0),
-                Absent::Number(1.0),
+                DefaultValue::Number(1.0),
             ),
         ],
     },
@@ -94,7 +98,7 @@
             must("kind", FieldType::OneOf(&DISTANCE_KINDS)),
             must("least_ms", MILLISECONDS),
             must("most_ms", MILLISECONDS),
-            may("loss", SHARE, Absent::Number(0.0)),
+            may("loss", SHARE, DefaultValue::Number(0.0)),
         ],
     },
 ];
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    Absent, ConfigError, FieldKind, FieldType, Kind, ParsedFile, Section, may, must,
+    ConfigError, DefaultValue, FieldKind, FieldType, Kind, ParsedFile, Section, may, must,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
@@ -43,7 +43,7 @@
             must("name", FieldType::Name),
             must("seconds", FieldType::Number(1.0, 100_000.0)),
             // Counted from this second on: before it, dispatchers learn and stores settle.
-            may("from_s", SECONDS, Absent::Number(1.0)),
+            may("from_s", SECONDS, DefaultValue::Number(1.0)),
         ],
     },
     Kind {
@@ -58,9 +58,13 @@
         needed: true,
         fields: &[
             must("name", FieldType::Name),
-            may("link_kb_per_s", KB, Absent::Number(0.0)),
-            may("distance_ms", MILLIS, Absent::Number(10.0)),
-            may("dispatchers", FieldType::Whole(0, 10_000), Absent::Whole(0)),
+            may("link_kb_per_s", KB, DefaultValue::Number(0.0)),
+            may("distance_ms", MILLIS, DefaultValue::Number(10.0)),
+            may(
+                "dispatchers",
+                FieldType::Whole(0, 10_000),
+                DefaultValue::Whole(0),
+            ),
         ],
     },
     Kind {
@@ -70,12 +74,20 @@
         fields: &[
             must("role", FieldType::OneOf(&["cache", "parent", "origin"])),
             must("zone", FieldType::Reference("zone")),
-            may("count", FieldType::Whole(1, 10_000), Absent::Whole(1)),
-            may("size", FieldType::Number(0.1, 1e6), Absent::Number(8.0)),
-            may("room_kb", KB, Absent::Number(400_000.0)),
-            may("first_byte_ms", MILLIS, Absent::Number(8.0)),
-            may("places", FieldType::Whole(1, 1_000_000), Absent::Whole(400)),
-            may("cell", FieldType::Whole(0, 60_000), Absent::Whole(0)),
+            may("count", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
+            may(
+                "size",
+                FieldType::Number(0.1, 1e6),
+                DefaultValue::Number(8.0),
+            ),
+            may("room_kb", KB, DefaultValue::Number(400_000.0)),
+            may("first_byte_ms", MILLIS, DefaultValue::Number(8.0)),
+            may(
+                "places",
+                FieldType::Whole(1, 1_000_000),
+                DefaultValue::Whole(400),
+            ),
+            may("cell", FieldType::Whole(0, 60_000), DefaultValue::Whole(0)),
         ],
     },
     Kind {
@@ -84,36 +96,36 @@
         needed: true,
         fields: &[
             must("name", FieldType::Name),
-            may("due_ms", MILLIS, Absent::Number(800.0)),
+            may("due_ms", MILLIS, DefaultValue::Number(800.0)),
             may(
                 "limit_ms",
                 FieldType::Number(10.0, 1e6),
-                Absent::Number(3_000.0),
+                DefaultValue::Number(3_000.0),
             ),
             may(
                 "stretch",
                 FieldType::Number(0.0, 100.0),
-                Absent::Number(2.0),
+                DefaultValue::Number(2.0),
             ),
             may(
                 "importance",
                 FieldType::Number(0.0, 1e6),
-                Absent::Number(1.0),
+                DefaultValue::Number(1.0),
             ),
             may(
                 "effect",
                 FieldType::OneOf(&["retriable", "fingerprinted", "binding"]),
-                Absent::Text("retriable"),
+                DefaultValue::Text("retriable"),
             ),
             may(
                 "group",
                 FieldType::OneOf(&["all", "zone", "cell"]),
-                Absent::Text("all"),
+                DefaultValue::Text("all"),
             ),
-            may("window_ms", MILLIS, Absent::Number(2_000.0)),
-            may("fresh_ms", MILLIS, Absent::Number(0.0)),
-            may("grace_ms", MILLIS, Absent::Number(0.0)),
-            may("written", FieldType::Flag, Absent::Flag(false)),
+            may("window_ms", MILLIS, DefaultValue::Number(2_000.0)),
+            may("fresh_ms", MILLIS, DefaultValue::Number(0.0)),
+            may("grace_ms", MILLIS, DefaultValue::Number(0.0)),
+            may("written", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
     Kind {
@@ -123,27 +135,35 @@
         fields: &[
             must("track", FieldType::Reference("track")),
             must("per_s", RATE),
-            may("zone", FieldType::Reference("zone"), Absent::Text("")),
+            may("zone", FieldType::Reference("zone"), DefaultValue::Text("")),
             may(
                 "objects",
                 FieldType::Whole(1, 100_000_000),
-                Absent::Whole(5_000),
+                DefaultValue::Whole(5_000),
+            ),
+            may(
+                "zipf",
+                FieldType::Number(0.0, 5.0),
+                DefaultValue::Number(0.9),
             ),
-            may("zipf", FieldType::Number(0.0, 5.0), Absent::Number(0.9)),
             may(
                 "median_kb",
                 FieldType::Number(0.01, 1e9),
-                Absent::Number(80.0),
+                DefaultValue::Number(80.0),
             ),
             // Of the logarithm of the sizes.
-            may("spread", FieldType::Number(0.0, 4.0), Absent::Number(0.8)),
-            may("most_kb", KB, Absent::Number(20_000.0)),
-            may("parts", FieldType::Whole(1, 1_000), Absent::Whole(1)),
-            may("local", SHARE, Absent::Number(0.2)),
-            may("once", SHARE, Absent::Number(0.0)),
-            may("from_s", SECONDS, Absent::Number(0.0)),
-            may("until_s", SECONDS, Absent::Number(100_000.0)),
-            may("told", FieldType::Flag, Absent::Flag(true)),
+            may(
+                "spread",
+                FieldType::Number(0.0, 4.0),
+                DefaultValue::Number(0.8),
+            ),
+            may("most_kb", KB, DefaultValue::Number(20_000.0)),
+            may("parts", FieldType::Whole(1, 1_000), DefaultValue::Whole(1)),
+            may("local", SHARE, DefaultValue::Number(0.2)),
+            may("once", SHARE, DefaultValue::Number(0.0)),
+            may("from_s", SECONDS, DefaultValue::Number(0.0)),
+            may("until_s", SECONDS, DefaultValue::Number(100_000.0)),
+            may("told", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
     Kind {
@@ -162,8 +182,8 @@
         most: 1,
         needed: false,
         fields: &[
-            may("retries", FieldType::Whole(0, 20), Absent::Whole(1)),
-            may("away_ms", MILLIS, Absent::Number(300.0)),
+            may("retries", FieldType::Whole(0, 20), DefaultValue::Whole(1)),
+            may("away_ms", MILLIS, DefaultValue::Number(300.0)),
         ],
     },
     Kind {
@@ -173,13 +193,17 @@
         fields: &[
             must("kind", FieldType::OneOf(TROUBLES)),
             must("at_s", SECONDS),
-            may("for_s", SECONDS, Absent::Number(5.0)),
+            may("for_s", SECONDS, DefaultValue::Number(5.0)),
             // The beginning of hosts' names, a zone for a link, a group for a purge, nothing for the list.
-            may("target", FieldType::Name, Absent::Text("")),
-            may("by", FieldType::Number(0.0, 1e6), Absent::Number(0.0)),
+            may("target", FieldType::Name, DefaultValue::Text("")),
+            may("by", FieldType::Number(0.0, 1e6), DefaultValue::Number(0.0)),
             // From one host to the next.
-            may("step_s", SECONDS, Absent::Number(0.0)),
-            may("most", FieldType::Whole(0, 100_000), Absent::Whole(100_000)),
+            may("step_s", SECONDS, DefaultValue::Number(0.0)),
+            may(
+                "most",
+                FieldType::Whole(0, 100_000),
+                DefaultValue::Whole(100_000),
+            ),
         ],
     },
     Kind {
@@ -187,9 +211,13 @@
         most: 1,
         needed: false,
         fields: &[
-            may("voters", FieldType::Whole(1, 9), Absent::Whole(3)),
-            may("floors", FieldType::Number(0.0, 1.0), Absent::Number(0.25)),
-            may("cold", FieldType::Flag, Absent::Flag(true)),
+            may("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
+            may(
+                "floors",
+                FieldType::Number(0.0, 1.0),
+                DefaultValue::Number(0.25),
+            ),
+            may("cold", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
     // Traffic between zones, as in the operator's own file.
@@ -201,55 +229,59 @@
     may(
         "flow_kb_per_s",
         FieldType::Number(0.1, 1e9),
-        Absent::Number(3_600.0),
+        DefaultValue::Number(3_600.0),
     ),
     may(
         "fill_pace",
         FieldType::Number(0.1, 100.0),
-        Absent::Number(1.75),
+        DefaultValue::Number(1.75),
     ),
     may(
         "notes",
         FieldType::OneOf(&["all", "hits", "none"]),
-        Absent::Text("hits"),
+        DefaultValue::Text("hits"),
+    ),
+    may("joins", FieldType::Flag, DefaultValue::Flag(true)),
+    may("straight", FieldType::Flag, DefaultValue::Flag(true)),
+    may("link_told", FieldType::Flag, DefaultValue::Flag(false)),
+    may(
+        "max_hand_offs",
+        FieldType::Whole(1, 100),
+        DefaultValue::Whole(6),
     ),
-    may("joins", FieldType::Flag, Absent::Flag(true)),
-    may("straight", FieldType::Flag, Absent::Flag(true)),
-    may("link_told", FieldType::Flag, Absent::Flag(false)),
-    may("max_hand_offs", FieldType::Whole(1, 100), Absent::Whole(6)),
-    may("withdraw", FieldType::Flag, Absent::Flag(true)),
-    may("longest_away_ms", MILLIS, Absent::Number(2_000.0)),
-    may("list_delay_ms", MILLIS, Absent::Number(300.0)),
-    may("purge_delay_ms", MILLIS, Absent::Number(200.0)),
-    may("purge_grace_ms", MILLIS, Absent::Number(500.0)),
-    may("purge_done_ms", MILLIS, Absent::Number(6_000.0)),
-    may("fill_within_ms", MILLIS, Absent::Number(2_500.0)),
-    may("noticed_ms", MILLIS, Absent::Number(1_000.0)),
-    may("fallen_ms", MILLIS, Absent::Number(5_000.0)),
-    may("hop_ms", MILLIS, Absent::Number(1.0)),
+    may("withdraw", FieldType::Flag, DefaultValue::Flag(true)),
+    may("longest_away_ms", MILLIS, DefaultValue::Number(2_000.0)),
+    may("list_delay_ms", MILLIS, DefaultValue::Number(300.0)),
+    may("purge_delay_ms", MILLIS, DefaultValue::Number(200.0)),
+    may("purge_grace_ms", MILLIS, DefaultValue::Number(500.0)),
+    may("purge_done_ms", MILLIS, DefaultValue::Number(6_000.0)),
+    may("fill_within_ms", MILLIS, DefaultValue::Number(2_500.0)),
+    may("noticed_ms", MILLIS, DefaultValue::Number(1_000.0)),
+    may("fallen_ms", MILLIS, DefaultValue::Number(5_000.0)),
+    may("hop_ms", MILLIS, DefaultValue::Number(1.0)),
     // On loopback bodies have all their bytes, as they do where traffic between zones is accounted for.
-    may("whole_bodies", FieldType::Flag, Absent::Flag(false)),
+    may("whole_bodies", FieldType::Flag, DefaultValue::Flag(false)),
     // Times what it can do; 0: it never falls over.
     may(
         "origin_bears",
         FieldType::Number(0.0, 1_000.0),
-        Absent::Number(0.0),
+        DefaultValue::Number(0.0),
     ),
-    may("cold_from", SHARE, Absent::Number(0.25)),
-    may("cold_ms", MILLIS, Absent::Number(14_000.0)),
+    may("cold_from", SHARE, DefaultValue::Number(0.25)),
+    may("cold_ms", MILLIS, DefaultValue::Number(14_000.0)),
     may(
         "cold_multiple",
         FieldType::Number(0.1, 1_000.0),
-        Absent::Number(4.0),
+        DefaultValue::Number(4.0),
     ),
-    may("parent_cold_from", SHARE, Absent::Number(0.1)),
-    may("parent_cold_ms", MILLIS, Absent::Number(20_000.0)),
+    may("parent_cold_from", SHARE, DefaultValue::Number(0.1)),
+    may("parent_cold_ms", MILLIS, DefaultValue::Number(20_000.0)),
     may(
         "parent_cold_multiple",
         FieldType::Number(0.1, 1_000.0),
-        Absent::Number(2.0),
+        DefaultValue::Number(2.0),
     ),
-    may("cold_within_ms", MILLIS, Absent::Number(1_000.0)),
+    may("cold_within_ms", MILLIS, DefaultValue::Number(1_000.0)),
 ];
 
 /// What clients of one stream ask for.
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -196,7 +196,8 @@
     for kind in KINDS {
         for field in kind.fields {
             for value in wrong_values(field.field_type) {
-                let given = |other: &&FieldKind| other.name != field.name && other.absent.is_none();
+                let given =
+                    |other: &&FieldKind| other.name != field.name && other.default.is_none();
                 let others: String = kind
                     .fields
                     .iter()
@@ -212,7 +213,7 @@
                     && value.contains("no-such-thing");
                 let earlier = |f: &&FieldKind| {
                     f.name != field.name
-                        && f.absent.is_none()
+                        && f.default.is_none()
                         && matches!(f.field_type, FieldType::Reference(_))
                 };
                 if looked_up && kind.fields.iter().any(|f| earlier(&f)) {
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -182,18 +182,18 @@
 pub struct FieldKind {
     pub name: &'static str,
     pub field_type: FieldType,
-    pub absent: Option<Absent>,
+    pub default: Option<DefaultValue>,
 }
 
 /// What holds where a field is not given.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Absent {
+pub enum DefaultValue {
     Flag(bool),
     Whole(i64),
     Number(f64),
     Text(&'static str),
     /// The empty list.
-    Empty,
+    EmptyList,
 }
 
 /// A kind of section.
@@ -210,15 +210,15 @@
     FieldKind {
         name,
         field_type,
-        absent: None,
+        default: None,
     }
 }
 
-pub const fn may(name: &'static str, field_type: FieldType, absent: Absent) -> FieldKind {
+pub const fn may(name: &'static str, field_type: FieldType, default: DefaultValue) -> FieldKind {
     FieldKind {
         name,
         field_type,
-        absent: Some(absent),
+        default: Some(default),
     }
 }
 
@@ -373,19 +373,19 @@
         }));
     }
     for field in kind.fields {
-        match (section.fields.get(field.name), field.absent) {
+        match (section.fields.get(field.name), field.default) {
             (Some(given), _) if !field.field_type.accepts(&given.value) => {
                 return Err(section.wrong(field.name, field.field_type.to_string()));
             }
             (Some(_), _) => {}
             (None, None) => return Err(section.wrong(field.name, field.field_type.to_string())),
-            (None, Some(absent)) => {
-                let value = match absent {
-                    Absent::Flag(flag) => Value::Flag(flag),
-                    Absent::Whole(n) => Value::Whole(n),
-                    Absent::Number(n) => Value::Number(n),
-                    Absent::Text(text) => Value::Text(text.into()),
-                    Absent::Empty => Value::List(Vec::new()),
+            (None, Some(default)) => {
+                let value = match default {
+                    DefaultValue::Flag(flag) => Value::Flag(flag),
+                    DefaultValue::Whole(n) => Value::Whole(n),
+                    DefaultValue::Number(n) => Value::Number(n),
+                    DefaultValue::Text(text) => Value::Text(text.into()),
+                    DefaultValue::EmptyList => Value::List(Vec::new()),
                 };
                 let position = section.position.clone();
                 section
@@ -417,7 +417,7 @@
             };
             // An optional reference that is not given is empty.
             let names = named(other);
-            let left_out = text.is_empty() && field.absent.is_some();
+            let left_out = text.is_empty() && field.default.is_some();
             if !left_out && !names.contains(&text) {
                 let wanted = format!("the name of a {other}: {}", names.join(", "));
                 return Err(section.wrong(field.name, wanted));
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,21 +1,29 @@
 //! An operator's file that is wrong in one way, and what is said of it.
 
 use proptest::prelude::*;
-use trailproxy_operator::decide::{Absent, FieldKind, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldKind, may, must};
 use trailproxy_operator::{Bounds, ConfigError, FieldType, Kind, ParsedFile, read};
 
 const FIELDS: &[FieldKind] = &[
     must("name", FieldType::Name),
-    may("rate", FieldType::Number(0.0, 100.0), Absent::Number(5.0)),
-    may("count", FieldType::Whole(1, 9), Absent::Whole(1)),
+    may(
+        "rate",
+        FieldType::Number(0.0, 100.0),
+        DefaultValue::Number(5.0),
+    ),
+    may("count", FieldType::Whole(1, 9), DefaultValue::Whole(1)),
     may(
         "sort",
         FieldType::OneOf(&["hub", "depot"]),
-        Absent::Text("hub"),
+        DefaultValue::Text("hub"),
+    ),
+    may("on", FieldType::Flag, DefaultValue::Flag(false)),
+    may(
+        "shares",
+        FieldType::Numbers(0.0, 1.0),
+        DefaultValue::EmptyList,
     ),
-    may("on", FieldType::Flag, Absent::Flag(false)),
-    may("shares", FieldType::Numbers(0.0, 1.0), Absent::Empty),
-    may("via", FieldType::Reference("zone"), Absent::Text("")),
+    may("via", FieldType::Reference("zone"), DefaultValue::Text("")),
 ];
 const KINDS: &[Kind] = &[Kind {
     name: "zone",
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,7 +1,7 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_operator::decide::{Absent, FieldType, Kind, ParsedFile, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, ParsedFile, may, must};
 use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
@@ -37,25 +37,29 @@
     most: 1,
     needed: false,
     fields: &[
-        may("on", FieldType::Flag, Absent::Flag(true)),
+        may("on", FieldType::Flag, DefaultValue::Flag(true)),
         must("host", FieldType::Name),
-        may("port", FieldType::Whole(1, 65_535), Absent::Number(6_379.0)),
-        may("password_file", FieldType::Name, Absent::Text("")),
-        may("prefix", FieldType::Name, Absent::Text("trailproxy/")),
+        may(
+            "port",
+            FieldType::Whole(1, 65_535),
+            DefaultValue::Number(6_379.0),
+        ),
+        may("password_file", FieldType::Name, DefaultValue::Text("")),
+        may("prefix", FieldType::Name, DefaultValue::Text("trailproxy/")),
         may(
             "wait_ms",
             FieldType::Number(0.5, 100.0),
-            Absent::Number(4.0),
+            DefaultValue::Number(4.0),
         ),
         may(
             "keep_s",
             FieldType::Number(1.0, 3_600.0),
-            Absent::Number(30.0),
+            DefaultValue::Number(30.0),
         ),
-        may("records", FieldType::Flag, Absent::Flag(false)),
-        may("hints", FieldType::Flag, Absent::Flag(false)),
-        may("purges", FieldType::Flag, Absent::Flag(false)),
-        may("words", FieldType::Flag, Absent::Flag(false)),
+        may("records", FieldType::Flag, DefaultValue::Flag(false)),
+        may("hints", FieldType::Flag, DefaultValue::Flag(false)),
+        may("purges", FieldType::Flag, DefaultValue::Flag(false)),
+        may("words", FieldType::Flag, DefaultValue::Flag(false)),
     ],
 };
 
@@ -84,31 +88,31 @@
     most: 1,
     needed: false,
     fields: &[
-        may("on", FieldType::Flag, Absent::Flag(true)),
+        may("on", FieldType::Flag, DefaultValue::Flag(true)),
         must("fleet", FieldType::Name),
-        may("secret_file", FieldType::Name, Absent::Text("")),
-        may("listen", FieldType::Address, Absent::Text("")),
-        may("advertise", FieldType::Address, Absent::Text("")),
+        may("secret_file", FieldType::Name, DefaultValue::Text("")),
+        may("listen", FieldType::Address, DefaultValue::Text("")),
+        may("advertise", FieldType::Address, DefaultValue::Text("")),
         must("seeds", FieldType::Addresses),
         may(
             "unsure",
             FieldType::OneOf(&["send", "refuse"]),
-            Absent::Text("send"),
+            DefaultValue::Text("send"),
         ),
         may(
             "wait_ms",
             FieldType::Number(0.5, 100.0),
-            Absent::Number(5.0),
+            DefaultValue::Number(5.0),
         ),
         may(
             "keep_s",
             FieldType::Number(1.0, 3_600.0),
-            Absent::Number(30.0),
+            DefaultValue::Number(30.0),
         ),
-        may("records", FieldType::Flag, Absent::Flag(true)),
-        may("purges", FieldType::Flag, Absent::Flag(true)),
-        may("hosts", FieldType::Flag, Absent::Flag(true)),
-        may("hints", FieldType::Flag, Absent::Flag(true)),
+        may("records", FieldType::Flag, DefaultValue::Flag(true)),
+        may("purges", FieldType::Flag, DefaultValue::Flag(true)),
+        may("hosts", FieldType::Flag, DefaultValue::Flag(true)),
+        may("hints", FieldType::Flag, DefaultValue::Flag(true)),
     ],
 };
 
@@ -170,11 +174,19 @@
     most: 1,
     needed: false,
     fields: &[
-        may("on", FieldType::Flag, Absent::Flag(true)),
+        may("on", FieldType::Flag, DefaultValue::Flag(true)),
         must("voters", FieldType::Names),
-        may("floors", FieldType::Number(0.0, 1.0), Absent::Number(0.25)),
-        may("lasts_s", FieldType::Number(0.5, 60.0), Absent::Number(2.0)),
-        may("cold", FieldType::Flag, Absent::Flag(true)),
+        may(
+            "floors",
+            FieldType::Number(0.0, 1.0),
+            DefaultValue::Number(0.25),
+        ),
+        may(
+            "lasts_s",
+            FieldType::Number(0.5, 60.0),
+            DefaultValue::Number(2.0),
+        ),
+        may("cold", FieldType::Flag, DefaultValue::Flag(true)),
     ],
 };
 
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 use std::fmt;
-use trailproxy_operator::decide::{Absent, FieldType, Kind, ParsedFile, Section, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, ParsedFile, Section, may, must};
 
 /// One kind of thing that strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -185,38 +185,50 @@
         most: 1,
         needed: true,
         fields: &[
-            may("peers", FieldType::Flag, Absent::Flag(true)),
-            may("store", FieldType::Flag, Absent::Flag(false)),
-            may("budgets", FieldType::Flag, Absent::Flag(false)),
-            may("voters", FieldType::Whole(1, 9), Absent::Whole(3)),
-            may("busy", FieldType::Number(0.0, 1.0), Absent::Number(0.0)),
-            may("refuse", FieldType::Flag, Absent::Flag(false)),
+            may("peers", FieldType::Flag, DefaultValue::Flag(true)),
+            may("store", FieldType::Flag, DefaultValue::Flag(false)),
+            may("budgets", FieldType::Flag, DefaultValue::Flag(false)),
+            may("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
+            may(
+                "busy",
+                FieldType::Number(0.0, 1.0),
+                DefaultValue::Number(0.0),
+            ),
+            may("refuse", FieldType::Flag, DefaultValue::Flag(false)),
             may(
                 "wait_ms",
                 FieldType::Number(0.5, 100.0),
-                Absent::Number(5.0),
+                DefaultValue::Number(5.0),
+            ),
+            may(
+                "keep_s",
+                FieldType::Number(1.0, 600.0),
+                DefaultValue::Number(5.0),
             ),
-            may("keep_s", FieldType::Number(1.0, 600.0), Absent::Number(5.0)),
-            may("lead_s", FieldType::Number(0.0, 600.0), Absent::Number(7.0)),
-            may("zones", FieldType::Whole(0, 6), Absent::Whole(0)),
-            may("sites", FieldType::Flag, Absent::Flag(true)),
+            may(
+                "lead_s",
+                FieldType::Number(0.0, 600.0),
+                DefaultValue::Number(7.0),
+            ),
+            may("zones", FieldType::Whole(0, 6), DefaultValue::Whole(0)),
+            may("sites", FieldType::Flag, DefaultValue::Flag(true)),
             may(
                 "zone_ms",
                 FieldType::Number(0.0, 100.0),
-                Absent::Number(10.0),
+                DefaultValue::Number(10.0),
             ),
             may(
                 "region_ms",
                 FieldType::Number(0.0, 200.0),
-                Absent::Number(40.0),
+                DefaultValue::Number(40.0),
             ),
             may(
                 "patience_ms",
                 FieldType::Number(50.0, 60_000.0),
-                Absent::Number(900.0),
+                DefaultValue::Number(900.0),
             ),
-            may("again", FieldType::Whole(0, 1_000), Absent::Whole(10)),
-            may("drawn", FieldType::Whole(0, 20), Absent::Whole(0)),
+            may("again", FieldType::Whole(0, 1_000), DefaultValue::Whole(10)),
+            may("drawn", FieldType::Whole(0, 20), DefaultValue::Whole(0)),
         ],
     },
     Kind {
@@ -229,10 +241,14 @@
             may(
                 "for_s",
                 FieldType::Number(0.0, 10_000.0),
-                Absent::Number(2.0),
+                DefaultValue::Number(2.0),
             ),
             must("who", FieldType::Numbers(0.0, 63.0)),
-            may("amount", FieldType::Number(-1.0, 4e6), Absent::Number(-1.0)),
+            may(
+                "amount",
+                FieldType::Number(-1.0, 4e6),
+                DefaultValue::Number(-1.0),
+            ),
         ],
     },
 ];
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,6 +1,6 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
-use trailproxy_operator::decide::{Absent, FieldType, Kind, ParsedFile, Section, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, ParsedFile, Section, may, must};
 use trailproxy_zones::decide::rise::Alarm;
 use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
 
@@ -13,24 +13,24 @@
         most: 1,
         needed: false,
         fields: &[
-            may("on", FieldType::Flag, Absent::Flag(true)),
+            may("on", FieldType::Flag, DefaultValue::Flag(true)),
             may(
                 "report_s",
                 FieldType::Number(0.5, 3_600.0),
-                Absent::Number(10.0),
+                DefaultValue::Number(10.0),
             ),
-            may("first", FieldType::Names, Absent::Empty),
-            may("metrics", FieldType::Name, Absent::Text("")),
-            may("alarm", FieldType::Flag, Absent::Flag(true)),
+            may("first", FieldType::Names, DefaultValue::EmptyList),
+            may("metrics", FieldType::Name, DefaultValue::Text("")),
+            may("alarm", FieldType::Flag, DefaultValue::Flag(true)),
             may(
                 "alarm_at",
                 FieldType::Number(1.0, 1_000.0),
-                Absent::Number(8.0),
+                DefaultValue::Number(8.0),
             ),
             may(
                 "alarm_slack",
                 FieldType::Number(0.0, 100.0),
-                Absent::Number(2.0),
+                DefaultValue::Number(2.0),
             ),
         ],
     },
@@ -40,14 +40,14 @@
         needed: false,
         fields: &[
             must("name", FieldType::Name),
-            may("out_of", FieldType::Name, Absent::Text("")),
+            may("out_of", FieldType::Name, DefaultValue::Text("")),
             must("into", FieldType::Name),
             must("kb_per_s", KB),
             must("burst_kb", KB),
-            may("reserve_kb_per_s", KB, Absent::Number(0.0)),
-            may("largest_kb", KB, Absent::Number(0.0)),
-            may("least_kb_per_s", KB, Absent::Number(0.0)),
-            may("most_kb_per_s", KB, Absent::Number(0.0)),
+            may("reserve_kb_per_s", KB, DefaultValue::Number(0.0)),
+            may("largest_kb", KB, DefaultValue::Number(0.0)),
+            may("least_kb_per_s", KB, DefaultValue::Number(0.0)),
+            may("most_kb_per_s", KB, DefaultValue::Number(0.0)),
         ],
     },
 ];
