--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -1,7 +1,7 @@
 //! The fleet to be measured, read from a Starlark file and checked before anything begins.
 
 use trailproxy::units::TimeSpan;
-use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, may, must};
 use trailproxy_operator::{Bounds, ConfigError, ParsedFile, Section, read};
 
 /// The description that is used where no file is named.
@@ -16,11 +16,11 @@
 const DISTANCE_KINDS: [&str; 4] = ["site", "zone", "region", "between_regions"];
 
 /// Every section that a description may hold.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "fleet",
-        most: 1,
-        needed: true,
+        max_count: 1,
+        required: true,
         fields: &[
             must("members", FieldType::Whole(2, MOST_MEMBERS)),
             may("purges_per_s", PER_SECOND, DefaultValue::Number(7.5)),
@@ -60,25 +60,25 @@
             may("refuse", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "region",
-        most: MOST_PLACES,
-        needed: true,
+        max_count: MOST_PLACES,
+        required: true,
         fields: &[must("name", FieldType::Name)],
     },
-    Kind {
+    SectionKind {
         name: "zone",
-        most: MOST_PLACES,
-        needed: true,
+        max_count: MOST_PLACES,
+        required: true,
         fields: &[
             must("name", FieldType::Name),
             must("region", FieldType::Reference("region")),
         ],
     },
-    Kind {
+    SectionKind {
         name: "site",
-        most: MOST_PLACES,
-        needed: true,
+        max_count: MOST_PLACES,
+        required: true,
         fields: &[
             must("name", FieldType::Name),
             must("zone", FieldType::Reference("zone")),
@@ -90,10 +90,10 @@
             ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "distance",
-        most: DISTANCE_KINDS.len(),
-        needed: true,
+        max_count: DISTANCE_KINDS.len(),
+        required: true,
         fields: &[
             must("kind", FieldType::OneOf(&DISTANCE_KINDS)),
             must("least_ms", MILLISECONDS),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    ConfigError, DefaultValue, FieldKind, FieldType, Kind, ParsedFile, Section, may, must,
+    ConfigError, DefaultValue, FieldKind, FieldType, ParsedFile, Section, SectionKind, may, must,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
@@ -34,11 +34,11 @@
 ];
 
 /// The sections of a scenario, for the reader.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "scenario",
-        most: 1,
-        needed: true,
+        max_count: 1,
+        required: true,
         fields: &[
             must("name", FieldType::Name),
             must("seconds", FieldType::Number(1.0, 100_000.0)),
@@ -46,16 +46,16 @@
             may("from_s", SECONDS, DefaultValue::Number(1.0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "fleet",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: FLEET,
     },
-    Kind {
+    SectionKind {
         name: "zone",
-        most: 1_000,
-        needed: true,
+        max_count: 1_000,
+        required: true,
         fields: &[
             must("name", FieldType::Name),
             may("link_kb_per_s", KB, DefaultValue::Number(0.0)),
@@ -67,10 +67,10 @@
             ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "hosts",
-        most: 5_000,
-        needed: true,
+        max_count: 5_000,
+        required: true,
         fields: &[
             must("role", FieldType::OneOf(&["cache", "parent", "origin"])),
             must("zone", FieldType::Reference("zone")),
@@ -90,10 +90,10 @@
             may("cell", FieldType::Whole(0, 60_000), DefaultValue::Whole(0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "track",
-        most: 100,
-        needed: true,
+        max_count: 100,
+        required: true,
         fields: &[
             must("name", FieldType::Name),
             may("due_ms", MILLIS, DefaultValue::Number(800.0)),
@@ -128,10 +128,10 @@
             may("written", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "stream",
-        most: 1_000,
-        needed: true,
+        max_count: 1_000,
+        required: true,
         fields: &[
             must("track", FieldType::Reference("track")),
             must("per_s", RATE),
@@ -166,10 +166,10 @@
             may("told", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "burst",
-        most: 1_000,
-        needed: false,
+        max_count: 1_000,
+        required: false,
         fields: &[
             must("track", FieldType::Reference("track")),
             must("at_s", SECONDS),
@@ -177,19 +177,19 @@
             must("times", FieldType::Number(0.0, 1_000.0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "clients",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: &[
             may("retries", FieldType::Whole(0, 20), DefaultValue::Whole(1)),
             may("away_ms", MILLIS, DefaultValue::Number(300.0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "trouble",
-        most: 10_000,
-        needed: false,
+        max_count: 10_000,
+        required: false,
         fields: &[
             must("kind", FieldType::OneOf(TROUBLES)),
             must("at_s", SECONDS),
@@ -206,10 +206,10 @@
             ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "divided",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: &[
             may("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
             may(
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -5,7 +5,7 @@
 use trailproxy_lab::model::{Day, run};
 use trailproxy_lab::scenario::{KINDS, Scenario};
 use trailproxy_operator::decide::FieldKind;
-use trailproxy_operator::{Bounds, FieldType, Kind, read};
+use trailproxy_operator::{Bounds, FieldType, SectionKind, read};
 use trailproxy_standins::shape::{Cue, DAWN, Trouble};
 
 /// A small fleet, with more sections behind it.
@@ -220,8 +220,8 @@
                     continue;
                 }
                 // In a file of its own kind: what other sections it needs is looked at later.
-                let kinds = [Kind {
-                    needed: false,
+                let kinds = [SectionKind {
+                    required: false,
                     ..*kind
                 }];
                 let text = format!("\n{}(\n  {others}\n  {} = {value})", kind.name, field.name);
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -198,11 +198,11 @@
 
 /// A kind of section.
 #[derive(Clone, Copy, Debug)]
-pub struct Kind {
+pub struct SectionKind {
     pub name: &'static str,
     /// How many of it a file may hold.
-    pub most: usize,
-    pub needed: bool,
+    pub max_count: usize,
+    pub required: bool,
     pub fields: &'static [FieldKind],
 }
 
@@ -317,7 +317,7 @@
 }
 
 /// Checks each section against its kind and puts in what is not given.
-pub fn check(mut sheet: ParsedFile, kinds: &[Kind]) -> Result<ParsedFile, Box<ConfigError>> {
+pub fn check(mut sheet: ParsedFile, kinds: &[SectionKind]) -> Result<ParsedFile, Box<ConfigError>> {
     for section in &mut sheet.sections {
         let Some(kind) = kinds.iter().find(|kind| kind.name == section.kind) else {
             let names: Vec<_> = kinds.iter().map(|kind| kind.name).collect();
@@ -333,16 +333,16 @@
     }
     for kind in kinds {
         let all: Vec<_> = sheet.all(kind.name).collect();
-        if let Some(over) = all.get(kind.most) {
+        if let Some(over) = all.get(kind.max_count) {
             return Err(Box::new(ConfigError {
                 position: over.position.clone(),
                 section: kind.name.into(),
                 field: None,
-                found: format!("section {} of its kind", kind.most + 1),
-                wanted: format!("{} at most", kind.most),
+                found: format!("section {} of its kind", kind.max_count + 1),
+                wanted: format!("{} at most", kind.max_count),
             }));
         }
-        if kind.needed && all.is_empty() {
+        if kind.required && all.is_empty() {
             return Err(Box::new(ConfigError {
                 position: Position {
                     file: sheet.file.clone(),
@@ -360,7 +360,7 @@
     Ok(sheet)
 }
 
-fn fill(section: &mut Section, kind: &Kind) -> Result<(), Box<ConfigError>> {
+fn fill(section: &mut Section, kind: &SectionKind) -> Result<(), Box<ConfigError>> {
     let known = |name: &str| kind.fields.iter().any(|field| field.name == name);
     if let Some((name, field)) = section.fields.iter().find(|(name, _)| !known(name)) {
         let names: Vec<_> = kind.fields.iter().map(|field| field.name).collect();
@@ -398,7 +398,7 @@
 }
 
 /// Names are given once in a kind, and what names a section of a kind finds one.
-fn references(sheet: &ParsedFile, kinds: &[Kind]) -> Result<(), Box<ConfigError>> {
+fn references(sheet: &ParsedFile, kinds: &[SectionKind]) -> Result<(), Box<ConfigError>> {
     let named = |kind: &'static str| {
         let all = sheet
             .sections
--- a/crates/operator/src/reader.rs
+++ b/crates/operator/src/reader.rs
@@ -1,6 +1,6 @@
 //! Runs the script and takes down its section calls. The language is Starlark with functions at top level.
 
-use crate::decide::{ConfigError, Field, Kind, ParsedFile, Position, Section, Value, check};
+use crate::decide::{ConfigError, Field, ParsedFile, Position, Section, SectionKind, Value, check};
 use allocative::Allocative;
 use starlark::any::ProvidesStaticType;
 use starlark::codemap::FileSpan;
@@ -179,7 +179,7 @@
 pub fn read(
     file: &str,
     text: String,
-    kinds: &[Kind],
+    kinds: &[SectionKind],
     bounds: Bounds,
 ) -> Result<ParsedFile, Box<ConfigError>> {
     let whole = |found: String, wanted: &str| {
@@ -249,7 +249,7 @@
 }
 
 /// Reads a script from disk.
-pub fn read_file(path: &str, kinds: &[Kind]) -> Result<ParsedFile, Box<ConfigError>> {
+pub fn read_file(path: &str, kinds: &[SectionKind]) -> Result<ParsedFile, Box<ConfigError>> {
     let text = std::fs::read_to_string(path).map_err(|e| {
         Box::new(ConfigError {
             position: Position {
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use trailproxy_operator::decide::{DefaultValue, FieldKind, may, must};
-use trailproxy_operator::{Bounds, ConfigError, FieldType, Kind, ParsedFile, read};
+use trailproxy_operator::{Bounds, ConfigError, FieldType, ParsedFile, SectionKind, read};
 
 const FIELDS: &[FieldKind] = &[
     must("name", FieldType::Name),
@@ -25,10 +25,10 @@
     ),
     may("via", FieldType::Reference("zone"), DefaultValue::Text("")),
 ];
-const KINDS: &[Kind] = &[Kind {
+const KINDS: &[SectionKind] = &[SectionKind {
     name: "zone",
-    most: 4,
-    needed: true,
+    max_count: 4,
+    required: true,
     fields: FIELDS,
 }];
 
--- a/crates/trailproxy-cli/src/lab.rs
+++ b/crates/trailproxy-cli/src/lab.rs
@@ -13,14 +13,14 @@
 use trailproxy_lab::report;
 use trailproxy_lab::scenario::Scenario;
 use trailproxy_lab::tally::Summary;
-use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, may};
+use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, may};
 use trailproxy_operator::{ParsedFile, read_file};
 
 /// What the laboratory does where the command line does not say.
-pub const KIND: Kind = Kind {
+pub const KIND: SectionKind = SectionKind {
     name: "lab",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
         may("days", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
         may(
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,13 +1,13 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, ParsedFile, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, ParsedFile, SectionKind, may, must};
 use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
 
 /// Sections of the operator's own file.
-pub const OPERATOR: &[Kind] = &[
+pub const OPERATOR: &[SectionKind] = &[
     crate::lab::KIND,
     trailproxy_zones_tools::sections::KINDS[0],
     trailproxy_zones_tools::sections::KINDS[1],
@@ -18,12 +18,12 @@
 ];
 
 /// Every section that a file of either sort may hold, none of them needed.
-pub fn kinds() -> Vec<Kind> {
-    let mut all: Vec<Kind> = Vec::new();
+pub fn kinds() -> Vec<SectionKind> {
+    let mut all: Vec<SectionKind> = Vec::new();
     for kind in OPERATOR.iter().chain(trailproxy_lab::scenario::KINDS) {
         if !all.iter().any(|known| known.name == kind.name) {
-            all.push(Kind {
-                needed: false,
+            all.push(SectionKind {
+                required: false,
                 ..*kind
             });
         }
@@ -32,10 +32,10 @@
 }
 
 /// The section `store`.
-pub const STORE: Kind = Kind {
+pub const STORE: SectionKind = SectionKind {
     name: "store",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
         may("on", FieldType::Flag, DefaultValue::Flag(true)),
         must("host", FieldType::Name),
@@ -83,10 +83,10 @@
 }
 
 /// The section `peers`.
-pub const PEERS: Kind = Kind {
+pub const PEERS: SectionKind = SectionKind {
     name: "peers",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
         may("on", FieldType::Flag, DefaultValue::Flag(true)),
         must("fleet", FieldType::Name),
@@ -142,10 +142,10 @@
 }
 
 /// The section `site`, one for each place that has dispatchers.
-pub const SITE: Kind = Kind {
+pub const SITE: SectionKind = SectionKind {
     name: "site",
-    most: MOST_SITES,
-    needed: false,
+    max_count: MOST_SITES,
+    required: false,
     fields: &[
         must("name", FieldType::Name),
         must("zone", FieldType::Name),
@@ -169,10 +169,10 @@
 }
 
 /// The section `budgets`.
-pub const BUDGETS: Kind = Kind {
+pub const BUDGETS: SectionKind = SectionKind {
     name: "budgets",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
         may("on", FieldType::Flag, DefaultValue::Flag(true)),
         must("voters", FieldType::Names),
--- a/crates/trailproxyd/tests/trials.rs
+++ b/crates/trailproxyd/tests/trials.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use trailproxy_lab::loopback::Place;
 use trailproxy_lab::scenario::{self, Scenario};
-use trailproxy_operator::decide::Kind;
+use trailproxy_operator::decide::SectionKind;
 use trailproxy_trials::decide::script::{self, Trial};
 use trailproxy_trials::play::{Outcome, play};
 
@@ -90,7 +90,7 @@
 
 /// Runs a trial from its text.
 fn run_text(index: usize, text: String) -> Outcome {
-    let kinds: Vec<Kind> = scenario::KINDS
+    let kinds: Vec<SectionKind> = scenario::KINDS
         .iter()
         .chain(script::KINDS)
         .copied()
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -2,7 +2,9 @@
 
 use serde::Serialize;
 use std::fmt;
-use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, ParsedFile, Section, may, must};
+use trailproxy_operator::decide::{
+    DefaultValue, FieldType, ParsedFile, Section, SectionKind, may, must,
+};
 
 /// One kind of thing that strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -179,11 +181,11 @@
 }
 
 /// The sections of a trial, beside those of a scenario.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "trial",
-        most: 1,
-        needed: true,
+        max_count: 1,
+        required: true,
         fields: &[
             may("peers", FieldType::Flag, DefaultValue::Flag(true)),
             may("store", FieldType::Flag, DefaultValue::Flag(false)),
@@ -231,10 +233,10 @@
             may("drawn", FieldType::Whole(0, 20), DefaultValue::Whole(0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "strike",
-        most: 100,
-        needed: false,
+        max_count: 100,
+        required: false,
         fields: &[
             must("what", FieldType::OneOf(&WORDS)),
             must("at_s", FieldType::Number(0.0, 10_000.0)),
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,17 +1,19 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
-use trailproxy_operator::decide::{DefaultValue, FieldType, Kind, ParsedFile, Section, may, must};
+use trailproxy_operator::decide::{
+    DefaultValue, FieldType, ParsedFile, Section, SectionKind, may, must,
+};
 use trailproxy_zones::decide::rise::Alarm;
 use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
 
 const KB: FieldType = FieldType::Number(0.0, 1e9);
 
 /// For the reader of the file.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "zones",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: &[
             may("on", FieldType::Flag, DefaultValue::Flag(true)),
             may(
@@ -34,10 +36,10 @@
             ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "crossing",
-        most: 256,
-        needed: false,
+        max_count: 256,
+        required: false,
         fields: &[
             must("name", FieldType::Name),
             may("out_of", FieldType::Name, DefaultValue::Text("")),
