--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    ConfigError, DefaultValue, FieldKind, FieldType, ParsedFile, Section, SectionKind, may, must,
+    ConfigError, DefaultValue, FieldSpec, FieldType, ParsedFile, Section, SectionKind, may, must,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
@@ -225,7 +225,7 @@
     trailproxy_zones_tools::sections::KINDS[1],
 ];
 
-const FLEET: &[FieldKind] = &[
+const FLEET: &[FieldSpec] = &[
     may(
         "flow_kb_per_s",
         FieldType::Number(0.1, 1e9),
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -4,7 +4,7 @@
 use trailproxy_lab::decide::baseline::Policy;
 use trailproxy_lab::model::{Day, run};
 use trailproxy_lab::scenario::{KINDS, Scenario};
-use trailproxy_operator::decide::FieldKind;
+use trailproxy_operator::decide::FieldSpec;
 use trailproxy_operator::{Bounds, FieldType, SectionKind, read};
 use trailproxy_standins::shape::{Cue, DAWN, Trouble};
 
@@ -197,7 +197,7 @@
         for field in kind.fields {
             for value in wrong_values(field.field_type) {
                 let given =
-                    |other: &&FieldKind| other.name != field.name && other.default.is_none();
+                    |other: &&FieldSpec| other.name != field.name && other.default.is_none();
                 let others: String = kind
                     .fields
                     .iter()
@@ -211,7 +211,7 @@
                 // Names are looked up last and in turn: another one that must be given is missed first.
                 let looked_up = matches!(field.field_type, FieldType::Reference(_))
                     && value.contains("no-such-thing");
-                let earlier = |f: &&FieldKind| {
+                let earlier = |f: &&FieldSpec| {
                     f.name != field.name
                         && f.default.is_none()
                         && matches!(f.field_type, FieldType::Reference(_))
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -179,7 +179,7 @@
 
 /// One field of a kind of section, with what holds where it is not given; `None`: it must be given.
 #[derive(Clone, Copy, Debug)]
-pub struct FieldKind {
+pub struct FieldSpec {
     pub name: &'static str,
     pub field_type: FieldType,
     pub default: Option<DefaultValue>,
@@ -203,19 +203,19 @@
     /// How many of it a file may hold.
     pub max_count: usize,
     pub required: bool,
-    pub fields: &'static [FieldKind],
+    pub fields: &'static [FieldSpec],
 }
 
-pub const fn must(name: &'static str, field_type: FieldType) -> FieldKind {
-    FieldKind {
+pub const fn must(name: &'static str, field_type: FieldType) -> FieldSpec {
+    FieldSpec {
         name,
         field_type,
         default: None,
     }
 }
 
-pub const fn may(name: &'static str, field_type: FieldType, default: DefaultValue) -> FieldKind {
-    FieldKind {
+pub const fn may(name: &'static str, field_type: FieldType, default: DefaultValue) -> FieldSpec {
+    FieldSpec {
         name,
         field_type,
         default: Some(default),
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,10 +1,10 @@
 //! An operator's file that is wrong in one way, and what is said of it.
 
 use proptest::prelude::*;
-use trailproxy_operator::decide::{DefaultValue, FieldKind, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldSpec, may, must};
 use trailproxy_operator::{Bounds, ConfigError, FieldType, ParsedFile, SectionKind, read};
 
-const FIELDS: &[FieldKind] = &[
+const FIELDS: &[FieldSpec] = &[
     must("name", FieldType::Name),
     may(
         "rate",
