--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -1,7 +1,7 @@
 //! The fleet to be measured, read from a Starlark file and checked before anything begins.
 
 use trailproxy::units::TimeSpan;
-use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, optional, required};
 use trailproxy_operator::{Bounds, ConfigError, ParsedFile, Section, read};
 
 /// The description that is used where no file is named.
@@ -22,57 +22,57 @@
         max_count: 1,
         required: true,
         fields: &[
-            must("members", FieldType::Whole(2, MOST_MEMBERS)),
-            may("purges_per_s", PER_SECOND, DefaultValue::Number(7.5)),
-            may("requests_per_s", PER_SECOND, DefaultValue::Number(939.0)),
-            may("keyed_share", SHARE, DefaultValue::Number(0.035)),
-            may("repeat_share", SHARE, DefaultValue::Number(0.05)),
-            may(
+            required("members", FieldType::Whole(2, MOST_MEMBERS)),
+            optional("purges_per_s", PER_SECOND, DefaultValue::Number(7.5)),
+            optional("requests_per_s", PER_SECOND, DefaultValue::Number(939.0)),
+            optional("keyed_share", SHARE, DefaultValue::Number(0.035)),
+            optional("repeat_share", SHARE, DefaultValue::Number(0.05)),
+            optional(
                 "repeat_least_s",
                 FieldType::Number(0.0, 60.0),
                 DefaultValue::Number(0.3),
             ),
-            may(
+            optional(
                 "repeat_most_s",
                 FieldType::Number(0.0, 60.0),
                 DefaultValue::Number(2.0),
             ),
-            may(
+            optional(
                 "limit_s",
                 FieldType::Number(0.1, 60.0),
                 DefaultValue::Number(5.0),
             ),
-            may(
+            optional(
                 "wait_ms",
                 FieldType::Number(0.5, 1_000.0),
                 DefaultValue::Number(5.0),
             ),
-            may(
+            optional(
                 "keep_s",
                 FieldType::Number(1.0, 3_600.0),
                 DefaultValue::Number(30.0),
             ),
-            may(
+            optional(
                 "purges_last_s",
                 FieldType::Number(1.0, 3_600.0),
                 DefaultValue::Number(30.0),
             ),
-            may("refuse", FieldType::Flag, DefaultValue::Flag(false)),
+            optional("refuse", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
     SectionKind {
         name: "region",
         max_count: MOST_PLACES,
         required: true,
-        fields: &[must("name", FieldType::Name)],
+        fields: &[required("name", FieldType::Name)],
     },
     SectionKind {
         name: "zone",
         max_count: MOST_PLACES,
         required: true,
         fields: &[
-            must("name", FieldType::Name),
-            must("region", FieldType::Reference("region")),
+            required("name", FieldType::Name),
+            required("region", FieldType::Reference("region")),
         ],
     },
     SectionKind {
@@ -80,10 +80,10 @@
         max_count: MOST_PLACES,
         required: true,
         fields: &[
-            must("name", FieldType::Name),
-            must("zone", FieldType::Reference("zone")),
-            must("seats", FieldType::Whole(1, MOST_MEMBERS)),
-            may(
+            required("name", FieldType::Name),
+            required("zone", FieldType::Reference("zone")),
+            required("seats", FieldType::Whole(1, MOST_MEMBERS)),
+            optional(
                 "load_factor",
                 FieldType::Number(0.0, 1_000.0),
                 DefaultValue::Number(1.0),
@@ -95,10 +95,10 @@
         max_count: DISTANCE_KINDS.len(),
         required: true,
         fields: &[
-            must("kind", FieldType::OneOf(&DISTANCE_KINDS)),
-            must("least_ms", MILLISECONDS),
-            must("most_ms", MILLISECONDS),
-            may("loss", SHARE, DefaultValue::Number(0.0)),
+            required("kind", FieldType::OneOf(&DISTANCE_KINDS)),
+            required("least_ms", MILLISECONDS),
+            required("most_ms", MILLISECONDS),
+            optional("loss", SHARE, DefaultValue::Number(0.0)),
         ],
     },
 ];
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,7 +4,8 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    ConfigError, DefaultValue, FieldSpec, FieldType, ParsedFile, Section, SectionKind, may, must,
+    ConfigError, DefaultValue, FieldSpec, FieldType, ParsedFile, Section, SectionKind, optional,
+    required,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
@@ -40,10 +41,10 @@
         max_count: 1,
         required: true,
         fields: &[
-            must("name", FieldType::Name),
-            must("seconds", FieldType::Number(1.0, 100_000.0)),
+            required("name", FieldType::Name),
+            required("seconds", FieldType::Number(1.0, 100_000.0)),
             // Counted from this second on: before it, dispatchers learn and stores settle.
-            may("from_s", SECONDS, DefaultValue::Number(1.0)),
+            optional("from_s", SECONDS, DefaultValue::Number(1.0)),
         ],
     },
     SectionKind {
@@ -57,10 +58,10 @@
         max_count: 1_000,
         required: true,
         fields: &[
-            must("name", FieldType::Name),
-            may("link_kb_per_s", KB, DefaultValue::Number(0.0)),
-            may("distance_ms", MILLIS, DefaultValue::Number(10.0)),
-            may(
+            required("name", FieldType::Name),
+            optional("link_kb_per_s", KB, DefaultValue::Number(0.0)),
+            optional("distance_ms", MILLIS, DefaultValue::Number(10.0)),
+            optional(
                 "dispatchers",
                 FieldType::Whole(0, 10_000),
                 DefaultValue::Whole(0),
@@ -72,22 +73,22 @@
         max_count: 5_000,
         required: true,
         fields: &[
-            must("role", FieldType::OneOf(&["cache", "parent", "origin"])),
-            must("zone", FieldType::Reference("zone")),
-            may("count", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
-            may(
+            required("role", FieldType::OneOf(&["cache", "parent", "origin"])),
+            required("zone", FieldType::Reference("zone")),
+            optional("count", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
+            optional(
                 "size",
                 FieldType::Number(0.1, 1e6),
                 DefaultValue::Number(8.0),
             ),
-            may("room_kb", KB, DefaultValue::Number(400_000.0)),
-            may("first_byte_ms", MILLIS, DefaultValue::Number(8.0)),
-            may(
+            optional("room_kb", KB, DefaultValue::Number(400_000.0)),
+            optional("first_byte_ms", MILLIS, DefaultValue::Number(8.0)),
+            optional(
                 "places",
                 FieldType::Whole(1, 1_000_000),
                 DefaultValue::Whole(400),
             ),
-            may("cell", FieldType::Whole(0, 60_000), DefaultValue::Whole(0)),
+            optional("cell", FieldType::Whole(0, 60_000), DefaultValue::Whole(0)),
         ],
     },
     SectionKind {
@@ -95,37 +96,37 @@
         max_count: 100,
         required: true,
         fields: &[
-            must("name", FieldType::Name),
-            may("due_ms", MILLIS, DefaultValue::Number(800.0)),
-            may(
+            required("name", FieldType::Name),
+            optional("due_ms", MILLIS, DefaultValue::Number(800.0)),
+            optional(
                 "limit_ms",
                 FieldType::Number(10.0, 1e6),
                 DefaultValue::Number(3_000.0),
             ),
-            may(
+            optional(
                 "stretch",
                 FieldType::Number(0.0, 100.0),
                 DefaultValue::Number(2.0),
             ),
-            may(
+            optional(
                 "importance",
                 FieldType::Number(0.0, 1e6),
                 DefaultValue::Number(1.0),
             ),
-            may(
+            optional(
                 "effect",
                 FieldType::OneOf(&["retriable", "fingerprinted", "binding"]),
                 DefaultValue::Text("retriable"),
             ),
-            may(
+            optional(
                 "group",
                 FieldType::OneOf(&["all", "zone", "cell"]),
                 DefaultValue::Text("all"),
             ),
-            may("window_ms", MILLIS, DefaultValue::Number(2_000.0)),
-            may("fresh_ms", MILLIS, DefaultValue::Number(0.0)),
-            may("grace_ms", MILLIS, DefaultValue::Number(0.0)),
-            may("written", FieldType::Flag, DefaultValue::Flag(false)),
+            optional("window_ms", MILLIS, DefaultValue::Number(2_000.0)),
+            optional("fresh_ms", MILLIS, DefaultValue::Number(0.0)),
+            optional("grace_ms", MILLIS, DefaultValue::Number(0.0)),
+            optional("written", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
     SectionKind {
@@ -133,37 +134,37 @@
         max_count: 1_000,
         required: true,
         fields: &[
-            must("track", FieldType::Reference("track")),
-            must("per_s", RATE),
-            may("zone", FieldType::Reference("zone"), DefaultValue::Text("")),
-            may(
+            required("track", FieldType::Reference("track")),
+            required("per_s", RATE),
+            optional("zone", FieldType::Reference("zone"), DefaultValue::Text("")),
+            optional(
                 "objects",
                 FieldType::Whole(1, 100_000_000),
                 DefaultValue::Whole(5_000),
             ),
-            may(
+            optional(
                 "zipf",
                 FieldType::Number(0.0, 5.0),
                 DefaultValue::Number(0.9),
             ),
-            may(
+            optional(
                 "median_kb",
                 FieldType::Number(0.01, 1e9),
                 DefaultValue::Number(80.0),
             ),
             // Of the logarithm of the sizes.
-            may(
+            optional(
                 "spread",
                 FieldType::Number(0.0, 4.0),
                 DefaultValue::Number(0.8),
             ),
-            may("most_kb", KB, DefaultValue::Number(20_000.0)),
-            may("parts", FieldType::Whole(1, 1_000), DefaultValue::Whole(1)),
-            may("local", SHARE, DefaultValue::Number(0.2)),
-            may("once", SHARE, DefaultValue::Number(0.0)),
-            may("from_s", SECONDS, DefaultValue::Number(0.0)),
-            may("until_s", SECONDS, DefaultValue::Number(100_000.0)),
-            may("told", FieldType::Flag, DefaultValue::Flag(true)),
+            optional("most_kb", KB, DefaultValue::Number(20_000.0)),
+            optional("parts", FieldType::Whole(1, 1_000), DefaultValue::Whole(1)),
+            optional("local", SHARE, DefaultValue::Number(0.2)),
+            optional("once", SHARE, DefaultValue::Number(0.0)),
+            optional("from_s", SECONDS, DefaultValue::Number(0.0)),
+            optional("until_s", SECONDS, DefaultValue::Number(100_000.0)),
+            optional("told", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
     SectionKind {
@@ -171,10 +172,10 @@
         max_count: 1_000,
         required: false,
         fields: &[
-            must("track", FieldType::Reference("track")),
-            must("at_s", SECONDS),
-            must("for_s", SECONDS),
-            must("times", FieldType::Number(0.0, 1_000.0)),
+            required("track", FieldType::Reference("track")),
+            required("at_s", SECONDS),
+            required("for_s", SECONDS),
+            required("times", FieldType::Number(0.0, 1_000.0)),
         ],
     },
     SectionKind {
@@ -182,8 +183,8 @@
         max_count: 1,
         required: false,
         fields: &[
-            may("retries", FieldType::Whole(0, 20), DefaultValue::Whole(1)),
-            may("away_ms", MILLIS, DefaultValue::Number(300.0)),
+            optional("retries", FieldType::Whole(0, 20), DefaultValue::Whole(1)),
+            optional("away_ms", MILLIS, DefaultValue::Number(300.0)),
         ],
     },
     SectionKind {
@@ -191,15 +192,15 @@
         max_count: 10_000,
         required: false,
         fields: &[
-            must("kind", FieldType::OneOf(TROUBLES)),
-            must("at_s", SECONDS),
-            may("for_s", SECONDS, DefaultValue::Number(5.0)),
+            required("kind", FieldType::OneOf(TROUBLES)),
+            required("at_s", SECONDS),
+            optional("for_s", SECONDS, DefaultValue::Number(5.0)),
             // The beginning of hosts' names, a zone for a link, a group for a purge, nothing for the list.
-            may("target", FieldType::Name, DefaultValue::Text("")),
-            may("by", FieldType::Number(0.0, 1e6), DefaultValue::Number(0.0)),
+            optional("target", FieldType::Name, DefaultValue::Text("")),
+            optional("by", FieldType::Number(0.0, 1e6), DefaultValue::Number(0.0)),
             // From one host to the next.
-            may("step_s", SECONDS, DefaultValue::Number(0.0)),
-            may(
+            optional("step_s", SECONDS, DefaultValue::Number(0.0)),
+            optional(
                 "most",
                 FieldType::Whole(0, 100_000),
                 DefaultValue::Whole(100_000),
@@ -211,13 +212,13 @@
         max_count: 1,
         required: false,
         fields: &[
-            may("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
-            may(
+            optional("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
+            optional(
                 "floors",
                 FieldType::Number(0.0, 1.0),
                 DefaultValue::Number(0.25),
             ),
-            may("cold", FieldType::Flag, DefaultValue::Flag(true)),
+            optional("cold", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
     // Traffic between zones, as in the operator's own file.
@@ -226,62 +227,62 @@
 ];
 
 const FLEET: &[FieldSpec] = &[
-    may(
+    optional(
         "flow_kb_per_s",
         FieldType::Number(0.1, 1e9),
         DefaultValue::Number(3_600.0),
     ),
-    may(
+    optional(
         "fill_pace",
         FieldType::Number(0.1, 100.0),
         DefaultValue::Number(1.75),
     ),
-    may(
+    optional(
         "notes",
         FieldType::OneOf(&["all", "hits", "none"]),
         DefaultValue::Text("hits"),
     ),
-    may("joins", FieldType::Flag, DefaultValue::Flag(true)),
-    may("straight", FieldType::Flag, DefaultValue::Flag(true)),
-    may("link_told", FieldType::Flag, DefaultValue::Flag(false)),
-    may(
+    optional("joins", FieldType::Flag, DefaultValue::Flag(true)),
+    optional("straight", FieldType::Flag, DefaultValue::Flag(true)),
+    optional("link_told", FieldType::Flag, DefaultValue::Flag(false)),
+    optional(
         "max_hand_offs",
         FieldType::Whole(1, 100),
         DefaultValue::Whole(6),
     ),
-    may("withdraw", FieldType::Flag, DefaultValue::Flag(true)),
-    may("longest_away_ms", MILLIS, DefaultValue::Number(2_000.0)),
-    may("list_delay_ms", MILLIS, DefaultValue::Number(300.0)),
-    may("purge_delay_ms", MILLIS, DefaultValue::Number(200.0)),
-    may("purge_grace_ms", MILLIS, DefaultValue::Number(500.0)),
-    may("purge_done_ms", MILLIS, DefaultValue::Number(6_000.0)),
-    may("fill_within_ms", MILLIS, DefaultValue::Number(2_500.0)),
-    may("noticed_ms", MILLIS, DefaultValue::Number(1_000.0)),
-    may("fallen_ms", MILLIS, DefaultValue::Number(5_000.0)),
-    may("hop_ms", MILLIS, DefaultValue::Number(1.0)),
+    optional("withdraw", FieldType::Flag, DefaultValue::Flag(true)),
+    optional("longest_away_ms", MILLIS, DefaultValue::Number(2_000.0)),
+    optional("list_delay_ms", MILLIS, DefaultValue::Number(300.0)),
+    optional("purge_delay_ms", MILLIS, DefaultValue::Number(200.0)),
+    optional("purge_grace_ms", MILLIS, DefaultValue::Number(500.0)),
+    optional("purge_done_ms", MILLIS, DefaultValue::Number(6_000.0)),
+    optional("fill_within_ms", MILLIS, DefaultValue::Number(2_500.0)),
+    optional("noticed_ms", MILLIS, DefaultValue::Number(1_000.0)),
+    optional("fallen_ms", MILLIS, DefaultValue::Number(5_000.0)),
+    optional("hop_ms", MILLIS, DefaultValue::Number(1.0)),
     // On loopback bodies have all their bytes, as they do where traffic between zones is accounted for.
-    may("whole_bodies", FieldType::Flag, DefaultValue::Flag(false)),
+    optional("whole_bodies", FieldType::Flag, DefaultValue::Flag(false)),
     // Times what it can do; 0: it never falls over.
-    may(
+    optional(
         "origin_bears",
         FieldType::Number(0.0, 1_000.0),
         DefaultValue::Number(0.0),
     ),
-    may("cold_from", SHARE, DefaultValue::Number(0.25)),
-    may("cold_ms", MILLIS, DefaultValue::Number(14_000.0)),
-    may(
+    optional("cold_from", SHARE, DefaultValue::Number(0.25)),
+    optional("cold_ms", MILLIS, DefaultValue::Number(14_000.0)),
+    optional(
         "cold_multiple",
         FieldType::Number(0.1, 1_000.0),
         DefaultValue::Number(4.0),
     ),
-    may("parent_cold_from", SHARE, DefaultValue::Number(0.1)),
-    may("parent_cold_ms", MILLIS, DefaultValue::Number(20_000.0)),
-    may(
+    optional("parent_cold_from", SHARE, DefaultValue::Number(0.1)),
+    optional("parent_cold_ms", MILLIS, DefaultValue::Number(20_000.0)),
+    optional(
         "parent_cold_multiple",
         FieldType::Number(0.1, 1_000.0),
         DefaultValue::Number(2.0),
     ),
-    may("cold_within_ms", MILLIS, DefaultValue::Number(1_000.0)),
+    optional("cold_within_ms", MILLIS, DefaultValue::Number(1_000.0)),
 ];
 
 /// What clients of one stream ask for.
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -206,7 +206,7 @@
     pub fields: &'static [FieldSpec],
 }
 
-pub const fn must(name: &'static str, field_type: FieldType) -> FieldSpec {
+pub const fn required(name: &'static str, field_type: FieldType) -> FieldSpec {
     FieldSpec {
         name,
         field_type,
@@ -214,7 +214,11 @@
     }
 }
 
-pub const fn may(name: &'static str, field_type: FieldType, default: DefaultValue) -> FieldSpec {
+pub const fn optional(
+    name: &'static str,
+    field_type: FieldType,
+    default: DefaultValue,
+) -> FieldSpec {
     FieldSpec {
         name,
         field_type,
--- a/crates/operator/tests/files.rs
+++ b/crates/operator/tests/files.rs
@@ -1,29 +1,29 @@
 //! An operator's file that is wrong in one way, and what is said of it.
 
 use proptest::prelude::*;
-use trailproxy_operator::decide::{DefaultValue, FieldSpec, may, must};
+use trailproxy_operator::decide::{DefaultValue, FieldSpec, optional, required};
 use trailproxy_operator::{Bounds, ConfigError, FieldType, ParsedFile, SectionKind, read};
 
 const FIELDS: &[FieldSpec] = &[
-    must("name", FieldType::Name),
-    may(
+    required("name", FieldType::Name),
+    optional(
         "rate",
         FieldType::Number(0.0, 100.0),
         DefaultValue::Number(5.0),
     ),
-    may("count", FieldType::Whole(1, 9), DefaultValue::Whole(1)),
-    may(
+    optional("count", FieldType::Whole(1, 9), DefaultValue::Whole(1)),
+    optional(
         "sort",
         FieldType::OneOf(&["hub", "depot"]),
         DefaultValue::Text("hub"),
     ),
-    may("on", FieldType::Flag, DefaultValue::Flag(false)),
-    may(
+    optional("on", FieldType::Flag, DefaultValue::Flag(false)),
+    optional(
         "shares",
         FieldType::Numbers(0.0, 1.0),
         DefaultValue::EmptyList,
     ),
-    may("via", FieldType::Reference("zone"), DefaultValue::Text("")),
+    optional("via", FieldType::Reference("zone"), DefaultValue::Text("")),
 ];
 const KINDS: &[SectionKind] = &[SectionKind {
     name: "zone",
--- a/crates/trailproxy-cli/src/lab.rs
+++ b/crates/trailproxy-cli/src/lab.rs
@@ -13,7 +13,7 @@
 use trailproxy_lab::report;
 use trailproxy_lab::scenario::Scenario;
 use trailproxy_lab::tally::Summary;
-use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, may};
+use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, optional};
 use trailproxy_operator::{ParsedFile, read_file};
 
 /// What the laboratory does where the command line does not say.
@@ -22,8 +22,8 @@
     max_count: 1,
     required: false,
     fields: &[
-        may("days", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
-        may(
+        optional("days", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
+        optional(
             "seed",
             FieldType::Whole(0, i64::MAX),
             DefaultValue::Whole(1),
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,7 +1,9 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
 use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
-use trailproxy_operator::decide::{DefaultValue, FieldType, ParsedFile, SectionKind, may, must};
+use trailproxy_operator::decide::{
+    DefaultValue, FieldType, ParsedFile, SectionKind, optional, required,
+};
 use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::sheet::Sheet as StoreSheet;
@@ -37,29 +39,29 @@
     max_count: 1,
     required: false,
     fields: &[
-        may("on", FieldType::Flag, DefaultValue::Flag(true)),
-        must("host", FieldType::Name),
-        may(
+        optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+        required("host", FieldType::Name),
+        optional(
             "port",
             FieldType::Whole(1, 65_535),
             DefaultValue::Number(6_379.0),
         ),
-        may("password_file", FieldType::Name, DefaultValue::Text("")),
-        may("prefix", FieldType::Name, DefaultValue::Text("trailproxy/")),
-        may(
+        optional("password_file", FieldType::Name, DefaultValue::Text("")),
+        optional("prefix", FieldType::Name, DefaultValue::Text("trailproxy/")),
+        optional(
             "wait_ms",
             FieldType::Number(0.5, 100.0),
             DefaultValue::Number(4.0),
         ),
-        may(
+        optional(
             "keep_s",
             FieldType::Number(1.0, 3_600.0),
             DefaultValue::Number(30.0),
         ),
-        may("records", FieldType::Flag, DefaultValue::Flag(false)),
-        may("hints", FieldType::Flag, DefaultValue::Flag(false)),
-        may("purges", FieldType::Flag, DefaultValue::Flag(false)),
-        may("words", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("records", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("hints", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("purges", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("words", FieldType::Flag, DefaultValue::Flag(false)),
     ],
 };
 
@@ -88,31 +90,31 @@
     max_count: 1,
     required: false,
     fields: &[
-        may("on", FieldType::Flag, DefaultValue::Flag(true)),
-        must("fleet", FieldType::Name),
-        may("secret_file", FieldType::Name, DefaultValue::Text("")),
-        may("listen", FieldType::Address, DefaultValue::Text("")),
-        may("advertise", FieldType::Address, DefaultValue::Text("")),
-        must("seeds", FieldType::Addresses),
-        may(
+        optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+        required("fleet", FieldType::Name),
+        optional("secret_file", FieldType::Name, DefaultValue::Text("")),
+        optional("listen", FieldType::Address, DefaultValue::Text("")),
+        optional("advertise", FieldType::Address, DefaultValue::Text("")),
+        required("seeds", FieldType::Addresses),
+        optional(
             "unsure",
             FieldType::OneOf(&["send", "refuse"]),
             DefaultValue::Text("send"),
         ),
-        may(
+        optional(
             "wait_ms",
             FieldType::Number(0.5, 100.0),
             DefaultValue::Number(5.0),
         ),
-        may(
+        optional(
             "keep_s",
             FieldType::Number(1.0, 3_600.0),
             DefaultValue::Number(30.0),
         ),
-        may("records", FieldType::Flag, DefaultValue::Flag(true)),
-        may("purges", FieldType::Flag, DefaultValue::Flag(true)),
-        may("hosts", FieldType::Flag, DefaultValue::Flag(true)),
-        may("hints", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("records", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("purges", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("hosts", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("hints", FieldType::Flag, DefaultValue::Flag(true)),
     ],
 };
 
@@ -147,10 +149,10 @@
     max_count: MOST_SITES,
     required: false,
     fields: &[
-        must("name", FieldType::Name),
-        must("zone", FieldType::Name),
-        must("region", FieldType::Name),
-        must("members", FieldType::AddressRanges),
+        required("name", FieldType::Name),
+        required("zone", FieldType::Name),
+        required("region", FieldType::Name),
+        required("members", FieldType::AddressRanges),
     ],
 };
 
@@ -174,19 +176,19 @@
     max_count: 1,
     required: false,
     fields: &[
-        may("on", FieldType::Flag, DefaultValue::Flag(true)),
-        must("voters", FieldType::Names),
-        may(
+        optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+        required("voters", FieldType::Names),
+        optional(
             "floors",
             FieldType::Number(0.0, 1.0),
             DefaultValue::Number(0.25),
         ),
-        may(
+        optional(
             "lasts_s",
             FieldType::Number(0.5, 60.0),
             DefaultValue::Number(2.0),
         ),
-        may("cold", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("cold", FieldType::Flag, DefaultValue::Flag(true)),
     ],
 };
 
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use std::fmt;
 use trailproxy_operator::decide::{
-    DefaultValue, FieldType, ParsedFile, Section, SectionKind, may, must,
+    DefaultValue, FieldType, ParsedFile, Section, SectionKind, optional, required,
 };
 
 /// One kind of thing that strikes.
@@ -187,50 +187,50 @@
         max_count: 1,
         required: true,
         fields: &[
-            may("peers", FieldType::Flag, DefaultValue::Flag(true)),
-            may("store", FieldType::Flag, DefaultValue::Flag(false)),
-            may("budgets", FieldType::Flag, DefaultValue::Flag(false)),
-            may("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
-            may(
+            optional("peers", FieldType::Flag, DefaultValue::Flag(true)),
+            optional("store", FieldType::Flag, DefaultValue::Flag(false)),
+            optional("budgets", FieldType::Flag, DefaultValue::Flag(false)),
+            optional("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
+            optional(
                 "busy",
                 FieldType::Number(0.0, 1.0),
                 DefaultValue::Number(0.0),
             ),
-            may("refuse", FieldType::Flag, DefaultValue::Flag(false)),
-            may(
+            optional("refuse", FieldType::Flag, DefaultValue::Flag(false)),
+            optional(
                 "wait_ms",
                 FieldType::Number(0.5, 100.0),
                 DefaultValue::Number(5.0),
             ),
-            may(
+            optional(
                 "keep_s",
                 FieldType::Number(1.0, 600.0),
                 DefaultValue::Number(5.0),
             ),
-            may(
+            optional(
                 "lead_s",
                 FieldType::Number(0.0, 600.0),
                 DefaultValue::Number(7.0),
             ),
-            may("zones", FieldType::Whole(0, 6), DefaultValue::Whole(0)),
-            may("sites", FieldType::Flag, DefaultValue::Flag(true)),
-            may(
+            optional("zones", FieldType::Whole(0, 6), DefaultValue::Whole(0)),
+            optional("sites", FieldType::Flag, DefaultValue::Flag(true)),
+            optional(
                 "zone_ms",
                 FieldType::Number(0.0, 100.0),
                 DefaultValue::Number(10.0),
             ),
-            may(
+            optional(
                 "region_ms",
                 FieldType::Number(0.0, 200.0),
                 DefaultValue::Number(40.0),
             ),
-            may(
+            optional(
                 "patience_ms",
                 FieldType::Number(50.0, 60_000.0),
                 DefaultValue::Number(900.0),
             ),
-            may("again", FieldType::Whole(0, 1_000), DefaultValue::Whole(10)),
-            may("drawn", FieldType::Whole(0, 20), DefaultValue::Whole(0)),
+            optional("again", FieldType::Whole(0, 1_000), DefaultValue::Whole(10)),
+            optional("drawn", FieldType::Whole(0, 20), DefaultValue::Whole(0)),
         ],
     },
     SectionKind {
@@ -238,15 +238,15 @@
         max_count: 100,
         required: false,
         fields: &[
-            must("what", FieldType::OneOf(&WORDS)),
-            must("at_s", FieldType::Number(0.0, 10_000.0)),
-            may(
+            required("what", FieldType::OneOf(&WORDS)),
+            required("at_s", FieldType::Number(0.0, 10_000.0)),
+            optional(
                 "for_s",
                 FieldType::Number(0.0, 10_000.0),
                 DefaultValue::Number(2.0),
             ),
-            must("who", FieldType::Numbers(0.0, 63.0)),
-            may(
+            required("who", FieldType::Numbers(0.0, 63.0)),
+            optional(
                 "amount",
                 FieldType::Number(-1.0, 4e6),
                 DefaultValue::Number(-1.0),
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,7 +1,7 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
 use trailproxy_operator::decide::{
-    DefaultValue, FieldType, ParsedFile, Section, SectionKind, may, must,
+    DefaultValue, FieldType, ParsedFile, Section, SectionKind, optional, required,
 };
 use trailproxy_zones::decide::rise::Alarm;
 use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
@@ -15,21 +15,21 @@
         max_count: 1,
         required: false,
         fields: &[
-            may("on", FieldType::Flag, DefaultValue::Flag(true)),
-            may(
+            optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+            optional(
                 "report_s",
                 FieldType::Number(0.5, 3_600.0),
                 DefaultValue::Number(10.0),
             ),
-            may("first", FieldType::Names, DefaultValue::EmptyList),
-            may("metrics", FieldType::Name, DefaultValue::Text("")),
-            may("alarm", FieldType::Flag, DefaultValue::Flag(true)),
-            may(
+            optional("first", FieldType::Names, DefaultValue::EmptyList),
+            optional("metrics", FieldType::Name, DefaultValue::Text("")),
+            optional("alarm", FieldType::Flag, DefaultValue::Flag(true)),
+            optional(
                 "alarm_at",
                 FieldType::Number(1.0, 1_000.0),
                 DefaultValue::Number(8.0),
             ),
-            may(
+            optional(
                 "alarm_slack",
                 FieldType::Number(0.0, 100.0),
                 DefaultValue::Number(2.0),
@@ -41,15 +41,15 @@
         max_count: 256,
         required: false,
         fields: &[
-            must("name", FieldType::Name),
-            may("out_of", FieldType::Name, DefaultValue::Text("")),
-            must("into", FieldType::Name),
-            must("kb_per_s", KB),
-            must("burst_kb", KB),
-            may("reserve_kb_per_s", KB, DefaultValue::Number(0.0)),
-            may("largest_kb", KB, DefaultValue::Number(0.0)),
-            may("least_kb_per_s", KB, DefaultValue::Number(0.0)),
-            may("most_kb_per_s", KB, DefaultValue::Number(0.0)),
+            required("name", FieldType::Name),
+            optional("out_of", FieldType::Name, DefaultValue::Text("")),
+            required("into", FieldType::Name),
+            required("kb_per_s", KB),
+            required("burst_kb", KB),
+            optional("reserve_kb_per_s", KB, DefaultValue::Number(0.0)),
+            optional("largest_kb", KB, DefaultValue::Number(0.0)),
+            optional("least_kb_per_s", KB, DefaultValue::Number(0.0)),
+            optional("most_kb_per_s", KB, DefaultValue::Number(0.0)),
         ],
     },
 ];
