--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -217,7 +217,7 @@
         let seats: usize = self.sites.iter().map(|site| site.seats).sum();
         if self.members > seats {
             let wanted = format!("no more than the {seats} seats of all sites");
-            return Err(fleet.wrong("members", wanted));
+            return Err(fleet.field_error("members", wanted));
         }
         Ok(())
     }
@@ -255,7 +255,7 @@
 fn demand(of: &Section) -> Result<Demand, Box<ConfigError>> {
     let seconds = |field: &str| TimeSpan::from_secs_f64(of.number(field));
     if of.number("repeat_least_s") > of.number("repeat_most_s") {
-        return Err(of.wrong("repeat_least_s", "no more than repeat_most_s"));
+        return Err(of.field_error("repeat_least_s", "no more than repeat_most_s"));
     }
     Ok(Demand {
         purges_per_s: of.number("purges_per_s"),
@@ -286,10 +286,10 @@
     let of = sections.next();
     let of = of.ok_or_else(|| missing(sheet, &format!("distance of kind {kind}")))?;
     if let Some(second) = sections.next() {
-        return Err(second.wrong("kind", "a kind that no other distance has"));
+        return Err(second.field_error("kind", "a kind that no other distance has"));
     }
     if of.number("least_ms") > of.number("most_ms") {
-        return Err(of.wrong("least_ms", "no more than most_ms"));
+        return Err(of.field_error("least_ms", "no more than most_ms"));
     }
     let span = |field: &str| TimeSpan::from_secs_f64(of.number(field) / 1e3);
     Ok(Distance {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -426,7 +426,7 @@
             if role == Role::Origin
                 && (section.whole("count") > 1 || hosts.iter().any(|h| h.role == role))
             {
-                return Err(section.wrong("role", "one origin in all"));
+                return Err(section.field_error("role", "one origin in all"));
             }
             let zone = zone_id(section.text("zone"));
             for _ in 0..section.whole("count") {
@@ -450,7 +450,7 @@
         }
         if !hosts.iter().any(|host| host.role == Role::Cache) {
             let first = sheet.one("hosts").unwrap_or(head);
-            return Err(first.wrong("role", "at least one section of caches"));
+            return Err(first.field_error("role", "at least one section of caches"));
         }
         let seats: Vec<u32> = sheet
             .all("zone")
@@ -458,7 +458,7 @@
             .collect();
         if seats.iter().sum::<u32>() == 0 {
             let first = sheet.one("zone").unwrap_or(head);
-            return Err(first.wrong(
+            return Err(first.field_error(
                 "dispatchers",
                 "at least one dispatcher in all zones together",
             ));
@@ -469,13 +469,13 @@
                 .iter()
                 .any(|host| host.role == Role::Cache && host.zone == zone);
             if *seats > 0 && !caches {
-                return Err(section.wrong("dispatchers", "none in a zone that has no cache"));
+                return Err(section.field_error("dispatchers", "none in a zone that has no cache"));
             }
         }
         let classes: Vec<ClassSettings> = sheet.all("track").map(track).collect();
         for section in sheet.all("track") {
             if section.number("due_ms") > section.number("limit_ms") {
-                return Err(section.wrong("due_ms", "a due time no longer than limit_ms"));
+                return Err(section.field_error("due_ms", "a due time no longer than limit_ms"));
             }
         }
         let shape = Shape {
@@ -611,7 +611,7 @@
             });
             let seats = scenario.loads.last().and_then(|load| load.zone);
             if seats.is_some_and(|zone| scenario.seats[usize::from(zone.0)] == 0) {
-                return Err(section.wrong("zone", "a zone that has dispatchers"));
+                return Err(section.field_error("zone", "a zone that has dispatchers"));
             }
         }
         for section in sheet.all("burst") {
@@ -648,20 +648,20 @@
         let cues = match kind {
             "link" => {
                 let Some(zone) = zone_at(target) else {
-                    return Err(section.wrong("target", "the name of a zone, for a link"));
+                    return Err(section.field_error("target", "the name of a zone, for a link"));
                 };
                 one(Trouble::Link(ZoneId(zone as u16), by.max(1e-3), span))
             }
             "late_list" => one(Trouble::LateList(TimeSpan::from_secs_f64(by), span)),
             "purge" => {
                 let Ok(group) = target.parse::<u32>() else {
-                    return Err(section.wrong("target", "the number of a group, for a purge"));
+                    return Err(section.field_error("target", "the number of a group, for a purge"));
                 };
                 one(Trouble::Purge(None, GroupId(group)))
             }
             "dispatchers" => {
                 if !(0.0..=1.0).contains(&by) {
-                    return Err(section.wrong("by", "a share from 0 to 1, for dispatchers"));
+                    return Err(section.field_error("by", "a share from 0 to 1, for dispatchers"));
                 }
                 self.kills.push(Kill {
                     at,
@@ -686,10 +686,12 @@
                         "the beginning of a host's name, as {}",
                         names.collect::<Vec<_>>().join(", ")
                     );
-                    return Err(section.wrong("target", wanted));
+                    return Err(section.field_error("target", wanted));
                 }
                 if matches!(kind, "garbage" | "resets" | "ageing") && by > 1.0 {
-                    return Err(section.wrong("by", format!("a share from 0 to 1, for {kind}")));
+                    return Err(
+                        section.field_error("by", format!("a share from 0 to 1, for {kind}"))
+                    );
                 }
                 let step = section.number("step_s");
                 let cue = |(nth, host): (usize, &HostShape)| {
--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -242,7 +242,7 @@
 
 impl Section {
     /// A complaint about one field, at its position.
-    pub fn wrong(&self, field: &str, wanted: impl Into<String>) -> Box<ConfigError> {
+    pub fn field_error(&self, field: &str, wanted: impl Into<String>) -> Box<ConfigError> {
         let at = self.fields.get(field);
         Box::new(ConfigError {
             position: at.map_or(&self.position, |field| &field.position).clone(),
@@ -379,10 +379,12 @@
     for field in kind.fields {
         match (section.fields.get(field.name), field.default) {
             (Some(given), _) if !field.field_type.accepts(&given.value) => {
-                return Err(section.wrong(field.name, field.field_type.to_string()));
+                return Err(section.field_error(field.name, field.field_type.to_string()));
             }
             (Some(_), _) => {}
-            (None, None) => return Err(section.wrong(field.name, field.field_type.to_string())),
+            (None, None) => {
+                return Err(section.field_error(field.name, field.field_type.to_string()));
+            }
             (None, Some(default)) => {
                 let value = match default {
                     DefaultValue::Flag(flag) => Value::Flag(flag),
@@ -424,14 +426,14 @@
             let left_out = text.is_empty() && field.default.is_some();
             if !left_out && !names.contains(&text) {
                 let wanted = format!("the name of a {other}: {}", names.join(", "));
-                return Err(section.wrong(field.name, wanted));
+                return Err(section.field_error(field.name, wanted));
             }
         }
         let name = section.text("name");
         let twin = |other: &&Section| other.kind == section.kind && other.text("name") == name;
         let second = sheet.sections.iter().filter(twin).nth(1);
         if let Some(second) = second.filter(|_| !name.is_empty()) {
-            return Err(second.wrong("name", "a name that no other section of this kind has"));
+            return Err(second.field_error("name", "a name that no other section of this kind has"));
         }
     }
     Ok(())
