--- a/crates/operator/src/decide/mod.rs
+++ b/crates/operator/src/decide/mod.rs
@@ -1,11 +1,12 @@
-//! What fits a section: names, types, ranges, defaults and references. No file is read here.
+//! Checks sections against their declarations: names, types, ranges, defaults and references. Reads no file.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Where something stands: the file as it was named, line and column from 1.
+/// A position in a file; line and column count from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Position {
+    /// The file name as the caller gave it.
     pub file: String,
     pub line: usize,
     pub column: usize,
@@ -17,13 +18,18 @@
     }
 }
 
-/// What does not fit: where, in which section and field, what was found and what is accepted.
+/// An error in a file: its position, the section and field, what was found and what is accepted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
+    /// Where the error is.
     pub position: Position,
+    /// The kind of section; empty if the error is about no section.
     pub section: String,
+    /// The field, if the error is about one.
     pub field: Option<String>,
+    /// What the file holds.
     pub found: String,
+    /// What is accepted instead.
     pub wanted: String,
 }
 
@@ -43,14 +49,20 @@
 
 impl std::error::Error for ConfigError {}
 
+/// The value of a field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
+    /// `True` or `False`.
     Flag(bool),
+    /// A whole number.
     Whole(i64),
+    /// A floating-point number.
     Number(f64),
+    /// A string.
     Text(String),
+    /// A list or a tuple.
     List(Vec<Value>),
-    /// Anything that no field takes, by its type's name.
+    /// A value that no field accepts, by the name of its Starlark type.
     Other(String),
 }
 
@@ -73,25 +85,30 @@
     }
 }
 
-/// What a field takes. Ranges hold both ends.
+/// The type of a field and its accepted values. Ranges include both ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FieldType {
+    /// `True` or `False`.
     Flag,
+    /// A whole number within the range.
     Whole(i64, i64),
+    /// A number within the range.
     Number(f64, f64),
     /// A name: 1 to 64 letters, digits, `-`, `_`, `.` or `/`.
     Name,
-    /// One of these words.
+    /// One of these texts.
     OneOf(&'static [&'static str]),
-    /// A list of one number for each of several things.
+    /// A list of numbers, each within the range.
     Numbers(f64, f64),
+    /// A list of names.
     Names,
-    /// An IPv4 address and a port, and a list of such.
+    /// An IPv4 address and a port.
     Address,
+    /// A list of IPv4 addresses with ports.
     Addresses,
     /// A list of IPv4 addresses, with or without a port, or networks.
     AddressRanges,
-    /// The name of a section of this kind that stands in the same file.
+    /// The `name` of a section of this kind in the same file.
     Reference(&'static str),
 }
 
@@ -99,11 +116,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FieldType::Flag => f.write_str("True or False"),
-            FieldType::Whole(least, most) => write!(f, "a whole number from {least} to {most}"),
-            FieldType::Number(least, most) => write!(f, "a number from {least} to {most}"),
+            FieldType::Whole(min, max) => write!(f, "a whole number from {min} to {max}"),
+            FieldType::Number(min, max) => write!(f, "a number from {min} to {max}"),
             FieldType::Name => f.write_str("a name of 1 to 64 letters, digits, '-', '_', '.' or '/'"),
             FieldType::OneOf(words) => write!(f, "one of {}", words.join(", ")),
-            FieldType::Numbers(least, most) => write!(f, "a list of numbers from {least} to {most}"),
+            FieldType::Numbers(min, max) => write!(f, "a list of numbers from {min} to {max}"),
             FieldType::Names => f.write_str("a list of names"),
             FieldType::Address => f.write_str("an IPv4 address and a port, as in \"10.1.2.3:7946\""),
             FieldType::Addresses => f.write_str("a list of IPv4 addresses with ports"),
@@ -119,15 +136,15 @@
     fn accepts(&self, value: &Value) -> bool {
         match (self, value) {
             (FieldType::Flag, Value::Flag(_)) => true,
-            (FieldType::Whole(least, most), Value::Whole(n)) => (least..=most).contains(&n),
-            (FieldType::Number(least, most), value) => value
+            (FieldType::Whole(min, max), Value::Whole(n)) => (min..=max).contains(&n),
+            (FieldType::Number(min, max), value) => value
                 .number()
-                .is_some_and(|n| n.is_finite() && (*least..=*most).contains(&n)),
+                .is_some_and(|n| n.is_finite() && (*min..=*max).contains(&n)),
             (FieldType::Name | FieldType::Reference(_), Value::Text(text)) => is_name(text),
             (FieldType::OneOf(words), Value::Text(text)) => words.contains(&text.as_str()),
-            (FieldType::Numbers(least, most), Value::List(items)) => items
+            (FieldType::Numbers(min, max), Value::List(items)) => items
                 .iter()
-                .all(|item| FieldType::Number(*least, *most).accepts(item)),
+                .all(|item| FieldType::Number(*min, *max).accepts(item)),
             (FieldType::Address, Value::Text(text)) => is_address(text),
             (FieldType::Addresses, Value::List(items)) => {
                 items.iter().all(|item| FieldType::Address.accepts(item))
@@ -163,11 +180,12 @@
 }
 
 fn is_name(text: &str) -> bool {
-    let fits = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
-    (1..=64).contains(&text.len()) && text.chars().all(fits)
+    let is_accepted = |c: char| c.is_ascii_alphanumeric() || "-_./".contains(c);
+    (1..=64).contains(&text.len()) && text.chars().all(is_accepted)
 }
 
 impl Value {
+    /// The value as a floating-point number, if it is a number.
     pub fn number(&self) -> Option<f64> {
         match self {
             Value::Whole(n) => Some(*n as f64),
@@ -177,35 +195,46 @@
     }
 }
 
-/// One field of a kind of section, with what holds where it is not given; `None`: it must be given.
+/// The declaration of one field of a section.
 #[derive(Clone, Copy, Debug)]
 pub struct FieldSpec {
+    /// The keyword of the field.
     pub name: &'static str,
+    /// What the field accepts.
     pub field_type: FieldType,
+    /// The value if the field is not given; `None` if it must be given.
     pub default: Option<DefaultValue>,
 }
 
-/// What holds where a field is not given.
+/// The value of a field that is not given.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DefaultValue {
+    /// `True` or `False`.
     Flag(bool),
+    /// A whole number.
     Whole(i64),
+    /// A floating-point number.
     Number(f64),
+    /// A string.
     Text(&'static str),
     /// The empty list.
     EmptyList,
 }
 
-/// A kind of section.
+/// The declaration of a kind of section.
 #[derive(Clone, Copy, Debug)]
 pub struct SectionKind {
+    /// The function name that a script calls.
     pub name: &'static str,
-    /// How many of it a file may hold.
+    /// How many sections of this kind a file may hold.
     pub max_count: usize,
+    /// Whether a file must hold at least one section of this kind.
     pub required: bool,
+    /// The fields of the section.
     pub fields: &'static [FieldSpec],
 }
 
+/// Declares a field that must be given.
 pub const fn required(name: &'static str, field_type: FieldType) -> FieldSpec {
     FieldSpec {
         name,
@@ -214,6 +243,7 @@
     }
 }
 
+/// Declares a field that has `default` if it is not given.
 pub const fn optional(
     name: &'static str,
     field_type: FieldType,
@@ -226,22 +256,28 @@
     }
 }
 
+/// A field of a section in a file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Field {
+    /// The value, or the default if the field is not given.
     pub value: Value,
+    /// The position of the keyword, or of the section if the field is not given.
     pub position: Position,
 }
 
-/// One section as it stands in the file; after [`check`], with every field of its kind.
+/// One section of a file. After [`check`], it has every field of its kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Section {
+    /// The name of its [`SectionKind`].
     pub kind: String,
+    /// The position of the call.
     pub position: Position,
+    /// The fields by name.
     pub fields: BTreeMap<String, Field>,
 }
 
 impl Section {
-    /// A complaint about one field, at its position.
+    /// An error about one field, at its position; `wanted` says what is accepted.
     pub fn field_error(&self, field: &str, wanted: impl Into<String>) -> Box<ConfigError> {
         let at = self.fields.get(field);
         Box::new(ConfigError {
@@ -257,11 +293,12 @@
         self.fields.get(field).map(|field| &field.value)
     }
 
-    /// The number of a checked field; 0 for one that its kind does not have.
+    /// The number of a checked field; 0 if its kind does not have the field.
     pub fn number(&self, field: &str) -> f64 {
         self.value(field).and_then(Value::number).unwrap_or(0.0)
     }
 
+    /// The whole number of a checked field; 0 if its kind does not have the field.
     pub fn whole(&self, field: &str) -> i64 {
         match self.value(field) {
             Some(Value::Whole(n)) => *n,
@@ -269,10 +306,12 @@
         }
     }
 
+    /// Whether a checked field is `True`.
     pub fn flag(&self, field: &str) -> bool {
         self.value(field) == Some(&Value::Flag(true))
     }
 
+    /// The text of a checked field; empty if its kind does not have the field.
     pub fn text(&self, field: &str) -> &str {
         match self.value(field) {
             Some(Value::Text(text)) => text,
@@ -280,6 +319,7 @@
         }
     }
 
+    /// The list of numbers of a checked field; empty if its kind does not have the field.
     pub fn numbers(&self, field: &str) -> Vec<f64> {
         match self.value(field) {
             Some(Value::List(items)) => items.iter().filter_map(Value::number).collect(),
@@ -287,6 +327,7 @@
         }
     }
 
+    /// The list of texts of a checked field; empty if its kind does not have the field.
     pub fn names(&self, field: &str) -> Vec<&str> {
         let Some(Value::List(items)) = self.value(field) else {
             return Vec::new();
@@ -301,45 +342,52 @@
     }
 }
 
-/// All sections of a file, in their order.
+/// All sections of a file, in the order of their calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ParsedFile {
+    /// The file name as the caller gave it.
     pub file: String,
+    /// The sections of all kinds.
     pub sections: Vec<Section>,
 }
 
 impl ParsedFile {
+    /// The sections of one kind, in order.
     pub fn all<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = &'a Section> {
         self.sections
             .iter()
             .filter(move |section| section.kind == kind)
     }
 
+    /// The first section of a kind, if there is one.
     pub fn one<'a>(&'a self, kind: &'a str) -> Option<&'a Section> {
         self.all(kind).next()
     }
 }
 
-/// Checks each section against its kind and puts in what is not given.
-pub fn check(mut sheet: ParsedFile, kinds: &[SectionKind]) -> Result<ParsedFile, Box<ConfigError>> {
-    for section in &mut sheet.sections {
+/// Checks each section against its kind and adds the defaults of fields that are not given.
+pub fn check(
+    mut parsed: ParsedFile,
+    kinds: &[SectionKind],
+) -> Result<ParsedFile, Box<ConfigError>> {
+    for section in &mut parsed.sections {
         let Some(kind) = kinds.iter().find(|kind| kind.name == section.kind) else {
-            let names: Vec<_> = kinds.iter().map(|kind| kind.name).collect();
+            let accepted: Vec<_> = kinds.iter().map(|kind| kind.name).collect();
             return Err(Box::new(ConfigError {
                 position: section.position.clone(),
                 section: String::new(),
                 field: None,
                 found: format!("section {}", section.kind),
-                wanted: format!("one of {}", names.join(", ")),
+                wanted: format!("one of {}", accepted.join(", ")),
             }));
         };
-        fill(section, kind)?;
+        check_fields(section, kind)?;
     }
     for kind in kinds {
-        let all: Vec<_> = sheet.all(kind.name).collect();
-        if let Some(over) = all.get(kind.max_count) {
+        let all: Vec<_> = parsed.all(kind.name).collect();
+        if let Some(excess) = all.get(kind.max_count) {
             return Err(Box::new(ConfigError {
-                position: over.position.clone(),
+                position: excess.position.clone(),
                 section: kind.name.into(),
                 field: None,
                 found: format!("section {} of its kind", kind.max_count + 1),
@@ -349,7 +397,7 @@
         if kind.required && all.is_empty() {
             return Err(Box::new(ConfigError {
                 position: Position {
-                    file: sheet.file.clone(),
+                    file: parsed.file.clone(),
                     line: 1,
                     column: 1,
                 },
@@ -360,20 +408,21 @@
             }));
         }
     }
-    references(&sheet, kinds)?;
-    Ok(sheet)
+    check_references(&parsed, kinds)?;
+    Ok(parsed)
 }
 
-fn fill(section: &mut Section, kind: &SectionKind) -> Result<(), Box<ConfigError>> {
-    let known = |name: &str| kind.fields.iter().any(|field| field.name == name);
-    if let Some((name, field)) = section.fields.iter().find(|(name, _)| !known(name)) {
-        let names: Vec<_> = kind.fields.iter().map(|field| field.name).collect();
+/// Checks the fields of one section and adds defaults.
+fn check_fields(section: &mut Section, kind: &SectionKind) -> Result<(), Box<ConfigError>> {
+    let is_known = |name: &str| kind.fields.iter().any(|field| field.name == name);
+    if let Some((name, field)) = section.fields.iter().find(|(name, _)| !is_known(name)) {
+        let accepted: Vec<_> = kind.fields.iter().map(|field| field.name).collect();
         return Err(Box::new(ConfigError {
             position: field.position.clone(),
             section: kind.name.into(),
             field: None,
             found: format!("field {name}"),
-            wanted: format!("one of {}", names.join(", ")),
+            wanted: format!("one of {}", accepted.join(", ")),
         }));
     }
     for field in kind.fields {
@@ -403,35 +452,36 @@
     Ok(())
 }
 
-/// Names are given once in a kind, and what names a section of a kind finds one.
-fn references(sheet: &ParsedFile, kinds: &[SectionKind]) -> Result<(), Box<ConfigError>> {
-    let named = |kind: &'static str| {
-        let all = sheet
+/// Checks that names are unique within a kind and that each reference names an existing section.
+fn check_references(parsed: &ParsedFile, kinds: &[SectionKind]) -> Result<(), Box<ConfigError>> {
+    let names_of = |kind: &'static str| {
+        let all = parsed
             .sections
             .iter()
             .filter(move |section| section.kind == kind);
         all.map(|section| section.text("name")).collect::<Vec<_>>()
     };
-    for section in &sheet.sections {
+    for section in &parsed.sections {
         let Some(kind) = kinds.iter().find(|kind| kind.name == section.kind) else {
             continue;
         };
         for field in kind.fields {
             let text = section.text(field.name);
-            let FieldType::Reference(other) = field.field_type else {
+            let FieldType::Reference(referenced) = field.field_type else {
                 continue;
             };
             // An optional reference that is not given is empty.
-            let names = named(other);
-            let left_out = text.is_empty() && field.default.is_some();
-            if !left_out && !names.contains(&text) {
-                let wanted = format!("the name of a {other}: {}", names.join(", "));
+            let names = names_of(referenced);
+            let is_omitted = text.is_empty() && field.default.is_some();
+            if !is_omitted && !names.contains(&text) {
+                let wanted = format!("the name of a {referenced}: {}", names.join(", "));
                 return Err(section.field_error(field.name, wanted));
             }
         }
         let name = section.text("name");
-        let twin = |other: &&Section| other.kind == section.kind && other.text("name") == name;
-        let second = sheet.sections.iter().filter(twin).nth(1);
+        let has_same_name =
+            |other: &&Section| other.kind == section.kind && other.text("name") == name;
+        let second = parsed.sections.iter().filter(has_same_name).nth(1);
         if let Some(second) = second.filter(|_| !name.is_empty()) {
             return Err(second.field_error("name", "a name that no other section of this kind has"));
         }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operator's own file: a Starlark script of section calls, read into typed, checked sections.
+//! Reads the operator's file, a Starlark script of section calls, into typed and checked sections.
 //!
-//! A section is one call by keywords, `zone(name = "depot", link_kb_per_s = 36000)`. Loops, functions and
-//! conditions may stand around calls. What sections there are, their fields and ranges are told by a [`SectionKind`] each;
-//! what stands in the file and does not fit is a [`ConfigError`] with file, line, column, what was found and what is
-//! accepted. A script that runs or allocates without end is stopped by [`Bounds`].
+//! A section is one call with keyword arguments, for example `zone(name = "depot", link_kb_per_s = 36000)`. Loops,
+//! functions and conditions may surround the calls. Each [`SectionKind`] declares one section, its fields and their
+//! accepted ranges. A section or field that does not match its declaration gives a [`ConfigError`] with file, line,
+//! column, the value found and the accepted values. A script that does not end, or that allocates too much memory,
+//! is stopped by [`Bounds`].
 
 pub mod decide;
 mod reader;
