--- a/crates/budgets/src/sheet.rs
+++ b/crates/budgets/src/config.rs
@@ -6,10 +6,11 @@
 
 /// The section `budgets`, checked in its types and ranges by whoever read the script.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sheet {
+pub struct BudgetsConfig {
     pub file: String,
     /// Line and column of the section, from 1.
-    pub place: (usize, usize),
+    #[serde(rename = "place")]
+    pub position: (usize, usize),
     /// Names of the dispatchers that give their words: the same with all, in the same order.
     pub voters: Vec<String>,
     /// The part of the whole that all floors together have.
@@ -21,12 +22,12 @@
 }
 
 /// Voters at most: each is asked by all.
-pub const MOST_VOTERS: usize = 9;
+pub const MAX_VOTERS: usize = 9;
 
-impl Sheet {
+impl BudgetsConfig {
     /// The message of a field that does not fit.
-    pub fn wrong(&self, field: &str, found: &str, accepted: &str) -> String {
-        let (line, column) = self.place;
+    pub fn field_error(&self, field: &str, found: &str, accepted: &str) -> String {
+        let (line, column) = self.position;
         format!(
             "{}:{line}:{column}: section budgets, field {field}: found {found}, accepted: {accepted}",
             self.file
@@ -38,10 +39,10 @@
         names.sort();
         names.dedup();
         let n = self.voters.len();
-        if names.len() != n || !(1..=MOST_VOTERS).contains(&n) || n.is_multiple_of(2) {
+        if names.len() != n || !(1..=MAX_VOTERS).contains(&n) || n.is_multiple_of(2) {
             let found = format!("{:?}", self.voters);
             let accepted = "1, 3, 5, 7 or 9 different names of dispatchers";
-            return Err(self.wrong("voters", &found, accepted));
+            return Err(self.field_error("voters", &found, accepted));
         }
         Ok(())
     }
@@ -51,12 +52,12 @@
         // Enough that a part can be told from a little more, and few enough for one letter.
         let tickets = (seats * 16).clamp(64, 1_024) as u16;
         Division {
-            seats: seats.max(1),
-            floors: self.floors,
+            dispatchers: seats.max(1),
+            floor_share: self.floors,
             tickets,
             voters: self.voters.len() as u8,
-            lasts: TimeSpan::from_secs_f64(self.lasts_s),
-            guard: TimeSpan::ZERO,
+            lease_duration: TimeSpan::from_secs_f64(self.lasts_s),
+            guard_time: TimeSpan::ZERO,
         }
     }
 }
--- a/crates/capacity/src/fleet/member.rs
+++ b/crates/capacity/src/fleet/member.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 use trailproxy::units::{RequestId, Timestamp};
-use trailproxy_budgets::decide::shares::Shares;
-use trailproxy_budgets::decide::{HolderId, LifeId};
+use trailproxy_budgets::decide::shares::BudgetShares;
+use trailproxy_budgets::decide::{BootId, HolderId};
 use trailproxy_peers::decide::locality::{Locality, PeerZoneId, RegionId, SiteId, Topology};
 use trailproxy_peers::decide::members::OwnMember;
 use trailproxy_peers::decide::messages::{Address, PeerId};
@@ -70,7 +70,7 @@
 #[derive(Clone)]
 pub struct Member {
     pub peers: Option<Peers>,
-    pub shares: Option<Shares>,
+    pub shares: Option<BudgetShares>,
     pub open: BTreeMap<RequestId, Open>,
     pub traffic: MemberTraffic,
     /// Time that the cores took.
@@ -98,7 +98,7 @@
     /// When its cores want to be woken.
     pub fn next(&self) -> Option<Timestamp> {
         let peers = self.peers.as_ref()?.next_deadline();
-        let shares = self.shares.as_ref().and_then(Shares::next);
+        let shares = self.shares.as_ref().and_then(BudgetShares::next_deadline);
         Some(shares.map_or(peers, |shares| shares.min(peers)))
     }
 
@@ -106,7 +106,7 @@
     pub fn start_budgets(&mut self, now: Timestamp, voters: &[String], seats: usize, seed: u64) {
         let Some(peers) = &self.peers else { return };
         let own = peers.members().own();
-        let own = (HolderId(own.id.0), LifeId(own.boot_id.0));
+        let own = (HolderId(own.id.0), BootId(own.boot_id.0));
         self.shares = Some(budgets::shares(now, own, voters, seats, seed));
     }
 }
--- a/crates/capacity/src/fleet/mod.rs
+++ b/crates/capacity/src/fleet/mod.rs
@@ -24,11 +24,11 @@
 use std::time::Instant;
 use trailproxy::units::{TimeSpan, Timestamp};
 use trailproxy_budgets::decide::HolderId;
-use trailproxy_budgets::decide::shares::Act;
+use trailproxy_budgets::decide::shares::Action as BudgetAction;
 use trailproxy_peers::decide::messages::{Address, MemberUpdate, Message, MessagePart, PeerId};
 use trailproxy_peers::decide::{Action, PeerState, Peers};
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::records::Folding;
+use trailproxy_shared_store::decide::records::KeyHasher;
 
 /// When virtual time begins.
 const START: Timestamp = Timestamp(1_700_000_000_000_000);
@@ -78,7 +78,7 @@
     voters: Vec<String>,
     by_address: Arc<HashMap<Address, usize>>,
     seal: Seal,
-    folding: Folding,
+    key_hasher: KeyHasher,
     next_request: u64,
     budgets_on: bool,
 }
@@ -106,7 +106,7 @@
             voters: voters.collect(),
             by_address: Arc::new(addresses.collect()),
             seal: Seal::new("capacity", b""),
-            folding: Folding::new("capacity"),
+            key_hasher: KeyHasher::new("capacity"),
             next_request: 0,
             budgets_on: false,
             random,
@@ -328,7 +328,11 @@
             peers.advance(now);
         }
         let due = |at: Option<Timestamp>| at.is_some_and(|at| at <= now);
-        if let Some(shares) = of.shares.as_mut().filter(|shares| due(shares.next())) {
+        if let Some(shares) = of
+            .shares
+            .as_mut()
+            .filter(|shares| due(shares.next_deadline()))
+        {
             shares.advance(now);
         }
         of.core_time += begun.elapsed();
@@ -415,14 +419,14 @@
 
     /// A message of the budgets that came beside others.
     fn beside(&mut self, member: usize, from: PeerId, of: u8, bytes: &[u8]) {
-        if of != trailproxy_budgets::BESIDE {
+        if of != trailproxy_budgets::SUBSYSTEM_ID {
             return;
         }
         let now = self.now;
         let note = trailproxy_budgets::read(bytes);
         let shares = &mut self.members[member].shares;
         if let (Some(shares), Some(note)) = (shares, note) {
-            shares.heard(now, HolderId(from.0), note);
+            shares.on_message(now, HolderId(from.0), note);
         }
     }
 
@@ -433,10 +437,10 @@
         let (Some(peers), Some(shares)) = (&mut of.peers, &mut of.shares) else {
             return;
         };
-        for act in shares.take() {
-            if let Act::Send(to, note) = act {
+        for act in shares.take_actions() {
+            if let BudgetAction::Send(to, note) = act {
                 let bytes = trailproxy_budgets::write(&note);
-                peers.send_to_subsystem(now, PeerId(to.0), trailproxy_budgets::BESIDE, bytes);
+                peers.send_to_subsystem(now, PeerId(to.0), trailproxy_budgets::SUBSYSTEM_ID, bytes);
             }
         }
     }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -26,8 +26,8 @@
     AttemptNo, ClassId, GroupId, ObjectId, RequestId, TimeSpan, TimerId, Timestamp, ZoneId,
 };
 use trailproxy_budgets::decide::HolderId;
-use trailproxy_budgets::decide::following::Following;
-use trailproxy_budgets::decide::shares::Note as Words;
+use trailproxy_budgets::decide::follower::BudgetFollower;
+use trailproxy_budgets::decide::shares::BudgetMessage;
 use trailproxy_standins::fleet::{Answer, Fleet, Pull, Ticket};
 use trailproxy_standins::shape::DAWN;
 use trailproxy_zones::decide::rise::Rise;
@@ -93,7 +93,7 @@
     Truth,
     Tick,
     /// Words about budgets reach a dispatcher, from another; each looks after its own.
-    Word(usize, HolderId, Words),
+    Word(usize, HolderId, BudgetMessage),
     Divide(usize, u32),
     /// Accounts are brought up to now, and links read.
     Pass,
@@ -141,7 +141,7 @@
     zone: ZoneId,
     life: u32,
     decider: Option<Box<dyn Decider>>,
-    following: Option<Following>,
+    following: Option<BudgetFollower>,
 }
 
 struct World<'a> {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -10,7 +10,7 @@
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
 use trailproxy_zones::Rules;
-use trailproxy_zones::decide::sheet::Names;
+use trailproxy_zones::decide::config::Names;
 
 const SECONDS: FieldType = FieldType::Number(0.0, 100_000.0);
 const MILLIS: FieldType = FieldType::Number(0.0, 10_000_000.0);
@@ -357,7 +357,7 @@
     /// Traffic between zones is accounted for, and kept within these limits.
     pub zones: Option<Rules>,
     /// The same in names, for a dispatcher on sockets.
-    pub zones_sheet: Option<trailproxy_zones::decide::sheet::Sheet>,
+    pub zones_sheet: Option<trailproxy_zones::decide::config::ZonesConfig>,
 }
 
 fn millis(section: &Section, field: &str) -> TimeSpan {
@@ -569,7 +569,7 @@
             zones: None,
             divided: sheet.one("divided").map(Divided::of),
             whole_bodies: fleet.flag("whole_bodies"),
-            zones_sheet: trailproxy_zones_tools::sections::sheet(sheet),
+            zones_sheet: trailproxy_zones_tools::sections::zones_config(sheet),
         };
         let names = scenario.names();
         let told = scenario
@@ -581,8 +581,8 @@
             Box::new(ConfigError {
                 position: trailproxy_operator::Position {
                     file: unfit.file,
-                    line: unfit.place.0,
-                    column: unfit.place.1,
+                    line: unfit.position.0,
+                    column: unfit.position.1,
                 },
                 section: unfit.section.into(),
                 field: Some(unfit.field.into()),
@@ -742,7 +742,7 @@
                 .iter()
                 .map(|zone| zone.name.clone())
                 .collect(),
-            tracks: self.track_names.clone(),
+            classes: self.track_names.clone(),
         }
     }
 
--- a/crates/peers/src/decide/claims.rs
+++ b/crates/peers/src/decide/claims.rs
@@ -9,7 +9,7 @@
 use super::messages::{InquiryId, PeerId};
 use std::collections::{BTreeMap, BTreeSet};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Key, Record, Stand};
+use trailproxy_shared_store::decide::records::{Completion, Key, Record, RecordStatus};
 
 /// A claim of an access that is open here.
 #[derive(Clone, Debug)]
@@ -188,7 +188,7 @@
                 && claim.stage != Stage::Released
                 && Some(claim.token) != token
         };
-        let yields = matches!(&outcome, ClaimOutcome::Found(_, record) if record.stand == Stand::Claimed)
+        let yields = matches!(&outcome, ClaimOutcome::Found(_, record) if record.status == RecordStatus::Claimed)
             && own.claim.location == ClaimLocation::NotReported
             && inquiries.claims.iter().any(earlier);
         if inquiries.unanswered.is_empty() && now.since(asked) > INQUIRY_RETENTION {
@@ -261,7 +261,7 @@
     }
 
     /// It has its final answer.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         let Some(own) = self.own.remove(&id).filter(|own| !own.yielded) else {
             return;
         };
@@ -269,8 +269,8 @@
         // What was answered from another's record is no run of this one's.
         let ran = claim.location != ClaimLocation::NotReported;
         (claim.stage, claim.body) = match completion {
-            Came::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
-            Came::Unknown if ran => (Stage::Unknown, None),
+            Completion::Done(body) if ran => (Stage::Done, body.map(Vec::into_boxed_slice)),
+            Completion::Unknown if ran => (Stage::Unknown, None),
             _ => (Stage::Released, None),
         };
         let key = own.key.0;
--- a/crates/peers/src/decide/mod.rs
+++ b/crates/peers/src/decide/mod.rs
@@ -49,7 +49,9 @@
 use sync::{MAX_PAGE_BYTES, ReplicaView, ResyncReason, SlotSync};
 use trailproxy::interface::{HostEntry, HostState, PeerAttempt};
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Key, Records, Step, Verdict};
+use trailproxy_shared_store::decide::records::{
+    Completion, Key, RecordDecision, RecordStep, Records,
+};
 
 /// By how much a writer's clock may be ahead of a reader's. Whoever is further off is not listened to.
 pub const MAX_CLOCK_SKEW: TimeSpan = TimeSpan::from_millis(750);
@@ -122,7 +124,7 @@
     /// An access that came goes on now.
     Decided {
         id: RequestId,
-        verdict: Verdict,
+        verdict: RecordDecision,
     },
     Purged {
         object: Option<ObjectId>,
@@ -388,7 +390,7 @@
         let others = self.members.all().map(|(&id, _)| id);
         self.sync.add_unreachable(others);
         self.resync_all(now, ResyncReason::Partitioned);
-        let steps = self.records.leave();
+        let steps = self.records.proceed_all();
         self.run_steps(now, steps);
         self.run_member_actions(now);
     }
@@ -456,7 +458,7 @@
                     );
                 }
                 MemberAction::Superseded => {
-                    let steps = self.records.leave();
+                    let steps = self.records.proceed_all();
                     self.run_steps(now, steps);
                 }
             }
@@ -547,7 +549,7 @@
     pub fn next_deadline(&self) -> Timestamp {
         let relays = self.relays.as_ref().and_then(Relays::next_deadline);
         let timed = [
-            self.records.next(),
+            self.records.next_deadline(),
             self.claims.next_deadline(),
             self.facts.next_deadline(),
             relays,
--- a/crates/shared-store/src/decide/records.rs
+++ b/crates/shared-store/src/decide/records.rs
@@ -15,12 +15,12 @@
 
 /// Folds clients' keys the same way in all dispatchers of one installation.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Folding([u8; 32]);
+pub struct KeyHasher([u8; 32]);
 
-impl Folding {
+impl KeyHasher {
     /// `installation` is the same wherever records are to be found again, and another for others.
-    pub fn new(installation: &str) -> Folding {
-        Folding(blake3::derive_key(
+    pub fn new(installation: &str) -> KeyHasher {
+        KeyHasher(blake3::derive_key(
             "trailproxy records of keyed accesses, 1",
             installation.as_bytes(),
         ))
@@ -30,9 +30,9 @@
     ///
     /// ```
     /// use trailproxy::units::ClassId;
-    /// use trailproxy_shared_store::decide::records::Folding;
-    /// let (here, there) = (Folding::new("a/"), Folding::new("b/"));
-    /// assert_eq!(here.key(ClassId(1), "m"), Folding::new("a/").key(ClassId(1), "m"));
+    /// use trailproxy_shared_store::decide::records::KeyHasher;
+    /// let (here, there) = (KeyHasher::new("a/"), KeyHasher::new("b/"));
+    /// assert_eq!(here.key(ClassId(1), "m"), KeyHasher::new("a/").key(ClassId(1), "m"));
     /// assert_ne!(here.key(ClassId(1), "m"), here.key(ClassId(2), "m"));
     /// assert_ne!(here.key(ClassId(1), "m"), there.key(ClassId(1), "m"));
     /// ```
@@ -49,7 +49,7 @@
 
 /// How a record stands in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stand {
+pub enum RecordStatus {
     /// It may go out any moment, and where to is not told yet.
     Claimed,
     /// It went out.
@@ -62,8 +62,8 @@
 /// What the store knows of a key.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    pub stand: Stand,
-    pub place: Option<(ZoneId, CellId)>,
+    pub status: RecordStatus,
+    pub location: Option<(ZoneId, CellId)>,
     /// How long ago the first hand-off was claimed, by the store's clock.
     pub age: TimeSpan,
     /// The answer, where it is small enough to be kept.
@@ -72,7 +72,7 @@
 
 /// What came of an access in the end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Came {
+pub enum Completion {
     /// With the answer, where it is small enough.
     Done(Option<Vec<u8>>),
     /// It is proved that none of its hand-offs ran.
@@ -82,9 +82,9 @@
 
 /// What an access that waited for the store does now.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum RecordDecision {
     /// It goes the ordinary way, bound by what is known of it.
-    Go,
+    Proceed,
     /// It has been done: this is the answer.
     Answer(Vec<u8>),
 }
@@ -99,7 +99,7 @@
 /// By how much the clocks of two stores, of which one takes the other's place, may differ.
 pub const CLOCKS_APART: TimeSpan = TimeSpan::from_millis(500);
 /// Longer answers are not kept.
-pub const MOST_BODY: usize = 512;
+pub const MAX_BODY_BYTES: usize = 512;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
@@ -133,13 +133,13 @@
 
 /// What to do about an access.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum RecordStep {
     Claim(RequestId, Key),
-    Decided(RequestId, Verdict),
+    Decided(RequestId, RecordDecision),
 }
 
 impl Records {
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.own.len()
     }
 
@@ -148,31 +148,31 @@
     }
 
     /// Whether the store said that no other has its key.
-    pub fn claimed(&self, id: RequestId) -> bool {
+    pub fn is_claimed(&self, id: RequestId) -> bool {
         self.own.get(&id).is_some_and(|own| own.claimed)
     }
 
     /// Whether it waits for the store.
-    pub fn waits(&self, id: RequestId) -> bool {
+    pub fn is_waiting(&self, id: RequestId) -> bool {
         self.own
             .get(&id)
             .is_some_and(|own| own.phase != Phase::Gone)
     }
 
     /// What another dispatcher did under the key of this access.
-    pub fn earlier(&self, id: RequestId) -> Option<PeerAttempt> {
+    pub fn earlier_attempt(&self, id: RequestId) -> Option<PeerAttempt> {
         self.own.get(&id)?.earlier
     }
 
     /// An access comes. It waits where `wait` is given and the store is trusted, for no longer than that.
-    pub fn come(
+    pub fn on_request(
         &mut self,
         now: Timestamp,
         id: RequestId,
         key: Key,
         due: Timestamp,
         wait: Option<TimeSpan>,
-    ) -> Vec<Step> {
+    ) -> Vec<RecordStep> {
         let left = due.since(now);
         let until = now + wait.map_or(TimeSpan::ZERO, |most| most.min(left.mul_f64(WAIT_PART)));
         let waits = until > now;
@@ -189,43 +189,43 @@
         if waits {
             self.timed.insert((until, id));
         }
-        let mut steps = vec![Step::Claim(id, key)];
+        let mut steps = vec![RecordStep::Claim(id, key)];
         if !waits {
-            steps.push(Step::Decided(id, Verdict::Go));
+            steps.push(RecordStep::Decided(id, RecordDecision::Proceed));
         }
         steps
     }
 
     /// The claim stands: no other has this key.
-    pub fn mine(&mut self, id: RequestId) -> Vec<Step> {
+    pub fn on_claimed(&mut self, id: RequestId) -> Vec<RecordStep> {
         let Some(own) = self.own.get_mut(&id) else {
             return Vec::new();
         };
         own.claimed = true;
-        self.go(id)
+        self.proceed(id)
     }
 
     /// Whoever had it before has let go of it, and it never ran: nothing binds this access any more.
-    pub fn freed(&mut self, id: RequestId) {
+    pub fn on_released(&mut self, id: RequestId) {
         if let Some(own) = self.own.get_mut(&id) {
             own.earlier = None;
         }
     }
 
     /// Another has it, or had it: told at `now` to a question that went out at `asked`.
-    pub fn found(
+    pub fn on_found(
         &mut self,
         now: Timestamp,
         asked: Timestamp,
         id: RequestId,
         record: Record,
-    ) -> Vec<Step> {
+    ) -> Vec<RecordStep> {
         let Some(own) = self.own.get_mut(&id) else {
             return Vec::new();
         };
         // Taken for as old as it can be, so that its window ends here no later than at the hosts.
         let first_sent = Timestamp(asked.0.saturating_sub((record.age + CLOCKS_APART).0));
-        let location = record.place;
+        let location = record.location;
         own.earlier = Some(PeerAttempt {
             location,
             first_sent,
@@ -234,12 +234,12 @@
         if own.phase == Phase::Gone {
             return Vec::new();
         }
-        match (record.stand, record.body) {
-            (Stand::Done, Some(body)) => {
+        match (record.status, record.body) {
+            (RecordStatus::Done, Some(body)) => {
                 own.phase = Phase::Gone;
-                vec![Step::Decided(id, Verdict::Answer(body))]
+                vec![RecordStep::Decided(id, RecordDecision::Answer(body))]
             }
-            (Stand::Claimed | Stand::Sent, _) if now < own.join_until => {
+            (RecordStatus::Claimed | RecordStatus::Sent, _) if now < own.join_until => {
                 let every = match own.phase {
                     Phase::Joining { every, .. } => every.mul_f64(2.0).min(JOIN_SLOWEST),
                     _ => JOIN_EVERY,
@@ -249,31 +249,34 @@
                 self.timed.insert((again, id));
                 Vec::new()
             }
-            _ => self.go(id),
+            _ => self.proceed(id),
         }
     }
 
     /// Whoever waits goes on without the store.
-    pub fn leave(&mut self) -> Vec<Step> {
+    pub fn proceed_all(&mut self) -> Vec<RecordStep> {
         let waiting = self.own.iter().filter(|(_, own)| own.phase != Phase::Gone);
         let waiting: Vec<RequestId> = waiting.map(|(&id, _)| id).collect();
-        waiting.into_iter().flat_map(|id| self.go(id)).collect()
+        waiting
+            .into_iter()
+            .flat_map(|id| self.proceed(id))
+            .collect()
     }
 
     /// One whose question can't be answered goes on without.
-    pub fn go(&mut self, id: RequestId) -> Vec<Step> {
+    pub fn proceed(&mut self, id: RequestId) -> Vec<RecordStep> {
         let waits = |own: &&mut Own| own.phase != Phase::Gone;
         match self.own.get_mut(&id).filter(waits) {
             Some(own) => {
                 own.phase = Phase::Gone;
-                vec![Step::Decided(id, Verdict::Go)]
+                vec![RecordStep::Decided(id, RecordDecision::Proceed)]
             }
             None => Vec::new(),
         }
     }
 
     /// A hand-off goes out; `Some`: it is the first, and the store is to know where it went.
-    pub fn sent(&mut self, id: RequestId, place: (ZoneId, CellId)) -> Option<Key> {
+    pub fn on_attempt_sent(&mut self, id: RequestId, place: (ZoneId, CellId)) -> Option<Key> {
         let own = self.own.get_mut(&id)?;
         let first = own.place.is_none() && own.earlier.is_none();
         own.place = own.place.or(Some(place));
@@ -281,19 +284,23 @@
     }
 
     /// It has its final answer. `Some`: the store is to know how it ended; with where it went first.
-    pub fn ended(&mut self, id: RequestId, came: &Came) -> Option<(Key, Option<(ZoneId, CellId)>)> {
+    pub fn on_request_ended(
+        &mut self,
+        id: RequestId,
+        came: &Completion,
+    ) -> Option<(Key, Option<(ZoneId, CellId)>)> {
         let own = self.own.remove(&id)?;
         // What another sent first is that one's to end, unless this one found out that it is done.
-        let others = own.earlier.is_some() && !matches!(came, Came::Done(_));
+        let others = own.earlier.is_some() && !matches!(came, Completion::Done(_));
         (!others).then_some((own.key, own.place.or(own.earlier.and_then(|e| e.location))))
     }
 
-    pub fn next(&self) -> Option<Timestamp> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         self.timed.first().map(|&(at, _)| at)
     }
 
     /// What is due by now.
-    pub fn advance(&mut self, now: Timestamp) -> Vec<Step> {
+    pub fn advance(&mut self, now: Timestamp) -> Vec<RecordStep> {
         let mut steps = Vec::new();
         while let Some(&(at, id)) = self.timed.first().filter(|(at, _)| *at <= now) {
             self.timed.remove(&(at, id));
@@ -301,12 +308,12 @@
                 continue;
             };
             match own.phase {
-                Phase::Asking if now >= own.until => steps.extend(self.go(id)),
+                Phase::Asking if now >= own.until => steps.extend(self.proceed(id)),
                 Phase::Joining { again, .. } if now >= again => {
                     if now >= own.join_until {
-                        steps.extend(self.go(id));
+                        steps.extend(self.proceed(id));
                     } else {
-                        steps.push(Step::Claim(id, own.key));
+                        steps.push(RecordStep::Claim(id, own.key));
                         // Without an answer it goes when the time to join is over.
                         self.timed.insert((own.join_until, id));
                     }
--- a/crates/shared-store/tests/stories.rs
+++ b/crates/shared-store/tests/stories.rs
@@ -4,7 +4,7 @@
 
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::{Came, Verdict};
+use trailproxy_shared_store::decide::records::{Completion, RecordDecision};
 use trailproxy_shared_store::decide::trust::Trust;
 use world::*;
 
@@ -20,8 +20,8 @@
     world
 }
 
-fn done(body: &[u8]) -> Came {
-    Came::Done(Some(body.to_vec()))
+fn done(body: &[u8]) -> Completion {
+    Completion::Done(Some(body.to_vec()))
 }
 
 #[test]
@@ -38,7 +38,7 @@
     let mut world = pair(2);
     let first = world.come(0, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
-    assert_eq!(world.verdict(0, first), Some(&Verdict::Go));
+    assert_eq!(world.verdict(0, first), Some(&RecordDecision::Proceed));
     world.sent(0, first, 0);
     world.ended(0, first, done(b"accepted"));
     world.run(TimeSpan::from_millis(2));
@@ -46,7 +46,7 @@
     world.run(TimeSpan::from_millis(2));
     assert_eq!(
         world.verdict(1, again),
-        Some(&Verdict::Answer(b"accepted".to_vec()))
+        Some(&RecordDecision::Answer(b"accepted".to_vec()))
     );
 }
 
@@ -64,7 +64,7 @@
     world.run(TimeSpan::from_millis(200));
     assert_eq!(
         world.verdict(1, again),
-        Some(&Verdict::Answer(b"accepted".to_vec()))
+        Some(&RecordDecision::Answer(b"accepted".to_vec()))
     );
 }
 
@@ -80,12 +80,12 @@
     world.run(TimeSpan::from_millis(260));
     assert_eq!(
         world.verdict(1, again),
-        Some(&Verdict::Go),
+        Some(&RecordDecision::Proceed),
         "after a quarter of its time"
     );
     let earlier = world.members[1]
         .sharing
-        .earlier(again)
+        .earlier_attempt(again)
         .expect("what was found binds it");
     assert_eq!(earlier.location, Some((ZoneId(0), CellId(3))));
     assert!(
@@ -101,7 +101,10 @@
     world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(300));
-    let earlier = world.members[1].sharing.earlier(again).expect("the claim");
+    let earlier = world.members[1]
+        .sharing
+        .earlier_attempt(again)
+        .expect("the claim");
     assert_eq!(earlier.location, None);
     assert!(!RepeatGroup::Cell.covers(earlier.location, (ZoneId(0), CellId(0))));
 }
@@ -111,12 +114,12 @@
     let mut world = pair(6);
     let first = world.come(0, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
-    world.ended(0, first, Came::NeverRan);
+    world.ended(0, first, Completion::NeverRan);
     world.run(TimeSpan::from_millis(2));
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(2));
-    assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
-    assert_eq!(world.members[1].sharing.earlier(again), None);
+    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
+    assert_eq!(world.members[1].sharing.earlier_attempt(again), None);
 }
 
 #[test]
@@ -127,7 +130,7 @@
     world.run(TimeSpan::from_millis(6));
     assert_eq!(
         world.verdict(0, first),
-        Some(&Verdict::Go),
+        Some(&RecordDecision::Proceed),
         "it goes without, in time"
     );
     let went = world.members[0].decided[&first][0].0;
@@ -139,7 +142,7 @@
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(300));
     assert!(
-        world.members[1].sharing.earlier(again).is_some(),
+        world.members[1].sharing.earlier_attempt(again).is_some(),
         "the claim stands all the same"
     );
 }
@@ -155,8 +158,8 @@
     world.way.back = TimeSpan::from_millis(30);
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(60));
-    assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
-    let earlier = world.members[1].sharing.earlier(again);
+    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
+    let earlier = world.members[1].sharing.earlier_attempt(again);
     assert!(earlier.is_some(), "its next hand-off is bound by it");
 }
 
@@ -166,7 +169,12 @@
         let mut world = pair(100 + seed);
         let ids = [0, 1].map(|nth| world.come(nth, "order-1", LEFT));
         world.run(TimeSpan::from_millis(300));
-        let bound = [0, 1].map(|nth| world.members[nth].sharing.earlier(ids[nth]).is_some());
+        let bound = [0, 1].map(|nth| {
+            world.members[nth]
+                .sharing
+                .earlier_attempt(ids[nth])
+                .is_some()
+        });
         assert_eq!(
             bound.iter().filter(|bound| **bound).count(),
             1,
@@ -187,7 +195,7 @@
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(10));
     // It goes the way it would alone; and nobody waits for a store that may have forgotten.
-    assert_eq!(world.verdict(1, again), Some(&Verdict::Go));
+    assert_eq!(world.verdict(1, again), Some(&RecordDecision::Proceed));
     assert_eq!(world.trust(1), Trust::Returning);
     assert!(
         world.members[1]
@@ -262,7 +270,10 @@
         world.run(TimeSpan::from_millis(2));
         let again = world.come(1, "order-1", LEFT);
         world.run(TimeSpan::from_millis(300));
-        let earlier = world.members[1].sharing.earlier(again).expect("found");
+        let earlier = world.members[1]
+            .sharing
+            .earlier_attempt(again)
+            .expect("found");
         assert!(
             earlier.first_sent <= sent
                 && sent.since(earlier.first_sent) <= TimeSpan::from_millis(520)
@@ -303,7 +314,10 @@
     assert_eq!([0, 1].map(|nth| world.trust(nth)), [Trust::Alone; 2]);
     let come = world.now;
     let id = world.come(0, "order-1", LEFT);
-    assert_eq!(world.members[0].decided[&id][0], (come, Verdict::Go));
+    assert_eq!(
+        world.members[0].decided[&id][0],
+        (come, RecordDecision::Proceed)
+    );
 }
 
 #[test]
@@ -322,7 +336,7 @@
     assert!(world.together(TimeSpan::from_secs(12)));
     let again = world.come(1, "order-1", LEFT);
     world.run(TimeSpan::from_millis(300));
-    if let Some(earlier) = world.members[1].sharing.earlier(again) {
+    if let Some(earlier) = world.members[1].sharing.earlier_attempt(again) {
         assert!(earlier.first_sent <= sent);
         assert!(
             world.now >= earlier.first_sent + TimeSpan::from_secs(2),
@@ -337,7 +351,7 @@
     let (object, now) = (Some(ObjectId(99)), world.now);
     world.members[0]
         .sharing
-        .purged(now, object, GroupId(0), TimeSpan::from_millis(50));
+        .on_purge(now, object, GroupId(0), TimeSpan::from_millis(50));
     world.run(TimeSpan::from_secs(2));
     world.restart(1);
     world.run(TimeSpan::from_secs(1));
@@ -358,7 +372,7 @@
         let now = world.now;
         world.members[0]
             .sharing
-            .purged(now, Some(ObjectId(99)), GroupId(0), TimeSpan::ZERO);
+            .on_purge(now, Some(ObjectId(99)), GroupId(0), TimeSpan::ZERO);
         world.run(TimeSpan::from_secs(2));
     }
     assert_eq!(world.members[1].purges.len(), 2);
@@ -379,7 +393,7 @@
         state: HostState::Ready,
     };
     let now = world.now;
-    world.members[0].sharing.opened(now, entry);
+    world.members[0].sharing.on_breaker_opened(now, entry);
     world.run(TimeSpan::from_secs(1));
     assert_eq!(world.members[1].hints.len(), 1);
     assert!(world.members[0].hints.is_empty());
@@ -423,9 +437,9 @@
     world.way.paused = true;
     for nth in 0..5_000 {
         let id = world.come(0, &format!("key-{nth}"), LEFT);
-        world.ended(0, id, Came::Unknown);
+        world.ended(0, id, Completion::Unknown);
     }
-    let (records, pending, _) = world.members[0].sharing.kept();
+    let (records, pending, _) = world.members[0].sharing.tracked_counts();
     assert_eq!(records, 0);
     assert!(pending <= 1_024, "{pending}");
     assert!(world.members[0].sharing.counts().left_out > 0);
@@ -438,7 +452,7 @@
     for nth in 0..4 {
         let id = world.come(0, &format!("key-{nth}"), LEFT);
         world.run(TimeSpan::from_millis(2));
-        assert_eq!(world.verdict(0, id), Some(&Verdict::Go));
+        assert_eq!(world.verdict(0, id), Some(&RecordDecision::Proceed));
     }
     assert_eq!(world.trust(0), Trust::Doubtful);
     assert!(
@@ -453,7 +467,7 @@
 fn what_is_switched_off_asks_nothing() {
     let none = trailproxy_shared_store::decide::Rules {
         records: false,
-        words: false,
+        messages: false,
         hints: false,
         purges: false,
         ..rules()
@@ -465,7 +479,7 @@
     let now = world.now;
     world.members[0]
         .sharing
-        .purged(now, None, GroupId(1), TimeSpan::ZERO);
-    assert_eq!(world.verdict(0, id), Some(&Verdict::Go));
+        .on_purge(now, None, GroupId(1), TimeSpan::ZERO);
+    assert_eq!(world.verdict(0, id), Some(&RecordDecision::Proceed));
     assert_eq!(world.members[0].sharing.counts().asked, before);
 }
--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -11,7 +11,7 @@
 use crate::msgpack::{self, ParseError, Value};
 use crate::ring::Ring;
 use crate::stall_detector::StallDetector;
-use crate::system_calls::{self, RESOURCE_RETRY_INTERVAL, Transfer, errno};
+use crate::system_calls::{self, RESOURCE_RETRY_DELAY, Transfer, errno};
 use crate::trace::Trace;
 use local_channel::mpsc;
 use slog::{Logger, debug};
@@ -23,7 +23,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Instant, sleep, sleep_until};
 use trailproxy::policy::permits::{self, CloseFacts};
-use trailproxy::policy::system_errors::{AcceptError, of_accept};
+use trailproxy::policy::system_errors::{AcceptError, classify_accept_error};
 use trailproxy::units::*;
 
 /// The number of open requests on one connection that the protocol allows. A connection that sends more is closed and all
@@ -50,7 +50,7 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// A client that closes its sending direction is taken to have gone after this time. Until then the requests that it sent
 /// just before the close are still started.
-const CLIENT_GONE_TIMEOUT: Duration = Duration::from_micros(permits::CLIENT_GONE_AFTER.0);
+const CLIENT_GONE_TIMEOUT: Duration = Duration::from_micros(permits::CLIENT_CLOSE_GRACE.0);
 /// An idle connection is closed by a half-close first, and the client has this time to close its side. An immediate close
 /// would reset a request that the client may be sending, and answers in transit with it.
 const HALF_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -60,7 +60,9 @@
 
 /// What all client connections share.
 pub struct ClientsContext {
+    /// The dispatcher's queue, which receives the requests.
     pub queue: InboundSender,
+    /// The classes by the method names that clients use.
     pub classes: HashMap<String, ClassId>,
     pub slots: RefCell<ClientSlots>,
     /// The longest deadline of any class: no client waits longer than this for an answer.
@@ -105,7 +107,7 @@
             Err(e) => {
                 count(&shared.counts.accepts_failed);
                 debug!(shared.log, "accept failed"; "why" => %e);
-                if of_accept(errno(&e)) != AcceptError::Next {
+                if classify_accept_error(errno(&e)) != AcceptError::Next {
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                 }
             }
@@ -133,10 +135,10 @@
             }
             Err(error) => error,
         };
-        match of_accept(errno(&error)) {
-            AcceptError::NobodyWaits | AcceptError::Broken => return,
+        match classify_accept_error(errno(&error)) {
+            AcceptError::NonePending | AcceptError::Permanent => return,
             AcceptError::Next => count(&shared.counts.accepts_failed),
-            AcceptError::Later => {
+            AcceptError::RetryLater => {
                 count(&shared.counts.accepts_failed);
                 sleep(ACCEPT_RETRY_INTERVAL).await;
             }
@@ -200,7 +202,7 @@
     /// Since when the connection is idle or its next message incomplete, if no request is open.
     unused_since: Instant,
     /// Whether a whole message was received.
-    has_message: bool,
+    has_received_message: bool,
     /// The latest deadline of all requests of this connection.
     latest_deadline: Instant,
     /// The state that pending attempts check before they start.
@@ -258,7 +260,7 @@
             encoded: 0,
             last_progress: now,
             unused_since: now,
-            has_message: false,
+            has_received_message: false,
             latest_deadline: now,
             state: Rc::default(),
             arrived_after,
@@ -318,7 +320,7 @@
     fn slot_use(&self) -> (SlotUse, Instant) {
         match (
             self.open_count(),
-            self.has_message && self.incoming.is_empty(),
+            self.has_received_message && self.incoming.is_empty(),
         ) {
             (1.., _) => (SlotUse::Busy, self.unused_since),
             (0, false) => (
@@ -417,7 +419,7 @@
     /// Reads and handles what was received, including the end of the stream. The number of reads is limited so that other
     /// tasks can run.
     fn read(&mut self) -> Result<(), CloseReason> {
-        let first_read = !self.has_message;
+        let first_read = !self.has_received_message;
         for _ in 0..MAX_READS_PER_TURN {
             if self.eof_at.is_some() {
                 break;
@@ -431,7 +433,7 @@
                     self.state.closed_at.set(Some(closed_at));
                 }
                 Transfer::Bytes(n) => {
-                    if self.has_message && self.incoming.is_empty() {
+                    if self.has_received_message && self.incoming.is_empty() {
                         self.unused_since = Instant::now();
                     }
                     self.incoming.commit(n);
@@ -497,7 +499,7 @@
 
     /// Pauses reading and writing because the system is short of a resource.
     fn pause(&mut self) {
-        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_INTERVAL);
+        self.paused_until = Some(Instant::now() + RESOURCE_RETRY_DELAY);
     }
 
     /// Queues the answer to a request, unless the client has revoked the request.
@@ -564,7 +566,7 @@
             };
             self.incoming.consume(n);
             self.min_message_bytes = 1;
-            (self.has_message, self.unused_since) = (true, Instant::now());
+            (self.has_received_message, self.unused_since) = (true, Instant::now());
             if let Message::Request(request) = &mut message {
                 request.arrived_at = self.sent_at(first_read);
                 request.client = self.state.clone();
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -1,11 +1,11 @@
-//! Applies the settings and the sections of the operator's file: each subsystem is switched on,
-//! changed or switched off.
+//! Applies the settings and the sections of the operator's file: each subsystem is switched on, changed or switched
+//! off.
 
 use super::Dispatch;
 use crate::operator::{OperatorConfig, ResolvedPeers, longest_window};
-use crate::peered::PeersRuntime;
-use crate::peers;
-use crate::store;
+use crate::peers_runtime::PeersRuntime;
+use crate::peers_socket;
+use crate::store_connection;
 use crate::subsystems::StoreClient;
 use local_channel::mpsc;
 use slog::{info, warn};
@@ -17,16 +17,16 @@
 use trailproxy_peers::decide::{Peers, new_boot_id};
 use trailproxy_peers::sites;
 use trailproxy_peers::wire::Seal;
-use trailproxy_shared_store::decide::Sharing;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
+use trailproxy_shared_store::config::StoreConfig;
+use trailproxy_shared_store::decide::SharedState;
 use trailproxy_terms::Reports;
-use trailproxy_zones::decide::sheet::Sheet as ZonesSheet;
+use trailproxy_zones::decide::config::ZonesConfig;
 use trailproxy_zones::{Rules, Zones};
 
 impl Dispatch {
-    /// Applies other settings that have the same classes, zone, host kinds and bounds. Open
-    /// requests continue. The budgets of traffic between zones start again when the operator's
-    /// file, which is read after the settings, is applied.
+    /// Applies other settings that have the same classes, zone, host kinds and bounds. Open requests continue. The
+    /// budgets of traffic between zones start again when the operator's file, which is read after the settings, is
+    /// applied.
     pub(super) fn apply_settings(
         &mut self,
         now: Timestamp,
@@ -35,8 +35,8 @@
         info!(self.log, "settings followed"; "probes" => settings.probes_enabled, "sizes_told" => settings.capacities_reported,
             "link_told" => settings.link_load_reported, "straight" => settings.allows_direct, "open" => self.state.requests.len());
         self.reports = reports;
-        if let Some((_, known, _)) = &mut self.accounts {
-            *known = settings.clone();
+        if let Some((_, stored, _)) = &mut self.accounts {
+            *stored = settings.clone();
         }
         self.decisions.crossings.zones = None;
         self.decisions.apply_settings(now, settings);
@@ -61,9 +61,8 @@
         Ok(())
     }
 
-    /// Applies the section `peers`. A section that differs from the present one ends the present
-    /// state and starts again. If the socket of the new section cannot be opened, the former one is
-    /// closed all the same.
+    /// Applies the section `peers`. A section that differs from the present one ends the present state and starts
+    /// again. If the socket of the new section cannot be opened, the former one is closed all the same.
     pub(super) fn apply_peers_section(
         &mut self,
         section: Option<Box<ResolvedPeers>>,
@@ -93,11 +92,11 @@
             return Ok(());
         };
         let config = &section.config;
-        let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-        let rules = config.settings(longest, settings.purge_propagation)?;
+        let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
+        let rules = config.settings(min_retention, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
-            .map_or_else(|| peers::bind(listen), Ok)
+            .map_or_else(|| peers_socket::bind(listen), Ok)
             .map_err(|e| {
                 let [a, b, c, d] = listen.ip;
                 let found = format!("{a}.{b}.{c}.{d}:{} ({e})", listen.port);
@@ -118,7 +117,13 @@
         let (to, orders) = mpsc::channel();
         let seal = Seal::new(&config.fleet, &section.secret);
         let queue = self.pools.shared.queue.clone();
-        tokio::task::spawn_local(peers::run(socket.clone(), seal, queue, orders, log.clone()));
+        tokio::task::spawn_local(peers_socket::run(
+            socket.clone(),
+            seal,
+            queue,
+            orders,
+            log.clone(),
+        ));
         let targets = settings.classes.iter().map(|class| class.target).collect();
         let decisions = Peers::new(now, own, rules, seed);
         let mut runtime =
@@ -130,28 +135,28 @@
         Ok(())
     }
 
-    /// Applies the section `store`. A section that differs from the present one starts again with a
-    /// new connection, and requests that waited for the store continue.
-    pub(super) fn apply_store_section(&mut self, section: Option<Box<StoreSheet>>) {
+    /// Applies the section `store`. A section that differs from the present one starts again with a new connection, and
+    /// requests that waited for the store continue.
+    pub(super) fn apply_store_section(&mut self, section: Option<Box<StoreConfig>>) {
         let now = self.clock.timestamp(Instant::now());
         let Some((_, settings, seed)) = &self.accounts else {
             return;
         };
-        let shared = &mut self.decisions.crossings.store;
-        if shared.as_ref().map(|shared| &shared.config) == section.as_deref() {
+        let present = &mut self.decisions.crossings.store;
+        if present.as_ref().map(|present| &present.config) == section.as_deref() {
             return;
         }
-        let ended = shared.take();
+        let ended = present.take();
         if let Some(config) = section {
-            let longest = longest_window(settings, self.pools.shared.bounds.longest_limit);
-            match config.rules(longest, settings.purge_propagation) {
+            let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
+            match config.rules(min_retention, settings.purge_propagation) {
                 Ok(rules) => {
-                    // Differs between any two processes; otherwise one would take records of the
-                    // other for its own.
-                    let life = *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
+                    // Differs between any two processes; otherwise one would take records of the other for its own.
+                    let process_number =
+                        *seed ^ now.0.rotate_left(20) ^ u64::from(std::process::id());
                     let (to, orders) = mpsc::channel();
                     let (queue, log) = (self.pools.shared.queue.clone(), self.log.clone());
-                    tokio::task::spawn_local(store::run(
+                    tokio::task::spawn_local(store_connection::run(
                         *config.clone(),
                         queue,
                         orders,
@@ -159,11 +164,16 @@
                     ));
                     info!(log, "store is on"; "file" => &config.file, "host" => &config.host, "port" => config.port);
                     let targets = settings.classes.iter().map(|class| class.target).collect();
-                    let mut client =
-                        StoreClient::new(*config, Sharing::new(now, rules, life), to, targets, log);
+                    let mut client = StoreClient::new(
+                        *config,
+                        SharedState::new(now, rules, process_number),
+                        to,
+                        targets,
+                        log,
+                    );
                     let (kind, entries) = (HostListKind::Full, self.pools.host_entries());
                     client.on_event(now, &Event::HostList { kind, entries });
-                    *shared = Some(client);
+                    *present = Some(client);
                 }
                 Err(reason) => warn!(self.log, "operator's file refused"; "why" => reason),
             }
@@ -176,7 +186,7 @@
     }
 
     /// Applies the section about traffic between zones. Counts and open crossings are kept.
-    pub(super) fn apply_zones_section(&mut self, section: Option<Box<(ZonesSheet, Rules)>>) {
+    pub(super) fn apply_zones_section(&mut self, section: Option<Box<(ZonesConfig, Rules)>>) {
         let now = self.clock.timestamp(Instant::now());
         let Some((accounts, settings, seed)) = &mut self.accounts else {
             return;
@@ -192,7 +202,7 @@
         accounts.apply_config(&config);
         info!(self.log, "zones are on"; "file" => &config.file, "limits" => rules.limits.len());
         match crossings {
-            Some(zones) => zones.change(now, rules),
+            Some(zones) => zones.apply_rules(now, rules),
             None => {
                 let mut zones = Zones::new(settings, rules, *seed);
                 let kind = HostListKind::Full;
--- a/crates/trailproxyd/src/dispatch/sharing.rs
+++ b/crates/trailproxyd/src/dispatch/sharing.rs
@@ -1,10 +1,10 @@
-//! Applies what the subsystems report: requests that may continue, answers from records, and hosts
-//! that other dispatchers know to be restricted.
+//! Applies what the subsystems report: requests that may continue, answers from records, and hosts that other
+//! dispatchers know to be restricted.
 
 use super::Dispatch;
 use crate::buffered::CountedBytes;
+use crate::held_requests::SubsystemEvent;
 use crate::messages::Reply;
-use crate::waiting::SubsystemEvent;
 use slog::info;
 use trailproxy::interface::{Arrival, Event, HostListKind, HostState};
 use trailproxy::units::{HostId, Timestamp};
@@ -25,8 +25,8 @@
         if let Some((caches, parents)) = self.decisions.crossings.take_slow_start_shares() {
             self.decisions.set_slow_start_shares(now, caches, parents);
         }
-        while let Some(due) = self.decisions.crossings.take_event() {
-            match due {
+        while let Some(event) = self.decisions.crossings.take_event() {
+            match event {
                 SubsystemEvent::MayStart(arrival) => self.submit_arrival(now, arrival),
                 SubsystemEvent::AnsweredFromRecord(id, body) => {
                     let body = CountedBytes::new(&body, &self.pools.shared.buffered);
@@ -47,8 +47,7 @@
         }
     }
 
-    /// Applies the state that other dispatchers report of a host. `None`: the state in the own host
-    /// list applies again.
+    /// Applies the state that other dispatchers report of a host. `None`: the state in the own host list applies again.
     pub(super) fn apply_host_restriction(
         &mut self,
         now: Timestamp,
@@ -61,7 +60,7 @@
         };
         if let Some((state, stamp)) = restriction {
             (entry.state, entry.stamp) = (state, stamp);
-            entry.started = stamp.map(|stamp| self.state.stamps.latest(now, stamp));
+            entry.started = stamp.map(|stamp| self.state.stamps.latest_local_time(now, stamp));
         }
         info!(self.log, "host restricted"; "host" => format!("{:x}", host.0), "by_others" => restriction.is_some());
         let (kind, entries) = (HostListKind::Delta, vec![entry]);
--- a/crates/trailproxyd/src/waiting.rs
+++ b/crates/trailproxyd/src/held_requests.rs
@@ -1,10 +1,10 @@
-//! Requests held back until a shared subsystem has reported earlier attempts under their keys, and
-//! events of these subsystems for the task that owns the decisions.
+//! Requests held back until a shared subsystem has reported earlier attempts under their keys, and events of these
+//! subsystems for the task that owns the decisions.
 
 use std::collections::{BTreeMap, VecDeque};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_shared_store::decide::records::Verdict;
+use trailproxy_shared_store::decide::records::RecordDecision;
 
 /// What a subsystem reports to the task that owns the decisions.
 pub enum SubsystemEvent {
@@ -14,8 +14,8 @@
     AnsweredFromRecord(RequestId, Vec<u8>),
     /// An event for the decisions.
     Event(Event),
-    /// Other dispatchers restrict a host: it counts as in this state, and as started then. `None`:
-    /// the state in the host list of this dispatcher applies again.
+    /// Other dispatchers restrict a host: it counts as in this state, and as started then. `None`: the state in the
+    /// host list of this dispatcher applies again.
     Restricted(HostId, Option<(HostState, Option<Timestamp>)>),
 }
 
@@ -51,13 +51,13 @@
     }
 
     /// Releases a held request as the subsystem has decided.
-    pub fn on_decided(&mut self, id: RequestId, verdict: Verdict) {
+    pub fn on_decided(&mut self, id: RequestId, decision: RecordDecision) {
         let Some(arrival) = self.held.remove(&id) else {
             return;
         };
-        self.events.push_back(match verdict {
-            Verdict::Go => SubsystemEvent::MayStart(arrival),
-            Verdict::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
+        self.events.push_back(match decision {
+            RecordDecision::Proceed => SubsystemEvent::MayStart(arrival),
+            RecordDecision::Answer(body) => SubsystemEvent::AnsweredFromRecord(id, body),
         });
     }
 
--- a/crates/trailproxyd/src/operator.rs
+++ b/crates/trailproxyd/src/operator.rs
@@ -1,6 +1,6 @@
-//! The operator's file. Where it is a script, the program `trailproxy` runs it in a process of its
-//! own and hands the checked sections back as JSON: a script that runs for long or grows large
-//! harms only that process, and no request waits for it.
+//! The operator's file. Where it is a script, the program `trailproxy` runs it in a process of its own and hands the
+//! checked sections back as JSON: a script that runs for long or grows large harms only that process, and no request
+//! waits for it.
 
 use crate::starting::StepError;
 use serde_json::Value;
@@ -12,12 +12,12 @@
 use tokio::time::timeout;
 use trailproxy::interface::{DispatcherSettings, Effect};
 use trailproxy::units::TimeSpan;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_peers::config::{Addresses, PeersConfig};
 use trailproxy_peers::decide::locality::Topology;
-use trailproxy_shared_store::sheet::Sheet as StoreSheet;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_zones::Rules;
-use trailproxy_zones::decide::sheet::{Names, Sheet};
+use trailproxy_zones::decide::config::{Names, ZonesConfig};
 
 /// How long the reader may run.
 const READER_TIMEOUT: Duration = Duration::from_secs(3);
@@ -26,8 +26,8 @@
 /// How much of the error output of a reader is read.
 const MAX_ERROR_BYTES: u64 = 16 << 10;
 
-/// Where the file is, and the program that reads scripts. A file that ends in `.json` holds the
-/// output of such a program and is read directly.
+/// Where the file is, and the program that reads scripts. A file that ends in `.json` holds the output of such a
+/// program and is read directly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
     /// The file.
@@ -40,13 +40,13 @@
 #[derive(Default)]
 pub struct OperatorConfig {
     /// Traffic between zones: the section, and the rules that follow from it.
-    pub zones: Option<Box<(Sheet, Rules)>>,
+    pub zones: Option<Box<(ZonesConfig, Rules)>>,
     /// The store that dispatchers share.
-    pub store: Option<Box<StoreSheet>>,
+    pub store: Option<Box<StoreConfig>>,
     /// State held together with other dispatchers.
     pub peers: Option<Box<ResolvedPeers>>,
     /// Budgets divided among dispatchers.
-    pub budgets: Option<Box<BudgetsSheet>>,
+    pub budgets: Option<Box<BudgetsConfig>>,
 }
 
 /// The section `peers`, with what follows from it on this machine.
@@ -70,9 +70,8 @@
     /// The longest repeat window of any class, together with the longest deadline.
     pub longest_window: TimeSpan,
     /// How long a purge may take to reach all hosts.
-    pub purges_last: TimeSpan,
-    /// The address at which other dispatchers reach this one, if the environment or the
-    /// configuration names it.
+    pub purge_propagation: TimeSpan,
+    /// The address at which other dispatchers reach this one, if the environment or the configuration names it.
     pub peers: Option<String>,
 }
 
@@ -86,9 +85,9 @@
 }
 
 impl Source {
-    /// From `RELAY_OPERATOR` and `RELAY_READER`, or else from `operator` and `reader` in the
-    /// configuration. `None`: there is no such file.
-    pub fn of(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<Source> {
+    /// From `RELAY_OPERATOR` and `RELAY_READER`, or else from `operator` and `reader` in the configuration. `None`:
+    /// there is no such file.
+    pub fn from_config(json: &Value, variable: impl Fn(&str) -> Option<String>) -> Option<Source> {
         let key = |name: &str| json.get(name).and_then(Value::as_str).map(str::to_owned);
         let path = variable("RELAY_OPERATOR").or(key("operator"))?;
         let next_to_daemon = || Some(std::env::current_exe().ok()?.parent()?.join("trailproxy"));
@@ -103,7 +102,11 @@
     /// Reads and checks the file. The error names the file, the line and the field that do not fit.
     pub async fn read(&self, context: &ValidationContext) -> Result<OperatorConfig, StepError> {
         let path = self.path.display();
-        let text = match self.path.extension().is_some_and(|end| end == "json") {
+        let text = match self
+            .path
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             true => read_file(&self.path)
                 .map_err(|error| StepError::System(format!("{path} can't be read"), error))?,
             false => self.run_reader().await?,
@@ -130,14 +133,14 @@
         let store = sections
             .as_object_mut()
             .and_then(|sections| sections.remove("store"));
-        let store: Option<Box<StoreSheet>> = match store {
+        let store: Option<Box<StoreConfig>> = match store {
             Some(store) => {
                 serde_json::from_value(store).map_err(|e| format!("{path}: section store: {e}"))?
             }
             None => None,
         };
         if let Some(store) = &store {
-            store.rules(context.longest_window, context.purges_last)?;
+            store.rules(context.longest_window, context.purge_propagation)?;
         }
         let peers = sections
             .as_object_mut()
@@ -149,7 +152,7 @@
             None => None,
         };
         let peers = match peers {
-            Some(config) => Some(Box::new(ResolvedPeers::of(
+            Some(config) => Some(Box::new(ResolvedPeers::resolve(
                 config,
                 store.as_deref(),
                 context,
@@ -159,7 +162,7 @@
         let budgets = sections
             .as_object_mut()
             .and_then(|sections| sections.remove("budgets"));
-        let budgets: Option<Box<BudgetsSheet>> = match budgets {
+        let budgets: Option<Box<BudgetsConfig>> = match budgets {
             Some(budgets) => serde_json::from_value(budgets)
                 .map_err(|e| format!("{path}: section budgets: {e}"))?,
             None => None,
@@ -168,13 +171,13 @@
             budgets.check()?;
             if peers.is_none() && !store.as_ref().is_some_and(|store| store.words) {
                 let accepted = "a section peers that is on beside it, or a section store with words, because budgets send their messages through one of them";
-                return Err(budgets.wrong("on", "True", accepted));
+                return Err(budgets.field_error("on", "True", accepted));
             }
         }
         let empty = sections
             .as_object()
             .is_some_and(|sections| sections.is_empty());
-        let config: Option<Sheet> = match empty {
+        let config: Option<ZonesConfig> = match empty {
             true => None,
             false => serde_json::from_value(sections).map_err(invalid)?,
         };
@@ -246,12 +249,13 @@
 }
 
 impl ResolvedPeers {
-    fn of(
+    /// Checks the section and reads the secret. Records may be kept by the store or by the peers, not by both.
+    fn resolve(
         config: PeersConfig,
-        store: Option<&StoreSheet>,
+        store: Option<&StoreConfig>,
         context: &ValidationContext,
     ) -> Result<ResolvedPeers, String> {
-        config.settings(context.longest_window, context.purges_last)?;
+        config.settings(context.longest_window, context.purge_propagation)?;
         let addresses = config.addresses(context.peers.as_deref())?;
         if config.records && store.is_some_and(|store| store.records) {
             let accepted = "records in one of the sections store and peers";
--- a/crates/trailproxyd/src/peered.rs
+++ b/crates/trailproxyd/src/peers_runtime.rs
@@ -1,9 +1,9 @@
-//! State held together with the other dispatchers, while it is switched on: its decisions, and how
-//! their actions are carried out.
+//! State held together with the other dispatchers, while it is switched on: its decisions, and how their actions are
+//! carried out.
 
+use crate::held_requests::{HeldRequests, SubsystemEvent};
 use crate::messages::ToPeers;
 use crate::operator::ResolvedPeers;
-use crate::waiting::{HeldRequests, SubsystemEvent};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::rc::Rc;
@@ -13,20 +13,19 @@
 use trailproxy_peers::decide::facts::ListedState;
 use trailproxy_peers::decide::messages::{Address, BootId, InquiryId, Message, PeerId};
 use trailproxy_peers::decide::{Action, Peers};
-use trailproxy_shared_store::decide::records::{Came, Folding};
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher};
 
 /// State held together with the other dispatchers, with the requests that are held for it.
 pub struct PeersRuntime {
     /// The section that is in force.
     pub section: ResolvedPeers,
-    folding: Folding,
+    key_hasher: KeyHasher,
     peers: Peers,
     /// The socket, which a new section with the same address takes over.
     pub socket: Rc<UdpSocket>,
     orders: mpsc::Sender<ToPeers>,
     held: HeldRequests,
-    /// Messages of other dispatchers for other subsystems: sender, number of the subsystem and
-    /// bytes.
+    /// Messages of other dispatchers for other subsystems: sender, number of the subsystem and bytes.
     received: Vec<(PeerId, u8, Vec<u8>)>,
     log: Logger,
 }
@@ -41,7 +40,7 @@
         log: Logger,
     ) -> PeersRuntime {
         PeersRuntime {
-            folding: Folding::new(&section.config.fleet),
+            key_hasher: KeyHasher::new(&section.config.fleet),
             section,
             peers,
             socket,
@@ -52,27 +51,26 @@
         }
     }
 
-    /// Handles a request with a key: it is held until the other dispatchers have answered, or until
-    /// its target.
+    /// Handles a request with a key: it is held until the other dispatchers have answered, or until its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
-        let key = self.folding.key(arrival.class, key);
+        let key = self.key_hasher.key(arrival.class, key);
         self.peers.on_request(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
     /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.held.location_of(host) {
-            self.peers.on_attempt_sent(now, id, place);
+        if let Some(location) = self.held.location_of(host) {
+            self.peers.on_attempt_sent(now, id, location);
             self.apply_actions();
         }
     }
 
     /// Handles a request that has its final answer or whose client has gone.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         self.held.forget(id);
-        self.peers.on_request_ended(now, id, came);
+        self.peers.on_request_ended(now, id, completion);
         self.apply_actions();
     }
 
@@ -108,8 +106,8 @@
     }
 
     /// Answers a query from the command line.
-    pub fn answer(&mut self, now: Timestamp, address: Address, no: InquiryId, text: String) {
-        self.peers.send_operator_reply(now, address, no, text);
+    pub fn answer(&mut self, now: Timestamp, address: Address, inquiry: InquiryId, text: String) {
+        self.peers.send_operator_reply(now, address, inquiry, text);
         self.apply_actions();
     }
 
@@ -184,13 +182,13 @@
 
     /// Carries out the actions of the decisions.
     fn apply_actions(&mut self) {
-        for act in self.peers.take_actions() {
-            match act {
+        for action in self.peers.take_actions() {
+            match action {
                 Action::Send(to, message) => drop(self.orders.send(ToPeers::Send(to, message))),
                 Action::Decided { id, verdict } => self.held.on_decided(id, verdict),
                 Action::Purged { object, group, at } => {
-                    // The age follows from the stamp: the task that owns the decisions knows how
-                    // far the clocks are apart.
+                    // The age follows from the stamp: the task that owns the decisions knows how far the clocks are
+                    // apart.
                     self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
@@ -205,8 +203,8 @@
                 } => {
                     let state = match listed {
                         ListedState::Ready => HostState::Ready,
-                        // A host that is gone for others is only drained here until the host list
-                        // of this dispatcher removes it.
+                        // A host that is gone for others is only drained here until the host list of this dispatcher
+                        // removes it.
                         ListedState::Draining | ListedState::Gone => HostState::Draining,
                     };
                     self.held
@@ -218,12 +216,14 @@
                 Action::PeerBreakerOpened { host } => self
                     .held
                     .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
-                Action::SubsystemMessage(from, of, bytes) => self.received.push((from, of, bytes)),
-                Action::StateChanged(stands) => {
-                    info!(self.log, "peers"; "stands" => stands.as_str())
+                Action::SubsystemMessage(from, subsystem, bytes) => {
+                    self.received.push((from, subsystem, bytes))
                 }
-                Action::MemberStatusChanged(id, standing) => {
-                    info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?standing);
+                Action::StateChanged(state) => {
+                    info!(self.log, "peers"; "stands" => state.as_str())
+                }
+                Action::MemberStatusChanged(id, status) => {
+                    info!(self.log, "peer"; "id" => format!("{:016x}", id.0), "is" => ?status);
                 }
             }
         }
--- a/crates/trailproxyd/src/peers.rs
+++ b/crates/trailproxyd/src/peers_socket.rs
@@ -1,10 +1,10 @@
 //! The connection to the other dispatchers: datagrams on one UDP socket, on the same thread.
 //!
-//! It only sends and receives. A datagram that cannot be sent at once is lost, as any datagram may
-//! be. A datagram that is not from the fleet costs one checksum over its bytes and nothing more.
+//! It only sends and receives. A datagram that cannot be sent at once is lost, as any datagram may be. A datagram that
+//! is not from the fleet costs one checksum over its bytes and nothing more.
 
 use crate::messages::{FromPeers, Inbound, InboundSender, ToPeers};
-use crate::system_calls::{RESOURCE_RETRY_INTERVAL, errno};
+use crate::system_calls::{RESOURCE_RETRY_DELAY, errno};
 use local_channel::mpsc;
 use slog::{Logger, info};
 use std::cell::Cell;
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
-use trailproxy::policy::system_errors::{StreamError, of_stream};
+use trailproxy::policy::system_errors::{StreamError, classify_stream_error};
 use trailproxy_peers::decide::messages::Address;
 use trailproxy_peers::wire::{MAX_DATAGRAM_BYTES, ReadError, Seal};
 
@@ -84,12 +84,12 @@
         let (size, from) = match socket.recv_from(&mut bytes).await {
             Ok((size, SocketAddr::V4(from))) => (size, from),
             // The system lacks a resource for the moment.
-            Err(e) if of_stream(errno(&e)) == StreamError::Later => {
-                tokio::time::sleep(RESOURCE_RETRY_INTERVAL).await;
+            Err(e) if classify_stream_error(errno(&e)) == StreamError::RetryLater => {
+                tokio::time::sleep(RESOURCE_RETRY_DELAY).await;
                 continue;
             }
-            // Any other error concerns a datagram sent earlier: a port on which nobody listens any
-            // more is reported here.
+            // Any other error concerns a datagram sent earlier: a port on which nobody listens any more is reported
+            // here.
             Ok(_) | Err(_) => {
                 tokio::task::yield_now().await;
                 continue;
--- a/crates/trailproxyd/src/starting.rs
+++ b/crates/trailproxyd/src/starting.rs
@@ -8,7 +8,8 @@
 use std::panic::{AssertUnwindSafe, catch_unwind, set_hook, take_hook};
 use std::time::{Duration, Instant};
 use trailproxy::policy::system_errors::{
-    START_AGAIN, START_AGAIN_AT_MOST, START_IS_TAKEN_FOR, start_tries_for,
+    EXTERNAL_CAUSE_RETRY_PERIOD, INITIAL_STARTUP_RETRY_DELAY, MAX_STARTUP_RETRY_DELAY,
+    startup_retry_period,
 };
 use trailproxy::units::TimeSpan;
 
@@ -35,8 +36,8 @@
     /// For how long a step that failed in this way is retried.
     fn retry_time(&self) -> Duration {
         let retry_time = match self {
-            StepError::System(_, error) => start_tries_for(errno(error)),
-            StepError::HalfWritten(_) => START_IS_TAKEN_FOR,
+            StepError::System(_, error) => startup_retry_period(errno(error)),
+            StepError::HalfWritten(_) => EXTERNAL_CAUSE_RETRY_PERIOD,
             StepError::Invalid(_) => TimeSpan::ZERO,
         };
         Duration::from_micros(retry_time.0)
@@ -53,12 +54,11 @@
     fn new() -> Retries {
         Retries {
             started_at: Instant::now(),
-            pause: Duration::from_micros(START_AGAIN.0),
+            pause: Duration::from_micros(INITIAL_STARTUP_RETRY_DELAY.0),
         }
     }
 
-    /// The pause before the next try, with a message for the log. The error: the step has been
-    /// tried for long enough.
+    /// The pause before the next try, with a message for the log. The error: the step has been tried for long enough.
     fn next_pause(&mut self, error: &StepError) -> Result<(Duration, String), String> {
         let tried = self.started_at.elapsed();
         let (text, seconds) = (error.text(), tried.as_secs_f64());
@@ -70,7 +70,7 @@
             return Err(format!("{text}, tried for {seconds:.1} s"));
         }
         let pause = self.pause;
-        let max_pause = Duration::from_micros(START_AGAIN_AT_MOST.0);
+        let max_pause = Duration::from_micros(MAX_STARTUP_RETRY_DELAY.0);
         self.pause = (pause * 2).min(max_pause);
         Ok((pause, format!("{text}, tried for {seconds:.1} s so far")))
     }
@@ -108,8 +108,8 @@
     }
 }
 
-/// Runs a step that panics where the system lacks descriptors, threads or memory, and turns the
-/// panic into an error that may be temporary.
+/// Runs a step that panics where the system lacks descriptors, threads or memory, and turns the panic into an error
+/// that may be temporary.
 pub fn without_panic<T>(
     operation: &str,
     step: impl FnOnce() -> io::Result<T>,
@@ -122,9 +122,8 @@
     done.map_err(|error| StepError::System(operation.to_owned(), error))
 }
 
-/// The error behind a panic. Libraries panic with a formatted message, a `String`, when a system
-/// call fails; the error is then the last one of the system. Otherwise a lack of descriptors is
-/// assumed.
+/// The error behind a panic. Libraries panic with a formatted message, a `String`, when a system call fails; the error
+/// is then the last one of the system. Otherwise a lack of descriptors is assumed.
 fn error_of_panic(panic: &(dyn Any + Send)) -> io::Error {
     let last = io::Error::last_os_error();
     match panic.is::<String>() && errno(&last) != 0 {
--- a/crates/trailproxyd/src/store.rs
+++ b/crates/trailproxyd/src/store_connection.rs
@@ -1,9 +1,8 @@
-//! The connection to the store that dispatchers share: a Redis server, through a client library, on
-//! the same thread.
+//! The connection to the store that dispatchers share: a Redis server, through a client library, on the same thread.
 //!
-//! It only carries out orders: the operations and the times to connect and disconnect come through
-//! a queue from the task that owns the decisions, and results go back through the queue of that
-//! task. Results on a connection that was closed are dropped.
+//! It only carries out orders: the operations and the times to connect and disconnect come through a queue from the
+//! task that owns the decisions, and results go back through the queue of that task. Results on a connection that was
+//! closed are dropped.
 
 use crate::messages::{FromStore, Inbound, InboundSender, ToStore};
 use local_channel::mpsc;
@@ -14,9 +13,9 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
+use trailproxy_shared_store::config::StoreConfig;
 use trailproxy_shared_store::decide::Reply;
-use trailproxy_shared_store::sheet::Sheet;
-use trailproxy_shared_store::words::{Request, SCRIPTS, Value, said};
+use trailproxy_shared_store::scripts::{SCRIPTS, ScriptRequest, Value, parse_reply};
 
 /// How long connecting to the server and loading the scripts may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -29,13 +28,13 @@
 
 /// Carries out orders until the queue of orders is closed.
 pub async fn run(
-    config: Sheet,
+    config: StoreConfig,
     queue: InboundSender,
     mut orders: mpsc::Receiver<ToStore>,
     log: Logger,
 ) {
-    // Number of the present connection. The end of an earlier connection must not be reported as
-    // the end of the present one.
+    // Number of the present connection. The end of an earlier connection must not be reported as the end of the present
+    // one.
     let present = Rc::new(Cell::new(0u64));
     let mut connection: Option<Rc<Connection>> = None;
     let mut logged_reason = String::new();
@@ -87,9 +86,8 @@
     }
 }
 
-/// Connects, loads the scripts and reads the run id of the server, by which its restarts are
-/// recognised.
-async fn connect(config: &Sheet) -> Result<(Connection, String), String> {
+/// Connects, loads the scripts and reads the run id of the server, by which its restarts are recognised.
+async fn connect(config: &StoreConfig) -> Result<(Connection, String), String> {
     let password = match config.password_file.as_str() {
         "" => None,
         path => {
@@ -141,7 +139,7 @@
 }
 
 /// Executes one operation. Returns its result, and whether the connection is of no more use.
-async fn execute(connection: &Connection, request: &Request) -> (Reply, bool) {
+async fn execute(connection: &Connection, request: &ScriptRequest) -> (Reply, bool) {
     let mut client = connection.client.clone();
     let hash = connection
         .script_hashes
@@ -155,8 +153,8 @@
         .arg(&request.args);
     let result: redis::RedisResult<redis::Value> = command.query_async(&mut client).await;
     match result {
-        Ok(answer) => match value(answer).as_ref().and_then(said) {
-            Some(said) => (Reply::Said(said), false),
+        Ok(answer) => match value(answer).as_ref().and_then(parse_reply) {
+            Some(result) => (Reply::Result(result), false),
             // No script gives such an answer, so the process that listens there is not the store.
             None => (Reply::Lost, true),
         },
--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,22 +1,22 @@
-//! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers
-//! through the store, the peers or the budgets. Each exists only while it is switched on.
+//! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers through the store, the
+//! peers or the budgets. Each exists only while it is switched on.
 
-use crate::divided::BudgetsRuntime;
+use crate::budgets_runtime::BudgetsRuntime;
+use crate::held_requests::{HeldRequests, SubsystemEvent};
 use crate::messages::{FromPeers, FromStore, ToStore};
-use crate::peered::PeersRuntime;
-use crate::waiting::{HeldRequests, SubsystemEvent};
+use crate::peers_runtime::PeersRuntime;
 use local_channel::mpsc;
 use slog::{Logger, info};
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_budgets::BESIDE;
-use trailproxy_budgets::sheet::Sheet as BudgetsSheet;
+use trailproxy_budgets::SUBSYSTEM_ID;
+use trailproxy_budgets::config::BudgetsConfig;
 use trailproxy_peers::decide::messages::{BootId, MessagePart, PeerId};
-use trailproxy_shared_store::decide::ops::BoxId;
-use trailproxy_shared_store::decide::records::{Came, Folding, MOST_BODY};
-use trailproxy_shared_store::decide::{Act, Sharing};
-use trailproxy_shared_store::sheet::Sheet;
-use trailproxy_shared_store::words::{Under, request};
+use trailproxy_shared_store::config::StoreConfig;
+use trailproxy_shared_store::decide::ops::MailboxId;
+use trailproxy_shared_store::decide::records::{Completion, KeyHasher, MAX_BODY_BYTES};
+use trailproxy_shared_store::decide::{Action, SharedState};
+use trailproxy_shared_store::scripts::{ScriptContext, script_request};
 use trailproxy_zones::Zones;
 
 /// All subsystems that are switched on.
@@ -30,15 +30,14 @@
     pub peers: Option<PeersRuntime>,
     /// Budgets divided among dispatchers.
     pub budgets: Option<BudgetsRuntime>,
-    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the
-    /// decisions have taken the change.
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the decisions have
+    /// taken the change.
     slow_start_shares: Option<(Option<f64>, Option<f64>)>,
 }
 
 impl Subsystems {
-    /// Handles a request with an idempotency key. `false`: no subsystem keeps records, so that the
-    /// request need not wait. If both the store and the peers keep records, the store is asked, so
-    /// that there is one source of truth.
+    /// Handles a request with an idempotency key. `false`: no subsystem keeps records, so that the request need not
+    /// wait. If both the store and the peers keep records, the store is asked, so that there is one source of truth.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) -> bool {
         match (&mut self.store, &mut self.peers) {
             (Some(store), _) if store.config.records => store.on_request(now, arrival, key),
@@ -63,15 +62,15 @@
             .for_each(|peers| peers.on_attempt_sent(now, id, host));
     }
 
-    /// Handles a request with a key that has its final answer or whose client has gone. The
-    /// decisions may not know the request.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: &Came) {
+    /// Handles a request with a key that has its final answer or whose client has gone. The decisions may not know the
+    /// request.
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: &Completion) {
         self.store
             .iter_mut()
-            .for_each(|store| store.on_request_ended(now, id, came.clone()));
+            .for_each(|store| store.on_request_ended(now, id, completion.clone()));
         self.peers
             .iter_mut()
-            .for_each(|peers| peers.on_request_ended(now, id, came.clone()));
+            .for_each(|peers| peers.on_request_ended(now, id, completion.clone()));
     }
 
     /// When a subsystem next has something to do.
@@ -80,7 +79,11 @@
         store
             .into_iter()
             .chain(self.peers.as_ref().map(PeersRuntime::next_deadline))
-            .chain(self.budgets.as_ref().and_then(|on| on.following.next()))
+            .chain(
+                self.budgets
+                    .as_ref()
+                    .and_then(|budgets| budgets.follower.next_deadline()),
+            )
             .min()
     }
 
@@ -97,20 +100,20 @@
             return;
         };
         match received.message.parts[..] {
-            [MessagePart::SubsystemStatusRequest(no, BESIDE)] => {
-                let shown = self
+            [MessagePart::SubsystemStatusRequest(inquiry, SUBSYSTEM_ID)] => {
+                let status = self
                     .budgets
                     .as_ref()
-                    .map(|budgets| budgets.following.show(now));
-                let text = shown.unwrap_or("budgets are off".into());
-                peers.answer(now, received.from, no, text);
+                    .map(|budgets| budgets.follower.show(now));
+                let text = status.unwrap_or("budgets are off".into());
+                peers.answer(now, received.from, inquiry, text);
             }
             _ => peers.on_message(now, received.from, received.message),
         }
     }
 
-    /// Passes messages of other dispatchers to the budgets, lets time pass there, and sends the
-    /// resulting messages, through the peers or otherwise through the store.
+    /// Passes messages of other dispatchers to the budgets, lets time pass there, and sends the resulting messages,
+    /// through the peers or otherwise through the store.
     fn advance_budgets(&mut self, now: Timestamp) {
         let from_peers = self
             .peers
@@ -124,16 +127,22 @@
         let Some(budgets) = &mut self.budgets else {
             return;
         };
-        for (from, _, bytes) in from_peers.iter().filter(|message| message.1 == BESIDE) {
+        for (from, _, bytes) in from_peers
+            .iter()
+            .filter(|message| message.1 == SUBSYSTEM_ID)
+        {
             budgets.on_message(now, *from, bytes);
         }
         for (from, bytes) in from_store.into_iter().flatten() {
-            if let Some((&BESIDE, bytes)) = bytes.split_first() {
+            if let Some((&SUBSYSTEM_ID, bytes)) = bytes.split_first() {
                 budgets.on_message(now, PeerId(from.0), bytes);
             }
         }
         budgets.advance(now, &mut self.zones);
-        self.slow_start_shares = budgets.following.cold().or(self.slow_start_shares);
+        self.slow_start_shares = budgets
+            .follower
+            .take_slow_start_shares()
+            .or(self.slow_start_shares);
         self.send_budget_messages(now);
     }
 
@@ -142,70 +151,73 @@
         let Some(budgets) = &mut self.budgets else {
             return;
         };
-        let (own, messages) = (budgets.identity().0, budgets.take_messages());
+        let (sender, messages) = (budgets.identity().0, budgets.take_messages());
         for (to, bytes) in messages {
             match (&mut self.peers, &mut self.store) {
-                (Some(peers), _) => peers.send_subsystem_message(now, to, BESIDE, bytes),
-                (None, Some(store)) => store.post(now, own, to, BESIDE, &bytes),
+                (Some(peers), _) => peers.send_subsystem_message(now, to, SUBSYSTEM_ID, bytes),
+                (None, Some(store)) => store.post(now, sender, to, SUBSYSTEM_ID, &bytes),
                 (None, None) => {}
             }
         }
     }
 
-    /// The identity of this dispatcher among the others, if it can reach them. Through the store,
-    /// the identity is kept for as long as this process runs.
+    /// The identity of this dispatcher among the others, if it can reach them. Through the store, the identity is kept
+    /// for as long as this process runs.
     fn identity(&self, name: &str, new_boot_id: BootId) -> Option<(PeerId, BootId)> {
         if let Some(peers) = &self.peers {
             return Some(peers.identity());
         }
-        let by_store = self.store.as_ref().is_some_and(|store| store.config.words);
+        let through_store = self.store.as_ref().is_some_and(|store| store.config.words);
         let id = PeerId::of_name(name);
         let known = self
             .budgets
             .as_ref()
             .map(BudgetsRuntime::identity)
-            .filter(|own| own.0 == id);
-        by_store.then(|| known.unwrap_or((id, new_boot_id)))
+            .filter(|identity| identity.0 == id);
+        through_store.then(|| known.unwrap_or((id, new_boot_id)))
     }
 
-    /// Applies the section about budgets. If the section and the identity are unchanged, the
-    /// present state is kept.
+    /// Applies the section about budgets. If the section and the identity are unchanged, the present state is kept.
     pub fn apply_budgets_section(
         &mut self,
         now: Timestamp,
-        config: Option<&BudgetsSheet>,
+        config: Option<&BudgetsConfig>,
         (name, new_boot_id): (&str, BootId),
         (settings, seed): (&DispatcherSettings, u64),
         log: &Logger,
     ) {
-        let own = self.identity(name, new_boot_id);
-        let Some((config, own)) = config.zip(own) else {
+        let identity = self.identity(name, new_boot_id);
+        let Some((config, identity)) = config.zip(identity) else {
             if self.budgets.take().is_some() {
                 info!(log, "budgets are off");
                 self.slow_start_shares = Some((None, None));
             }
             if let Some(zones) = &mut self.zones {
-                let names: Vec<String> =
-                    zones.dividable().map(|limit| limit.name.clone()).collect();
-                names.iter().for_each(|name| zones.divide(now, name, None));
+                let names: Vec<String> = zones
+                    .divisible_limits()
+                    .map(|limit| limit.name.clone())
+                    .collect();
+                names
+                    .iter()
+                    .for_each(|name| zones.set_part(now, name, None));
             }
             return;
         };
         if !self
             .budgets
             .as_ref()
-            .is_some_and(|budgets| budgets.is_for(config, own))
+            .is_some_and(|budgets| budgets.is_for(config, identity))
         {
             let runtime =
-                BudgetsRuntime::new(now, config.clone(), own, settings, seed, log.clone());
+                BudgetsRuntime::new(now, config.clone(), identity, settings, seed, log.clone());
             self.budgets = Some(runtime);
         }
         if let Some(budgets) = &mut self.budgets {
-            budgets.following.set(now, self.zones.as_ref());
-            budgets.following.again();
+            budgets.follower.update_budgets(now, self.zones.as_ref());
+            budgets.follower.resend_slow_start_shares();
         }
         if let Some(store) = self.store.as_mut().filter(|_| self.peers.is_none()) {
-            store.sharing.expects(BoxId(own.0.0));
+            store.state.open_mailbox(MailboxId(identity.0.0));
         }
         self.advance_budgets(now);
     }
@@ -214,13 +226,12 @@
     pub fn leave(&mut self, now: Timestamp) {
         self.budgets
             .iter_mut()
-            .for_each(|budgets| budgets.following.leave(now));
+            .for_each(|budgets| budgets.follower.leave(now));
         self.send_budget_messages(now);
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
 
-    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that
-    /// has changed.
+    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that has changed.
     pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
         self.slow_start_shares.take()
     }
@@ -235,31 +246,31 @@
 /// State shared with other dispatchers through the store, with the requests that are held for it.
 pub struct StoreClient {
     /// The section that is in force.
-    pub config: Sheet,
-    folding: Folding,
-    sharing: Sharing,
+    pub config: StoreConfig,
+    key_hasher: KeyHasher,
+    state: SharedState,
     orders: mpsc::Sender<ToStore>,
     /// The server process that the connection leads to.
     run_id: String,
     held: HeldRequests,
     /// Messages of other dispatchers for other subsystems, with their senders.
-    received: Vec<(BoxId, Vec<u8>)>,
+    received: Vec<(MailboxId, Vec<u8>)>,
     log: Logger,
 }
 
 impl StoreClient {
     /// `targets`: how long requests wait at most, by class.
     pub fn new(
-        config: Sheet,
-        sharing: Sharing,
+        config: StoreConfig,
+        state: SharedState,
         orders: mpsc::Sender<ToStore>,
         targets: Vec<TimeSpan>,
         log: Logger,
     ) -> StoreClient {
         StoreClient {
-            folding: Folding::new(&config.prefix),
+            key_hasher: KeyHasher::new(&config.prefix),
             config,
-            sharing,
+            state,
             orders,
             run_id: String::new(),
             held: HeldRequests::new(targets),
@@ -268,39 +279,38 @@
         }
     }
 
-    /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is
-    /// its first byte.
-    fn post(&mut self, now: Timestamp, own: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
+    /// Sends a message of another subsystem to another dispatcher; the number of the subsystem is its first byte.
+    fn post(&mut self, now: Timestamp, sender: PeerId, to: PeerId, subsystem: u8, bytes: &[u8]) {
         let bytes = [&[subsystem], bytes].concat();
-        self.sharing.post(now, BoxId(own.0), BoxId(to.0), bytes);
+        self.state
+            .post_message(now, MailboxId(sender.0), MailboxId(to.0), bytes);
         self.apply_actions();
     }
 
     /// Handles a request with a key: it is held until the store has answered, or until its target.
     pub fn on_request(&mut self, now: Timestamp, arrival: Arrival, key: &str) {
         let held_until = self.held.hold(now, arrival);
-        let key = self.folding.key(arrival.class, key);
-        self.sharing.come(now, arrival.id, key, held_until);
+        let key = self.key_hasher.key(arrival.class, key);
+        self.state.on_request(now, arrival.id, key, held_until);
         self.apply_actions();
     }
 
     /// Handles an attempt that is sent.
     pub fn on_attempt_sent(&mut self, now: Timestamp, id: RequestId, host: HostId) {
-        if let Some(place) = self.held.location_of(host) {
-            self.sharing.hand_off(now, id, place);
+        if let Some(location) = self.held.location_of(host) {
+            self.state.on_attempt_sent(now, id, location);
             self.apply_actions();
         }
     }
 
-    /// Handles a request that has its final answer or whose client has gone. The decisions may not
-    /// know the request.
-    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, came: Came) {
+    /// Handles a request that has its final answer or whose client has gone. The decisions may not know the request.
+    pub fn on_request_ended(&mut self, now: Timestamp, id: RequestId, completion: Completion) {
         self.held.forget(id);
-        self.sharing.ended(now, id, came);
+        self.state.on_request_ended(now, id, completion);
         self.apply_actions();
     }
 
-    /// Ends the sharing and returns the requests that waited, which may continue.
+    /// Ends the state and returns the requests that waited, which may continue.
     pub fn into_arrivals(self) -> impl Iterator<Item = Arrival> {
         self.held.into_arrivals()
     }
@@ -310,23 +320,23 @@
         match message {
             FromStore::Connected { run_id } => {
                 self.run_id = run_id;
-                self.sharing.connected(now);
+                self.state.on_connected(now);
             }
-            FromStore::Disconnected => self.sharing.broken(now),
-            FromStore::Answered(id, reply) => self.sharing.answered(now, id, reply),
+            FromStore::Disconnected => self.state.on_disconnected(now),
+            FromStore::Answered(id, reply) => self.state.on_reply(now, id, reply),
         }
         self.apply_actions();
     }
 
     /// When it next has something to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        self.sharing.next()
+        self.state.next_deadline()
     }
 
     /// Lets time pass.
     pub fn advance(&mut self, now: Timestamp) {
-        if self.sharing.next().is_some_and(|at| at <= now) {
-            self.sharing.advance(now);
+        if self.state.next_deadline().is_some_and(|at| at <= now) {
+            self.state.advance(now);
             self.apply_actions();
         }
     }
@@ -338,49 +348,51 @@
 
     /// Counts and sizes, for the log.
     pub fn summary(&self) -> String {
-        let (records, under_way, news) = self.sharing.kept();
-        let counts = self.sharing.counts();
-        let trust = self.sharing.trust().word();
-        format!("trust={trust} records={records} under_way={under_way} words={news} {counts:?}")
+        let (records, in_flight, announcements) = self.state.tracked_counts();
+        let counts = self.state.counts();
+        let trust = self.state.trust().as_str();
+        format!(
+            "trust={trust} records={records} under_way={in_flight} words={announcements} {counts:?}"
+        )
     }
 
     /// Carries out the actions of the decisions about shared state.
     fn apply_actions(&mut self) {
-        for act in self.sharing.take() {
-            match act {
-                Act::Connect => drop(self.orders.send(ToStore::Connect)),
-                Act::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
-                Act::Ask {
+        for action in self.state.take_actions() {
+            match action {
+                Action::Connect => drop(self.orders.send(ToStore::Connect)),
+                Action::Disconnect => drop(self.orders.send(ToStore::Disconnect)),
+                Action::Execute {
                     id,
                     op,
                     epoch,
                     not_after_ms,
                 } => {
                     let (prefix, run) = (self.config.prefix.as_str(), self.run_id.as_str());
-                    let under = Under {
+                    let context = ScriptContext {
                         prefix,
                         run,
                         epoch,
                         not_after_ms,
                     };
-                    let request = Box::new(request(&op, &under));
+                    let request = Box::new(script_request(&op, &context));
                     let _ = self.orders.send(ToStore::Execute(id, request));
                 }
-                Act::Decided { id, verdict } => self.held.on_decided(id, verdict),
-                Act::Purged { object, group, ago } => {
+                Action::Decided { id, decision } => self.held.on_decided(id, decision),
+                Action::Purged { object, group, age } => {
                     self.held.push_event(SubsystemEvent::Event(Event::Purged {
                         object,
                         group,
-                        age: ago,
+                        age,
                         stamp: None,
                     }));
                 }
-                Act::Hinted { host } => self
+                Action::PeerBreakerOpened { host } => self
                     .held
                     .push_event(SubsystemEvent::Event(Event::PeerBreakerOpened { host })),
-                Act::Posted { from, bytes } => self.received.push((from, bytes)),
-                Act::Turned { trust, cause } => {
-                    info!(self.log, "store"; "trust" => trust.word(), "why" => cause.word());
+                Action::MessageReceived { from, bytes } => self.received.push((from, bytes)),
+                Action::TrustChanged { trust, cause } => {
+                    info!(self.log, "store"; "trust" => trust.as_str(), "why" => cause.as_str());
                 }
             }
         }
@@ -393,19 +405,20 @@
             object, group, age, ..
         } = event
         {
-            self.sharing.purged(now, *object, *group, *age);
+            self.state.on_purge(now, *object, *group, *age);
             self.apply_actions();
         }
     }
 }
 
-/// How a request ended, as far as its attempts tell. A body that is too long for a record is left
-/// out.
-pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Came {
+/// How a request ended, as far as its attempts tell. A body that is too long for a record is left out.
+pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Completion {
     match done {
-        Some(body) => Came::Done(Some(body.to_vec()).filter(|body| body.len() <= MOST_BODY)),
-        None if may_have_run => Came::Unknown,
-        None => Came::NeverRan,
+        Some(body) => {
+            Completion::Done(Some(body.to_vec()).filter(|body| body.len() <= MAX_BODY_BYTES))
+        }
+        None if may_have_run => Completion::Unknown,
+        None => Completion::NeverRan,
     }
 }
 
@@ -420,7 +433,7 @@
             .for_each(|peers| peers.on_event(event));
         self.budgets
             .iter_mut()
-            .for_each(|on| on.following.event(now, event));
+            .for_each(|budgets| budgets.follower.on_event(now, event));
     }
 
     fn has_room(&self, now: Timestamp, crossing: &Crossing) -> bool {
@@ -441,13 +454,13 @@
         let store = self
             .store
             .as_ref()
-            .and_then(|store| store.sharing.earlier(id));
+            .and_then(|store| store.state.earlier_attempt(id));
         store.or_else(|| self.peers.as_ref()?.earlier_attempt(id))
     }
 
     fn on_breaker_change(&mut self, now: Timestamp, host: HostEntry, open: bool) {
         if let Some(store) = self.store.as_mut().filter(|_| open) {
-            store.sharing.opened(now, host);
+            store.state.on_breaker_opened(now, host);
             store.apply_actions();
         }
         if let Some(peers) = self.peers.as_mut().filter(|_| open) {
--- a/crates/trailproxyd/tests/peers.rs
+++ b/crates/trailproxyd/tests/peers.rs
@@ -289,7 +289,7 @@
             stamp: unix_ms() * 1_000,
             parts: vec![MessagePart::SubsystemStatusRequest(
                 InquiryId(7),
-                trailproxy_budgets::BESIDE,
+                trailproxy_budgets::SUBSYSTEM_ID,
             )],
         };
         let bytes = seal.write(&message).expect("short");
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -3,8 +3,8 @@
 use trailproxy_operator::decide::{
     DefaultValue, FieldType, ParsedFile, Section, SectionKind, optional, required,
 };
+use trailproxy_zones::decide::config::{CrossingConfig, Positions, ZonesConfig};
 use trailproxy_zones::decide::rise::Alarm;
-use trailproxy_zones::decide::sheet::{CrossingSheet, Places, Sheet};
 
 const KB: FieldType = FieldType::Number(0.0, 1e9);
 
@@ -54,11 +54,11 @@
     },
 ];
 
-fn places(section: &Section) -> Places {
+fn places(section: &Section) -> Positions {
     let of = |(name, field): (&String, &trailproxy_operator::Field)| {
         (name.clone(), (field.position.line, field.position.column))
     };
-    let mut places: Places = section.fields.iter().map(of).collect();
+    let mut places: Positions = section.fields.iter().map(of).collect();
     places.insert(
         String::new(),
         (section.position.line, section.position.column),
@@ -67,14 +67,14 @@
 }
 
 /// What a checked script says; `None` where it has no section `zones`, or that is not on.
-pub fn sheet(script: &ParsedFile) -> Option<Sheet> {
+pub fn zones_config(script: &ParsedFile) -> Option<ZonesConfig> {
     let head = script.one("zones").filter(|head| head.flag("on"))?;
     let alarm = Alarm {
-        at: head.number("alarm_at"),
+        threshold: head.number("alarm_at"),
         slack: head.number("alarm_slack"),
         ..Alarm::default()
     };
-    let crossing = |section: &Section| CrossingSheet {
+    let crossing = |section: &Section| CrossingConfig {
         name: section.text("name").into(),
         out_of: section.text("out_of").into(),
         into: section.text("into").into(),
@@ -84,16 +84,16 @@
         largest_kb: section.number("largest_kb"),
         least_kb_per_s: section.number("least_kb_per_s"),
         most_kb_per_s: section.number("most_kb_per_s"),
-        places: places(section),
+        positions: places(section),
     };
-    Some(Sheet {
+    Some(ZonesConfig {
         file: script.file.clone(),
         on: true,
         report_s: head.number("report_s"),
-        first: head.names("first").into_iter().map(str::to_owned).collect(),
+        priority_classes: head.names("first").into_iter().map(str::to_owned).collect(),
         metrics: head.text("metrics").into(),
         alarm: head.flag("alarm").then_some(alarm),
-        places: places(head),
+        positions: places(head),
         crossings: script.all("crossing").map(crossing).collect(),
     })
 }
