--- a/crates/peers/src/decide/facts.rs
+++ b/crates/peers/src/decide/facts.rs
@@ -5,13 +5,10 @@
 //!
 //! | kind | rule |
 //! | --- | --- |
-//! | a claim, by its token | only its owner changes it, and only to later stages: the later stage
-//! applies |
-//! | a record, by its key | all claims of both copies; beyond [`MAX_CLAIMS_PER_KEY`], claims of
-//! attempts that may have run anywhere |
+//! | a claim, by its token | only its owner changes it, and only to later stages: the later stage applies |
+//! | a record, by its key | all claims of both copies; beyond [`MAX_CLAIMS_PER_KEY`], claims of attempts that may have run anywhere |
 //! | a purge, by object or group | the later time |
-//! | a change of a host, by host | the later start; of one start, the later journal position; of
-//! one position, the more restricted state |
+//! | a change of a host, by host | the later start; of one start, the later journal position; of one position, the more restricted state |
 
 use super::messages::TimeRange;
 use serde::{Deserialize, Serialize};
