--- a/src/logic.rs
+++ b/src/logic.rs
@@ -5,9 +5,10 @@
 //! state in which they should be.
 //!
 //! Each host has a breaker over a sliding window. Caches and parents are tried in hash order; where every parent is
-//! open, a request gets a stale copy or a refusal; an open host returns by one trial and a rising share. Further
-//! mechanisms: a budget for cold hosts in slow start, admission only if the target time can be met, spilling to another
-//! cache, detection of overdue attempts, protection of the origin, ranks for keeping objects, and probes of load.
+//! open, a request gets a stale copy or a refusal. A host whose breaker is open gets one trial request; if that
+//! succeeds, its share of the requests rises in steps. Further mechanisms: a budget for cold hosts in slow start,
+//! admission only if the target time can be met, spilling to another cache, detection of overdue attempts, protection
+//! of the origin, ranks that tell a cache which objects to keep, and probes that ask hosts for their load.
 //!
 //! Comments refer to these rules by number:
 //!
@@ -89,9 +90,9 @@
     target: Timestamp,
     deadline: Timestamp,
     attempts: Vec<AttemptState>,
-    /// A host that was asked for what it holds does not hold the object.
+    /// A host that could answer only from its cache does not hold the object.
     not_cached: bool,
-    /// It has its final answer or needs none.
+    /// The request has its final answer or needs none.
     closed: bool,
 }
 
@@ -115,13 +116,13 @@
     in_flight: bool,
     may_have_run: bool,
     failed: bool,
-    /// It was overdue, and that has been counted as a failure.
+    /// The attempt was overdue, and that has been counted as a failure.
     counted_overdue: bool,
-    /// It was cancelled, or its response has started.
+    /// The attempt was cancelled, or its response has started.
     not_cancellable: bool,
     /// The host whose breaker takes this attempt as its trial.
     trial_of: Option<HostId>,
-    /// Probability that it causes a fill.
+    /// Probability that the attempt causes a fill.
     fill_probability: f64,
 }
 
@@ -136,9 +137,11 @@
 enum NextStep {
     /// Nothing before this time.
     Wait(Timestamp),
+    /// Sends an attempt on this route.
     Send(Route),
     /// Cancels the attempt with this index.
     Cancel(usize),
+    /// Refuses or fails the request for this reason.
     GiveUp(GiveUpReason),
 }
 
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Number of hosts in the table, for tests that it stays bounded.
+    /// Number of hosts in the table. Tests check that it stays bounded.
     pub fn tracked_hosts(&self) -> usize {
         self.hosts.len()
     }
@@ -263,6 +266,7 @@
             }
             Event::ClientGone { id } => self.close(id),
             Event::Probed { host, ending, load } => self.on_probed(now, host, ending, load),
+            // The next failure that this dispatcher sees itself opens its own breaker as well.
             Event::PeerBreakerOpened { host } => {
                 (self.hosts.get_mut(&host).into_iter()).for_each(|host| {
                     host.breaker.failure_weight =
@@ -292,7 +296,7 @@
         let retention = self.purge_retention();
         self.purges
             .retain(|_, purge| now.since(purge.at) < retention);
-        // The purge of an object may come without its group, so it is stored without one.
+        // The message that purges an object may not name its group, so the purge is stored without a group.
         let group = object.map_or(group, |_| GroupId::default());
         let purge = self.purges.entry((group, object)).or_default();
         purge.at = purge.at.max(at);
@@ -335,6 +339,7 @@
         relevant.all(|purge| purge.stamp.is_none_or(|stamp| copy_stamp > stamp))
     }
 
+    /// Takes over a host list and derives the ready hosts of each role from it.
     fn on_host_list(&mut self, now: Timestamp, kind: HostListKind, entries: Vec<HostEntry>) {
         if kind == HostListKind::Failed && self.settings.host_list_on_request {
             self.actions.push(Action::RequestHostList);
@@ -345,7 +350,7 @@
             .filter(|_| kind == HostListKind::Full);
         replaced.for_each(|host| host.set_state(now, HostState::Gone));
         let mean_transfer = self.mean_transfer();
-        let (everywhere, in_zone) = (
+        let (in_all_zones, in_zone) = (
             f64::from(self.settings.dispatchers.max(1)),
             dispatchers_in_zone(&self.settings),
         );
@@ -355,8 +360,8 @@
         );
         for entry in entries {
             let (role, slow_start, dispatchers) = match Some(entry.kind) {
-                kind if kind == self.settings.parent_kind => (Role::Parent, parent, everywhere),
-                kind if kind == self.settings.origin_kind => (Role::Origin, parent, everywhere),
+                kind if kind == self.settings.parent_kind => (Role::Parent, parent, in_all_zones),
+                kind if kind == self.settings.origin_kind => (Role::Origin, parent, in_all_zones),
                 _ => (Role::Cache, cache, in_zone),
             };
             let previous_stamp = self.hosts.get(&entry.host).map(|host| host.entry.stamp);
@@ -481,8 +486,8 @@
         self.on_host_list(now, HostListKind::Delta, entries);
     }
 
-    /// Changes among how many dispatchers the work for cold caches and parents is divided. What each host's budget has
-    /// saved or overdrawn is kept.
+    /// Sets the number of dispatchers among which the work for cold caches and for cold parents is divided. The saved
+    /// or overdrawn amount of each host's budget is kept.
     pub fn set_slow_start_shares(
         &mut self,
         now: Timestamp,
@@ -519,6 +524,7 @@
         self.next_probe_at = now + PROBE_INTERVAL.mul_f64(1.0 / all().count().max(1) as f64);
     }
 
+    /// Stores a new request and predicts its transfer time.
     fn on_arrival(&mut self, now: Timestamp, arrival: Arrival) {
         let class = &self.settings.classes[usize::from(arrival.class.0)];
         let known = arrival.size_kb.map(|kb| kb / self.settings.stream_kb_per_s);
@@ -542,7 +548,7 @@
         self.requests.insert(request.arrival.id, request);
     }
 
-    /// The work in seconds that the host of an attempt is charged with: at least the mean of the class, which is what
+    /// The work in seconds that is charged to the host of an attempt: at least the mean of the class, which is what
     /// caches count. A source is charged with the request's own transfer time.
     fn charged_work(&self, request: &Request) -> f64 {
         let (sum, n) = self.transfer_totals[usize::from(request.arrival.class.0)];
@@ -624,7 +630,7 @@
         }
     }
 
-    /// Updates the statistics by an outcome and records it with the hosts that it says something about. Faults of the
+    /// Updates the statistics by an outcome and records it for the hosts that it says something about. Faults of the
     /// cache, the parent and the origin are distinguished by the note, or by which hosts have answered since.
     fn assess_outcome(&mut self, now: Timestamp, outcome: &Outcome, attempt: &AttemptState) {
         use {Assessment::*, Ending::*};
@@ -685,7 +691,7 @@
         let notes_are_partial = self.settings.note_level != NoteLevel::All;
         let (failed, ambiguous, overloaded) = (Some(Failed), Some(Ambiguous), Some(Overloaded));
         let alive = good(None).filter(|_| answered);
-        let (of_host, of_source, of_origin) = match (ending, outcome.note) {
+        let (host_assessment, source_assessment, origin_assessment) = match (ending, outcome.note) {
             (Error | ConnectionLost, _) if !outcome.client_proven => (None, None, None),
             (Done, Note::Filled) => (alive, good(Some(latency)), None),
             (Done, Note::FilledByOrigin) if attempt.counted_overdue => {
@@ -719,14 +725,15 @@
             (NoConnection, _) | (Error, Note::NotReported) => (failed, None, None),
             _ => (alive, None, None),
         };
-        let origin = self.origin.filter(|_| of_origin.is_some());
-        let both = [(host, of_host), (source, of_source)];
+        let origin = self.origin.filter(|_| origin_assessment.is_some());
+        let both = [(host, host_assessment), (source, source_assessment)];
         for (id, assessment) in both.into_iter().take(if no_fill { 1 } else { 2 }) {
             if Some(id) != origin && (assessment.is_some() || attempt.trial_of == Some(id)) {
                 self.record_assessment(now, id, assessment, attempt);
             }
         }
-        (origin.into_iter()).for_each(|id| self.record_assessment(now, id, of_origin, attempt));
+        (origin.into_iter())
+            .for_each(|id| self.record_assessment(now, id, origin_assessment, attempt));
     }
 
     /// Records an overdue attempt of this request as a failure: of its host if that has answered nothing since the
@@ -772,7 +779,7 @@
         state.is_some_and(|state| state != BreakerState::Closed) && !attempt.only_if_cached
     }
 
-    /// Records what an outcome says about a host with its breaker, which may open or close by it.
+    /// Records what an outcome says about a host in the breaker of that host, which may open or close as a result.
     fn record_assessment(
         &mut self,
         now: Timestamp,
@@ -796,6 +803,7 @@
             .quantile_above(20)
             .or(role_latencies.quantile_above(20));
         let limit = usual.map_or(f64::MAX, |usual| SLOW_LATENCY_FACTOR * usual);
+        // The weights are explained at `FAILURE_WEIGHT_LIMIT`; 4 is a certain failure.
         let weight = match assessment {
             Some(Assessment::Good(_)) => u32::from(latency.is_some_and(|latency| latency > limit)),
             Some(Assessment::Ambiguous) => 2,
@@ -807,12 +815,13 @@
         host.breaker
             .pending_latencies
             .extend(latency.filter(|_| !was_unhealthy));
-        let in_trial_time = latency.is_none_or(|latency| latency <= TRIAL_TIMEOUT.0 as f64);
+        let is_within_trial_timeout =
+            latency.is_none_or(|latency| latency <= TRIAL_TIMEOUT.0 as f64);
         if attempt.trial_of == Some(id) && host.breaker.state == BreakerState::Trial {
             let next = match assessment {
                 // The outcome says nothing about this host, which stays open for the next trial.
                 None => BreakerState::Open(now),
-                Some(Assessment::Good(_)) if in_trial_time => {
+                Some(Assessment::Good(_)) if is_within_trial_timeout => {
                     BreakerState::Ramp(INITIAL_SHARE, now + SHARE_DOUBLING_INTERVAL, true)
                 }
                 _ => BreakerState::Open(now + OPEN_DURATION),
@@ -860,10 +869,10 @@
                     }
                 }
             }
-            let is_over = |request: &Request| {
+            let is_finished = |request: &Request| {
                 request.closed && request.attempts.iter().all(|attempt| !attempt.in_flight)
             };
-            if self.requests.get(&id).is_some_and(is_over) {
+            if self.requests.get(&id).is_some_and(is_finished) {
                 self.requests.remove(&id);
             }
         }
@@ -879,6 +888,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Decides what is to be done next for an open request.
     fn next_step(&mut self, now: Timestamp, id: RequestId) -> NextStep {
         let request = &self.requests[&id];
         if now >= request.deadline {
@@ -895,10 +905,15 @@
             }
             let unhealthy =
                 [attempt.route.host, attempt.route.source].map(|id| self.hosts[&id].is_unhealthy());
-            let is_hopeless = unhealthy.contains(&true) || self.may_be_origin_fault(&attempt);
-            let may_move =
+            let is_unlikely_to_succeed =
+                unhealthy.contains(&true) || self.may_be_origin_fault(&attempt);
+            let may_retry_elsewhere =
                 self.settings.may_cancel && self.class(request).effect == Effect::Idempotent;
-            if is_hopeless && may_move && !attempt.not_cancellable && attempt.trial_of.is_none() {
+            if is_unlikely_to_succeed
+                && may_retry_elsewhere
+                && !attempt.not_cancellable
+                && attempt.trial_of.is_none()
+            {
                 return NextStep::Cancel(index);
             }
             return NextStep::Wait(request.deadline);
@@ -961,6 +976,7 @@
         !failed && (in_share || host.breaker.wants_trial(now))
     }
 
+    /// Chooses the host and the source for the next attempt, or the reason why there is none.
     fn choose_route(&mut self, now: Timestamp, id: RequestId) -> Result<Route, GiveUpReason> {
         for id in self.caches.iter().chain(&self.parents).chain(&self.origin) {
             let host = self.hosts.get_mut(id);
@@ -988,10 +1004,10 @@
         let is_unusable = |id| {
             self.hosts[&id].is_unhealthy() || !self.has_budget(now, id, self.charged_work(request))
         };
-        let is_lost = |id: &HostId| request.has_failed_at(*id) || is_unusable(*id);
+        let cannot_use = |id: &HostId| request.has_failed_at(*id) || is_unusable(*id);
         let Some(host) = cache else {
-            let direct =
-                source.filter(|_| self.settings.allows_direct && self.caches.iter().all(is_lost));
+            let direct = source
+                .filter(|_| self.settings.allows_direct && self.caches.iter().all(cannot_use));
             let host = direct.ok_or(GiveUpReason::NoHostInTime)?;
             let source = open_origin.unwrap_or(host);
             return Ok(Route { host, source });
@@ -1023,7 +1039,8 @@
         (now + fill_time <= request.target).then_some(source)
     }
 
-    /// The fills on the zone's link with one more, over those that fit at the rate of an answer.
+    /// The number of fills on the zone's link including one more, divided by the number that the link carries at the
+    /// rate of an answer. Where hosts report the load of the link, this is derived from the report.
     fn predicted_link_utilization(&self) -> f64 {
         let link_kb_per_s = self
             .settings
@@ -1040,7 +1057,7 @@
         )
     }
 
-    /// How many times longer than alone an answer from this host is predicted to take. The attempts of other
+    /// How many times longer an answer from this host is predicted to take than on an idle host. The attempts of other
     /// dispatchers there are estimated by this dispatcher's average, corrected by its current number; the correction is
     /// stronger the higher the average is, because small numbers vary by chance.
     fn predicted_slowdown(&self, now: Timestamp, host: &Host) -> f64 {
@@ -1088,23 +1105,29 @@
     /// Rule 2: whether an attempt may go to this host after those that may have run.
     fn may_repeat_at(&self, now: Timestamp, request: &Request, host: HostId) -> bool {
         let location = |id| (self.hosts[&id].entry.zone, self.hosts[&id].entry.cell);
-        let own = request
+        let own_attempts = request
             .attempts
             .iter()
             .filter(|attempt| attempt.in_flight || attempt.may_have_run);
-        let own = own.map(|attempt| EarlierAttempt {
+        let own_attempts = own_attempts.map(|attempt| EarlierAttempt {
             location: Some(location(attempt.route.host)),
             sent_at: attempt.sent_at,
             in_flight: attempt.in_flight,
         });
-        let of_peers = self.crossings.earlier_attempt(request.arrival.id);
-        let of_peers = of_peers.map(|earlier| EarlierAttempt {
+        let peer_attempt = self.crossings.earlier_attempt(request.arrival.id);
+        let peer_attempt = peer_attempt.map(|earlier| EarlierAttempt {
             location: earlier.location,
             sent_at: earlier.first_sent,
             in_flight: false,
         });
         let effect = self.class(request).effect;
-        permits::may_repeat(now, effect, own.chain(of_peers), location(host)).is_ok()
+        permits::may_repeat(
+            now,
+            effect,
+            own_attempts.chain(peer_attempt),
+            location(host),
+        )
+        .is_ok()
     }
 
     /// Rule 5: the highest age of a copy that may be served, by the latest purge of the object or its group and, where
@@ -1183,6 +1206,7 @@
         is_permitted && self.crossing_has_room(now, request, *route)
     }
 
+    /// Sends an attempt on this route, or gives the request up if the attempt does not pass the check.
     fn send(&mut self, now: Timestamp, id: RequestId, route: Route) {
         let request = &self.requests[&id];
         if !self.passes(now, request, &route) {
