--- a/src/policy/host.rs
+++ b/src/policy/host.rs
@@ -5,11 +5,11 @@
 use crate::interface::{HostEntry, HostState, SlowStart};
 use crate::units::{TimeSpan, Timestamp};
 
-/// Part of a cold host's overload limit that all dispatchers together use. Higher risks overloading it, lower loads it
-/// later.
+/// The share of a cold host's overload limit that all dispatchers together use. Higher risks overloading the host,
+/// lower takes longer to load it fully.
 pub(crate) const SLOW_START_USE: f64 = 0.4;
-/// Upper limit of a dispatcher's budget for a cold host, in its shares of one overload window. Higher risks overload
-/// when many dispatchers send at once, lower leaves capacity unused.
+/// Maximum budget of a dispatcher for a cold host, as a multiple of its share of one overload window. Higher risks
+/// overload when many dispatchers send at once, lower leaves capacity unused.
 pub(crate) const MAX_SAVED_BUDGET: f64 = 1.5;
 /// Half-life of averages over time.
 pub(crate) const AVERAGE_HALF_LIFE: TimeSpan = TimeSpan::from_secs(2);
@@ -20,7 +20,7 @@
 /// The part of the estimated queueing that counts at a host that reports free capacity.
 pub(crate) const MIN_QUEUEING_WEIGHT: f64 = 0.4;
 
-/// What a host does.
+/// The role of a host in answering requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Role {
     Cache,
@@ -55,39 +55,39 @@
     /// Number of dispatchers that use this host.
     pub(crate) dispatchers: f64,
     pub(crate) breaker: Breaker,
-    /// When it last answered.
+    /// When the host last answered.
     pub(crate) last_seen_at: Timestamp,
     /// Smoothed ratio of the elapsed to the predicted time of hits here, and when it was updated.
     pub(crate) slowness: (f64, Timestamp),
     /// Number of this dispatcher's attempts in flight here.
     pub(crate) in_flight: u32,
-    /// Number of answers that it sends at full rate at once, as reported or else as estimated.
+    /// Number of answers that the host sends at full rate at once, as reported or else as estimated.
     pub(crate) capacity: f64,
-    /// The utilization that it last reported, and when.
+    /// The utilization that the host last reported, and when.
     pub(crate) utilization: Option<(f64, Timestamp)>,
-    /// What it has sent for this dispatcher since then, in seconds of sending at full rate.
+    /// What the host has sent for this dispatcher since that report, in seconds of sending at full rate.
     pub(crate) sent_seconds: f64,
-    /// When it last left the list.
+    /// When the host last left the list.
     pub(crate) left_list_at: Timestamp,
-    /// This dispatcher's remaining slow-start budget for it, in shares of one overload window, and when it was updated.
-    /// Negative: overdrawn.
+    /// This dispatcher's remaining slow-start budget for the host, as a multiple of its share of one overload window,
+    /// and when it was updated. A negative budget is overdrawn.
     pub(crate) slow_start_budget: (f64, Timestamp),
 }
 
 impl Host {
-    /// Whether it may be given new requests.
+    /// Whether the host may be given new requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.entry.state == HostState::Ready
     }
 
-    /// Takes over its state from a host list.
+    /// Takes over the state of the host from a host list.
     pub(crate) fn set_state(&mut self, now: Timestamp, state: HostState) {
         let leaves_list = state == HostState::Gone && self.entry.state != HostState::Gone;
         self.left_list_at = if leaves_list { now } else { self.left_list_at };
         self.entry.state = state;
     }
 
-    /// Whether its breaker admits nothing.
+    /// Whether the breaker admits no requests, apart from a trial.
     pub(crate) fn is_unhealthy(&self) -> bool {
         matches!(
             self.breaker.state,
@@ -112,7 +112,7 @@
         1.0 + (self.slowness.0 - 1.0).max(0.0) * 0.5f64.powf(half_lives)
     }
 
-    /// The share of its full capacity that it is certain to have now.
+    /// The share of its full capacity that the host is certain to have now.
     pub(crate) fn slow_start_capacity(&self, now: Timestamp) -> f64 {
         let duration = self.slow_start.duration.as_secs_f64().max(0.001);
         let progress = |started| now.since(started).as_secs_f64() / duration;
@@ -128,14 +128,14 @@
             / (limit * SLOW_START_USE * self.slow_start_capacity(now) * self.capacity)
     }
 
-    /// Among how many dispatchers the load that it can bear is divided.
+    /// The number of dispatchers among which the load that the host can bear is divided.
     pub(crate) fn shared_by(&self) -> f64 {
         self.slow_start.shared_by.unwrap_or(self.dispatchers)
     }
 
-    /// The slow-start budget at `now`, refilled by one share per overload window. Where a share is smaller than a
-    /// request of mean work, a dispatcher whose budget exceeds its maximum loses the work of whole requests: its turn
-    /// has passed to another dispatcher.
+    /// The slow-start budget at `now`, refilled by one share per overload window. A dispatcher whose budget exceeds the
+    /// maximum loses one share, or the work of one whole mean request where that is more, as often as needed: the next
+    /// turn to send is then another dispatcher's.
     pub(crate) fn refilled_budget(&self, now: Timestamp, mean_work: f64) -> f64 {
         let window = self.slow_start.overload_window.as_secs_f64().max(0.001);
         let excess = self.slow_start_budget.0
