--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
-//! What all dispatchers together send to a cold host, simulated in virtual time: one to three hundred dispatchers, with
-//! even and skewed traffic, sudden bursts, dispatchers that restart during slow start, starts of the host that are
-//! reported late, and large and small requests.
+//! Tests that all dispatchers together do not overload a cold host, simulated in virtual time: one to three hundred
+//! dispatchers, with even and skewed traffic, sudden bursts, dispatchers that restart during slow start, starts of the
+//! host that are reported late, and large and small requests.
 
 #[allow(dead_code, reason = "other test files use the rest of it")]
 mod harness;
@@ -16,6 +16,7 @@
 /// How long a cold host is observed: its slow-start duration.
 const OBSERVATION: TimeSpan = TimeSpan::from_secs(30);
 
+/// How the requests are spread over dispatchers and time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Traffic {
     /// All dispatchers get the same, evenly over time.
@@ -39,7 +40,7 @@
     load: f64,
     /// Every tenth dispatcher restarts during slow start.
     restarts: bool,
-    /// Each dispatcher learns of the start of the host up to two seconds late.
+    /// The start of the host is reported to each dispatcher up to two seconds late.
     reported_late: bool,
     /// One request in ten is twelve times as large as the others.
     mixed_sizes: bool,
@@ -56,7 +57,7 @@
     worst: f64,
     /// Number of windows in which that share was above 1.
     overloads: u32,
-    /// The share of the work for the host that was sent to it.
+    /// The share of the requested work for the cold host that was sent to it.
     sent_share: f64,
     /// The share of the large requests that was sent.
     large_sent: f64,
@@ -79,7 +80,7 @@
 }
 
 impl LoadMeter {
-    /// The host gets work, in requests of mean work.
+    /// Adds work that the host receives, in requests of mean work.
     fn add(&mut self, now: Timestamp, work: f64, settings: &DispatcherSettings) {
         let slow_start = &settings.cache_slow_start;
         self.recent.push_back((now, work));
@@ -94,8 +95,9 @@
         let progress = now.since(START).as_secs_f64() / slow_start.duration.as_secs_f64();
         let capacity =
             slow_start.initial_capacity + (1.0 - slow_start.initial_capacity) * progress.min(1.0);
-        let n = self.case.bearable * capacity / slow_start.initial_capacity;
-        let max = n + 2.0 * n.sqrt() + 2.0;
+        let bearable = self.case.bearable * capacity / slow_start.initial_capacity;
+        // The margin for random variation: two standard deviations of a Poisson-distributed number, and two requests.
+        let max = bearable + 2.0 * bearable.sqrt() + 2.0;
         let share = self.sum / max;
         self.worst = self.worst.max(share);
         let is_new_window = |at: Timestamp| now.since(at) > slow_start.overload_window;
@@ -120,6 +122,7 @@
     rate: f64,
 }
 
+/// The settings of all dispatchers of a case.
 fn case_settings(case: Case) -> DispatcherSettings {
     let mut settings = settings();
     settings.dispatchers = case.dispatchers;
@@ -196,7 +199,7 @@
     }
 }
 
-/// Simulates a case.
+/// Simulates a case with the random choices that `seed` determines.
 fn simulate(case: Case, seed: u64) -> CaseResult {
     let mut rng = fastrand::Rng::with_seed(seed);
     let settings = case_settings(case);
