--- a/crates/trailproxyd/src/clients.rs
+++ b/crates/trailproxyd/src/clients.rs
@@ -1,7 +1,7 @@
 //! Client connections: MessagePack-RPC over TCP with pipelined requests that are answered in any order.
 //!
-//! One task accepts connections and one task serves each of them. A connection task reads requests and passes them to the
-//! dispatcher's queue, writes answers, and decides when the connection closes.
+//! One task accepts connections and one task serves each of them. A connection task reads requests and passes them to
+//! the dispatcher's queue, writes answers, and decides when the connection closes.
 
 use crate::buffered::BufferedBytes;
 use crate::checks::{Counts, check_invariant, count};
@@ -26,17 +26,17 @@
 use trailproxy::policy::system_errors::{AcceptError, classify_accept_error};
 use trailproxy::units::*;
 
-/// The number of open requests on one connection that the protocol allows. A connection that sends more is closed and all
-/// its requests are cancelled. Answers that the client has not read yet count as open.
+/// The number of open requests on one connection that the protocol allows. A connection that sends more is closed and
+/// all its requests are cancelled. Answers that the client has not read yet count as open.
 const MAX_OPEN_REQUESTS: usize = 32;
-/// The same limit with answers to malformed requests and heartbeats included. A connection that exceeds it is closed, too.
-/// Reading never stops instead, because the client's close could not be noticed behind unread data.
+/// The same limit with answers to invalid requests and heartbeats included. A connection that exceeds it is closed,
+/// too. Reading does not stop at the limit, because the client's close could not be noticed behind unread data.
 const MAX_OPEN_MESSAGES: usize = 2 * MAX_OPEN_REQUESTS;
-/// The body of a write request, by the protocol.
+/// The longest body of a write request that the protocol allows.
 const MAX_BODY_BYTES: usize = 48_000;
-/// A body and its fields.
+/// The longest message: a body and its fields.
 const MAX_MESSAGE_BYTES: usize = MAX_BODY_BYTES + 16 * 1024;
-/// Small answers are written together up to this size.
+/// Answers are encoded until the output buffer has this size, so that small answers are written together.
 const WRITE_BATCH_BYTES: usize = 16 * 1024;
 /// A request with more time left is malformed: no client waits that long.
 const MAX_TIME_LEFT_MS: f64 = 3_600_000.0;
@@ -46,45 +46,51 @@
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 /// How long failed accepts are repeated when the process ends: less than the time in which clients are to be answered.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client must get an answer or a close within 3 s, so its message must be whole by this time.
+/// How long a client may take to send a complete message: it must get an answer or a close within 3 s.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A client that closes its sending direction is taken to have gone after this time. Until then the requests that it sent
-/// just before the close are still started.
+/// A client that closes its sending direction is taken to have gone after this time. Until then the requests that it
+/// sent just before the close are still started.
 const CLIENT_GONE_TIMEOUT: Duration = Duration::from_micros(permits::CLIENT_CLOSE_GRACE.0);
-/// An idle connection is closed by a half-close first, and the client has this time to close its side. An immediate close
-/// would reset a request that the client may be sending, and answers in transit with it.
+/// An idle connection is closed by a half-close first, and the client has this time to close its side. An immediate
+/// close would reset a request that the client may be sending, and answers in transit with it.
 const HALF_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// By the protocol, clients close connections that were idle for 4 s. A client that has not done so will not use the
 /// connection again.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// What all client connections share.
+/// State and settings that all client connections share.
 pub struct ClientsContext {
     /// The dispatcher's queue, which receives the requests.
     pub queue: InboundSender,
     /// The classes by the method names that clients use.
     pub classes: HashMap<String, ClassId>,
+    /// The limited number of connections, and how each connection uses its slot.
     pub slots: RefCell<ClientSlots>,
     /// The longest deadline of any class: no client waits longer than this for an answer.
     pub max_deadline: Duration,
     /// Whether the process was asked to end.
     pub ending: Cell<bool>,
+    /// The number of bytes buffered for all connections.
     pub buffered: BufferedBytes,
+    /// Detects that the whole process did not run for a while.
     pub stall_detector: Rc<StallDetector>,
+    /// The counters of the process.
     pub counts: Rc<Counts>,
     pub log: Logger,
+    /// Logs each step of each request, if that is switched on.
     pub trace: Trace,
 }
 
 /// Accepts as many clients as there are slots. When all slots are taken, a new client waits in the backlog until a
-/// connection that is idle or has sent no whole message closes. Returns after `stop` has received a message and all
-/// clients in the backlog are accepted: closing the listener earlier would reset their connections and lose their requests.
+/// connection that is idle or has sent no complete message closes. Returns after `stop` has received a message and all
+/// clients in the backlog are accepted: closing the listener earlier would reset their connections and lose their
+/// requests.
 pub async fn accept(
     listener: TcpListener,
     mut stop: mpsc::Receiver<()>,
     shared: Rc<ClientsContext>,
 ) {
-    let mut next = 0;
+    let mut last_client_id = 0;
     // A connection that is accepted without waiting may have been made at any time since the previous accept.
     let mut last_accept_at = Instant::now();
     loop {
@@ -103,7 +109,7 @@
         let arrived_after = if had_to_wait { now } else { last_accept_at };
         last_accept_at = now;
         match accepted {
-            Ok(stream) => admit(&mut next, stream, arrived_after, &shared).await,
+            Ok(stream) => admit(&mut last_client_id, stream, arrived_after, &shared).await,
             Err(e) => {
                 count(&shared.counts.accepts_failed);
                 debug!(shared.log, "accept failed"; "why" => %e);
@@ -113,7 +119,7 @@
             }
         }
     }
-    accept_backlog(&listener, &mut next, last_accept_at, &shared).await;
+    accept_backlog(&listener, &mut last_client_id, last_accept_at, &shared).await;
     drop(listener);
     let _ = shared.queue.send(Inbound::AllAccepted);
 }
@@ -122,7 +128,7 @@
 /// know yet of connections made just now. A failed accept does not lose the clients behind it.
 async fn accept_backlog(
     listener: &TcpListener,
-    next: &mut u64,
+    last_client_id: &mut u64,
     last_accept_at: Instant,
     shared: &Rc<ClientsContext>,
 ) {
@@ -130,7 +136,7 @@
     while Instant::now() < until {
         let error = match accept_now(listener) {
             Ok(stream) => {
-                admit(next, stream, last_accept_at, shared).await;
+                admit(last_client_id, stream, last_accept_at, shared).await;
                 continue;
             }
             Err(error) => error,
@@ -146,8 +152,8 @@
     }
 }
 
-/// Accepts the next connection of the backlog. A socket that cannot be made non-blocking is an error: it would block the
-/// whole process.
+/// Accepts the next connection of the backlog. A socket that cannot be made non-blocking is an error: it would block
+/// the whole process.
 fn accept_now(listener: &TcpListener) -> std::io::Result<TcpStream> {
     let (socket, _) = socket2::SockRef::from(listener).accept()?;
     socket.set_nonblocking(true)?;
@@ -156,7 +162,7 @@
 
 /// Waits for a slot and then starts the task that serves a new connection.
 async fn admit(
-    next: &mut u64,
+    last_client_id: &mut u64,
     stream: TcpStream,
     arrived_after: Instant,
     shared: &Rc<ClientsContext>,
@@ -171,9 +177,14 @@
         }
         count(&shared.counts.places_wanted);
     }
-    *next += 1;
+    *last_client_id += 1;
     let _ = stream.set_nodelay(true);
-    let connection = Connection::new(ClientId(*next), stream, arrived_after, shared.clone());
+    let connection = Connection::new(
+        ClientId(*last_client_id),
+        stream,
+        arrived_after,
+        shared.clone(),
+    );
     tokio::task::spawn_local(connection.serve());
 }
 
@@ -182,12 +193,15 @@
     id: ClientId,
     stream: TcpStream,
     shared: Rc<ClientsContext>,
+    /// Messages of the dispatcher's task to this connection.
     orders: mpsc::Receiver<ToClient>,
+    /// Received bytes that are not parsed yet.
     incoming: Ring,
     /// The next message has at least this many bytes.
     min_message_bytes: usize,
+    /// Encoded answers that are not written yet.
     outgoing: Ring,
-    /// Requests that are owed an answer, by number, each with the flag that says it is over.
+    /// Requests without an answer so far, by message number, each with the flag that says that the request is closed.
     owed: BTreeMap<u32, Rc<Cell<bool>>>,
     /// Answers that are not encoded yet.
     replies: VecDeque<(u32, Reply)>,
@@ -199,15 +213,15 @@
     encoded: u64,
     /// When the last byte was written, or when the output buffer was last filled after being empty.
     last_progress: Instant,
-    /// Since when the connection is idle or its next message incomplete, if no request is open.
+    /// If no request is open: since when the connection is idle, or the next message incomplete.
     unused_since: Instant,
-    /// Whether a whole message was received.
+    /// Whether a complete message was received.
     has_received_message: bool,
     /// The latest deadline of all requests of this connection.
     latest_deadline: Instant,
     /// The state that pending attempts check before they start.
     state: Rc<ClientState>,
-    /// The connection was made at this time or later.
+    /// The earliest time at which the connection may have been made.
     arrived_after: Instant,
     /// When the connection got its slot; it may have waited for it since `arrived_after`.
     admitted_at: Instant,
@@ -219,6 +233,7 @@
     finishing: bool,
     /// Whether `finishing` was requested, as opposed to an idle timeout.
     finish_requested: bool,
+    /// Whether this side has closed its sending direction.
     half_closed: bool,
     /// When the connection closes in any case.
     closes_at: Option<Instant>,
@@ -276,6 +291,7 @@
         }
     }
 
+    /// Serves the connection until it closes.
     async fn serve(mut self) {
         let reason = loop {
             if let Err(reason) = self.run_once().await {
@@ -283,13 +299,13 @@
             }
         };
         self.report_close(&reason);
-        self.owed.values().for_each(|over| over.set(true));
+        self.owed.values().for_each(|closed| closed.set(true));
         self.shared.slots.borrow_mut().close(self.id);
         let closed = Inbound::Client(FromClient::Closed(self.id));
         let _ = self.shared.queue.send(closed);
     }
 
-    /// Logs why the connection closes, and checks that it may close.
+    /// Records why the connection closes, and checks that it may close.
     fn report_close(&self, reason: &CloseReason) {
         let why = match reason {
             CloseReason::Clean(why) => {
@@ -354,7 +370,7 @@
                     return Ok(());
                 }
                 self.half_closed = true;
-                // When the process ends, each connection has as long as the process.
+                // When the process ends, the time limit of the process applies instead.
                 self.closes_at =
                     (!self.shared.ending.get()).then(|| Instant::now() + HALF_CLOSE_TIMEOUT);
                 half_close(&self.stream).map_err(|_| CloseReason::Broken("half-close failed"))?;
@@ -416,8 +432,8 @@
         Ok(())
     }
 
-    /// Reads and handles what was received, including the end of the stream. The number of reads is limited so that other
-    /// tasks can run.
+    /// Reads and handles what was received, including the end of the stream. The number of reads is limited so that
+    /// other tasks can run.
     fn read(&mut self) -> Result<(), CloseReason> {
         let first_read = !self.has_received_message;
         for _ in 0..MAX_READS_PER_TURN {
@@ -462,17 +478,17 @@
         Instant::now().checked_sub(age)
     }
 
-    /// Returns the earliest time at which the connection may have been made, if it waited for its slot and `first_read` says that
-    /// this is the first time data is read from it.
+    /// Returns the earliest time at which the connection may have been made, if it waited for its slot and `first_read`
+    /// says that this is the first time data is read from it.
     fn waiting_since(&self, first_read: bool) -> Option<Instant> {
-        let waited = self.admitted_at.duration_since(self.arrived_after) > CLIENT_GONE_TIMEOUT;
-        (first_read && waited).then_some(self.arrived_after)
+        let had_to_wait = self.admitted_at.duration_since(self.arrived_after) > CLIENT_GONE_TIMEOUT;
+        (first_read && had_to_wait).then_some(self.arrived_after)
     }
 
     /// Returns the earliest time at which what is read now may have arrived.
     ///
-    /// For the first read of a connection that waited for its slot, this is when the connection was made. After a stall of
-    /// the whole process, it is the beginning of the stall, but not before the system received the last data.
+    /// For the first read of a connection that waited for its slot, this is when the connection was made. After a stall
+    /// of the whole process, it is the beginning of the stall, but not before the system received the last data.
     fn earliest_arrival(&self, first_read: bool) -> Instant {
         let now = Instant::now();
         if let Some(since) = self.waiting_since(first_read) {
@@ -552,7 +568,7 @@
         }
     }
 
-    /// Handles all whole messages in the input buffer.
+    /// Handles all complete messages in the input buffer.
     fn parse(&mut self, first_read: bool) -> Result<(), CloseReason> {
         while self.incoming.len() >= self.min_message_bytes && !self.half_closed {
             let bytes = self.incoming.as_contiguous();
@@ -576,6 +592,7 @@
         Ok(())
     }
 
+    /// Handles one message of the client. An error closes the connection.
     fn handle_message(&mut self, message: Message) -> Result<(), CloseReason> {
         let malformed = |why| {
             count(&self.shared.counts.bad_clients);
@@ -599,8 +616,8 @@
                     .send(Inbound::Client(FromClient::Requested(*request)));
             }
             Message::Revoke(number) => {
-                if let Some(over) = self.owed.remove(&number) {
-                    over.set(true);
+                if let Some(closed) = self.owed.remove(&number) {
+                    closed.set(true);
                     let id = ClientRequestId {
                         client: self.id,
                         number,
@@ -637,6 +654,7 @@
     }
 }
 
+/// Closes the sending direction of a connection.
 fn half_close(stream: &TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
 }
@@ -658,9 +676,9 @@
         msgpack::put_map(&mut encoded_fields, fields);
         out.push(&encoded_fields);
     };
-    let failed = |head: &mut Vec<u8>, word: &str, fields: &[(&str, &str)]| {
+    let failed = |head: &mut Vec<u8>, error_name: &str, fields: &[(&str, &str)]| {
         msgpack::put_array(head, 2);
-        msgpack::put_text(head, word);
+        msgpack::put_text(head, error_name);
         msgpack::put_map(head, fields);
         msgpack::put_nil(head);
     };
@@ -697,9 +715,11 @@
 
 /// A message of a client.
 enum Message {
+    /// A valid request.
     Request(Box<ClientRequest>),
     /// The client no longer waits for the answer to this request.
     Revoke(u32),
+    /// A heartbeat with this message number.
     Heartbeat(u32),
     /// A request whose number is readable while the rest is invalid. It is answered with a failure.
     Invalid(u32),
@@ -709,6 +729,7 @@
     Malformed(&'static str),
 }
 
+/// Returns a value as a message number.
 fn number(value: &Value) -> Option<u32> {
     match value {
         Value::Int(n) => u32::try_from(*n).ok(),
@@ -716,6 +737,7 @@
     }
 }
 
+/// Returns a value as text.
 fn text<'a>(value: &Value<'a>) -> Option<&'a str> {
     match value {
         Value::Bytes(bytes) => std::str::from_utf8(bytes).ok(),
