--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a host: RESP with pipelined requests that are answered in any order.
 //!
-//! Each connection is served by a task of its own, which receives attempts from the pool and reports their answers to the
-//! dispatcher's queue.
+//! Each connection is served by a task of its own, which receives attempts from the pool and reports their answers to
+//! the dispatcher's queue.
 
 use crate::buffered::{BufferedBytes, CountedBytes};
 use crate::checks::{check_invariant, count};
@@ -25,24 +25,26 @@
 use trailproxy::policy::permits;
 use trailproxy::units::{HostId, TimeSpan, Timestamp};
 
-/// The longest string of a message: an object's body, by the protocol, or the strings beside it.
-const MAX_WORD_BYTES: usize = 240_000;
+/// The longest string of a message, by the protocol: an object's body or one of the other strings.
+const MAX_STRING_BYTES: usize = 240_000;
 /// The number of strings in a request and in an answer.
-const WORDS_PER_MESSAGE: usize = 4;
+const STRINGS_PER_MESSAGE: usize = 4;
 /// The prefix of a probe's tag. It differs from every request id, because those are hex digits.
 const PROBE_PREFIX: &str = "probe-";
-/// How often a connection that does not read checks whether memory is free again.
+/// How often a connection that has stopped reading checks whether buffer memory is free again.
 const READ_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How long the message that cancels a request may be in transit. Until then the host may still process the request, and
-/// sending the same request to another host would make a second copy.
+/// How long the message that cancels a request may be in transit. Until then the host may still process the request,
+/// and sending the same request to another host would make a second copy.
 const CANCEL_TRANSIT_TIME: Duration = Duration::from_millis(5);
 
 /// A message that waits to be written.
-enum Packet {
+enum OutgoingMessage {
+    /// A request for the host.
     Attempt(AttemptRequest),
     /// The cancellation of the request with this id.
     Cancel(Rc<str>),
+    /// A request for the load of the host.
     Probe(ProbeId),
 }
 
@@ -59,12 +61,14 @@
     host: HostId,
     id: ConnectionId,
     stream: TcpStream,
+    /// Messages of the pool to this connection.
     orders: mpsc::Receiver<ToHost>,
     shared: Rc<HostContext>,
+    /// Received bytes that are not parsed yet.
     incoming: Ring,
     /// The next message has at least this many bytes.
     min_message_bytes: usize,
-    /// At most one message. A message of which no byte could be written is taken out again.
+    /// The message that is being written, if any. A message of which no byte could be written is taken out again.
     outgoing: Ring,
     /// The attempt whose request is in `outgoing`.
     attempt_in_outgoing: Option<AttemptRequest>,
@@ -73,19 +77,19 @@
     /// When bytes were last written.
     last_write_at: Instant,
     /// Messages that wait for `outgoing`.
-    unsent: VecDeque<Packet>,
+    unsent: VecDeque<OutgoingMessage>,
     /// Open attempts, by the id of the request.
     open: BTreeMap<Rc<str>, OpenAttempt>,
     /// The last probe, until it is answered. The result of any earlier probe was reported already.
     probe: Option<ProbeId>,
-    /// Cancelled attempts, each with the time by which the host knows.
+    /// Cancelled attempts, each with the time by which the host has received the cancellation.
     cancelled: VecDeque<(Instant, AttemptId)>,
     last_received_at: Instant,
-    /// When an order or bytes of the host were last received. The idle time counts from here.
+    /// When bytes of the host or a message of the pool were last received. The idle time counts from here.
     last_active_at: Instant,
     /// Whether the connection closes as soon as nothing is open.
     retired: bool,
-    /// Whether the pool was told to send nothing new here.
+    /// Whether `Unusable` was reported to the pool, which then sends nothing new here.
     unusable_reported: bool,
     /// Nothing is read or written before this time because the system was short of a resource.
     paused_until: Option<Instant>,
@@ -93,7 +97,7 @@
     last_yielded_stall: Option<Stall>,
 }
 
-/// Why the connection ends. The strings are counted and logged by their text.
+/// Why the connection closes. The text goes to the log, and some texts choose a counter.
 type CloseReason = &'static str;
 
 impl HostConnection {
@@ -148,7 +152,7 @@
             let (host, open) = (format!("{:x}", self.host.0), self.open.len());
             info!(self.shared.log, "host connection broken"; "host" => host, "open" => open, "why" => why);
         }
-        // If the host did not close the connection, it does not know yet that it is closed.
+        // If this side closes the connection, the host does not know that yet.
         let closed_by_host = ["closed", "reset", "read failed", "write failed"].contains(&why);
         let _ = socket2::SockRef::from(&self.stream).shutdown(std::net::Shutdown::Both);
         let in_flight = self.open.len() + self.cancelled.len();
@@ -159,13 +163,14 @@
         for (_, id) in std::mem::take(&mut self.cancelled) {
             self.end(id, Ending::Cancelled);
         }
-        // A host does not start a request that it has not received whole.
+        // A host does not start a request that it has received only in part.
         let incomplete = self
             .attempt_in_outgoing
             .take()
             .filter(|_| !self.outgoing.is_empty());
         for (_, attempt) in std::mem::take(&mut self.open) {
-            let not_started = (incomplete.as_ref()).is_some_and(|kept| kept.id == attempt.id);
+            let not_started =
+                (incomplete.as_ref()).is_some_and(|incomplete| incomplete.id == attempt.id);
             self.end(
                 attempt.id,
                 if not_started {
@@ -175,8 +180,8 @@
                 },
             );
         }
-        for packet in std::mem::take(&mut self.unsent) {
-            self.drop_packet(packet);
+        for message in std::mem::take(&mut self.unsent) {
+            self.drop_message(message);
         }
         if let Some(id) = self.probe.take() {
             self.shared
@@ -216,13 +221,14 @@
     }
 
     /// Reports that a message was not sent.
-    fn drop_packet(&self, packet: Packet) {
-        match packet {
-            Packet::Attempt(attempt) => self.end(attempt.id, Ending::NotSent),
-            Packet::Probe(id) => self
-                .shared
-                .probe_ended(id, self.host, Ending::NotSent, vec![]),
-            Packet::Cancel(_) => {}
+    fn drop_message(&self, message: OutgoingMessage) {
+        match message {
+            OutgoingMessage::Attempt(attempt) => self.end(attempt.id, Ending::NotSent),
+            OutgoingMessage::Probe(id) => {
+                self.shared
+                    .probe_ended(id, self.host, Ending::NotSent, vec![])
+            }
+            OutgoingMessage::Cancel(_) => {}
         }
     }
 
@@ -257,7 +263,7 @@
             count(&self.shared.counts.reading_paused);
         }
         self.write()?;
-        let host_knows = |at: &mut (Instant, AttemptId)| at.0 <= Instant::now();
+        let host_knows = |cancelled: &mut (Instant, AttemptId)| cancelled.0 <= Instant::now();
         while let Some((_, id)) = self.cancelled.pop_front_if(host_knows) {
             self.end(id, Ending::Cancelled);
         }
@@ -266,15 +272,16 @@
             && self.outgoing.is_empty()
             && self.cancelled.is_empty();
         let has_unwritten = !self.outgoing.is_empty() || !self.unsent.is_empty();
-        let next_known_at = self.cancelled.front().map(|at| at.0);
-        // A partial answer of which no more arrives for this long would delay the answers to later requests as well.
+        let next_known_at = self.cancelled.front().map(|cancelled| cancelled.0);
+        // From then on the connection is unusable: the rest of a partial answer has not arrived for a dial timeout, and
+        // it would delay the answers to later requests as well.
         let stuck_at = self.last_received_at + self.shared.dial_timeout();
         let has_partial_answer = !self.incoming.is_empty() && !self.unusable_reported;
         if idle && self.retired {
             return Err("retired");
         }
-        // The connection closes a dial timeout before the host would close it. Otherwise a request might cross the host's
-        // close.
+        // The connection closes a dial timeout before the host would close it. Otherwise a request might cross the
+        // host's close.
         let bounds = &self.shared.bounds;
         let idle_close = Duration::from_micros((bounds.idle_close - bounds.dial_within).0);
         let idle_until = self.last_active_at + idle_close;
@@ -298,12 +305,12 @@
         Ok(())
     }
 
-    /// Handles an order of the pool.
+    /// Handles a message of the pool.
     fn handle_order(&mut self, order: ToHost) -> Result<(), CloseReason> {
         self.last_active_at = Instant::now();
         match order {
-            ToHost::Send(attempt) => self.unsent.push_back(Packet::Attempt(attempt)),
-            ToHost::Probe(id) => self.unsent.push_back(Packet::Probe(id)),
+            ToHost::Send(attempt) => self.unsent.push_back(OutgoingMessage::Attempt(attempt)),
+            ToHost::Probe(id) => self.unsent.push_back(OutgoingMessage::Probe(id)),
             ToHost::Cancel(id) => {
                 if !self.drop_unsent(id) {
                     self.cancel(id);
@@ -320,8 +327,7 @@
 
     /// Drops an attempt if no byte of it was written, and returns whether it did.
     fn drop_unsent(&mut self, id: AttemptId) -> bool {
-        let is_attempt =
-            |packet: &Packet| matches!(packet, Packet::Attempt(attempt) if attempt.id == id);
+        let is_attempt = |message: &OutgoingMessage| matches!(message, OutgoingMessage::Attempt(attempt) if attempt.id == id);
         let found = self.unsent.iter().position(is_attempt);
         if let Some(index) = found {
             self.unsent.remove(index);
@@ -330,7 +336,7 @@
         found.is_some()
     }
 
-    /// Checks the rules for the start of a request again after its first byte was written.
+    /// Checks again, after the first byte of a request was written, that the request was allowed to start.
     fn check_begun(&self, now: Instant) {
         let Some(attempt) = &self.attempt_in_outgoing else {
             return;
@@ -370,27 +376,30 @@
         if let Some(attempt) = self.attempt_in_outgoing.take() {
             self.open.remove(&attempt.request.reference);
             self.outgoing.consume(self.outgoing.len());
-            self.unsent.push_front(Packet::Attempt(attempt));
+            self.unsent.push_front(OutgoingMessage::Attempt(attempt));
         }
     }
 
     /// Sends a cancellation for an open attempt.
     fn cancel(&mut self, id: AttemptId) {
         let found = self.open.iter().find(|(_, attempt)| attempt.id == id);
-        let Some((reference, attempt)) = found.map(|(r, attempt)| (r.clone(), attempt)) else {
+        let Some((reference, attempt)) =
+            found.map(|(reference, attempt)| (reference.clone(), attempt))
+        else {
             return;
         };
-        // A connection that owed an answer and sent nothing for the time of a dial is not used again.
+        // A connection on which an answer was outstanding and nothing was received for a dial timeout is not used
+        // again.
         let max_silence = self.shared.dial_timeout();
-        let (silent, too_long) = (
+        let (nothing_received, waited_too_long) = (
             self.last_received_at <= attempt.sent_at,
             attempt.sent_at.elapsed() > max_silence,
         );
-        if silent && too_long {
+        if nothing_received && waited_too_long {
             self.report_unusable();
         }
         self.open.remove(&reference);
-        self.unsent.push_back(Packet::Cancel(reference));
+        self.unsent.push_back(OutgoingMessage::Cancel(reference));
         self.cancelled
             .push_back((Instant::now() + CANCEL_TRANSIT_TIME, id));
     }
@@ -402,11 +411,11 @@
             if self.outgoing.is_empty() {
                 self.attempt_in_outgoing = None;
                 self.has_begun = false;
-                let Some(packet) = self.unsent.pop_front() else {
+                let Some(message) = self.unsent.pop_front() else {
                     self.outgoing.release_memory(true);
                     return Ok(());
                 };
-                self.encode(packet);
+                self.encode(message);
             } else if self.is_stalled(now) {
                 return Err("write stalled within a request");
             }
@@ -444,22 +453,22 @@
     }
 
     /// Encodes a message into `outgoing`. An attempt that may no longer start is dropped instead.
-    fn encode(&mut self, packet: Packet) {
+    fn encode(&mut self, message: OutgoingMessage) {
         let mut out = Vec::with_capacity(512);
-        match packet {
-            Packet::Cancel(reference) => {
+        match message {
+            OutgoingMessage::Cancel(reference) => {
                 resp::put_array(&mut out, 2);
                 resp::put_word(&mut out, b"KILL");
                 resp::put_word(&mut out, reference.as_bytes());
             }
-            Packet::Probe(id) => {
+            OutgoingMessage::Probe(id) => {
                 let tag = format!("{PROBE_PREFIX}{}", id.0);
                 resp::put_array(&mut out, 2);
                 resp::put_word(&mut out, b"METER");
                 resp::put_word(&mut out, tag.as_bytes());
                 self.probe = Some(id);
             }
-            Packet::Attempt(attempt) => {
+            OutgoingMessage::Attempt(attempt) => {
                 let (now, request) = (Instant::now(), &attempt.request);
                 if let Err(why) = attempt.may_send(&self.shared.clock, now) {
                     self.shared
@@ -467,7 +476,7 @@
                         .attempt_dropped(request, attempt.id, why.as_str());
                     return self.end(attempt.id, Ending::NotSent);
                 }
-                resp::put_array(&mut out, WORDS_PER_MESSAGE);
+                resp::put_array(&mut out, STRINGS_PER_MESSAGE);
                 resp::put_word(&mut out, b"PULL");
                 resp::put_word(&mut out, request.reference.as_bytes());
                 let timestamp = self.shared.clock.timestamp(now);
@@ -513,13 +522,13 @@
         }
     }
 
-    /// Handles all whole answers in the input buffer.
+    /// Handles all complete answers in the input buffer.
     fn parse(&mut self) -> Result<(), CloseReason> {
         while self.incoming.len() >= self.min_message_bytes {
-            let (words, n) = match resp::read(
+            let (strings, n) = match resp::read(
                 self.incoming.as_contiguous(),
-                WORDS_PER_MESSAGE,
-                MAX_WORD_BYTES,
+                STRINGS_PER_MESSAGE,
+                MAX_STRING_BYTES,
             ) {
                 Ok(read) => read,
                 Err(ParseError::Incomplete(min_bytes)) => {
@@ -528,29 +537,29 @@
                 }
                 Err(ParseError::Malformed(why)) => return self.malformed(why),
             };
-            let first_word = words
+            let first_string = strings
                 .first()
-                .and_then(|word| std::str::from_utf8(word).ok());
-            if let Some(number) = first_word.and_then(|tag| tag.strip_prefix(PROBE_PREFIX)) {
+                .and_then(|string| std::str::from_utf8(string).ok());
+            if let Some(number) = first_string.and_then(|tag| tag.strip_prefix(PROBE_PREFIX)) {
                 let is_last = |id: &mut ProbeId| number.parse() == Ok(id.0);
                 if let Some(id) = self.probe.take_if(is_last) {
-                    let (ending, report) = read_probe(&words);
+                    let (ending, report) = read_probe(&strings);
                     self.shared.probe_ended(id, self.host, ending, report);
                 }
                 self.incoming.consume(n);
                 self.min_message_bytes = 1;
                 continue;
             }
-            let [reference, word, fields, body] = words.as_slice() else {
-                return self.malformed("an answer does not have four words");
+            let [reference, status, fields, body] = strings.as_slice() else {
+                return self.malformed("an answer does not have four strings");
             };
             let attempt = std::str::from_utf8(reference)
                 .ok()
-                .and_then(|r| self.open.remove(r));
-            let words = [*word, *fields, *body];
+                .and_then(|reference| self.open.remove(reference));
+            let strings = [*status, *fields, *body];
             let answer = attempt
                 .as_ref()
-                .map(|attempt| read_answer(words, attempt, &self.shared.buffered));
+                .map(|attempt| read_answer(strings, attempt, &self.shared.buffered));
             self.incoming.consume(n);
             self.min_message_bytes = 1;
             match (attempt, answer) {
@@ -591,11 +600,11 @@
     // Rounded down, so that the host gives up no later than the dispatcher.
     let time_left = permits::deadline_to_pass(now, attempt.deadline);
     add("ttl", &(time_left.0 / 1000).max(1).to_string());
-    if let Some(mark) = &request.idempotency_key {
-        add("dedupe", mark);
+    if let Some(key) = &request.idempotency_key {
+        add("dedupe", key);
     }
-    if let Some(tag) = &request.held_etag {
-        add("known", tag);
+    if let Some(etag) = &request.held_etag {
+        add("known", etag);
     }
     if let Some(source) = &attempt.source {
         add("via", source);
@@ -603,7 +612,7 @@
     if let Some(fill) = attempt.fill {
         add("tier", &fill.rank.to_string());
         if let Some(max_age) = fill.max_age {
-            // Rounded down to the strict side, but not to 0, which would mean the usual maximum age.
+            // Rounded down, which is the strict side, but not to 0, which would mean the usual maximum age.
             add("fresh", &(max_age.0 / 1000).max(1).to_string());
         }
         let options = [
@@ -637,13 +646,13 @@
     report.filter_map(|value| value.parse().ok()).collect()
 }
 
-/// Reads the answer to a probe. A host that does not say that it is well, or whose answer can't be read, has not reported
-/// its load.
-fn read_probe(words: &[&[u8]]) -> (Ending, Vec<f64>) {
-    let fields = words
+/// Reads the answer to a probe. A host that does not answer `well`, or whose answer can't be read, has not reported its
+/// load.
+fn read_probe(strings: &[&[u8]]) -> (Ending, Vec<f64>) {
+    let fields = strings
         .get(2)
         .and_then(|fields| std::str::from_utf8(fields).ok());
-    match words.get(1) {
+    match strings.get(1) {
         Some(&b"well") => (Ending::Done, read_report(fields.unwrap_or(""))),
         _ => (Ending::Error, vec![]),
     }
@@ -657,14 +666,14 @@
 
 /// Reads an answer; `None` if it can't be understood.
 fn read_answer(
-    words: [&[u8]; 3],
+    strings: [&[u8]; 3],
     attempt: &OpenAttempt,
     buffered: &BufferedBytes,
 ) -> Option<Answer> {
-    let [word, fields, body] = words;
+    let [status, fields, body] = strings;
     let fields = std::str::from_utf8(fields).ok()?;
     let field = |name: &str| field(fields, name);
-    let ending = match word {
+    let ending = match status {
         b"data" => Ending::Done,
         b"unchanged" if attempt.may_be_unchanged => Ending::Done,
         b"absent" => Ending::Miss,
@@ -694,7 +703,7 @@
             .filter(|ms| *ms > 0.0)
             .map(|ms: f64| TimeSpan::from_secs_f64(ms / 1000.0)),
         load_report: read_report(fields),
-        body: (word == b"data").then(|| CountedBytes::new(body, buffered)),
+        body: (status == b"data").then(|| CountedBytes::new(body, buffered)),
         issued_at: field("minted").and_then(stamp_of_ms),
     })
 }
--- a/crates/trailproxyd/src/resp.rs
+++ b/crates/trailproxyd/src/resp.rs
@@ -8,41 +8,43 @@
 /// A longer header line is malformed.
 const MAX_HEADER_BYTES: usize = 16;
 
-/// Returns the strings of the first array in the bytes and the array's length in bytes. An array of more than `max_words`
-/// strings, or with a string of more than `max_word_bytes` bytes, is malformed.
+/// Returns the strings of the first array in the bytes and the array's length in bytes. An array of more than
+/// `max_strings` strings, or with a string of more than `max_string_bytes` bytes, is malformed.
 pub fn read(
     bytes: &[u8],
-    max_words: usize,
-    max_word_bytes: usize,
+    max_strings: usize,
+    max_string_bytes: usize,
 ) -> Result<(Vec<&[u8]>, usize), ParseError> {
     let mut position = 0;
     let n = header(bytes, &mut position, b'*')?;
-    if n == 0 || n > max_words {
-        return Err(ParseError::Malformed("an array has too many words or none"));
+    if n == 0 || n > max_strings {
+        return Err(ParseError::Malformed(
+            "an array has too many strings or none",
+        ));
     }
     let mut array = Vec::with_capacity(n);
     for _ in 0..n {
         let len = header(bytes, &mut position, b'$')?;
-        if len > max_word_bytes {
-            return Err(ParseError::Malformed("a word is too long"));
+        if len > max_string_bytes {
+            return Err(ParseError::Malformed("a string is too long"));
         }
-        let word = bytes
+        let string = bytes
             .get(position..position + len + 2)
             .ok_or(ParseError::Incomplete(position + len + 2))?;
-        let (word, end) = word.split_at(len);
+        let (string, end) = string.split_at(len);
         if end != b"\r\n" {
-            return Err(ParseError::Malformed("a word has no end"));
+            return Err(ParseError::Malformed("a string has no end"));
         }
-        array.push(word);
+        array.push(string);
         position += len + 2;
     }
     Ok((array, position))
 }
 
-/// Reads a header line that starts with `mark`, and returns its number.
-fn header(bytes: &[u8], position: &mut usize, mark: u8) -> Result<usize, ParseError> {
+/// Reads a header line that starts with `type_byte`, and returns its number.
+fn header(bytes: &[u8], position: &mut usize, type_byte: u8) -> Result<usize, ParseError> {
     let rest = bytes.get(*position..).unwrap_or_default();
-    if rest.first().is_some_and(|&first| first != mark) {
+    if rest.first().is_some_and(|&first| first != type_byte) {
         return Err(ParseError::Malformed("not an array of bulk strings"));
     }
     let line = &rest[..rest.len().min(MAX_HEADER_BYTES)];
@@ -62,14 +64,14 @@
         .ok_or(ParseError::Malformed("a length can't be read"))
 }
 
-/// Appends the header of an array of `words` strings.
-pub fn put_array(out: &mut Vec<u8>, words: usize) {
-    out.extend(format!("*{words}\r\n").as_bytes());
+/// Appends the header of an array of `strings` strings.
+pub fn put_array(out: &mut Vec<u8>, strings: usize) {
+    out.extend(format!("*{strings}\r\n").as_bytes());
 }
 
 /// Appends a bulk string.
-pub fn put_word(out: &mut Vec<u8>, word: &[u8]) {
-    out.extend(format!("${}\r\n", word.len()).as_bytes());
-    out.extend(word);
+pub fn put_word(out: &mut Vec<u8>, string: &[u8]) {
+    out.extend(format!("${}\r\n", string.len()).as_bytes());
+    out.extend(string);
     out.extend(b"\r\n");
 }
