--- a/crates/trailproxyd/src/system_calls.rs
+++ b/crates/trailproxyd/src/system_calls.rs
@@ -13,8 +13,8 @@
 pub const RESOURCE_RETRY_DELAY: Duration =
     Duration::from_micros(system_errors::RESOURCE_RETRY_DELAY.0);
 
-/// Where no data was received yet, the system counts from the creation of the connection or from its own boot. A longer
-/// time span is therefore not taken for the age of data.
+/// The longest time span that is accepted as the age of the last data. Where no data was received yet, the system
+/// counts from the creation of the connection or from its own boot.
 const MAX_DATA_AGE: Duration = Duration::from_secs(3_600);
 
 /// The result of a read or a write.
@@ -30,9 +30,9 @@
     Failed(io::Error),
 }
 
-/// Reads available bytes into `room`.
-pub fn read(stream: &TcpStream, room: &mut [u8]) -> Transfer {
-    transfer(|| stream.try_read(room))
+/// Reads available bytes into `buffer`.
+pub fn read(stream: &TcpStream, buffer: &mut [u8]) -> Transfer {
+    transfer(|| stream.try_read(buffer))
 }
 
 /// Writes as many bytes as the socket accepts now.
@@ -40,10 +40,11 @@
     transfer(|| stream.try_write(bytes))
 }
 
+/// Makes a read or write call, again if it was interrupted, and classifies its error.
 fn transfer(mut call: impl FnMut() -> io::Result<usize>) -> Transfer {
     loop {
         let error = match call() {
-            Ok(moved) => return Transfer::Bytes(moved),
+            Ok(bytes) => return Transfer::Bytes(bytes),
             Err(error) => error,
         };
         match classify_stream_error(errno(&error)) {
@@ -61,18 +62,18 @@
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     // SAFETY: the structure consists of plain numbers, is zeroed and is as long as `length` says.
     let (failed, info) = unsafe {
-        let into = info.as_mut_ptr().cast();
+        let info_pointer = info.as_mut_ptr().cast();
         let failed = libc::getsockopt(
             stream.as_raw_fd(),
             libc::IPPROTO_TCP,
             libc::TCP_INFO,
-            into,
+            info_pointer,
             &raw mut length,
         );
         (failed, info.assume_init())
     };
-    let since = Duration::from_millis(info.tcpi_last_data_recv.into());
-    (failed == 0 && since <= MAX_DATA_AGE).then_some(since)
+    let age = Duration::from_millis(info.tcpi_last_data_recv.into());
+    (failed == 0 && age <= MAX_DATA_AGE).then_some(age)
 }
 
 /// Waits until the runtime has noticed data or a close that the system already holds for a connection.
@@ -80,18 +81,19 @@
 /// The runtime reads only after the system has signalled readiness. After an interrupted wait, for example because the
 /// process was stopped, timers run before the runtime has polled the system.
 pub async fn sync_readiness(stream: &TcpStream) {
-    let mut first = [MaybeUninit::uninit()];
+    let mut first_byte = [MaybeUninit::uninit()];
     let flags = libc::MSG_PEEK | libc::MSG_DONTWAIT;
-    let there = socket2::SockRef::from(stream).recv_with_flags(&mut first, flags);
-    if there.is_ok() {
-        // The runtime is about to notice it. The timeout covers readiness that is never signalled.
+    let peeked = socket2::SockRef::from(stream).recv_with_flags(&mut first_byte, flags);
+    if peeked.is_ok() {
+        // The runtime normally signals readiness soon. The timeout covers readiness that is never signalled.
         let _ = timeout(RESOURCE_RETRY_DELAY, stream.readable()).await;
     }
 }
 
-/// Returns the system's number of an error. The runtime reports a call that would block by an error without a number.
+/// Returns the system's number of an error, and 0 for an error without a number. The runtime reports a call that would
+/// block by an error without a number.
 pub fn errno(error: &io::Error) -> i32 {
     let not_ready = error.kind() == io::ErrorKind::WouldBlock;
-    let without = if not_ready { libc::EAGAIN } else { 0 };
-    error.raw_os_error().unwrap_or(without)
+    let default = if not_ready { libc::EAGAIN } else { 0 };
+    error.raw_os_error().unwrap_or(default)
 }
