--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -64,13 +64,13 @@
         let source = fill
             .map(|fill| fill.source)
             .filter(|&source| source != host);
-        let name = source.and_then(|source| self.pools.host_name(source));
-        let named = name.is_some() == source.is_some();
-        check_invariant(named, &self.counts.broken_unknown_host);
+        let source_name = source.and_then(|source| self.pools.host_name(source));
+        let source_is_known = source_name.is_some() == source.is_some();
+        check_invariant(source_is_known, &self.counts.broken_unknown_host);
         // A repeat group recognises a repeat only within its window, and the wait for a connection may outlast that
         // window.
-        let earlier = request.attempts.iter();
-        let sent_times = earlier
+        let earlier_attempts = request.attempts.iter();
+        let sent_times = earlier_attempts
             .clone()
             .filter(|earlier| earlier.may_have_run)
             .map(|earlier| earlier.sent_at);
@@ -87,10 +87,12 @@
             request: request.client_request.clone(),
             class_name: bounds.track_names[class].as_str().into(),
             fill,
-            source: name,
+            source: source_name,
             deadline: request.deadline,
             repeat_by,
-            avoid_connections: earlier.filter_map(|earlier| earlier.connection).collect(),
+            avoid_connections: earlier_attempts
+                .filter_map(|earlier| earlier.connection)
+                .collect(),
         };
         request.attempts.push(AttemptState {
             host,
@@ -108,8 +110,8 @@
         self.pools.submit(attempt);
     }
 
-    /// The answer as it counts here: an answer from a copy that a purge forbids counts as an error, because the host
-    /// did not apply the purge.
+    /// Replaces an answer from a copy that a purge forbids by an error, because the host did not apply the purge. Other
+    /// answers are returned unchanged.
     fn without_purged_copy(&self, now: Timestamp, id: AttemptId, answer: Answer) -> Answer {
         let admits = |issued_at| {
             self.decisions
@@ -163,7 +165,7 @@
             .client_of(id.request)
             .is_some_and(|client| client.half_closed)
         {
-            // No further attempt begins for this client.
+            // No further attempt starts for this client, so the request can't be repeated.
             self.answer(now, id.request, Reply::Failed, "client_shut");
         }
         let request = self.state.requests.get(&id.request);
