--- a/crates/trailproxyd/src/messages.rs
+++ b/crates/trailproxyd/src/messages.rs
@@ -1,5 +1,5 @@
-//! Messages between the tasks of the process: from clients, hosts, the journal service, the store and other dispatchers
-//! to the task that owns the decisions, and back. They are independent of the wire formats.
+//! Messages between the tasks of the process: from the tasks that serve clients, hosts, the journal service, the store
+//! and other dispatchers to the task that owns the decisions, and back. They are independent of the wire formats.
 
 use crate::buffered::CountedBytes;
 use crate::operator::OperatorConfig;
@@ -50,46 +50,49 @@
 /// One request of a client, by its connection and its message number on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientRequestId {
+    /// The connection.
     pub client: ClientId,
+    /// The message number that the client gave the request.
     pub number: u32,
 }
 
 /// A request as the client sent it.
 pub struct ClientRequest {
+    /// The connection and message number.
     pub id: ClientRequestId,
-    /// From when its time runs: when its data arrived, as far as that is known.
+    /// The start of `time_left`: when the data of the request arrived, as far as that is known.
     pub arrived_at: Instant,
-    /// The id that the client gave it, under which hosts answer.
+    /// The id that the client gave the request. It is sent to hosts, and their answers carry it.
     pub reference: Rc<str>,
-    /// How long from then on its client waits for the answer.
+    /// How long the client waits for the answer, from `arrived_at` on.
     pub time_left: TimeSpan,
     /// The kind of request, which decides its settings.
     pub class: ClassId,
-    /// The object that it asks for.
+    /// The requested object.
     pub object: ObjectId,
     /// The name of the object as the client wrote it.
     pub object_name: String,
-    /// The group of objects that purges can name.
+    /// The group of the object. A purge can name a whole group.
     pub group: GroupId,
-    /// The part of the object.
+    /// The number of the requested part of the object.
     pub part: u32,
     /// The expected size, if the client knows it.
     pub size_kb: Option<f64>,
-    /// The key under which a repeat of it is recognised.
+    /// The key by which a repeat of the request is recognised.
     pub idempotency_key: Option<String>,
     /// The etag of the copy that the client already holds.
     pub held_etag: Option<String>,
     /// The bytes that a write carries.
     pub body: Vec<u8>,
-    /// Whether it has its final answer or its client has gone, so that no attempt of it may begin. Whichever task finds
-    /// that out first sets this, and a connection checks it before it writes, so that a message that still waits in a
-    /// queue cannot come too late.
+    /// Whether the request has its final answer or its client has gone, so that no attempt of it may start. The task
+    /// that finds that out first sets this, and a connection to a host checks it before it writes. A message about it
+    /// that still waits in a queue can therefore not be too late.
     pub closed: Rc<Cell<bool>>,
     /// The state of its client's connection, checked in the same way.
     pub client: Rc<ClientState>,
 }
 
-/// The state of a client connection, which every task checks before it begins an attempt for that client.
+/// The state of a client connection, which every task checks before it starts an attempt for that client.
 #[derive(Default)]
 pub struct ClientState {
     /// When the client closed its side of the connection.
@@ -100,13 +103,13 @@
 pub enum FromClient {
     /// A client connected; replies go to the sender.
     Opened(ClientId, mpsc::Sender<ToClient>),
-    /// It sent a request.
+    /// The client sent a request.
     Requested(ClientRequest),
-    /// It cancelled a request.
+    /// The client cancelled a request.
     Cancelled(ClientRequestId),
-    /// It sends nothing more and may have gone. Attempts that have begun may end; no new one begins.
+    /// The client sends nothing more and may have gone. Attempts that have started may end; no new one starts.
     HalfClosed(ClientId),
-    /// Its connection is closed.
+    /// The connection of the client is closed.
     Closed(ClientId),
 }
 
@@ -138,9 +141,9 @@
 pub enum ToClient {
     /// The answer to the request with this message number.
     Reply(u32, Reply),
-    /// No more answers come: write what is left, close the sending side and read until the client closes.
+    /// No more answers follow: write what is left, close the sending side and read until the client closes.
     Finish,
-    /// Its connection slot is needed: it closes unless something has arrived by now.
+    /// The connection slot is needed for a new client: the connection closes unless data has arrived by now.
     YieldSlot,
 }
 
@@ -163,33 +166,34 @@
 
 /// An attempt as it is handed to the connections of a host.
 pub struct AttemptRequest {
+    /// The request and the number of the attempt.
     pub id: AttemptId,
-    /// The host that gets it.
+    /// The host that the attempt is sent to.
     pub host: HostId,
     /// The request of the client.
     pub request: Rc<ClientRequest>,
-    /// The name of its class in the configuration.
+    /// The name of the request's class in the configuration.
     pub class_name: Rc<str>,
     /// How the host fills a miss.
     pub fill: Option<Fill>,
     /// The name of the other host from which a miss is filled, if there is one.
     pub source: Option<Rc<str>>,
-    /// Until when an answer is of use. The host is told the time that is left, in milliseconds.
+    /// When an answer becomes worthless. The host is sent the time that is left, in milliseconds.
     pub deadline: Timestamp,
-    /// Until when it may be sent if an earlier attempt may have run: the repeat group recognises a repeat only within
-    /// its window (rule 2).
+    /// Until when the attempt may be sent if an earlier one may have run: the repeat group recognises a repeat only
+    /// within its window (rule 2 of `trailproxy::logic`).
     pub repeat_by: Option<Timestamp>,
     /// Connections on which an attempt with the same id was sent before.
     pub avoid_connections: Vec<ConnectionId>,
 }
 
 impl AttemptRequest {
-    /// Whether its first byte may be sent now.
+    /// Whether the first byte of the attempt may be sent now.
     pub fn may_send(&self, clock: &Clock, now: Instant) -> Result<(), Denial> {
         permits::may_send(clock.timestamp(now), &self.send_facts(clock))
     }
 
-    /// The facts that decide whether it may be sent.
+    /// The facts that decide whether the attempt may be sent.
     pub fn send_facts(&self, clock: &Clock) -> SendFacts {
         let closed_at = self.request.client.closed_at.get();
         SendFacts {
@@ -200,7 +204,7 @@
         }
     }
 
-    /// The latest time to send it, as far as time alone decides.
+    /// The latest time at which the attempt may be sent, by its time limits alone.
     pub fn latest_send(&self, clock: &Clock) -> Instant {
         let until = self
             .repeat_by
@@ -213,7 +217,7 @@
 pub struct Answer {
     /// How the attempt ended.
     pub ending: Ending,
-    /// How the host came by the object.
+    /// How the host got the object.
     pub note: Note,
     /// Time to the first byte from the source, or until the fill failed, if the host reports it.
     pub first_byte_latency: Option<TimeSpan>,
@@ -226,7 +230,7 @@
 }
 
 impl Answer {
-    /// An ending of which the host reported nothing.
+    /// An ending for which the host reported nothing.
     pub fn without_body(ending: Ending) -> Answer {
         Answer {
             ending,
@@ -247,7 +251,7 @@
     Refused,
     /// There was no answer in time.
     TimedOut,
-    /// This process lacked a resource that a connection needs for the whole time, which says nothing about the host.
+    /// For the whole time, this process lacked a resource that a connection needs. That says nothing about the host.
     LocalShortage,
 }
 
@@ -261,7 +265,7 @@
         address: SocketAddr,
         result: DialResult,
     },
-    /// An attempt has ended. `connection`: the one on which it was sent, if it was.
+    /// An attempt has ended. `connection` is the one on which it was sent, or `None` if it was not sent.
     AttemptEnded {
         id: AttemptId,
         host: HostId,
@@ -275,8 +279,8 @@
         ending: Ending,
         report: Vec<f64>,
     },
-    /// Nothing new may be sent on it: it is about to close, or the host owed an answer and sent nothing for longer than
-    /// a dial may take.
+    /// Nothing new may be sent on the connection: it is about to close, or an answer was outstanding and the host sent
+    /// nothing for longer than a dial may take.
     Unusable {
         host: HostId,
         connection: ConnectionId,
@@ -294,13 +298,13 @@
     Send(AttemptRequest),
     /// Sends a probe.
     Probe(ProbeId),
-    /// Cancels an attempt: a KILL is sent if the attempt was.
+    /// Cancels an attempt. If the attempt was sent, a KILL is sent.
     Cancel(AttemptId),
     /// Drops an attempt if none of its bytes is written; otherwise the attempt continues.
     CancelUnsent(AttemptId),
     /// Nothing new will be sent on this connection.
     Retire,
-    /// The host process behind it has ended.
+    /// The host process at the other end of the connection has ended.
     HostGone,
 }
 
@@ -332,20 +336,22 @@
     Stop,
 }
 
-/// A message of another dispatcher, with the address that it came from.
+/// A message of another dispatcher.
 pub struct FromPeers {
+    /// The address of the sender.
     pub from: Address,
+    /// The message.
     pub message: Message,
 }
 
 /// A host of the host list, with the address at which it is reached.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedHost {
-    /// Its entry for the decisions.
+    /// The entry of the host, as the decisions use it.
     pub entry: HostEntry,
-    /// Its name in the host list.
+    /// The name of the host in the host list.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// The address at which the host is reached.
     pub address: SocketAddr,
 }
 
@@ -356,16 +362,16 @@
     Hosts {
         /// Whether the list is the full one.
         kind: HostListKind,
-        /// The hosts named.
+        /// The hosts in the entry.
         hosts: Vec<ListedHost>,
-        /// How many entries could not be read; they are left out.
+        /// The number of entries that could not be read, which are left out.
         unreadable: usize,
     },
     /// An object, or a whole group, was purged.
     Purged {
         object: Option<ObjectId>,
         group: GroupId,
-        /// When, by the clock of the process that purged.
+        /// The time of the purge, by the clock of the process that purged.
         stamp: Timestamp,
     },
 }
@@ -373,9 +379,9 @@
 /// One entry of the journal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalEntry {
-    /// Its position in the journal.
+    /// The position of the entry in the journal.
     pub position: u64,
-    /// What it changes.
+    /// What the entry changes.
     pub change: JournalChange,
 }
 
@@ -390,11 +396,11 @@
 }
 
 impl JournalEntry {
-    /// The timestamps in it.
+    /// The timestamps in the entry.
     pub fn stamps(&self) -> Vec<Timestamp> {
         match &self.change {
-            JournalChange::Hosts { hosts: members, .. } => {
-                let stamps = members.iter().filter_map(|member| member.entry.stamp);
+            JournalChange::Hosts { hosts, .. } => {
+                let stamps = hosts.iter().filter_map(|host| host.entry.stamp);
                 stamps.collect()
             }
             JournalChange::Purged { stamp, .. } => vec![*stamp],
@@ -409,13 +415,13 @@
     start: Instant,
     /// Unix time at `start`, in microseconds.
     unix_us: u64,
-    /// How much faster than real time it runs, in millionths; for trials only.
+    /// How much faster than real time the clock runs, in millionths; for trials only.
     drift_ppm: u64,
 }
 
 impl Clock {
-    /// A clock that differs from the system clock by `RELAY_CLOCK`, "milliseconds ahead,millionths fast", which trials
-    /// set.
+    /// Creates a clock. Trials set the environment variable `RELAY_CLOCK` to "milliseconds ahead,millionths fast" to
+    /// make it differ from the system clock.
     pub fn new() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         let offset = std::env::var("RELAY_CLOCK").unwrap_or_default();
@@ -444,7 +450,7 @@
     }
 }
 
-/// The next message that is already in a queue.
+/// Takes the next message that is already in a queue, without waiting.
 pub fn next_queued<T>(queue: &mut mpsc::Receiver<T>) -> Option<T> {
     let mut next = std::pin::pin!(queue.recv());
     let mut context = std::task::Context::from_waker(std::task::Waker::noop());
