--- a/crates/trailproxyd/src/subsystems.rs
+++ b/crates/trailproxyd/src/subsystems.rs
@@ -1,5 +1,5 @@
 //! Subsystems of the decisions: traffic between zones, and state shared with other dispatchers through the store, the
-//! peers or the budgets. Each exists only while it is switched on.
+//! peers or the budgets. Each subsystem exists only while it is switched on.
 
 use crate::budgets_runtime::BudgetsRuntime;
 use crate::held_requests::{HeldRequests, SubsystemEvent};
@@ -30,8 +30,8 @@
     pub peers: Option<PeersRuntime>,
     /// Budgets divided among dispatchers.
     pub budgets: Option<BudgetsRuntime>,
-    /// Among how many dispatchers the load of cold caches and of cold parents is divided, until the decisions have
-    /// taken the change.
+    /// The number of dispatchers among which the load of cold caches, and that of cold parents, is divided; `Some`
+    /// until the decisions have taken the change.
     slow_start_shares: Option<(Option<f64>, Option<f64>)>,
 }
 
@@ -47,7 +47,7 @@
         true
     }
 
-    /// Whether any subsystem is told how requests with keys end.
+    /// Whether any subsystem needs to know how requests with keys end.
     pub fn shares_outcomes(&self) -> bool {
         self.store.is_some() || self.peers.is_some()
     }
@@ -231,7 +231,8 @@
         self.peers.iter_mut().for_each(|peers| peers.leave(now));
     }
 
-    /// Among how many dispatchers the load of cold caches and of cold parents is divided, if that has changed.
+    /// Takes the number of dispatchers among which the load of cold caches, and that of cold parents, is divided, if it
+    /// has changed.
     pub fn take_slow_start_shares(&mut self) -> Option<(Option<f64>, Option<f64>)> {
         self.slow_start_shares.take()
     }
@@ -245,13 +246,15 @@
 
 /// State shared with other dispatchers through the store, with the requests that are held for it.
 pub struct StoreClient {
-    /// The section that is in force.
+    /// The section of the operator's file that applies now.
     pub config: StoreConfig,
     key_hasher: KeyHasher,
     state: SharedState,
+    /// Messages to the connection to the store.
     orders: mpsc::Sender<ToStore>,
-    /// The server process that the connection leads to.
+    /// The run id of the server process at the other end of the connection.
     run_id: String,
+    /// The requests that wait for the store.
     held: HeldRequests,
     /// Messages of other dispatchers for other subsystems, with their senders.
     received: Vec<(MailboxId, Vec<u8>)>,
@@ -259,7 +262,7 @@
 }
 
 impl StoreClient {
-    /// `targets`: how long requests wait at most, by class.
+    /// Creates the client with its state. `targets` is the longest time that requests wait for the store, by class.
     pub fn new(
         config: StoreConfig,
         state: SharedState,
@@ -328,7 +331,7 @@
         self.apply_actions();
     }
 
-    /// When it next has something to do.
+    /// When the client next has something to do.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.state.next_deadline()
     }
@@ -398,7 +401,7 @@
         }
     }
 
-    /// Handles an event of the decisions.
+    /// Handles an event that the decisions also handle.
     pub fn on_event(&mut self, now: Timestamp, event: &Event) {
         self.held.on_event(event);
         if let Event::Purged {
@@ -411,7 +414,8 @@
     }
 }
 
-/// How a request ended, as far as its attempts tell. A body that is too long for a record is left out.
+/// How a request ended, derived from its attempts. `done` is the body of the answer, which is left out if it is too
+/// long for a record.
 pub fn completion(done: Option<&[u8]>, may_have_run: bool) -> Completion {
     match done {
         Some(body) => {
