--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -4,18 +4,19 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 use trailproxy_operator::decide::{
-    Absent, FieldKind, Kind, Section, Shape as Takes, Sheet, Wrong, may, must,
+    ConfigError, DefaultValue, FieldSpec, FieldType, ParsedFile, Section, SectionKind, optional,
+    required,
 };
 use trailproxy_standins::fleet::kind_of;
 use trailproxy_standins::shape::*;
 use trailproxy_zones::Rules;
 use trailproxy_zones::decide::config::Names;
 
-const SECONDS: Takes = Takes::Number(0.0, 100_000.0);
-const MILLIS: Takes = Takes::Number(0.0, 10_000_000.0);
-const RATE: Takes = Takes::Number(0.0, 1_000_000.0);
-const KB: Takes = Takes::Number(0.0, 1e9);
-const SHARE: Takes = Takes::Number(0.0, 1.0);
+const SECONDS: FieldType = FieldType::Number(0.0, 100_000.0);
+const MILLIS: FieldType = FieldType::Number(0.0, 10_000_000.0);
+const RATE: FieldType = FieldType::Number(0.0, 1_000_000.0);
+const KB: FieldType = FieldType::Number(0.0, 1e9);
+const SHARE: FieldType = FieldType::Number(0.0, 1.0);
 
 const TROUBLES: &[&str] = &[
     "crash",
@@ -34,150 +35,190 @@
 ];
 
 /// The sections of a scenario, for the reader.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "scenario",
-        most: 1,
-        needed: true,
+        max_count: 1,
+        required: true,
         fields: &[
-            must("name", Takes::Name),
-            must("seconds", Takes::Number(1.0, 100_000.0)),
+            required("name", FieldType::Name),
+            required("seconds", FieldType::Number(1.0, 100_000.0)),
             // Counted from this second on: before it, dispatchers learn and stores settle.
-            may("from_s", SECONDS, Absent::Number(1.0)),
+            optional("from_s", SECONDS, DefaultValue::Number(1.0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "fleet",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: FLEET,
     },
-    Kind {
+    SectionKind {
         name: "zone",
-        most: 1_000,
-        needed: true,
+        max_count: 1_000,
+        required: true,
         fields: &[
-            must("name", Takes::Name),
-            may("link_kb_per_s", KB, Absent::Number(0.0)),
-            may("distance_ms", MILLIS, Absent::Number(10.0)),
-            may("dispatchers", Takes::Whole(0, 10_000), Absent::Whole(0)),
+            required("name", FieldType::Name),
+            optional("link_kb_per_s", KB, DefaultValue::Number(0.0)),
+            optional("distance_ms", MILLIS, DefaultValue::Number(10.0)),
+            optional(
+                "dispatchers",
+                FieldType::Whole(0, 10_000),
+                DefaultValue::Whole(0),
+            ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "hosts",
-        most: 5_000,
-        needed: true,
+        max_count: 5_000,
+        required: true,
         fields: &[
-            must("role", Takes::Word(&["cache", "parent", "origin"])),
-            must("zone", Takes::Of("zone")),
-            may("count", Takes::Whole(1, 10_000), Absent::Whole(1)),
-            may("size", Takes::Number(0.1, 1e6), Absent::Number(8.0)),
-            may("room_kb", KB, Absent::Number(400_000.0)),
-            may("first_byte_ms", MILLIS, Absent::Number(8.0)),
-            may("places", Takes::Whole(1, 1_000_000), Absent::Whole(400)),
-            may("cell", Takes::Whole(0, 60_000), Absent::Whole(0)),
+            required("role", FieldType::OneOf(&["cache", "parent", "origin"])),
+            required("zone", FieldType::Reference("zone")),
+            optional("count", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
+            optional(
+                "size",
+                FieldType::Number(0.1, 1e6),
+                DefaultValue::Number(8.0),
+            ),
+            optional("room_kb", KB, DefaultValue::Number(400_000.0)),
+            optional("first_byte_ms", MILLIS, DefaultValue::Number(8.0)),
+            optional(
+                "places",
+                FieldType::Whole(1, 1_000_000),
+                DefaultValue::Whole(400),
+            ),
+            optional("cell", FieldType::Whole(0, 60_000), DefaultValue::Whole(0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "track",
-        most: 100,
-        needed: true,
+        max_count: 100,
+        required: true,
         fields: &[
-            must("name", Takes::Name),
-            may("due_ms", MILLIS, Absent::Number(800.0)),
-            may(
+            required("name", FieldType::Name),
+            optional("due_ms", MILLIS, DefaultValue::Number(800.0)),
+            optional(
                 "limit_ms",
-                Takes::Number(10.0, 1e6),
-                Absent::Number(3_000.0),
+                FieldType::Number(10.0, 1e6),
+                DefaultValue::Number(3_000.0),
             ),
-            may("stretch", Takes::Number(0.0, 100.0), Absent::Number(2.0)),
-            may("importance", Takes::Number(0.0, 1e6), Absent::Number(1.0)),
-            may(
+            optional(
+                "stretch",
+                FieldType::Number(0.0, 100.0),
+                DefaultValue::Number(2.0),
+            ),
+            optional(
+                "importance",
+                FieldType::Number(0.0, 1e6),
+                DefaultValue::Number(1.0),
+            ),
+            optional(
                 "effect",
-                Takes::Word(&["retriable", "fingerprinted", "binding"]),
-                Absent::Text("retriable"),
+                FieldType::OneOf(&["retriable", "fingerprinted", "binding"]),
+                DefaultValue::Text("retriable"),
             ),
-            may(
+            optional(
                 "group",
-                Takes::Word(&["all", "zone", "cell"]),
-                Absent::Text("all"),
+                FieldType::OneOf(&["all", "zone", "cell"]),
+                DefaultValue::Text("all"),
             ),
-            may("window_ms", MILLIS, Absent::Number(2_000.0)),
-            may("fresh_ms", MILLIS, Absent::Number(0.0)),
-            may("grace_ms", MILLIS, Absent::Number(0.0)),
-            may("written", Takes::Flag, Absent::Flag(false)),
+            optional("window_ms", MILLIS, DefaultValue::Number(2_000.0)),
+            optional("fresh_ms", MILLIS, DefaultValue::Number(0.0)),
+            optional("grace_ms", MILLIS, DefaultValue::Number(0.0)),
+            optional("written", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "stream",
-        most: 1_000,
-        needed: true,
+        max_count: 1_000,
+        required: true,
         fields: &[
-            must("track", Takes::Of("track")),
-            must("per_s", RATE),
-            may("zone", Takes::Of("zone"), Absent::Text("")),
-            may(
+            required("track", FieldType::Reference("track")),
+            required("per_s", RATE),
+            optional("zone", FieldType::Reference("zone"), DefaultValue::Text("")),
+            optional(
                 "objects",
-                Takes::Whole(1, 100_000_000),
-                Absent::Whole(5_000),
+                FieldType::Whole(1, 100_000_000),
+                DefaultValue::Whole(5_000),
+            ),
+            optional(
+                "zipf",
+                FieldType::Number(0.0, 5.0),
+                DefaultValue::Number(0.9),
+            ),
+            optional(
+                "median_kb",
+                FieldType::Number(0.01, 1e9),
+                DefaultValue::Number(80.0),
             ),
-            may("zipf", Takes::Number(0.0, 5.0), Absent::Number(0.9)),
-            may("median_kb", Takes::Number(0.01, 1e9), Absent::Number(80.0)),
             // Of the logarithm of the sizes.
-            may("spread", Takes::Number(0.0, 4.0), Absent::Number(0.8)),
-            may("most_kb", KB, Absent::Number(20_000.0)),
-            may("parts", Takes::Whole(1, 1_000), Absent::Whole(1)),
-            may("local", SHARE, Absent::Number(0.2)),
-            may("once", SHARE, Absent::Number(0.0)),
-            may("from_s", SECONDS, Absent::Number(0.0)),
-            may("until_s", SECONDS, Absent::Number(100_000.0)),
-            may("told", Takes::Flag, Absent::Flag(true)),
+            optional(
+                "spread",
+                FieldType::Number(0.0, 4.0),
+                DefaultValue::Number(0.8),
+            ),
+            optional("most_kb", KB, DefaultValue::Number(20_000.0)),
+            optional("parts", FieldType::Whole(1, 1_000), DefaultValue::Whole(1)),
+            optional("local", SHARE, DefaultValue::Number(0.2)),
+            optional("once", SHARE, DefaultValue::Number(0.0)),
+            optional("from_s", SECONDS, DefaultValue::Number(0.0)),
+            optional("until_s", SECONDS, DefaultValue::Number(100_000.0)),
+            optional("told", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "burst",
-        most: 1_000,
-        needed: false,
+        max_count: 1_000,
+        required: false,
         fields: &[
-            must("track", Takes::Of("track")),
-            must("at_s", SECONDS),
-            must("for_s", SECONDS),
-            must("times", Takes::Number(0.0, 1_000.0)),
+            required("track", FieldType::Reference("track")),
+            required("at_s", SECONDS),
+            required("for_s", SECONDS),
+            required("times", FieldType::Number(0.0, 1_000.0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "clients",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: &[
-            may("retries", Takes::Whole(0, 20), Absent::Whole(1)),
-            may("away_ms", MILLIS, Absent::Number(300.0)),
+            optional("retries", FieldType::Whole(0, 20), DefaultValue::Whole(1)),
+            optional("away_ms", MILLIS, DefaultValue::Number(300.0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "trouble",
-        most: 10_000,
-        needed: false,
+        max_count: 10_000,
+        required: false,
         fields: &[
-            must("kind", Takes::Word(TROUBLES)),
-            must("at_s", SECONDS),
-            may("for_s", SECONDS, Absent::Number(5.0)),
+            required("kind", FieldType::OneOf(TROUBLES)),
+            required("at_s", SECONDS),
+            optional("for_s", SECONDS, DefaultValue::Number(5.0)),
             // The beginning of hosts' names, a zone for a link, a group for a purge, nothing for the list.
-            may("target", Takes::Name, Absent::Text("")),
-            may("by", Takes::Number(0.0, 1e6), Absent::Number(0.0)),
+            optional("target", FieldType::Name, DefaultValue::Text("")),
+            optional("by", FieldType::Number(0.0, 1e6), DefaultValue::Number(0.0)),
             // From one host to the next.
-            may("step_s", SECONDS, Absent::Number(0.0)),
-            may("most", Takes::Whole(0, 100_000), Absent::Whole(100_000)),
+            optional("step_s", SECONDS, DefaultValue::Number(0.0)),
+            optional(
+                "most",
+                FieldType::Whole(0, 100_000),
+                DefaultValue::Whole(100_000),
+            ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "divided",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: &[
-            may("voters", Takes::Whole(1, 9), Absent::Whole(3)),
-            may("floors", Takes::Number(0.0, 1.0), Absent::Number(0.25)),
-            may("cold", Takes::Flag, Absent::Flag(true)),
+            optional("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
+            optional(
+                "floors",
+                FieldType::Number(0.0, 1.0),
+                DefaultValue::Number(0.25),
+            ),
+            optional("cold", FieldType::Flag, DefaultValue::Flag(true)),
         ],
     },
     // Traffic between zones, as in the operator's own file.
@@ -185,55 +226,63 @@
     trailproxy_zones_tools::sections::KINDS[1],
 ];
 
-const FLEET: &[FieldKind] = &[
-    may(
+const FLEET: &[FieldSpec] = &[
+    optional(
         "flow_kb_per_s",
-        Takes::Number(0.1, 1e9),
-        Absent::Number(3_600.0),
+        FieldType::Number(0.1, 1e9),
+        DefaultValue::Number(3_600.0),
     ),
-    may("fill_pace", Takes::Number(0.1, 100.0), Absent::Number(1.75)),
-    may(
+    optional(
+        "fill_pace",
+        FieldType::Number(0.1, 100.0),
+        DefaultValue::Number(1.75),
+    ),
+    optional(
         "notes",
-        Takes::Word(&["all", "hits", "none"]),
-        Absent::Text("hits"),
+        FieldType::OneOf(&["all", "hits", "none"]),
+        DefaultValue::Text("hits"),
+    ),
+    optional("joins", FieldType::Flag, DefaultValue::Flag(true)),
+    optional("straight", FieldType::Flag, DefaultValue::Flag(true)),
+    optional("link_told", FieldType::Flag, DefaultValue::Flag(false)),
+    optional(
+        "max_hand_offs",
+        FieldType::Whole(1, 100),
+        DefaultValue::Whole(6),
     ),
-    may("joins", Takes::Flag, Absent::Flag(true)),
-    may("straight", Takes::Flag, Absent::Flag(true)),
-    may("link_told", Takes::Flag, Absent::Flag(false)),
-    may("max_hand_offs", Takes::Whole(1, 100), Absent::Whole(6)),
-    may("withdraw", Takes::Flag, Absent::Flag(true)),
-    may("longest_away_ms", MILLIS, Absent::Number(2_000.0)),
-    may("list_delay_ms", MILLIS, Absent::Number(300.0)),
-    may("purge_delay_ms", MILLIS, Absent::Number(200.0)),
-    may("purge_grace_ms", MILLIS, Absent::Number(500.0)),
-    may("purge_done_ms", MILLIS, Absent::Number(6_000.0)),
-    may("fill_within_ms", MILLIS, Absent::Number(2_500.0)),
-    may("noticed_ms", MILLIS, Absent::Number(1_000.0)),
-    may("fallen_ms", MILLIS, Absent::Number(5_000.0)),
-    may("hop_ms", MILLIS, Absent::Number(1.0)),
+    optional("withdraw", FieldType::Flag, DefaultValue::Flag(true)),
+    optional("longest_away_ms", MILLIS, DefaultValue::Number(2_000.0)),
+    optional("list_delay_ms", MILLIS, DefaultValue::Number(300.0)),
+    optional("purge_delay_ms", MILLIS, DefaultValue::Number(200.0)),
+    optional("purge_grace_ms", MILLIS, DefaultValue::Number(500.0)),
+    optional("purge_done_ms", MILLIS, DefaultValue::Number(6_000.0)),
+    optional("fill_within_ms", MILLIS, DefaultValue::Number(2_500.0)),
+    optional("noticed_ms", MILLIS, DefaultValue::Number(1_000.0)),
+    optional("fallen_ms", MILLIS, DefaultValue::Number(5_000.0)),
+    optional("hop_ms", MILLIS, DefaultValue::Number(1.0)),
     // On loopback bodies have all their bytes, as they do where traffic between zones is accounted for.
-    may("whole_bodies", Takes::Flag, Absent::Flag(false)),
+    optional("whole_bodies", FieldType::Flag, DefaultValue::Flag(false)),
     // Times what it can do; 0: it never falls over.
-    may(
+    optional(
         "origin_bears",
-        Takes::Number(0.0, 1_000.0),
-        Absent::Number(0.0),
+        FieldType::Number(0.0, 1_000.0),
+        DefaultValue::Number(0.0),
     ),
-    may("cold_from", SHARE, Absent::Number(0.25)),
-    may("cold_ms", MILLIS, Absent::Number(14_000.0)),
-    may(
+    optional("cold_from", SHARE, DefaultValue::Number(0.25)),
+    optional("cold_ms", MILLIS, DefaultValue::Number(14_000.0)),
+    optional(
         "cold_multiple",
-        Takes::Number(0.1, 1_000.0),
-        Absent::Number(4.0),
+        FieldType::Number(0.1, 1_000.0),
+        DefaultValue::Number(4.0),
     ),
-    may("parent_cold_from", SHARE, Absent::Number(0.1)),
-    may("parent_cold_ms", MILLIS, Absent::Number(20_000.0)),
-    may(
+    optional("parent_cold_from", SHARE, DefaultValue::Number(0.1)),
+    optional("parent_cold_ms", MILLIS, DefaultValue::Number(20_000.0)),
+    optional(
         "parent_cold_multiple",
-        Takes::Number(0.1, 1_000.0),
-        Absent::Number(2.0),
+        FieldType::Number(0.1, 1_000.0),
+        DefaultValue::Number(2.0),
     ),
-    may("cold_within_ms", MILLIS, Absent::Number(1_000.0)),
+    optional("cold_within_ms", MILLIS, DefaultValue::Number(1_000.0)),
 ];
 
 /// What clients of one stream ask for.
@@ -343,11 +392,11 @@
 
 impl Scenario {
     /// Reads a script from disk.
-    pub fn load(path: &str) -> Result<Scenario, Box<Wrong>> {
+    pub fn load(path: &str) -> Result<Scenario, Box<ConfigError>> {
         Scenario::from_sheet(&trailproxy_operator::read_file(path, KINDS)?)
     }
 
-    pub fn from_sheet(sheet: &Sheet) -> Result<Scenario, Box<Wrong>> {
+    pub fn from_sheet(sheet: &ParsedFile) -> Result<Scenario, Box<ConfigError>> {
         let defaults = trailproxy_operator::read(
             "defaults",
             "fleet()".into(),
@@ -377,7 +426,7 @@
             if role == Role::Origin
                 && (section.whole("count") > 1 || hosts.iter().any(|h| h.role == role))
             {
-                return Err(section.wrong("role", "one origin in all"));
+                return Err(section.field_error("role", "one origin in all"));
             }
             let zone = zone_id(section.text("zone"));
             for _ in 0..section.whole("count") {
@@ -401,7 +450,7 @@
         }
         if !hosts.iter().any(|host| host.role == Role::Cache) {
             let first = sheet.one("hosts").unwrap_or(head);
-            return Err(first.wrong("role", "at least one section of caches"));
+            return Err(first.field_error("role", "at least one section of caches"));
         }
         let seats: Vec<u32> = sheet
             .all("zone")
@@ -409,7 +458,7 @@
             .collect();
         if seats.iter().sum::<u32>() == 0 {
             let first = sheet.one("zone").unwrap_or(head);
-            return Err(first.wrong(
+            return Err(first.field_error(
                 "dispatchers",
                 "at least one dispatcher in all zones together",
             ));
@@ -420,13 +469,13 @@
                 .iter()
                 .any(|host| host.role == Role::Cache && host.zone == zone);
             if *seats > 0 && !caches {
-                return Err(section.wrong("dispatchers", "none in a zone that has no cache"));
+                return Err(section.field_error("dispatchers", "none in a zone that has no cache"));
             }
         }
         let classes: Vec<ClassSettings> = sheet.all("track").map(track).collect();
         for section in sheet.all("track") {
             if section.number("due_ms") > section.number("limit_ms") {
-                return Err(section.wrong("due_ms", "a due time no longer than limit_ms"));
+                return Err(section.field_error("due_ms", "a due time no longer than limit_ms"));
             }
         }
         let shape = Shape {
@@ -529,8 +578,8 @@
             .map(|told| told.resolve(&names));
         scenario.whole_bodies |= told.is_some();
         scenario.zones = told.transpose().map_err(|unfit| {
-            Box::new(Wrong {
-                place: trailproxy_operator::Place {
+            Box::new(ConfigError {
+                position: trailproxy_operator::Position {
                     file: unfit.file,
                     line: unfit.position.0,
                     column: unfit.position.1,
@@ -562,7 +611,7 @@
             });
             let seats = scenario.loads.last().and_then(|load| load.zone);
             if seats.is_some_and(|zone| scenario.seats[usize::from(zone.0)] == 0) {
-                return Err(section.wrong("zone", "a zone that has dispatchers"));
+                return Err(section.field_error("zone", "a zone that has dispatchers"));
             }
         }
         for section in sheet.all("burst") {
@@ -585,7 +634,7 @@
         &mut self,
         section: &Section,
         zone_at: &dyn Fn(&str) -> Option<usize>,
-    ) -> Result<(), Box<Wrong>> {
+    ) -> Result<(), Box<ConfigError>> {
         let (kind, target, by) = (
             section.text("kind"),
             section.text("target"),
@@ -599,20 +648,20 @@
         let cues = match kind {
             "link" => {
                 let Some(zone) = zone_at(target) else {
-                    return Err(section.wrong("target", "the name of a zone, for a link"));
+                    return Err(section.field_error("target", "the name of a zone, for a link"));
                 };
                 one(Trouble::Link(ZoneId(zone as u16), by.max(1e-3), span))
             }
             "late_list" => one(Trouble::LateList(TimeSpan::from_secs_f64(by), span)),
             "purge" => {
                 let Ok(group) = target.parse::<u32>() else {
-                    return Err(section.wrong("target", "the number of a group, for a purge"));
+                    return Err(section.field_error("target", "the number of a group, for a purge"));
                 };
                 one(Trouble::Purge(None, GroupId(group)))
             }
             "dispatchers" => {
                 if !(0.0..=1.0).contains(&by) {
-                    return Err(section.wrong("by", "a share from 0 to 1, for dispatchers"));
+                    return Err(section.field_error("by", "a share from 0 to 1, for dispatchers"));
                 }
                 self.kills.push(Kill {
                     at,
@@ -637,10 +686,12 @@
                         "the beginning of a host's name, as {}",
                         names.collect::<Vec<_>>().join(", ")
                     );
-                    return Err(section.wrong("target", wanted));
+                    return Err(section.field_error("target", wanted));
                 }
                 if matches!(kind, "garbage" | "resets" | "ageing") && by > 1.0 {
-                    return Err(section.wrong("by", format!("a share from 0 to 1, for {kind}")));
+                    return Err(
+                        section.field_error("by", format!("a share from 0 to 1, for {kind}"))
+                    );
                 }
                 let step = section.number("step_s");
                 let cue = |(nth, host): (usize, &HostShape)| {
--- a/crates/peers/src/decide/spreading.rs
+++ b/crates/peers/src/decide/spreading.rs
@@ -1,9 +1,10 @@
-//! What all are to know: purges, hosts and hints, told on from one to the next.
+//! Facts that all members receive, passed on by gossip: purges, changes of hosts, and openings of
+//! breakers.
 
 use super::*;
 
 impl Peers {
-    /// A purge was heard of, from the journal, which has it at this moment.
+    /// The journal service reported a purge that happened at `at` by its clock.
     pub fn on_purge(
         &mut self,
         now: Timestamp,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The own list speaks of hosts, at this journal position.
+    /// The own host list reported hosts, at this journal position.
     pub fn on_host_list(&mut self, now: Timestamp, entries: &[HostEntry], journal_position: u64) {
         self.journal_position = self.journal_position.max(journal_position);
         if !self.settings.hosts {
@@ -39,31 +40,31 @@
             };
             let started = entry.stamp.map_or(0, |at| at.0);
             let host = self.hosts.entry(entry.host).or_default();
-            let (same, restricted) = (
+            let (same, restricted_until) = (
                 (host.started, host.listed) == (started, Some(listed)),
-                host.restricted,
+                host.restricted_until,
             );
             *host = Host {
                 started,
                 journal_position,
                 listed: Some(listed),
-                restricted: None,
+                restricted_until: None,
             };
             if listed == ListedState::Gone {
                 self.hosts.remove(&entry.host);
             }
-            // What another said of it is overtaken, unless that other is further in the journal.
+            // A report of another member is superseded, unless it has a later journal position.
             let id = FactId::Host(entry.host.0);
             let known = self.facts.get(id).cloned();
-            if restricted.is_some()
+            if restricted_until.is_some()
                 && let Some(known) = known
             {
                 self.apply_host_fact(now, &known);
             }
-            let young = entry
+            let started_recently = entry
                 .started
                 .is_some_and(|at| now.since(at) < HOST_CHANGE_RETENTION);
-            if !same && (listed != ListedState::Ready || young) {
+            if !same && (listed != ListedState::Ready || started_recently) {
                 let (host, at) = (entry.host.0, now.0);
                 self.add_own_fact(
                     now,
@@ -88,23 +89,25 @@
         }
     }
 
+    /// In how many messages a new fact is passed on.
     pub(super) fn gossip_rounds(&self) -> u32 {
         (usize::BITS - self.members.all().count().leading_zeros()) + 2
     }
 
-    /// What happened here, which others may have heard of, too.
+    /// Adds a fact of the journal service, which other members may have received as well.
     pub(super) fn add_own_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         if self.facts.insert(now, fact) == Some(true)
             && self.gossip_queue.len() < MAX_GOSSIP_ENTRIES
         {
             let at = now + MAX_GOSSIP_DELAY.mul_f64(self.rng.f64());
-            let left = self.gossip_rounds();
-            self.gossip_queue.insert(id, GossipEntry { left, at });
+            let rounds_left = self.gossip_rounds();
+            self.gossip_queue
+                .insert(id, GossipEntry { rounds_left, at });
         }
     }
 
-    /// A fact from another.
+    /// Handles a fact from another member.
     pub(super) fn on_fact(&mut self, now: Timestamp, fact: Fact) {
         let id = fact.id();
         let wanted = match &fact {
@@ -118,9 +121,10 @@
         match self.store(now, fact) {
             None => self.counts.full += 1,
             Some(false) => {
-                // All have it, by and by.
+                // A fact that arrives again is known to other members already, and is passed on
+                // less often.
                 if let Some(entry) = self.gossip_queue.get_mut(&id) {
-                    entry.left = entry.left.saturating_sub(1);
+                    entry.rounds_left = entry.rounds_left.saturating_sub(1);
                 }
             }
             Some(true) => {
@@ -138,14 +142,21 @@
                     Fact::Host { .. } => self.apply_host_fact(now, &fact),
                 }
                 if self.gossip_queue.len() < MAX_GOSSIP_ENTRIES {
-                    let left = self.gossip_rounds();
-                    self.gossip_queue.insert(id, GossipEntry { left, at: now });
+                    let rounds_left = self.gossip_rounds();
+                    self.gossip_queue.insert(
+                        id,
+                        GossipEntry {
+                            rounds_left,
+                            at: now,
+                        },
+                    );
                 }
             }
         }
     }
 
-    /// Another's word of a host holds where it is later in the journal and allows less; it never adds a host.
+    /// Applies another member's report of a host if it has a later journal position and is more
+    /// restrictive. It never adds a host.
     pub(super) fn apply_host_fact(&mut self, now: Timestamp, fact: &Fact) {
         let Fact::Host {
             host,
@@ -161,9 +172,9 @@
             return;
         };
         let until = Timestamp(at) + HOST_CHANGE_RETENTION;
-        let less = own.listed.is_some_and(|own| listed > own) || started > own.started;
-        if journal_position > own.journal_position && less && until > now {
-            own.restricted = Some(until);
+        let more_restrictive = own.listed.is_some_and(|own| listed > own) || started > own.started;
+        if journal_position > own.journal_position && more_restrictive && until > now {
+            own.restricted_until = Some(until);
             self.actions.push(Action::HostRestricted {
                 host: HostId(host),
                 listed: own.listed.map_or(listed, |own| own.max(listed)),
@@ -172,45 +183,47 @@
         }
     }
 
+    /// Lifts restrictions of hosts that have expired.
     pub(super) fn lift_expired_restrictions(&mut self, now: Timestamp) {
         for (&host, known) in &mut self.hosts {
-            if known.restricted.is_some_and(|until| until <= now) {
-                known.restricted = None;
+            if known.restricted_until.is_some_and(|until| until <= now) {
+                known.restricted_until = None;
                 self.actions.push(Action::HostRestrictionLifted { host });
             }
         }
     }
 
+    /// Passes new facts and hints on to a few members.
     pub(super) fn gossip(&mut self, now: Timestamp) {
         self.hints
             .retain(|_, (at, _)| now.since(*at) < HINT_RETENTION);
         let mut parts = Vec::new();
-        for (&(host, started), (at, left)) in &mut self.hints {
-            if *left > 0 && parts.len() < MAX_FACTS_PER_GOSSIP {
-                *left -= 1;
+        for (&(host, started), (at, rounds_left)) in &mut self.hints {
+            if *rounds_left > 0 && parts.len() < MAX_FACTS_PER_GOSSIP {
+                *rounds_left -= 1;
                 let (host, at) = (host.0, at.0);
                 parts.push(MessagePart::BreakerOpened { host, started, at });
             }
         }
-        let due = self
+        let due_entries = self
             .gossip_queue
             .iter_mut()
             .filter(|(_, entry)| entry.at <= now);
         let mut facts = Vec::new();
-        for (&id, entry) in due.take(MAX_FACTS_PER_GOSSIP) {
-            entry.left = entry.left.saturating_sub(1);
+        for (&id, entry) in due_entries.take(MAX_FACTS_PER_GOSSIP) {
+            entry.rounds_left = entry.rounds_left.saturating_sub(1);
             facts.extend(self.facts.get(id).cloned());
         }
-        self.gossip_queue.retain(|_, entry| entry.left > 0);
+        self.gossip_queue.retain(|_, entry| entry.rounds_left > 0);
         if !facts.is_empty() {
             parts.push(MessagePart::Gossip(facts));
         }
         if parts.is_empty() {
             return;
         }
-        let mut whom: Vec<PeerId> = self.members.present().map(|(id, _)| id).collect();
-        self.rng.shuffle(&mut whom);
-        for id in whom.into_iter().take(GOSSIP_FANOUT) {
+        let mut recipients: Vec<PeerId> = self.members.present().map(|(id, _)| id).collect();
+        self.rng.shuffle(&mut recipients);
+        for id in recipients.into_iter().take(GOSSIP_FANOUT) {
             self.send_to(now, id, parts.clone());
         }
     }
