--- a/crates/trials/src/decide/keys.rs
+++ b/crates/trials/src/decide/keys.rs
@@ -1,4 +1,5 @@
-//! What became of each key, as clients and hosts saw it: who asked whom, what was sent on, what may have run.
+//! The history of each idempotency key, as clients and hosts saw it: which dispatcher was asked, what it sent to hosts,
+//! and what may have run there.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -7,222 +8,267 @@
 use trailproxy_lab::rules::Final;
 use trailproxy_standins::shape::DAWN;
 
+/// One request of a client.
 #[derive(Clone, Copy, Debug)]
-struct Try {
-    seat: usize,
-    asked: Timestamp,
-    sent: Option<Timestamp>,
+struct ClientRequest {
+    dispatcher: usize,
+    requested_at: Timestamp,
+    /// When a host first received it.
+    sent_at: Option<Timestamp>,
     done: bool,
 }
 
+/// One attempt of a request that a host received.
 #[derive(Clone, Copy, Debug)]
-struct Run {
+struct HostAttempt {
     id: RequestId,
     no: u8,
     at: Timestamp,
-    place: (ZoneId, CellId),
+    location: (ZoneId, CellId),
+    /// Whether the host said that it did not run the request.
     never_ran: bool,
 }
 
+/// All requests with one key and what hosts received of them.
 #[derive(Clone, Debug, Default)]
-struct OfKey {
-    track: ClassId,
-    tries: BTreeMap<RequestId, Try>,
-    runs: Vec<Run>,
+struct KeyHistory {
+    class: ClassId,
+    requests: BTreeMap<RequestId, ClientRequest>,
+    attempts: Vec<HostAttempt>,
 }
 
-impl OfKey {
-    /// Who was asked when, and what hosts got of it: seconds of the run.
-    fn story(&self) -> String {
+impl KeyHistory {
+    /// Describes which dispatchers were asked and what hosts received, in order of time, in seconds of the run.
+    fn describe(&self) -> String {
         let at = |at: Timestamp| at.since(DAWN).as_secs_f64();
-        let tries = self.tries.values().map(|one| {
-            let done = if one.done { ", done" } else { "" };
+        let requests = self.requests.values().map(|request| {
+            let done = if request.done { ", done" } else { "" };
             (
-                one.asked,
-                format!("{:.3} seat {} is asked{done}", at(one.asked), one.seat),
+                request.requested_at,
+                format!(
+                    "{:.3} seat {} is asked{done}",
+                    at(request.requested_at),
+                    request.dispatcher
+                ),
             )
         });
-        let runs = self.runs.iter().map(|run| {
-            let seat = self.tries.get(&run.id).map_or(usize::MAX, |one| one.seat);
-            let ran = if run.never_ran { ", never ran" } else { "" };
-            let (zone, cell) = (run.place.0.0, run.place.1.0);
-            let text = format!("{:.3} seat {seat} sends to {zone}/{cell}{ran}", at(run.at));
-            (run.at, text)
+        let attempts = self.attempts.iter().map(|attempt| {
+            let seat = self
+                .requests
+                .get(&attempt.id)
+                .map_or(usize::MAX, |request| request.dispatcher);
+            let ran = if attempt.never_ran { ", never ran" } else { "" };
+            let (zone, cell) = (attempt.location.0.0, attempt.location.1.0);
+            let text = format!(
+                "{:.3} seat {seat} sends to {zone}/{cell}{ran}",
+                at(attempt.at)
+            );
+            (attempt.at, text)
         });
-        let mut all: Vec<_> = tries.chain(runs).collect();
-        all.sort_by_key(|told| told.0);
-        let all: Vec<String> = all.into_iter().map(|told| told.1).collect();
+        let mut all: Vec<_> = requests.chain(attempts).collect();
+        all.sort_by_key(|line| line.0);
+        let all: Vec<String> = all.into_iter().map(|line| line.1).collect();
         all.join("; ")
     }
 }
 
-/// The count of one run.
+/// What was counted in one run.
 #[derive(Clone, Debug, Default, Serialize, PartialEq)]
 pub struct Count {
+    /// Distinct keys.
     pub keys: u64,
-    /// Requests with keys, all tries.
+    /// Requests with keys, the first of a key and its repeats alike.
     pub tries: u64,
-    /// Second hand-offs that no host drops as repeats: out of their group, or past their window.
+    /// Later attempts that no host drops as repeats: outside the repeat group of the first attempt, or past its window.
     pub forbidden_repeats: u64,
-    /// Second hand-offs that hosts drop.
+    /// Later attempts that hosts drop as repeats.
     pub dropped_repeats: u64,
-    /// Of those by another dispatcher than the first.
+    /// Dropped repeats that another dispatcher sent than the one that sent the first attempt.
     pub by_another: u64,
-    /// Done with nothing sent under that try: the answer came from a record.
+    /// Requests that were done with nothing sent to a host: the answer came from a record.
     pub from_record: u64,
+    /// Requests that were done.
     pub done: u64,
-    /// From when a client asked to the first hand-off.
+    /// Time from a client's request to its first attempt, the median; without the requests repeated at the end.
     pub wait_ms_p50: f64,
+    /// The same time, the 99th percentile.
     pub wait_ms_p99: f64,
-    /// Of what is asked again at the end, what was sent again.
+    /// Requests repeated at the end that were sent to a host again.
     pub unknown_at_end: u64,
+    /// Requests repeated at the end.
     pub asked_at_end: u64,
-    /// What came of the first keys with a forbidden repeat, for a person who looks for the cause.
+    /// The histories of the first keys with a forbidden repeat, for an engineer who looks for the cause.
     pub stories: Vec<String>,
 }
 
-/// So many keys are told of.
-const MOST_STORIES: usize = 8;
+/// Most keys whose history goes into [`Count::stories`].
+const MAX_HISTORIES: usize = 8;
 
-/// Everything by key. Bounded by the length of a run.
+/// The histories of all keys of a run. Memory is bounded only by the length of the run.
 pub struct Keys {
-    tracks: Vec<ClassSettings>,
-    places: BTreeMap<HostId, (ZoneId, CellId)>,
-    keys: BTreeMap<String, OfKey>,
-    by_id: BTreeMap<RequestId, String>,
+    classes: Vec<ClassSettings>,
+    locations: BTreeMap<HostId, (ZoneId, CellId)>,
+    keys: BTreeMap<String, KeyHistory>,
+    key_by_request: BTreeMap<RequestId, String>,
     slack: TimeSpan,
 }
 
 impl Keys {
-    /// `slack`: by which what is seen at two ends may be apart.
+    /// Starts with no keys. `slack` is how far the times that two ends of a socket see may differ.
     pub fn new(
-        tracks: Vec<ClassSettings>,
-        places: BTreeMap<HostId, (ZoneId, CellId)>,
+        classes: Vec<ClassSettings>,
+        locations: BTreeMap<HostId, (ZoneId, CellId)>,
         slack: TimeSpan,
     ) -> Keys {
         Keys {
-            tracks,
-            places,
+            classes,
+            locations,
             keys: BTreeMap::new(),
-            by_id: BTreeMap::new(),
+            key_by_request: BTreeMap::new(),
             slack,
         }
     }
 
-    pub fn asked(&mut self, at: Timestamp, id: RequestId, key: &str, track: ClassId, seat: usize) {
-        self.by_id.insert(id, key.to_owned());
-        let of = self.keys.entry(key.to_owned()).or_default();
-        of.track = track;
-        let (asked, sent, done) = (at, None, false);
-        of.tries.insert(
+    /// Records that a client sent a request to a dispatcher.
+    pub fn on_request(
+        &mut self,
+        at: Timestamp,
+        id: RequestId,
+        key: &str,
+        class: ClassId,
+        dispatcher: usize,
+    ) {
+        self.key_by_request.insert(id, key.to_owned());
+        let history = self.keys.entry(key.to_owned()).or_default();
+        history.class = class;
+        let (requested_at, sent_at, done) = (at, None, false);
+        history.requests.insert(
             id,
-            Try {
-                seat,
-                asked,
-                sent,
+            ClientRequest {
+                dispatcher,
+                requested_at,
+                sent_at,
                 done,
             },
         );
     }
 
-    pub fn answered(&mut self, id: RequestId, how: Option<Final>) {
-        if let Some(found) = self.found(id)
-            && let Some(one) = found.tries.get_mut(&id)
+    /// Records the final answer that a client received; `None`: it received none.
+    pub fn on_answer(&mut self, id: RequestId, answer: Option<Final>) {
+        if let Some(history) = self.history_of(id)
+            && let Some(request) = history.requests.get_mut(&id)
         {
-            one.done |= how == Some(Final::Done);
+            request.done |= answer == Some(Final::Done);
         }
     }
 
-    fn found(&mut self, id: RequestId) -> Option<&mut OfKey> {
-        self.keys.get_mut(self.by_id.get(&id)?)
+    /// The history of the key of this request.
+    fn history_of(&mut self, id: RequestId) -> Option<&mut KeyHistory> {
+        self.keys.get_mut(self.key_by_request.get(&id)?)
     }
 
-    /// A host got it.
-    pub fn sent(&mut self, at: Timestamp, id: RequestId, no: u8, host: HostId) {
-        let place = self.places.get(&host).copied().unwrap_or_default();
-        let Some(of) = self.found(id) else {
+    /// Records that a host received an attempt of a request.
+    pub fn on_attempt_sent(&mut self, at: Timestamp, id: RequestId, no: u8, host: HostId) {
+        let location = self.locations.get(&host).copied().unwrap_or_default();
+        let Some(history) = self.history_of(id) else {
             return;
         };
-        if let Some(one) = of.tries.get_mut(&id) {
-            one.sent.get_or_insert(at);
+        if let Some(request) = history.requests.get_mut(&id) {
+            request.sent_at.get_or_insert(at);
         }
         let never_ran = false;
-        of.runs.push(Run {
+        history.attempts.push(HostAttempt {
             id,
             no,
             at,
-            place,
+            location,
             never_ran,
         });
     }
 
-    /// How it ended there.
-    pub fn ended(&mut self, id: RequestId, no: u8, never_ran: bool) {
-        if let Some(of) = self.found(id) {
-            let runs = of
-                .runs
+    /// Records how an attempt ended at its host.
+    pub fn on_attempt_ended(&mut self, id: RequestId, no: u8, never_ran: bool) {
+        if let Some(history) = self.history_of(id) {
+            let attempts = history
+                .attempts
                 .iter_mut()
-                .filter(|run| run.id == id && run.no == no);
-            runs.for_each(|run| run.never_ran = never_ran);
+                .filter(|attempt| attempt.id == id && attempt.no == no);
+            attempts.for_each(|attempt| attempt.never_ran = never_ran);
         }
     }
 
-    /// `end`: what is asked from then on was done before.
+    /// Counts the run. Requests from `end` on repeat requests that were done before.
     pub fn count(&self, end: Timestamp) -> Count {
         let mut count = Count {
             keys: self.keys.len() as u64,
             ..Count::default()
         };
         let mut waits = Vec::new();
-        for of in self.keys.values() {
-            for one in of.tries.values() {
+        for history in self.keys.values() {
+            for request in history.requests.values() {
                 count.tries += 1;
-                count.done += u64::from(one.done);
-                count.from_record += u64::from(one.done && one.sent.is_none());
-                if one.asked >= end {
+                count.done += u64::from(request.done);
+                count.from_record += u64::from(request.done && request.sent_at.is_none());
+                if request.requested_at >= end {
                     count.asked_at_end += 1;
-                    count.unknown_at_end += u64::from(one.sent.is_some());
+                    count.unknown_at_end += u64::from(request.sent_at.is_some());
                 } else {
-                    waits.extend(one.sent.map(|sent| sent.since(one.asked).0));
+                    waits.extend(
+                        request
+                            .sent_at
+                            .map(|sent_at| sent_at.since(request.requested_at).0),
+                    );
                 }
             }
-            self.repeats(of, &mut count);
+            self.count_repeats(history, &mut count);
         }
         waits.sort_unstable();
-        let at = |part: f64| {
-            let nth = ((waits.len() as f64 * part) as usize).min(waits.len().saturating_sub(1));
-            waits.get(nth).map_or(0.0, |&us| us as f64 / 1e3)
+        let quantile_ms = |quantile: f64| {
+            let index =
+                ((waits.len() as f64 * quantile) as usize).min(waits.len().saturating_sub(1));
+            waits.get(index).map_or(0.0, |&us| us as f64 / 1e3)
         };
-        (count.wait_ms_p50, count.wait_ms_p99) = (at(0.5), at(0.99));
+        (count.wait_ms_p50, count.wait_ms_p99) = (quantile_ms(0.5), quantile_ms(0.99));
         count
     }
 
-    fn repeats(&self, of: &OfKey, count: &mut Count) {
+    /// Counts each attempt of a key after the first as a dropped or as a forbidden repeat; attempts that never ran are
+    /// left out.
+    fn count_repeats(&self, history: &KeyHistory, count: &mut Count) {
         let Some(Effect::Keyed { group, window }) = self
-            .tracks
-            .get(usize::from(of.track.0))
-            .map(|track| track.effect)
+            .classes
+            .get(usize::from(history.class.0))
+            .map(|class| class.effect)
         else {
             return;
         };
-        let mut runs: Vec<&Run> = of.runs.iter().filter(|run| !run.never_ran).collect();
-        runs.sort_by_key(|run| run.at);
-        let Some((first, rest)) = runs.split_first() else {
+        let mut attempts: Vec<&HostAttempt> = history
+            .attempts
+            .iter()
+            .filter(|attempt| !attempt.never_ran)
+            .collect();
+        attempts.sort_by_key(|attempt| attempt.at);
+        let Some((first, rest)) = attempts.split_first() else {
             return;
         };
-        let seat = |run: &Run| of.tries.get(&run.id).map(|one| one.seat);
+        let dispatcher = |attempt: &HostAttempt| {
+            history
+                .requests
+                .get(&attempt.id)
+                .map(|request| request.dispatcher)
+        };
         let before = count.forbidden_repeats;
-        for run in rest {
-            let near = group.covers(Some(first.place), run.place);
-            if near && run.at.since(first.at) <= window + self.slack {
+        for attempt in rest {
+            let in_group = group.covers(Some(first.location), attempt.location);
+            if in_group && attempt.at.since(first.at) <= window + self.slack {
                 count.dropped_repeats += 1;
-                count.by_another += u64::from(seat(run) != seat(first));
+                count.by_another += u64::from(dispatcher(attempt) != dispatcher(first));
             } else {
                 count.forbidden_repeats += 1;
             }
         }
-        if count.forbidden_repeats > before && count.stories.len() < MOST_STORIES {
-            count.stories.push(of.story());
+        if count.forbidden_repeats > before && count.stories.len() < MAX_HISTORIES {
+            count.stories.push(history.describe());
         }
     }
 }
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -1,32 +1,41 @@
-//! What strikes, by a script or drawn from a seed, and the shortest script that still fails.
+//! The faults of a trial, read from a script or drawn from a seed, and the shortest script that still fails.
 
 use serde::Serialize;
 use std::fmt;
 use trailproxy_operator::decide::{Absent, Kind, Section, Shape, Sheet, may, must};
 
-/// One kind of thing that strikes.
+/// The kind of an injected fault. [`Strike::who`] names the dispatchers that it is applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum What {
-    /// No letter passes between these and the others, either way.
+    /// No message passes between these dispatchers and the others, in either direction.
     Cut,
-    /// None from these to the others.
+    /// No message passes from these dispatchers to the others; messages to them still arrive.
     Mute,
+    /// A share of the messages is lost.
     Lose,
+    /// A share of the messages is sent twice.
     Double,
+    /// Messages are delayed further, by this mean in milliseconds.
     Slow,
+    /// Messages pass at this rate at most, in KB/s.
     Trickle,
+    /// In a share of the messages one bit is flipped.
     Garbage,
+    /// The processes are killed.
     Kill,
+    /// The processes are paused.
     Pause,
+    /// The processes are restarted one after the other.
     Roll,
+    /// The processes read their configuration again.
     Reread,
-    /// Its clock is ahead, by milliseconds, from its start on.
+    /// The clock is ahead, by milliseconds, from the start of the process on.
     Clock,
-    /// Its clock runs fast, by millionths.
+    /// The clock runs fast, by millionths, from the start of the process on.
     Fast,
-    /// The journal service says nothing to these.
+    /// Nothing from the journal service reaches these dispatchers.
     Silent,
-    /// What strikes the store that they share, whoever is named.
+    /// The shared store answers slowly. All faults of the store apply to it whatever dispatchers are named.
     StoreSlow,
     StoreLate,
     StorePause,
@@ -38,6 +47,7 @@
     StoreRestart,
 }
 
+/// The kinds of fault of dispatchers and of the messages between them; these are drawn at random.
 pub const ALL: [What; 14] = [
     What::Cut,
     What::Mute,
@@ -55,7 +65,7 @@
     What::Silent,
 ];
 
-/// What strikes a store.
+/// The kinds of fault of the shared store.
 pub const STORE: [What; 9] = [
     What::StoreSlow,
     What::StoreLate,
@@ -68,6 +78,7 @@
     What::StoreRestart,
 ];
 
+/// The names of the kinds in a script, in the order of the variants of [`What`].
 const WORDS: [&str; 23] = [
     "cut",
     "mute",
@@ -95,16 +106,17 @@
 ];
 
 impl What {
+    /// The name in a script.
     pub fn word(self) -> &'static str {
         WORDS[self as usize]
     }
 
-    fn of(word: &str) -> Option<What> {
+    fn from_name(name: &str) -> Option<What> {
         let all = ALL.into_iter().chain(STORE);
-        all.into_iter().find(|what| what.word() == word)
+        all.into_iter().find(|what| what.word() == name)
     }
 
-    /// What is usual where nothing is said: a share, milliseconds, or KB/s.
+    /// The amount where a script names none: a share, milliseconds, millionths or KB/s, by the kind.
     pub fn usual(self) -> f64 {
         match self {
             What::Lose => 0.2,
@@ -120,13 +132,19 @@
     }
 }
 
+/// One injected fault.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Strike {
+    /// The kind of fault.
     pub what: What,
+    /// When it begins, in seconds of the run.
     pub at_s: f64,
+    /// How long it lasts, in seconds.
     pub for_s: f64,
-    /// Seats that it strikes; of ways, those that end at one of these and not the other.
+    /// Indices of the dispatchers that it applies to. A cut applies to the routes with exactly one end among these, a
+    /// mute to the routes from these to others, other faults of messages to the routes with at least one end among these.
     pub who: Vec<usize>,
+    /// How strong it is, in the unit of its kind: see [`What::usual`].
     pub amount: f64,
 }
 
@@ -147,38 +165,47 @@
     }
 }
 
-/// How dispatchers are tried, beside the scenario.
+/// The configuration of a trial, beside that of the scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Trial {
+    /// Whether the dispatchers share records as peers.
     pub peers: bool,
-    /// Whether they share a store instead.
+    /// Whether the dispatchers share a store.
     pub store: bool,
-    /// Whether budgets are divided among them, and by so many voters, the first ones.
+    /// Whether budgets are divided among the dispatchers.
     pub budgets: bool,
+    /// How many dispatchers, the first ones, vote on the division of budgets.
     pub voters: usize,
-    /// The part of all requests that goes to the first dispatcher beside its share.
+    /// The share of all requests that goes to the first dispatcher in addition to its equal share.
     pub busy: f64,
-    /// Whether an access with a key that nobody is sure about is refused.
+    /// Whether a keyed request is refused while it is uncertain whether its key was seen before; otherwise it is sent.
     pub refuse: bool,
+    /// The setting `wait_ms` of the peers and of the store.
     pub wait_ms: f64,
+    /// How long records are kept: the setting `keep_s` of the peers and of the store.
     pub keep_s: f64,
-    /// All is up for so much longer before the day begins: records are whole only when they have been kept for once.
+    /// How long all processes are up before the load begins. Records are complete only once the processes have been up
+    /// for `keep_s`.
     pub lead_s: f64,
-    /// Zones that the dispatchers are spread over, by turns; 0: all are near each other. And how long a message is on its
-    /// way between two zones at the most, two of a region and two of different ones.
+    /// Zones that the dispatchers are spread over in turn; 0: there is no distance between any two dispatchers.
     pub zones: usize,
-    /// Whether dispatchers say where they are; else only the distances are there.
+    /// Whether dispatchers are configured with their sites; otherwise only the message delays between zones apply.
     pub sites: bool,
+    /// Longest delay of a message between two zones of one region, in milliseconds.
     pub zone_ms: f64,
+    /// Longest delay of a message between two zones of different regions, in milliseconds.
     pub region_ms: f64,
+    /// How long a client waits for an answer before it sends the request again, in milliseconds.
     pub patience_ms: f64,
-    /// Requests that are sent again to everybody at the end.
+    /// How many of the last keyed requests that were done are repeated at every dispatcher at the end of the run.
     pub again: usize,
+    /// Faults to draw at random.
     pub drawn: usize,
+    /// The faults of the script, followed by the drawn ones.
     pub strikes: Vec<Strike>,
 }
 
-/// The sections of a trial, beside those of a scenario.
+/// The sections of a trial's file, beside those of a scenario.
 pub const KINDS: &[Kind] = &[
     Kind {
         name: "trial",
@@ -221,9 +248,10 @@
     },
 ];
 
-fn strike(section: &Section) -> Strike {
-    // The reader takes these words only.
-    let what = What::of(section.text("what")).unwrap_or(What::Cut);
+/// The fault that a section describes.
+fn fault_from_section(section: &Section) -> Strike {
+    // The reader accepts only the names in WORDS, so the default is never used.
+    let what = What::from_name(section.text("what")).unwrap_or(What::Cut);
     let amount = Some(section.number("amount")).filter(|&amount| amount >= 0.0);
     Strike {
         what,
@@ -232,15 +260,16 @@
         who: section
             .numbers("who")
             .into_iter()
-            .map(|nth| nth as usize)
+            .map(|index| index as usize)
             .collect(),
         amount: amount.unwrap_or(what.usual()),
     }
 }
 
 impl Trial {
-    pub fn of(sheet: &Sheet) -> Option<Trial> {
-        let head = sheet.one("trial")?;
+    /// Reads a trial from a parsed file; `None` where the file has no section `trial`.
+    pub fn of(config: &Sheet) -> Option<Trial> {
+        let head = config.one("trial")?;
         Some(Trial {
             peers: head.flag("peers"),
             store: head.flag("store"),
@@ -258,21 +287,21 @@
             patience_ms: head.number("patience_ms"),
             again: head.whole("again") as usize,
             drawn: head.whole("drawn") as usize,
-            strikes: sheet.all("strike").map(strike).collect(),
+            strikes: config.all("strike").map(fault_from_section).collect(),
         })
     }
 
-    /// The zone of a seat, where dispatchers say where they are.
-    pub fn zone(&self, seat: usize) -> Option<usize> {
-        seat.checked_rem(self.zones)
+    /// The zone of a dispatcher, where dispatchers are spread over zones.
+    pub fn zone(&self, dispatcher: usize) -> Option<usize> {
+        dispatcher.checked_rem(self.zones)
     }
 
-    /// Two zones to a region.
+    /// The region of a zone: each region has two zones.
     pub fn region(zone: usize) -> usize {
         zone / 2
     }
 
-    /// How long a message is on its way between two seats at the most, in milliseconds.
+    /// The longest delay of a message between two dispatchers without faults, in milliseconds.
     pub fn distance_ms(&self, from: usize, to: usize) -> f64 {
         match self.zone(from).zip(self.zone(to)) {
             Some((from, to)) if Trial::region(from) != Trial::region(to) => self.region_ms,
@@ -281,28 +310,29 @@
         }
     }
 
-    /// Adds what is drawn: kinds, times, seats, of a run of so many seconds with so many dispatchers.
-    pub fn draw(&mut self, seconds: f64, seats: usize, seed: u64) {
-        let mut chance = fastrand::Rng::with_seed(seed);
+    /// Adds the faults that are drawn at random, for a run of this length with this many dispatchers.
+    pub fn draw(&mut self, seconds: f64, dispatchers: usize, seed: u64) {
+        let mut rng = fastrand::Rng::with_seed(seed);
         for _ in 0..std::mem::take(&mut self.drawn) {
-            let what = ALL[chance.usize(0..ALL.len())];
-            self.strikes.push(drawn(what, seconds, seats, &mut chance));
+            let what = ALL[rng.usize(0..ALL.len())];
+            self.strikes
+                .push(drawn(what, seconds, dispatchers, &mut rng));
         }
     }
 }
 
-/// One of this kind, somewhere in the middle of a run.
-pub fn drawn(what: What, seconds: f64, seats: usize, chance: &mut fastrand::Rng) -> Strike {
-    let at_s = seconds * (0.2 + 0.2 * chance.f64());
-    let for_s = seconds * (0.15 + 0.15 * chance.f64());
-    let mut all: Vec<usize> = (0..seats).collect();
-    chance.shuffle(&mut all);
-    // Most often the smaller part, now and then all.
-    let few = match chance.u8(0..8) {
-        0 => seats,
-        _ => 1 + chance.usize(0..seats.div_ceil(2)),
+/// Draws a fault of this kind. It begins after 20 to 40 % of the run and lasts for 15 to 30 % of it.
+pub fn drawn(what: What, seconds: f64, dispatchers: usize, rng: &mut fastrand::Rng) -> Strike {
+    let at_s = seconds * (0.2 + 0.2 * rng.f64());
+    let for_s = seconds * (0.15 + 0.15 * rng.f64());
+    let mut all: Vec<usize> = (0..dispatchers).collect();
+    rng.shuffle(&mut all);
+    // Seven times in eight at most half of the dispatchers, rounded up; otherwise all.
+    let affected = match rng.u8(0..8) {
+        0 => dispatchers,
+        _ => 1 + rng.usize(0..dispatchers.div_ceil(2)),
     };
-    all.truncate(few);
+    all.truncate(affected);
     all.sort_unstable();
     Strike {
         what,
@@ -313,18 +343,19 @@
     }
 }
 
-/// Leaves out what the failure does not need, one strike after the other, for as long as it still fails.
+/// Removes the faults that the failure does not need: tries to leave out each fault in turn, and keeps it if the trial
+/// passes without it.
 pub fn shortest(strikes: &[Strike], mut fails: impl FnMut(&[Strike]) -> bool) -> Vec<Strike> {
-    let mut left = strikes.to_vec();
-    let mut nth = 0;
-    while nth < left.len() {
-        let mut without = left.clone();
-        without.remove(nth);
+    let mut needed = strikes.to_vec();
+    let mut index = 0;
+    while index < needed.len() {
+        let mut without = needed.clone();
+        without.remove(index);
         if fails(&without) {
-            left = without;
+            needed = without;
         } else {
-            nth += 1;
+            index += 1;
         }
     }
-    left
+    needed
 }
--- a/crates/trials/src/play.rs
+++ b/crates/trials/src/play.rs
@@ -110,12 +110,19 @@
 struct Watched(Keys);
 
 impl Watch for Watched {
-    fn asked(&mut self, at: Timestamp, id: RequestId, key: &str, track: ClassId, seat: usize) {
-        self.0.asked(at, id, key, track, seat);
+    fn asked(
+        &mut self,
+        at: Timestamp,
+        id: RequestId,
+        key: &str,
+        class: ClassId,
+        dispatcher: usize,
+    ) {
+        self.0.on_request(at, id, key, class, dispatcher);
     }
 
-    fn answered(&mut self, _: Timestamp, id: RequestId, how: Option<Final>) {
-        self.0.answered(id, how);
+    fn answered(&mut self, _: Timestamp, id: RequestId, answer: Option<Final>) {
+        self.0.on_answer(id, answer);
     }
 
     fn seen(&mut self, at: Timestamp, seen: &Seen) {
@@ -125,12 +132,12 @@
                 host,
                 no,
                 ..
-            } => self.0.sent(at, RequestId(reference), no, host),
+            } => self.0.on_attempt_sent(at, RequestId(reference), no, host),
             Seen::Ended {
                 reference,
                 no,
                 never_ran,
-            } => self.0.ended(RequestId(reference), no, never_ran),
+            } => self.0.on_attempt_ended(RequestId(reference), no, never_ran),
             _ => {}
         }
     }
