--- a/crates/trials/src/play.rs
+++ b/crates/trials/src/play.rs
@@ -1,8 +1,8 @@
-//! One trial played to real processes.
+//! Runs one trial against real processes and counts its outcome from outside.
 
 use crate::decide::keys::{Count, Keys};
 use crate::decide::script::{Strike, Trial, What};
-use crate::relay::{Journals, Relays, Way};
+use crate::relay::{Journals, Relays, Route};
 use serde::Serialize;
 use serde_json::{Value, json};
 use std::cell::RefCell;
@@ -22,21 +22,22 @@
 use trailproxy_standins::redis_server::{Fault, RedisServer};
 use trailproxy_standins::shape::DAWN;
 
-/// What is seen at two ends of a socket may differ by this on a busy machine.
+/// How far the times that two ends of a socket see may differ on a busy machine.
 const SLACK: TimeSpan = TimeSpan::from_millis(200);
 
-/// What crossed, by the count of the links, against the scenario's first budget with a rate.
+/// What crossed into a zone, as the links counted it, relative to the scenario's first budget with a rate.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct OfBudget {
-    /// The worst second, and the worst ten: KB that crossed over the rate's for that long with the burst.
+    /// The worst second: the KB that crossed, divided by what the rate and the burst allow in that time.
     pub worst_1s: f64,
+    /// The worst ten seconds, in the same way.
     pub worst_10s: f64,
-    /// What crossed of the rate on average, from when it counts.
+    /// The share of the rate that crossed on average, from the time at which the scenario starts to count.
     pub used: f64,
 }
 
 impl OfBudget {
-    /// The worst of both: over 1, more crossed than the whole allows.
+    /// The worse of the two: over 1, more crossed than the whole budget allows.
     pub fn worst(&self) -> f64 {
         self.worst_1s.max(self.worst_10s)
     }
@@ -65,32 +66,46 @@
     }
 }
 
-/// What one run came to, counted from outside.
+/// The outcome of one run, counted from outside.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
+    /// The seed of everything random in the run.
     pub seed: u64,
+    /// Whether the dispatchers shared records as peers.
     pub peers: bool,
+    /// Whether the dispatchers shared a store.
     pub store: bool,
+    /// The injected faults, as a script has them.
     pub strikes: Vec<String>,
+    /// Dispatcher processes.
     pub processes: usize,
     pub service: f64,
+    /// Requests of clients.
     pub accesses: u64,
+    /// Requests that were done.
     pub done: u64,
     pub lost: u64,
+    /// Rules that the run broke.
     pub rules_broken: Vec<String>,
+    /// What was counted by idempotency key.
     pub keys: Count,
+    /// How a zone budget was used, if the scenario has one with a rate.
     pub budget: Option<OfBudget>,
     pub fell: u64,
+    /// Messages between dispatchers, per second and dispatcher.
     pub letters_per_s: f64,
+    /// KB of these messages, per second and dispatcher.
     pub kb_per_s: f64,
+    /// Peak memory of the processes, as the summary has it; 0 if unknown.
     pub peak_rss_kb: u64,
+    /// CPU time per request, in microseconds; 0 if unknown.
     pub cpu_us_per_access: f64,
-    /// By second of the run: importance asked for and served.
+    /// By second of the run: the importance requested and the importance served.
     pub seconds: Vec<(f64, f64)>,
 }
 
 impl Outcome {
-    /// Why it is no good: the five rules, and no repeat that hosts don't drop.
+    /// Why the run fails, if it does: a broken rule of the five, a budget overrun, or a repeat that hosts don't drop.
     pub fn wrong(&self) -> Option<String> {
         if let Some(rule) = self.rules_broken.first() {
             return Some(rule.clone());
@@ -107,9 +122,10 @@
     }
 }
 
-struct Watched(Keys);
+/// Counts what clients and hosts see.
+struct KeyWatch(Keys);
 
-impl Watch for Watched {
+impl Watch for KeyWatch {
     fn asked(
         &mut self,
         at: Timestamp,
@@ -143,15 +159,17 @@
     }
 }
 
-fn free_datagrams(n: usize) -> io::Result<Vec<SocketAddr>> {
-    // All held until all are known, so that no two are the same.
+/// Free UDP addresses, all different.
+fn free_udp_addresses(n: usize) -> io::Result<Vec<SocketAddr>> {
+    // All sockets stay open until all addresses are known, so that no two addresses are the same.
     let sockets: Vec<UdpSocket> = (0..n)
         .map(|_| UdpSocket::bind("127.0.0.1:0"))
         .collect::<io::Result<_>>()?;
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
 
-fn section(trial: &Trial, listen: SocketAddr, own: SocketAddr, all: &[SocketAddr]) -> Value {
+/// The section `peers` of one dispatcher's configuration.
+fn peers_section(trial: &Trial, listen: SocketAddr, own: SocketAddr, all: &[SocketAddr]) -> Value {
     let seeds: Vec<String> = all.iter().take(3).map(SocketAddr::to_string).collect();
     json!({"peers": {
         "file": "trial", "place": [1, 1], "fleet": "trial", "secret_file": "",
@@ -178,39 +196,55 @@
     (0..zones).map(site).collect()
 }
 
-/// Messages take as long as the distances of the script say.
-fn keep_apart(trial: &Trial, relays: &Relays, seats: usize) {
-    let change = relays.change();
+/// Sets the delay of each route by the distance between its dispatchers.
+fn set_distances(trial: &Trial, relays: &Relays, seats: usize) {
+    let change = relays.route_changer();
     for from in 0..seats {
         for to in 0..seats {
             let distance = Duration::from_secs_f64(trial.distance_ms(from, to) / 1e3);
-            change(&|a, b| (a, b) == (from, to), &|way| way.distance = distance);
+            change(&|a, b| (a, b) == (from, to), &|route| {
+                route.distance = distance
+            });
         }
     }
 }
 
-/// What a strike does to a way, and what undoes it.
-struct Done {
-    begins: fn(&mut Way, f64),
-    ends: fn(&mut Way),
+/// How a fault changes a route, and how it is undone.
+struct RouteFault {
+    begin: fn(&mut Route, f64),
+    end: fn(&mut Route),
 }
 
-fn done_to(what: What) -> Option<Done> {
-    let of = |begins, ends| Some(Done { begins, ends });
+/// The effect of this kind of fault on routes, if it has one.
+fn route_fault(what: What) -> Option<RouteFault> {
+    let of = |begin, end| Some(RouteFault { begin, end });
     match what {
-        What::Cut | What::Mute => of(|way, _| way.cut = true, |way| way.cut = false),
-        What::Lose => of(|way, share| way.lose = share, |way| way.lose = 0.0),
-        What::Double => of(|way, share| way.double = share, |way| way.double = 0.0),
-        What::Garbage => of(|way, share| way.garbage = share, |way| way.garbage = 0.0),
+        What::Cut | What::Mute => of(
+            |route, _| route.blocked = true,
+            |route| route.blocked = false,
+        ),
+        What::Lose => of(|route, share| route.loss = share, |route| route.loss = 0.0),
+        What::Double => of(
+            |route, share| route.duplication = share,
+            |route| route.duplication = 0.0,
+        ),
+        What::Garbage => of(
+            |route, share| route.corruption = share,
+            |route| route.corruption = 0.0,
+        ),
         What::Slow => of(
-            |way, ms| way.slow = Duration::from_secs_f64(ms / 1e3),
-            |way| way.slow = Duration::ZERO,
+            |route, ms| route.extra_delay = Duration::from_secs_f64(ms / 1e3),
+            |route| route.extra_delay = Duration::ZERO,
+        ),
+        What::Trickle => of(
+            |route, kb| route.bytes_per_second = kb * 1024.0,
+            |route| route.bytes_per_second = 0.0,
         ),
-        What::Trickle => of(|way, kb| way.trickle = kb * 1024.0, |way| way.trickle = 0.0),
         _ => None,
     }
 }
 
+/// The section `store` of a dispatcher's configuration.
 fn store_section(trial: &Trial, port: u16) -> Value {
     json!({
         "file": "trial", "place": [1, 1], "host": "127.0.0.1", "port": port, "password_file": "", "prefix": "t/",
@@ -219,10 +253,11 @@
     })
 }
 
-type Struck = Box<dyn Fn(&RedisServer)>;
+/// Applies a fault to the store.
+type StoreFault = Box<dyn Fn(&RedisServer)>;
 
-/// What a strike does to the store; what it ends is ended by the store itself.
-fn to_store(strike: &Strike) -> Option<Struck> {
+/// The effect of a fault on the store, if it has one. The store itself ends a fault that lasts for a time.
+fn store_fault(strike: &Strike) -> Option<StoreFault> {
     let lasts = Duration::from_secs_f64(strike.for_s);
     let (least, mean_more) = (
         TimeSpan::from_secs_f64(strike.amount / 1e3),
@@ -243,7 +278,8 @@
     Some(Box::new(move |store| store.fault(fault, lasts)))
 }
 
-fn strikes(
+/// All faults of a trial except those of clocks, with their times.
+fn timed_faults(
     trial: &Trial,
     relays: &Relays,
     journals: &Journals,
@@ -259,23 +295,23 @@
             What::Pause => all.push((at, loopback::Strike::Pause(who.clone(), lasts))),
             What::Roll => all.push((at, loopback::Strike::Roll(who.clone()))),
             What::Reread => all.push((at, loopback::Strike::Reread(who.clone()))),
-            // A clock is off from the start on, by the environment; the rest is done to ways.
+            // Faults of clocks are set by the environment at the start; all others follow below.
             _ => {}
         }
         if strike.what == What::Silent {
             for (at, on) in [(at, true), (at + lasts, false)] {
-                let (hush, who) = (journals.hush(), who.clone());
-                all.push((at, loopback::Strike::Do(Rc::new(move || hush(&who, on)))));
+                let (silence, who) = (journals.silencer(), who.clone());
+                all.push((at, loopback::Strike::Do(Rc::new(move || silence(&who, on)))));
             }
         }
-        if let Some((store, strikes)) = store.cloned().zip(to_store(strike)) {
-            all.push((at, loopback::Strike::Do(Rc::new(move || strikes(&store)))));
+        if let Some((store, apply)) = store.cloned().zip(store_fault(strike)) {
+            all.push((at, loopback::Strike::Do(Rc::new(move || apply(&store)))));
         }
-        let Some(done) = done_to(strike.what) else {
+        let Some(fault) = route_fault(strike.what) else {
             continue;
         };
         let (amount, what) = (strike.amount, strike.what);
-        // A cut leaves those on one side together, and one that is mute still hears.
+        // A cut leaves the dispatchers on each side connected, and a mute dispatcher still receives.
         let fits = move |who: &[usize], from: usize, to: usize| {
             let (from, to) = (who.contains(&from), who.contains(&to));
             match what {
@@ -284,49 +320,49 @@
                 _ => from || to,
             }
         };
-        let (begin, end, others) = (relays.change(), relays.change(), who.clone());
+        let (begin, end, others) = (relays.route_changer(), relays.route_changer(), who.clone());
         let begins = move || {
-            begin(&|from, to| fits(&who, from, to), &|way| {
-                (done.begins)(way, amount)
+            begin(&|from, to| fits(&who, from, to), &|route| {
+                (fault.begin)(route, amount)
             });
         };
-        let ends = move || end(&|from, to| fits(&others, from, to), &done.ends);
+        let ends = move || end(&|from, to| fits(&others, from, to), &fault.end);
         all.push((at, loopback::Strike::Do(Rc::new(begins))));
         all.push((at + lasts, loopback::Strike::Do(Rc::new(ends))));
     }
     all
 }
 
-/// Plays it; an error is one of this machine, not of the program.
+/// Runs the trial. An error is one of this machine, such as a socket that can't be opened, not one of the dispatchers.
 pub fn play(scenario: &Scenario, trial: &Trial, place: &Place, seed: u64) -> io::Result<Outcome> {
     let seats: usize = scenario.seats.iter().map(|&n| n as usize).sum();
-    let behind = free_datagrams(seats)?;
-    let relays = Relays::start(behind.clone(), seed)?;
-    keep_apart(trial, &relays, seats);
+    let dispatchers = free_udp_addresses(seats)?;
+    let relays = Relays::start(dispatchers.clone(), seed)?;
+    set_distances(trial, &relays, seats);
     let store = match trial.store {
         true => Some(Rc::new(RedisServer::start(Redis::new(seed), seed)?)),
         false => None,
     };
     let mut operators: Vec<Value> = match trial.peers {
-        true => behind
+        true => dispatchers
             .iter()
             .zip(&relays.addresses)
-            .map(|(&listen, &own)| section(trial, listen, own, &relays.addresses))
+            .map(|(&listen, &own)| peers_section(trial, listen, own, &relays.addresses))
             .collect(),
         false => Vec::new(),
     };
     if let Some(store) = &store {
         operators.resize(seats, json!({}));
-        for told in &mut operators {
-            told["store"] = store_section(trial, store.address.port());
+        for config in &mut operators {
+            config["store"] = store_section(trial, store.address.port());
         }
     }
     if trial.budgets {
         let voters: Vec<String> = (0..trial.voters.min(seats))
             .map(|nth| format!("n{nth}"))
             .collect();
-        for told in &mut operators {
-            told["budgets"] = json!({
+        for config in &mut operators {
+            config["budgets"] = json!({
                 "file": "trial", "place": [1, 1], "voters": voters, "floors": 0.25, "lasts_s": 2.0, "cold": true,
             });
         }
@@ -349,14 +385,14 @@
         .map(|host| (host.id, (host.zone, host.cell)))
         .collect();
     let keys = Keys::new(scenario.shape.tracks.clone(), places, SLACK);
-    let watch = Rc::new(RefCell::new(Watched(keys)));
+    let watch = Rc::new(RefCell::new(KeyWatch(keys)));
     let journals = Rc::new(Journals::new(seats));
-    let ways = journals.clone();
+    let proxies = journals.clone();
     let around = Around {
-        journals: Some(Rc::new(move |service| ways.open(service))),
+        journals: Some(Rc::new(move |service| proxies.open(service))),
         operators,
         variables,
-        strikes: strikes(trial, &relays, &journals, store.as_ref()),
+        strikes: timed_faults(trial, &relays, &journals, store.as_ref()),
         watch: Some(watch.clone()),
         elsewhere: true,
         busy: trial.busy,
@@ -365,11 +401,11 @@
         lead: Duration::from_secs_f64(trial.lead_s),
     };
     let day = loopback::run_around(scenario, place, seed, around)?;
-    let passed = relays.passed();
+    let traffic = relays.traffic();
     let seconds = scenario.length.as_secs_f64().max(1.0);
-    let (letters, bytes) = passed
+    let (messages, bytes) = traffic
         .iter()
-        .fold((0, 0), |sum, of| (sum.0 + of.letters, sum.1 + of.bytes));
+        .fold((0, 0), |sum, of| (sum.0 + of.messages, sum.1 + of.bytes));
     let each = seconds * seats.max(1) as f64;
     let end = DAWN + scenario.length + TimeSpan::from_millis(1);
     let count = watch.borrow().0.count(end);
@@ -388,7 +424,7 @@
         keys: count,
         budget: OfBudget::of(scenario, &day.crossed.steps),
         fell: day.tally.fell,
-        letters_per_s: letters as f64 / each,
+        letters_per_s: messages as f64 / each,
         kb_per_s: bytes as f64 / 1024.0 / each,
         peak_rss_kb: summary.peak_rss_kb.unwrap_or(0),
         cpu_us_per_access: summary.cpu_us_per_access.unwrap_or(0.0),
