--- a/crates/capacity/src/description.rs
+++ b/crates/capacity/src/description.rs
@@ -1,8 +1,8 @@
 //! The fleet to be measured, read from a Starlark file and checked before anything begins.
 
 use trailproxy::units::TimeSpan;
-use trailproxy_operator::decide::{Absent, Kind, Shape, may, must};
-use trailproxy_operator::{Bounds, Section, Sheet, Wrong, read};
+use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, optional, required};
+use trailproxy_operator::{Bounds, ConfigError, ParsedFile, Section, read};
 
 /// The description that is used where no file is named.
 const BUILT_IN: &str = include_str!("../../../scenarios/capacity/fleet.star");
@@ -10,83 +10,95 @@
 /// More members than that are not taken in by one fleet.
 const MOST_MEMBERS: i64 = 1_024;
 const MOST_PLACES: usize = 1_000;
-const PER_SECOND: Shape = Shape::Number(0.0, 1e6);
-const SHARE: Shape = Shape::Number(0.0, 1.0);
-const MILLISECONDS: Shape = Shape::Number(0.0, 10_000.0);
+const PER_SECOND: FieldType = FieldType::Number(0.0, 1e6);
+const SHARE: FieldType = FieldType::Number(0.0, 1.0);
+const MILLISECONDS: FieldType = FieldType::Number(0.0, 10_000.0);
 const DISTANCE_KINDS: [&str; 4] = ["site", "zone", "region", "between_regions"];
 
 /// Every section that a description may hold.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "fleet",
-        most: 1,
-        needed: true,
+        max_count: 1,
+        required: true,
         fields: &[
-            must("members", Shape::Whole(2, MOST_MEMBERS)),
-            may("purges_per_s", PER_SECOND, Absent::Number(7.5)),
-            may("requests_per_s", PER_SECOND, Absent::Number(939.0)),
-            may("keyed_share", SHARE, Absent::Number(0.035)),
-            may("repeat_share", SHARE, Absent::Number(0.05)),
-            may(
+            required("members", FieldType::Whole(2, MOST_MEMBERS)),
+            optional("purges_per_s", PER_SECOND, DefaultValue::Number(7.5)),
+            optional("requests_per_s", PER_SECOND, DefaultValue::Number(939.0)),
+            optional("keyed_share", SHARE, DefaultValue::Number(0.035)),
+            optional("repeat_share", SHARE, DefaultValue::Number(0.05)),
+            optional(
                 "repeat_least_s",
-                Shape::Number(0.0, 60.0),
-                Absent::Number(0.3),
+                FieldType::Number(0.0, 60.0),
+                DefaultValue::Number(0.3),
             ),
-            may(
+            optional(
                 "repeat_most_s",
-                Shape::Number(0.0, 60.0),
-                Absent::Number(2.0),
+                FieldType::Number(0.0, 60.0),
+                DefaultValue::Number(2.0),
             ),
-            may("limit_s", Shape::Number(0.1, 60.0), Absent::Number(5.0)),
-            may("wait_ms", Shape::Number(0.5, 1_000.0), Absent::Number(5.0)),
-            may("keep_s", Shape::Number(1.0, 3_600.0), Absent::Number(30.0)),
-            may(
+            optional(
+                "limit_s",
+                FieldType::Number(0.1, 60.0),
+                DefaultValue::Number(5.0),
+            ),
+            optional(
+                "wait_ms",
+                FieldType::Number(0.5, 1_000.0),
+                DefaultValue::Number(5.0),
+            ),
+            optional(
+                "keep_s",
+                FieldType::Number(1.0, 3_600.0),
+                DefaultValue::Number(30.0),
+            ),
+            optional(
                 "purges_last_s",
-                Shape::Number(1.0, 3_600.0),
-                Absent::Number(30.0),
+                FieldType::Number(1.0, 3_600.0),
+                DefaultValue::Number(30.0),
             ),
-            may("refuse", Shape::Flag, Absent::Flag(false)),
+            optional("refuse", FieldType::Flag, DefaultValue::Flag(false)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "region",
-        most: MOST_PLACES,
-        needed: true,
-        fields: &[must("name", Shape::Name)],
+        max_count: MOST_PLACES,
+        required: true,
+        fields: &[required("name", FieldType::Name)],
     },
-    Kind {
+    SectionKind {
         name: "zone",
-        most: MOST_PLACES,
-        needed: true,
+        max_count: MOST_PLACES,
+        required: true,
         fields: &[
-            must("name", Shape::Name),
-            must("region", Shape::Of("region")),
+            required("name", FieldType::Name),
+            required("region", FieldType::Reference("region")),
         ],
     },
-    Kind {
+    SectionKind {
         name: "site",
-        most: MOST_PLACES,
-        needed: true,
+        max_count: MOST_PLACES,
+        required: true,
         fields: &[
-            must("name", Shape::Name),
-            must("zone", Shape::Of("zone")),
-            must("seats", Shape::Whole(1, MOST_MEMBERS)),
-            may(
+            required("name", FieldType::Name),
+            required("zone", FieldType::Reference("zone")),
+            required("seats", FieldType::Whole(1, MOST_MEMBERS)),
+            optional(
                 "load_factor",
-                Shape::Number(0.0, 1_000.0),
-                Absent::Number(1.0),
+                FieldType::Number(0.0, 1_000.0),
+                DefaultValue::Number(1.0),
             ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "distance",
-        most: DISTANCE_KINDS.len(),
-        needed: true,
+        max_count: DISTANCE_KINDS.len(),
+        required: true,
         fields: &[
-            must("kind", Shape::Word(&DISTANCE_KINDS)),
-            must("least_ms", MILLISECONDS),
-            must("most_ms", MILLISECONDS),
-            may("loss", SHARE, Absent::Number(0.0)),
+            required("kind", FieldType::OneOf(&DISTANCE_KINDS)),
+            required("least_ms", MILLISECONDS),
+            required("most_ms", MILLISECONDS),
+            optional("loss", SHARE, DefaultValue::Number(0.0)),
         ],
     },
 ];
@@ -167,23 +179,23 @@
 
 impl Description {
     /// The fleet that is expected in two years.
-    pub fn built_in() -> Result<Description, Box<Wrong>> {
+    pub fn built_in() -> Result<Description, Box<ConfigError>> {
         Description::parse(BUILT_IN_FILE, BUILT_IN.to_owned())
     }
 
     /// Reads a file.
-    pub fn load(path: &str) -> Result<Description, Box<Wrong>> {
+    pub fn load(path: &str) -> Result<Description, Box<ConfigError>> {
         let sheet = trailproxy_operator::read_file(path, KINDS)?;
         Description::from_sheet(&sheet)
     }
 
     /// Reads a text; `file` is the name that messages bear.
-    pub fn parse(file: &str, text: String) -> Result<Description, Box<Wrong>> {
+    pub fn parse(file: &str, text: String) -> Result<Description, Box<ConfigError>> {
         let sheet = read(file, text, KINDS, Bounds::default())?;
         Description::from_sheet(&sheet)
     }
 
-    fn from_sheet(sheet: &Sheet) -> Result<Description, Box<Wrong>> {
+    fn from_sheet(sheet: &ParsedFile) -> Result<Description, Box<ConfigError>> {
         let regions = names(sheet, "region");
         let zones = zones(sheet, &regions);
         let sites = sites(sheet, &zones);
@@ -201,17 +213,17 @@
         Ok(description)
     }
 
-    fn check_seats(&self, fleet: &Section) -> Result<(), Box<Wrong>> {
+    fn check_seats(&self, fleet: &Section) -> Result<(), Box<ConfigError>> {
         let seats: usize = self.sites.iter().map(|site| site.seats).sum();
         if self.members > seats {
             let wanted = format!("no more than the {seats} seats of all sites");
-            return Err(fleet.wrong("members", wanted));
+            return Err(fleet.field_error("members", wanted));
         }
         Ok(())
     }
 }
 
-fn names(sheet: &Sheet, kind: &str) -> Vec<String> {
+fn names(sheet: &ParsedFile, kind: &str) -> Vec<String> {
     let sections = sheet.all(kind);
     sections.map(|of| of.text("name").to_owned()).collect()
 }
@@ -222,7 +234,7 @@
     names.position(|known| known == name).unwrap_or_default()
 }
 
-fn zones(sheet: &Sheet, regions: &[String]) -> Vec<Zone> {
+fn zones(sheet: &ParsedFile, regions: &[String]) -> Vec<Zone> {
     let zone = |of: &Section| Zone {
         name: of.text("name").into(),
         region: place_of(regions, of.text("region")),
@@ -230,7 +242,7 @@
     sheet.all("zone").map(zone).collect()
 }
 
-fn sites(sheet: &Sheet, zones: &[Zone]) -> Vec<Site> {
+fn sites(sheet: &ParsedFile, zones: &[Zone]) -> Vec<Site> {
     let site = |of: &Section| Site {
         name: of.text("name").into(),
         zone: place_of(zones.iter().map(|zone| &zone.name), of.text("zone")),
@@ -240,10 +252,10 @@
     sheet.all("site").map(site).collect()
 }
 
-fn demand(of: &Section) -> Result<Demand, Box<Wrong>> {
+fn demand(of: &Section) -> Result<Demand, Box<ConfigError>> {
     let seconds = |field: &str| TimeSpan::from_secs_f64(of.number(field));
     if of.number("repeat_least_s") > of.number("repeat_most_s") {
-        return Err(of.wrong("repeat_least_s", "no more than repeat_most_s"));
+        return Err(of.field_error("repeat_least_s", "no more than repeat_most_s"));
     }
     Ok(Demand {
         purges_per_s: of.number("purges_per_s"),
@@ -260,7 +272,7 @@
     })
 }
 
-fn distances(sheet: &Sheet) -> Result<Distances, Box<Wrong>> {
+fn distances(sheet: &ParsedFile) -> Result<Distances, Box<ConfigError>> {
     Ok(Distances {
         site: distance(sheet, "site")?,
         zone: distance(sheet, "zone")?,
@@ -269,15 +281,15 @@
     })
 }
 
-fn distance(sheet: &Sheet, kind: &str) -> Result<Distance, Box<Wrong>> {
+fn distance(sheet: &ParsedFile, kind: &str) -> Result<Distance, Box<ConfigError>> {
     let mut sections = sheet.all("distance").filter(|of| of.text("kind") == kind);
     let of = sections.next();
     let of = of.ok_or_else(|| missing(sheet, &format!("distance of kind {kind}")))?;
     if let Some(second) = sections.next() {
-        return Err(second.wrong("kind", "a kind that no other distance has"));
+        return Err(second.field_error("kind", "a kind that no other distance has"));
     }
     if of.number("least_ms") > of.number("most_ms") {
-        return Err(of.wrong("least_ms", "no more than most_ms"));
+        return Err(of.field_error("least_ms", "no more than most_ms"));
     }
     let span = |field: &str| TimeSpan::from_secs_f64(of.number(field) / 1e3);
     Ok(Distance {
@@ -287,9 +299,9 @@
     })
 }
 
-fn missing(sheet: &Sheet, section: &str) -> Box<Wrong> {
-    Box::new(Wrong {
-        place: trailproxy_operator::Place {
+fn missing(sheet: &ParsedFile, section: &str) -> Box<ConfigError> {
+    Box::new(ConfigError {
+        position: trailproxy_operator::Position {
             file: sheet.file.clone(),
             line: 1,
             column: 1,
--- a/crates/peers/src/decide/replicas.rs
+++ b/crates/peers/src/decide/replicas.rs
@@ -1,8 +1,9 @@
-//! Which members keep which records: a few replicas for each slot, the same ones for all who know the same fleet.
+//! Assignment of slots to replicas. Members that know the same fleet compute the same replicas.
 //!
-//! Replicas are drawn by rendezvous hashing, seat by seat, so that a member that goes takes only its own seats with it.
-//! Without localities they are drawn from the whole fleet. Where every member says where it is, each zone has replicas of
-//! its own, so that a claim waits for near members only; what other zones claim comes by [`super::relay`].
+//! Replicas are chosen by rendezvous hashing, position by position, so that when a member leaves,
+//! only its own positions are reassigned. Without localities they are chosen from the whole fleet.
+//! If every member reports its location, each zone has its own replicas, so that a claim waits only
+//! for members nearby; claims of other zones arrive through [`super::relay`].
 
 use super::facts::{RECORD_SLOTS, Slot, mix};
 use super::locality::{Locality, PeerZoneId, Topology};
@@ -11,97 +12,107 @@
 use std::collections::BTreeMap;
 use trailproxy::units::{TimeSpan, Timestamp};
 
-/// So many members keep a slot. More cost messages on every claim, fewer lose a record with two that die together.
+/// The number of replicas of a slot. More of them cost messages with every claim; with fewer,
+/// records are lost when two members die together.
 pub const REPLICAS_PER_SLOT: usize = 3;
-/// So long after the fleet changed, the former keepers are asked as well: they know what the new ones still fetch.
+/// How long former replicas are asked as well after the fleet has changed: they know what the new
+/// replicas are still fetching.
 const FORMER_REPLICA_PERIOD: TimeSpan = TimeSpan::from_secs(5);
-/// Slots of records with the same replicas within a zone: fewer groups mean fewer members to relay claims to.
+/// The number of record slots that have the same replicas within a zone. Fewer groups mean fewer
+/// members to relay claims to.
 pub const SLOTS_IN_GROUP: u16 = 16;
 
-/// Slots that are kept by the same members.
+/// A group of slots with the same replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GroupNo(pub u8);
 
 impl GroupNo {
-    /// `None`: a common slot, which all keep.
+    /// The group of a slot; `None` for a common slot, which all members hold.
     pub fn of(slot: Slot) -> Option<GroupNo> {
         (!slot.is_common()).then_some(GroupNo((slot.0 / SLOTS_IN_GROUP) as u8))
     }
 
+    /// All groups.
     pub fn all() -> impl Iterator<Item = GroupNo> {
         (0..RECORD_SLOTS / SLOTS_IN_GROUP).map(|nth| GroupNo(nth as u8))
     }
 
+    /// The slots of the group.
     pub fn slots(self) -> impl Iterator<Item = Slot> {
         let first = u16::from(self.0) * SLOTS_IN_GROUP;
         (first..first + SLOTS_IN_GROUP).map(Slot)
     }
 }
 
-/// From whom replicas are drawn.
+/// From which members replicas are chosen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Scope {
-    /// From all members, whatever the distance.
+    /// From all members, whatever their distance.
     #[default]
     Fleet,
     /// From the members of each zone.
     Zone,
 }
 
-/// Members and where they are; `None`: a member that does not say.
+/// A member and its location; `None` if it does not report one.
 pub type Located = (PeerId, Option<Locality>);
 
+/// The replicas of all slots.
 #[derive(Clone, Debug, Default)]
 pub struct Replicas {
     topology: Option<Topology>,
     scope: Scope,
     fleet: Vec<Located>,
-    of: Vec<Vec<PeerId>>,
+    by_slot: Vec<Vec<PeerId>>,
     former: Vec<Vec<PeerId>>,
     former_until: Timestamp,
-    /// The members of each zone, the own one among them; seats of other zones are drawn for the groups that are kept here.
+    /// The members of each zone, including the own zone. From them the replicas of other zones are
+    /// computed for groups held here.
     by_zone: BTreeMap<PeerZoneId, Vec<PeerId>>,
 }
 
-/// What a change of the fleet did.
+/// What a change of the fleet changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Changed {
+pub enum ReplicaChange {
+    /// Nothing changed.
     Nothing,
+    /// The members changed.
     Members,
-    /// Replicas are drawn from another set than before: nothing that was whole is.
+    /// Replicas are chosen from another set of members: no copy counts as complete any more.
     Scope,
 }
 
-/// The first few in the order of one slot.
+/// The replicas of a slot among the members of the fleet.
 fn rendezvous_replicas(slot: Slot, fleet: &[PeerId]) -> Vec<PeerId> {
     let salt = mix(u64::from(slot.0));
-    let mut few: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
+    let mut best: Vec<(u64, PeerId)> = Vec::with_capacity(REPLICAS_PER_SLOT + 1);
     for &id in fleet {
-        let drawn = mix(id.0 ^ salt);
-        let at = few.partition_point(|&(other, _)| other > drawn);
+        let score = mix(id.0 ^ salt);
+        let at = best.partition_point(|&(other, _)| other > score);
         if at < REPLICAS_PER_SLOT {
-            few.insert(at, (drawn, id));
-            few.truncate(REPLICAS_PER_SLOT);
+            best.insert(at, (score, id));
+            best.truncate(REPLICAS_PER_SLOT);
         }
     }
-    few.into_iter().map(|(_, id)| id).collect()
+    best.into_iter().map(|(_, id)| id).collect()
 }
 
-/// The seats of a group among the members of one zone. Each seat has an order of its own, so that the members in the
-/// other seats stay where they are when one of them goes.
-fn replica_positions(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
-    let mut replica_positions: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
+/// The replicas of a group among the members of one zone, by position. Each position has its own
+/// order of members, so that the members in other positions stay when one of them leaves.
+fn replicas_of_group(group: GroupNo, members: &[PeerId]) -> Vec<PeerId> {
+    let mut replicas: Vec<PeerId> = Vec::with_capacity(REPLICAS_PER_SLOT);
     for position in 0..REPLICAS_PER_SLOT as u64 {
-        let drawn = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | position));
-        let free = members.iter().filter(|id| !replica_positions.contains(id));
-        if let Some(&best) = free.max_by_key(|id| drawn(id)) {
-            replica_positions.push(best);
+        let score = |id: &PeerId| mix(id.0 ^ mix(u64::from(group.0) << 8 | position));
+        let free = members.iter().filter(|id| !replicas.contains(id));
+        if let Some(&best) = free.max_by_key(|id| score(id)) {
+            replicas.push(best);
         }
     }
-    replica_positions
+    replicas
 }
 
 impl Replicas {
+    /// Replicas of a fleet without members.
     pub fn new(topology: Option<Topology>) -> Replicas {
         Replicas {
             topology,
@@ -109,31 +120,33 @@
         }
     }
 
+    /// From which members replicas are chosen.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
+    /// The zones of the fleet, if this member reports its location.
     pub fn topology(&self) -> Option<&Topology> {
         self.topology.as_ref()
     }
 
-    /// Another fleet, in any order.
-    pub fn set_members(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> Changed {
+    /// Sets the members of the fleet, in any order.
+    pub fn set_members(&mut self, now: Timestamp, mut fleet: Vec<Located>) -> ReplicaChange {
         fleet.sort_unstable();
         if fleet == self.fleet {
-            return Changed::Nothing;
+            return ReplicaChange::Nothing;
         }
-        let all_say = fleet.iter().all(|(_, locality)| locality.is_some());
+        let all_located = fleet.iter().all(|(_, locality)| locality.is_some());
         let scope = match &self.topology {
-            Some(_) if all_say => Scope::Zone,
+            Some(_) if all_located => Scope::Zone,
             _ => Scope::Fleet,
         };
-        let of = match (scope, &self.topology) {
+        let by_slot = match (scope, &self.topology) {
             (Scope::Zone, Some(topology)) => {
                 self.by_zone = by_zone(&fleet);
                 let own = self.by_zone.get(&topology.own.zone);
                 let own = own.map_or(&[][..], Vec::as_slice);
-                let of_group = |group| vec![replica_positions(group, own); SLOTS_IN_GROUP.into()];
+                let of_group = |group| vec![replicas_of_group(group, own); SLOTS_IN_GROUP.into()];
                 GroupNo::all().flat_map(of_group).collect()
             }
             _ => {
@@ -143,23 +156,25 @@
                 slots.collect::<Vec<_>>()
             }
         };
-        self.former = std::mem::replace(&mut self.of, of);
+        self.former = std::mem::replace(&mut self.by_slot, by_slot);
         self.former_until = now + FORMER_REPLICA_PERIOD;
         let first = self.fleet.is_empty();
         self.fleet = fleet;
         let before = std::mem::replace(&mut self.scope, scope);
         match before == scope || first {
-            true => Changed::Members,
-            false => Changed::Scope,
+            true => ReplicaChange::Members,
+            false => ReplicaChange::Scope,
         }
     }
 
-    /// Who keeps a slot of records; all keep the common ones.
+    /// The replicas of a record slot. Common slots are held by all members.
     pub fn of(&self, slot: Slot) -> &[PeerId] {
-        self.of.get(usize::from(slot.0)).map_or(&[], Vec::as_slice)
+        self.by_slot
+            .get(usize::from(slot.0))
+            .map_or(&[], Vec::as_slice)
     }
 
-    /// Who kept it lately, and does not now.
+    /// Members that were replicas of a slot until recently and are not any more.
     pub fn former(&self, now: Timestamp, slot: Slot) -> impl Iterator<Item = PeerId> {
         let former = self.former.get(usize::from(slot.0));
         let former = former.filter(|_| now < self.former_until).into_iter();
@@ -167,16 +182,17 @@
         former.flatten().copied().filter(|id| !present.contains(id))
     }
 
+    /// Whether a member holds a slot.
     pub fn is_replica(&self, id: PeerId, slot: Slot) -> bool {
         slot.is_common() || self.of(slot).contains(&id)
     }
 
-    /// The seats of a group in the own zone, in their order.
+    /// The replicas of a group in the own zone, by position.
     fn own_replicas(&self, group: GroupNo) -> &[PeerId] {
         group.slots().next().map_or(&[], |first| self.of(first))
     }
 
-    /// Groups of which this member keeps a replica, where each zone has its own.
+    /// The groups of which a member is a replica, if each zone has its own replicas.
     pub fn groups(&self, id: PeerId) -> Vec<GroupNo> {
         if self.scope == Scope::Fleet {
             return Vec::new();
@@ -185,13 +201,14 @@
         kept.collect()
     }
 
-    /// The members of another zone that tell this one what is claimed there: whoever has the same seat, and, where one
-    /// zone has fewer seats, whoever has one that falls on the same. So any two seats of one zone and any majority of
-    /// seats of the other have a pair in common.
+    /// The members of another zone that report claims of that zone to `id`: the replica with the
+    /// same position and, if one zone has fewer positions, the replicas whose positions fall on the
+    /// same one. So any two positions of one zone and any majority of the positions of the other
+    /// include a pair of partners.
     pub fn partners(&self, id: PeerId, group: GroupNo, zone: PeerZoneId) -> Vec<PeerId> {
         let own = self.own_replicas(group);
         let members = self.by_zone.get(&zone);
-        let theirs = members.map_or_else(Vec::new, |members| replica_positions(group, members));
+        let theirs = members.map_or_else(Vec::new, |members| replicas_of_group(group, members));
         let Some(position) = own.iter().position(|&member| member == id) else {
             return Vec::new();
         };
--- a/crates/trailproxy-cli/src/lab.rs
+++ b/crates/trailproxy-cli/src/lab.rs
@@ -13,17 +13,21 @@
 use trailproxy_lab::report;
 use trailproxy_lab::scenario::Scenario;
 use trailproxy_lab::tally::Summary;
-use trailproxy_operator::decide::{Absent, Kind, Shape, may};
-use trailproxy_operator::{Sheet, read_file};
+use trailproxy_operator::decide::{DefaultValue, FieldType, SectionKind, optional};
+use trailproxy_operator::{ParsedFile, read_file};
 
 /// What the laboratory does where the command line does not say.
-pub const KIND: Kind = Kind {
+pub const KIND: SectionKind = SectionKind {
     name: "lab",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
-        may("days", Shape::Whole(1, 10_000), Absent::Whole(1)),
-        may("seed", Shape::Whole(0, i64::MAX), Absent::Whole(1)),
+        optional("days", FieldType::Whole(1, 10_000), DefaultValue::Whole(1)),
+        optional(
+            "seed",
+            FieldType::Whole(0, i64::MAX),
+            DefaultValue::Whole(1),
+        ),
     ],
 };
 
@@ -134,7 +138,7 @@
         let told = |field: &str| {
             Some(
                 file.as_ref()
-                    .and_then(|sheet: &Sheet| sheet.one("lab"))?
+                    .and_then(|sheet: &ParsedFile| sheet.one("lab"))?
                     .whole(field) as u64,
             )
         };
--- a/crates/trailproxy-cli/src/sections.rs
+++ b/crates/trailproxy-cli/src/sections.rs
@@ -1,13 +1,15 @@
 //! The sections that an operator's file may hold, for every task that reads one.
 
 use trailproxy_budgets::config::BudgetsConfig;
-use trailproxy_operator::decide::{Absent, Kind, Shape, Sheet as Script, may, must};
+use trailproxy_operator::decide::{
+    DefaultValue, FieldType, ParsedFile, SectionKind, optional, required,
+};
 use trailproxy_peers::config::{PeersConfig, Unsure};
 use trailproxy_peers::sites::Site;
 use trailproxy_shared_store::config::StoreConfig;
 
 /// Sections of the operator's own file.
-pub const OPERATOR: &[Kind] = &[
+pub const OPERATOR: &[SectionKind] = &[
     crate::lab::KIND,
     trailproxy_zones_tools::sections::KINDS[0],
     trailproxy_zones_tools::sections::KINDS[1],
@@ -18,12 +20,12 @@
 ];
 
 /// Every section that a file of either sort may hold, none of them needed.
-pub fn kinds() -> Vec<Kind> {
-    let mut all: Vec<Kind> = Vec::new();
+pub fn kinds() -> Vec<SectionKind> {
+    let mut all: Vec<SectionKind> = Vec::new();
     for kind in OPERATOR.iter().chain(trailproxy_lab::scenario::KINDS) {
         if !all.iter().any(|known| known.name == kind.name) {
-            all.push(Kind {
-                needed: false,
+            all.push(SectionKind {
+                required: false,
                 ..*kind
             });
         }
@@ -32,31 +34,43 @@
 }
 
 /// The section `store`.
-pub const STORE: Kind = Kind {
+pub const STORE: SectionKind = SectionKind {
     name: "store",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
-        may("on", Shape::Flag, Absent::Flag(true)),
-        must("host", Shape::Name),
-        may("port", Shape::Whole(1, 65_535), Absent::Number(6_379.0)),
-        may("password_file", Shape::Name, Absent::Text("")),
-        may("prefix", Shape::Name, Absent::Text("trailproxy/")),
-        may("wait_ms", Shape::Number(0.5, 100.0), Absent::Number(4.0)),
-        may("keep_s", Shape::Number(1.0, 3_600.0), Absent::Number(30.0)),
-        may("records", Shape::Flag, Absent::Flag(false)),
-        may("hints", Shape::Flag, Absent::Flag(false)),
-        may("purges", Shape::Flag, Absent::Flag(false)),
-        may("words", Shape::Flag, Absent::Flag(false)),
+        optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+        required("host", FieldType::Name),
+        optional(
+            "port",
+            FieldType::Whole(1, 65_535),
+            DefaultValue::Number(6_379.0),
+        ),
+        optional("password_file", FieldType::Name, DefaultValue::Text("")),
+        optional("prefix", FieldType::Name, DefaultValue::Text("trailproxy/")),
+        optional(
+            "wait_ms",
+            FieldType::Number(0.5, 100.0),
+            DefaultValue::Number(4.0),
+        ),
+        optional(
+            "keep_s",
+            FieldType::Number(1.0, 3_600.0),
+            DefaultValue::Number(30.0),
+        ),
+        optional("records", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("hints", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("purges", FieldType::Flag, DefaultValue::Flag(false)),
+        optional("words", FieldType::Flag, DefaultValue::Flag(false)),
     ],
 };
 
 /// What a checked script says; `None` where it has no section `store`, or that is not on.
-pub fn store_sheet(script: &Script) -> Option<StoreConfig> {
+pub fn store_sheet(script: &ParsedFile) -> Option<StoreConfig> {
     let of = script.one("store").filter(|of| of.flag("on"))?;
     Some(StoreConfig {
         file: script.file.clone(),
-        position: (of.place.line, of.place.column),
+        position: (of.position.line, of.position.column),
         host: of.text("host").into(),
         port: of.number("port") as u16,
         password_file: of.text("password_file").into(),
@@ -71,37 +85,45 @@
 }
 
 /// The section `peers`.
-pub const PEERS: Kind = Kind {
+pub const PEERS: SectionKind = SectionKind {
     name: "peers",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
-        may("on", Shape::Flag, Absent::Flag(true)),
-        must("fleet", Shape::Name),
-        may("secret_file", Shape::Name, Absent::Text("")),
-        may("listen", Shape::Address, Absent::Text("")),
-        may("advertise", Shape::Address, Absent::Text("")),
-        must("seeds", Shape::Addresses),
-        may(
+        optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+        required("fleet", FieldType::Name),
+        optional("secret_file", FieldType::Name, DefaultValue::Text("")),
+        optional("listen", FieldType::Address, DefaultValue::Text("")),
+        optional("advertise", FieldType::Address, DefaultValue::Text("")),
+        required("seeds", FieldType::Addresses),
+        optional(
             "unsure",
-            Shape::Word(&["send", "refuse"]),
-            Absent::Text("send"),
+            FieldType::OneOf(&["send", "refuse"]),
+            DefaultValue::Text("send"),
         ),
-        may("wait_ms", Shape::Number(0.5, 100.0), Absent::Number(5.0)),
-        may("keep_s", Shape::Number(1.0, 3_600.0), Absent::Number(30.0)),
-        may("records", Shape::Flag, Absent::Flag(true)),
-        may("purges", Shape::Flag, Absent::Flag(true)),
-        may("hosts", Shape::Flag, Absent::Flag(true)),
-        may("hints", Shape::Flag, Absent::Flag(true)),
+        optional(
+            "wait_ms",
+            FieldType::Number(0.5, 100.0),
+            DefaultValue::Number(5.0),
+        ),
+        optional(
+            "keep_s",
+            FieldType::Number(1.0, 3_600.0),
+            DefaultValue::Number(30.0),
+        ),
+        optional("records", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("purges", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("hosts", FieldType::Flag, DefaultValue::Flag(true)),
+        optional("hints", FieldType::Flag, DefaultValue::Flag(true)),
     ],
 };
 
 /// What a checked script says; `None` where it has no section `peers`, or that is not on.
-pub fn peers_sheet(script: &Script) -> Option<PeersConfig> {
+pub fn peers_sheet(script: &ParsedFile) -> Option<PeersConfig> {
     let of = script.one("peers").filter(|of| of.flag("on"))?;
     Some(PeersConfig {
         file: script.file.clone(),
-        position: (of.place.line, of.place.column),
+        position: (of.position.line, of.position.column),
         fleet: of.text("fleet").into(),
         secret_file: of.text("secret_file").into(),
         listen: of.text("listen").into(),
@@ -122,24 +144,24 @@
 }
 
 /// The section `site`, one for each place that has dispatchers.
-pub const SITE: Kind = Kind {
+pub const SITE: SectionKind = SectionKind {
     name: "site",
-    most: MOST_SITES,
-    needed: false,
+    max_count: MOST_SITES,
+    required: false,
     fields: &[
-        must("name", Shape::Name),
-        must("zone", Shape::Name),
-        must("region", Shape::Name),
-        must("members", Shape::AddressRanges),
+        required("name", FieldType::Name),
+        required("zone", FieldType::Name),
+        required("region", FieldType::Name),
+        required("members", FieldType::AddressRanges),
     ],
 };
 
 /// A bound on the sites of one file.
 const MOST_SITES: usize = 1_000;
 
-fn sites(script: &Script) -> Vec<Site> {
+fn sites(script: &ParsedFile) -> Vec<Site> {
     let site = script.all(SITE.name).map(|of| Site {
-        position: (of.place.line, of.place.column),
+        position: (of.position.line, of.position.column),
         name: of.text("name").into(),
         zone: of.text("zone").into(),
         region: of.text("region").into(),
@@ -149,25 +171,33 @@
 }
 
 /// The section `budgets`.
-pub const BUDGETS: Kind = Kind {
+pub const BUDGETS: SectionKind = SectionKind {
     name: "budgets",
-    most: 1,
-    needed: false,
+    max_count: 1,
+    required: false,
     fields: &[
-        may("on", Shape::Flag, Absent::Flag(true)),
-        must("voters", Shape::Names),
-        may("floors", Shape::Number(0.0, 1.0), Absent::Number(0.25)),
-        may("lasts_s", Shape::Number(0.5, 60.0), Absent::Number(2.0)),
-        may("cold", Shape::Flag, Absent::Flag(true)),
+        optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+        required("voters", FieldType::Names),
+        optional(
+            "floors",
+            FieldType::Number(0.0, 1.0),
+            DefaultValue::Number(0.25),
+        ),
+        optional(
+            "lasts_s",
+            FieldType::Number(0.5, 60.0),
+            DefaultValue::Number(2.0),
+        ),
+        optional("cold", FieldType::Flag, DefaultValue::Flag(true)),
     ],
 };
 
 /// What a checked script says; `None` where it has no section `budgets`, or that is not on.
-pub fn budgets_sheet(script: &Script) -> Option<BudgetsConfig> {
+pub fn budgets_sheet(script: &ParsedFile) -> Option<BudgetsConfig> {
     let of = script.one("budgets").filter(|of| of.flag("on"))?;
     Some(BudgetsConfig {
         file: script.file.clone(),
-        position: (of.place.line, of.place.column),
+        position: (of.position.line, of.position.column),
         voters: of.names("voters").into_iter().map(str::to_owned).collect(),
         floors: of.number("floors"),
         lasts_s: of.number("lasts_s"),
--- a/crates/trials/src/decide/script.rs
+++ b/crates/trials/src/decide/script.rs
@@ -2,7 +2,9 @@
 
 use serde::Serialize;
 use std::fmt;
-use trailproxy_operator::decide::{Absent, Kind, Section, Shape, Sheet, may, must};
+use trailproxy_operator::decide::{
+    DefaultValue, FieldType, ParsedFile, Section, SectionKind, optional, required,
+};
 
 /// The kind of an injected fault. [`Strike::who`] names the dispatchers that it is applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -206,44 +208,76 @@
 }
 
 /// The sections of a trial's file, beside those of a scenario.
-pub const KINDS: &[Kind] = &[
-    Kind {
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "trial",
-        most: 1,
-        needed: true,
+        max_count: 1,
+        required: true,
         fields: &[
-            may("peers", Shape::Flag, Absent::Flag(true)),
-            may("store", Shape::Flag, Absent::Flag(false)),
-            may("budgets", Shape::Flag, Absent::Flag(false)),
-            may("voters", Shape::Whole(1, 9), Absent::Whole(3)),
-            may("busy", Shape::Number(0.0, 1.0), Absent::Number(0.0)),
-            may("refuse", Shape::Flag, Absent::Flag(false)),
-            may("wait_ms", Shape::Number(0.5, 100.0), Absent::Number(5.0)),
-            may("keep_s", Shape::Number(1.0, 600.0), Absent::Number(5.0)),
-            may("lead_s", Shape::Number(0.0, 600.0), Absent::Number(7.0)),
-            may("zones", Shape::Whole(0, 6), Absent::Whole(0)),
-            may("sites", Shape::Flag, Absent::Flag(true)),
-            may("zone_ms", Shape::Number(0.0, 100.0), Absent::Number(10.0)),
-            may("region_ms", Shape::Number(0.0, 200.0), Absent::Number(40.0)),
-            may(
+            optional("peers", FieldType::Flag, DefaultValue::Flag(true)),
+            optional("store", FieldType::Flag, DefaultValue::Flag(false)),
+            optional("budgets", FieldType::Flag, DefaultValue::Flag(false)),
+            optional("voters", FieldType::Whole(1, 9), DefaultValue::Whole(3)),
+            optional(
+                "busy",
+                FieldType::Number(0.0, 1.0),
+                DefaultValue::Number(0.0),
+            ),
+            optional("refuse", FieldType::Flag, DefaultValue::Flag(false)),
+            optional(
+                "wait_ms",
+                FieldType::Number(0.5, 100.0),
+                DefaultValue::Number(5.0),
+            ),
+            optional(
+                "keep_s",
+                FieldType::Number(1.0, 600.0),
+                DefaultValue::Number(5.0),
+            ),
+            optional(
+                "lead_s",
+                FieldType::Number(0.0, 600.0),
+                DefaultValue::Number(7.0),
+            ),
+            optional("zones", FieldType::Whole(0, 6), DefaultValue::Whole(0)),
+            optional("sites", FieldType::Flag, DefaultValue::Flag(true)),
+            optional(
+                "zone_ms",
+                FieldType::Number(0.0, 100.0),
+                DefaultValue::Number(10.0),
+            ),
+            optional(
+                "region_ms",
+                FieldType::Number(0.0, 200.0),
+                DefaultValue::Number(40.0),
+            ),
+            optional(
                 "patience_ms",
-                Shape::Number(50.0, 60_000.0),
-                Absent::Number(900.0),
+                FieldType::Number(50.0, 60_000.0),
+                DefaultValue::Number(900.0),
             ),
-            may("again", Shape::Whole(0, 1_000), Absent::Whole(10)),
-            may("drawn", Shape::Whole(0, 20), Absent::Whole(0)),
+            optional("again", FieldType::Whole(0, 1_000), DefaultValue::Whole(10)),
+            optional("drawn", FieldType::Whole(0, 20), DefaultValue::Whole(0)),
         ],
     },
-    Kind {
+    SectionKind {
         name: "strike",
-        most: 100,
-        needed: false,
+        max_count: 100,
+        required: false,
         fields: &[
-            must("what", Shape::Word(&WORDS)),
-            must("at_s", Shape::Number(0.0, 10_000.0)),
-            may("for_s", Shape::Number(0.0, 10_000.0), Absent::Number(2.0)),
-            must("who", Shape::Numbers(0.0, 63.0)),
-            may("amount", Shape::Number(-1.0, 4e6), Absent::Number(-1.0)),
+            required("what", FieldType::OneOf(&WORDS)),
+            required("at_s", FieldType::Number(0.0, 10_000.0)),
+            optional(
+                "for_s",
+                FieldType::Number(0.0, 10_000.0),
+                DefaultValue::Number(2.0),
+            ),
+            required("who", FieldType::Numbers(0.0, 63.0)),
+            optional(
+                "amount",
+                FieldType::Number(-1.0, 4e6),
+                DefaultValue::Number(-1.0),
+            ),
         ],
     },
 ];
@@ -268,7 +302,7 @@
 
 impl Trial {
     /// Reads a trial from a parsed file; `None` where the file has no section `trial`.
-    pub fn of(config: &Sheet) -> Option<Trial> {
+    pub fn of(config: &ParsedFile) -> Option<Trial> {
         let head = config.one("trial")?;
         Some(Trial {
             peers: head.flag("peers"),
--- a/crates/zones-tools/src/sections.rs
+++ b/crates/zones-tools/src/sections.rs
@@ -1,64 +1,76 @@
 //! The sections `zones` and `crossing` of the operator's file.
 
-use trailproxy_operator::decide::{Absent, Kind, Section, Shape, Sheet as Script, may, must};
+use trailproxy_operator::decide::{
+    DefaultValue, FieldType, ParsedFile, Section, SectionKind, optional, required,
+};
 use trailproxy_zones::decide::config::{CrossingConfig, Positions, ZonesConfig};
 use trailproxy_zones::decide::rise::Alarm;
 
-const KB: Shape = Shape::Number(0.0, 1e9);
+/// Accepted sizes and rates in KB.
+const KB: FieldType = FieldType::Number(0.0, 1e9);
 
-/// For the reader of the file.
-pub const KINDS: &[Kind] = &[
-    Kind {
+/// The two sections, for the reader of the file.
+pub const KINDS: &[SectionKind] = &[
+    SectionKind {
         name: "zones",
-        most: 1,
-        needed: false,
+        max_count: 1,
+        required: false,
         fields: &[
-            may("on", Shape::Flag, Absent::Flag(true)),
-            may(
+            optional("on", FieldType::Flag, DefaultValue::Flag(true)),
+            optional(
                 "report_s",
-                Shape::Number(0.5, 3_600.0),
-                Absent::Number(10.0),
+                FieldType::Number(0.5, 3_600.0),
+                DefaultValue::Number(10.0),
             ),
-            may("first", Shape::Names, Absent::Empty),
-            may("metrics", Shape::Name, Absent::Text("")),
-            may("alarm", Shape::Flag, Absent::Flag(true)),
-            may("alarm_at", Shape::Number(1.0, 1_000.0), Absent::Number(8.0)),
-            may(
+            optional("first", FieldType::Names, DefaultValue::EmptyList),
+            optional("metrics", FieldType::Name, DefaultValue::Text("")),
+            optional("alarm", FieldType::Flag, DefaultValue::Flag(true)),
+            optional(
+                "alarm_at",
+                FieldType::Number(1.0, 1_000.0),
+                DefaultValue::Number(8.0),
+            ),
+            optional(
                 "alarm_slack",
-                Shape::Number(0.0, 100.0),
-                Absent::Number(2.0),
+                FieldType::Number(0.0, 100.0),
+                DefaultValue::Number(2.0),
             ),
         ],
     },
-    Kind {
+    SectionKind {
         name: "crossing",
-        most: 256,
-        needed: false,
+        max_count: 256,
+        required: false,
         fields: &[
-            must("name", Shape::Name),
-            may("out_of", Shape::Name, Absent::Text("")),
-            must("into", Shape::Name),
-            must("kb_per_s", KB),
-            must("burst_kb", KB),
-            may("reserve_kb_per_s", KB, Absent::Number(0.0)),
-            may("largest_kb", KB, Absent::Number(0.0)),
-            may("least_kb_per_s", KB, Absent::Number(0.0)),
-            may("most_kb_per_s", KB, Absent::Number(0.0)),
+            required("name", FieldType::Name),
+            optional("out_of", FieldType::Name, DefaultValue::Text("")),
+            required("into", FieldType::Name),
+            required("kb_per_s", KB),
+            required("burst_kb", KB),
+            optional("reserve_kb_per_s", KB, DefaultValue::Number(0.0)),
+            optional("largest_kb", KB, DefaultValue::Number(0.0)),
+            optional("least_kb_per_s", KB, DefaultValue::Number(0.0)),
+            optional("most_kb_per_s", KB, DefaultValue::Number(0.0)),
         ],
     },
 ];
 
-fn places(section: &Section) -> Positions {
+/// Positions of a section and of its fields.
+fn positions(section: &Section) -> Positions {
     let of = |(name, field): (&String, &trailproxy_operator::Field)| {
-        (name.clone(), (field.place.line, field.place.column))
+        (name.clone(), (field.position.line, field.position.column))
     };
-    let mut places: Positions = section.fields.iter().map(of).collect();
-    places.insert(String::new(), (section.place.line, section.place.column));
-    places
+    let mut positions: Positions = section.fields.iter().map(of).collect();
+    positions.insert(
+        String::new(),
+        (section.position.line, section.position.column),
+    );
+    positions
 }
 
-/// What a checked script says; `None` where it has no section `zones`, or that is not on.
-pub fn zones_config(script: &Script) -> Option<ZonesConfig> {
+/// The configuration in a checked file; `None` if it has no section `zones` or that is switched
+/// off.
+pub fn zones_config(script: &ParsedFile) -> Option<ZonesConfig> {
     let head = script.one("zones").filter(|head| head.flag("on"))?;
     let alarm = Alarm {
         threshold: head.number("alarm_at"),
@@ -75,7 +87,7 @@
         largest_kb: section.number("largest_kb"),
         least_kb_per_s: section.number("least_kb_per_s"),
         most_kb_per_s: section.number("most_kb_per_s"),
-        positions: places(section),
+        positions: positions(section),
     };
     Some(ZonesConfig {
         file: script.file.clone(),
@@ -84,7 +96,7 @@
         priority_classes: head.names("first").into_iter().map(str::to_owned).collect(),
         metrics: head.text("metrics").into(),
         alarm: head.flag("alarm").then_some(alarm),
-        positions: places(head),
+        positions: positions(head),
         crossings: script.all("crossing").map(crossing).collect(),
     })
 }
