--- a/crates/trials/src/relay.rs
+++ b/crates/trials/src/relay.rs
@@ -1,8 +1,9 @@
-//! A relay on each route between two dispatchers, which can lose, duplicate, delay, throttle, corrupt or block messages.
+//! A relay on each route between two dispatchers, which can lose, duplicate, delay, throttle, corrupt or block
+//! messages.
 //!
-//! Each dispatcher advertises the address of its own relay to the others. A datagram that arrives there is attributed to
-//! its sender by the source address, undergoes the faults of the route from sender to receiver, and is sent on from the
-//! sender's relay, so that the answer takes the same path back.
+//! Each dispatcher advertises the address of its own relay to the others. A datagram that arrives there is attributed
+//! to its sender by the source address, undergoes the faults of the route from sender to receiver, and is sent on from
+//! the sender's relay, so that the answer takes the same path back.
 
 use std::cell::RefCell;
 use std::io;
