--- a/crates/soak/src/rogue.rs
+++ b/crates/soak/src/rogue.rs
@@ -1,4 +1,5 @@
-//! Clients that misbehave: halves of messages, garbage, floods, floods of cancels, and none that stays to hear.
+//! Clients that misbehave: they send half a message, garbage, a flood of requests that ends in order or by a reset, or
+//! a request one byte at a time, and leave without waiting for an answer.
 
 use crate::client::{Behaviour, Question, encode};
 use crate::oracle::{Asking, Oracle};
@@ -12,43 +13,47 @@
 use trailproxy::units::TimeSpan;
 use trailproxy_lab::traffic::Wish;
 
-/// Requests that one of them sends at once.
-const FLOOD: u64 = 40;
+/// Requests that one flood sends at once.
+const FLOOD_REQUESTS: u64 = 40;
 
-/// None of them takes longer to write a request.
-const SLOWEST_WRITE: TimeSpan = TimeSpan::from_secs(2);
+/// Longest time that a misbehaving client takes to write a request.
+const MAX_WRITE_TIME: TimeSpan = TimeSpan::from_secs(2);
 
-/// What the requests of one are made of.
+/// The template of the requests of one misbehaving client.
 #[derive(Clone)]
 pub struct Model {
+    /// The name of the requests' class.
     pub class: String,
+    /// The object that is requested, and its size.
     pub wish: Wish,
+    /// The time that the requests allow for their answers.
     pub allow: Duration,
-    /// Its requests are numbered from here.
+    /// The reference of its first request; the others follow it.
     pub first_reference: u64,
+    /// Index of the dispatcher that it connects to.
     pub dispatcher: usize,
 }
 
-/// One connection of one of them.
-pub async fn visit(address: SocketAddr, model: Model, oracle: Rc<Oracle>, mut chance: Rng) {
+/// Opens one connection and misbehaves on it in one of five ways, drawn at random.
+pub async fn visit(address: SocketAddr, model: Model, oracle: Rc<Oracle>, mut rng: Rng) {
     let Ok(mut stream) = TcpStream::connect(address).await else {
         return;
     };
-    let stays = Duration::from_millis(chance.u64(0..300));
-    match chance.u8(..5) {
+    let stay_open = Duration::from_millis(rng.u64(0..300));
+    match rng.u8(..5) {
         0 => {
             let bytes = model.request(1, &oracle);
             let _ = stream.write_all(&bytes[..bytes.len() / 2]).await;
-            sleep(stays).await;
+            sleep(stay_open).await;
             oracle.left(model.first_reference);
         }
         1 => {
-            let garbage: Vec<u8> = (0..chance.usize(1..2_000)).map(|_| chance.u8(..)).collect();
+            let garbage: Vec<u8> = (0..rng.usize(1..2_000)).map(|_| rng.u8(..)).collect();
             let _ = stream.write_all(&garbage).await;
-            sleep(stays).await;
+            sleep(stay_open).await;
         }
-        2 => model.flood(stream, &oracle, stays, true).await,
-        3 => model.flood(stream, &oracle, stays, false).await,
+        2 => model.flood(stream, &oracle, stay_open, true).await,
+        3 => model.flood(stream, &oracle, stay_open, false).await,
         _ => {
             // One byte at a time.
             for byte in model.request(1, &oracle) {
@@ -64,19 +69,27 @@
 }
 
 impl Model {
-    /// Sends many at once and goes, by a reset or in order.
-    async fn flood(&self, mut stream: TcpStream, oracle: &Oracle, stays: Duration, reset: bool) {
-        let all: Vec<u8> = (1..=FLOOD).flat_map(|n| self.request(n, oracle)).collect();
+    /// Sends many requests at once and closes the connection, by a reset or in order.
+    async fn flood(
+        &self,
+        mut stream: TcpStream,
+        oracle: &Oracle,
+        stay_open: Duration,
+        reset: bool,
+    ) {
+        let all: Vec<u8> = (1..=FLOOD_REQUESTS)
+            .flat_map(|n| self.request(n, oracle))
+            .collect();
         let _ = stream.write_all(&all).await;
-        sleep(stays).await;
+        sleep(stay_open).await;
         if reset {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
         drop(stream);
-        (0..FLOOD).for_each(|nth| oracle.left(self.first_reference + nth));
+        (0..FLOOD_REQUESTS).for_each(|index| oracle.left(self.first_reference + index));
     }
 
-    /// A request of it; no answer to it is owed, as its connection is no honest one.
+    /// Encodes a request and registers it with the oracle. No answer to it is required, as its client misbehaves.
     fn request(&self, number: u64, oracle: &Oracle) -> Vec<u8> {
         let reference = self.first_reference + number - 1;
         oracle.asks(Asking {
@@ -86,8 +99,8 @@
             group: self.wish.group,
             kb: self.wish.kb,
             dispatcher: self.dispatcher,
-            // Its time counts from the last byte, and some write slowly.
-            deadline: oracle.now() + TimeSpan(self.allow.as_micros() as u64) + SLOWEST_WRITE,
+            // The allowed time counts from the last byte, and some of these clients write slowly.
+            deadline: oracle.now() + TimeSpan(self.allow.as_micros() as u64) + MAX_WRITE_TIME,
         });
         oracle.excused(reference);
         let question = Question {
