--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -5,7 +5,7 @@
 use trailproxy::interface::*;
 use trailproxy::logic::Dispatcher;
 use trailproxy::units::*;
-use trailproxy_terms::{Lines, Reports, Unreadable, read_terms};
+use trailproxy_terms::{FlatSettings, Reports, SettingsError, read_dispatcher_settings};
 
 struct Seat {
     dispatcher: Dispatcher,
@@ -50,8 +50,8 @@
         let (code, who) = (f.u16()?, f.u16()?);
         if code == 1070 {
             let seed = f.u64()?;
-            let read = read_terms(&Lines::from_text(f.text()?));
-            let (terms, reports) = read.map_err(|Unreadable(why)| Malformed(why))?;
+            let read = read_dispatcher_settings(&FlatSettings::from_text(f.text()?));
+            let (terms, reports) = read.map_err(|SettingsError(why)| Malformed(why))?;
             let tracks = terms.classes.len();
             let dispatcher = Dispatcher::new(Standalone, terms, seed);
             let seat = Seat {
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -8,26 +8,26 @@
 
 /// Why the settings can't be understood.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+pub struct SettingsError(pub String);
 
-impl<T: Into<String>> From<T> for Unreadable {
-    fn from(text: T) -> Unreadable {
-        Unreadable(text.into())
+impl<T: Into<String>> From<T> for SettingsError {
+    fn from(text: T) -> SettingsError {
+        SettingsError(text.into())
     }
 }
 
-type Read1<T> = Result<T, Unreadable>;
+type ReadResult<T> = Result<T, SettingsError>;
 
 /// What a socket layer needs of the settings besides [`DispatcherSettings`].
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
-    pub track_names: Vec<String>,
+pub struct SocketSettings {
+    pub class_names: Vec<String>,
     pub zone_names: Vec<String>,
     pub kind_names: Vec<String>,
     /// The longest outer limit of all tracks.
-    pub longest_limit: TimeSpan,
-    pub dial_within: TimeSpan,
-    pub idle_close: TimeSpan,
+    pub max_deadline: TimeSpan,
+    pub dial_timeout: TimeSpan,
+    pub idle_timeout: TimeSpan,
     pub max_streams: usize,
     pub max_open: usize,
 }
@@ -63,12 +63,12 @@
 }
 
 /// Start settings by path, each a plain value or several joined with commas.
-pub struct Lines(BTreeMap<String, String>);
+pub struct FlatSettings(BTreeMap<String, String>);
 
-impl Lines {
-    pub fn from_text(options: &str) -> Lines {
+impl FlatSettings {
+    pub fn from_text(options: &str) -> FlatSettings {
         let pairs = options.lines().filter_map(|line| line.split_once('='));
-        Lines(
+        FlatSettings(
             pairs
                 .map(|(path, text)| (path.into(), text.into()))
                 .collect(),
@@ -76,8 +76,8 @@
     }
 
     /// The same paths from nested JSON: a list of objects gives its length and its items by place.
-    pub fn from_json(settings: &Value) -> Lines {
-        let mut lines = Lines(BTreeMap::new());
+    pub fn from_json(settings: &Value) -> FlatSettings {
+        let mut lines = FlatSettings(BTreeMap::new());
         lines.flatten(String::new(), settings);
         lines
     }
@@ -114,10 +114,10 @@
         self.0.get(path).map(String::as_str)
     }
 
-    fn maybe<T: FromStr>(&self, path: &str) -> Read1<Option<T>> {
+    fn maybe<T: FromStr>(&self, path: &str) -> ReadResult<Option<T>> {
         let parse = |text: &str| {
             text.parse()
-                .map_err(|_| Unreadable(format!("setting {path} can't be read: {text:?}")))
+                .map_err(|_| SettingsError(format!("setting {path} can't be read: {text:?}")))
         };
         self.text(path)
             .filter(|text| !text.is_empty())
@@ -125,34 +125,33 @@
             .transpose()
     }
 
-    fn must<T: FromStr>(&self, path: &str) -> Read1<T> {
+    fn must<T: FromStr>(&self, path: &str) -> ReadResult<T> {
         self.maybe(path)?
-            .ok_or_else(|| Unreadable(format!("setting {path} is missing")))
+            .ok_or_else(|| SettingsError(format!("setting {path} is missing")))
     }
 
-    fn or<T: FromStr>(&self, path: &str, absent: T) -> Read1<T> {
+    fn or<T: FromStr>(&self, path: &str, absent: T) -> ReadResult<T> {
         Ok(self.maybe(path)?.unwrap_or(absent))
     }
 
     /// One of the words that are accepted there; `None` where nothing is told.
-    fn one_of<'a>(&self, path: &str, accepted: &[&'a str]) -> Read1<Option<&'a str>> {
+    fn one_of<'a>(&self, path: &str, accepted: &[&'a str]) -> ReadResult<Option<&'a str>> {
         let Some(text) = self.text(path).filter(|text| !text.is_empty()) else {
             return Ok(None);
         };
         let found = accepted.iter().find(|word| **word == text);
         let list = accepted.join(", ");
-        found
-            .copied()
-            .map(Some)
-            .ok_or_else(|| Unreadable(format!("setting {path} is {text:?}; accepted are {list}")))
+        found.copied().map(Some).ok_or_else(|| {
+            SettingsError(format!("setting {path} is {text:?}; accepted are {list}"))
+        })
     }
 
-    fn span(&self, path: &str) -> Read1<TimeSpan> {
+    fn span(&self, path: &str) -> ReadResult<TimeSpan> {
         Ok(TimeSpan(self.must(path)?))
     }
 
-    fn list<T: FromStr>(&self, path: &str) -> Read1<Vec<T>> {
-        let bad = || Unreadable(format!("setting {path} has an unreadable entry"));
+    fn list<T: FromStr>(&self, path: &str) -> ReadResult<Vec<T>> {
+        let bad = || SettingsError(format!("setting {path} has an unreadable entry"));
         let text = self.text(path).unwrap_or("");
         let entries = text.split(',').filter(|entry| !entry.is_empty());
         entries
@@ -160,14 +159,14 @@
             .collect()
     }
 
-    fn kind(&self, path: &str) -> Read1<Option<KindId>> {
+    fn kind(&self, path: &str) -> ReadResult<Option<KindId>> {
         Ok(self
             .maybe::<i64>(path)?
             .and_then(|kind| u8::try_from(kind).ok())
             .map(KindId))
     }
 
-    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> Read1<SlowStart> {
+    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> ReadResult<SlowStart> {
         Ok(SlowStart {
             initial_capacity: self.must(from)?,
             duration: self.span(warm)?,
@@ -177,9 +176,9 @@
         })
     }
 
-    fn track(&self, i: usize) -> Read1<ClassSettings> {
+    fn track(&self, i: usize) -> ReadResult<ClassSettings> {
         let own = |name: &str| format!("classes.{i}.{name}");
-        let of_family = |name: &str| -> Read1<u64> {
+        let of_family = |name: &str| -> ReadResult<u64> {
             let all = self.list(&format!("family_info.{name}"))?;
             Ok(all.get(i).copied().unwrap_or(0))
         };
@@ -211,7 +210,7 @@
         })
     }
 
-    fn class_count(&self) -> Read1<usize> {
+    fn class_count(&self) -> ReadResult<usize> {
         let n: usize = self.must("classes.count")?;
         match n > usize::from(u16::MAX) {
             true => Err(format!("{n} classes are too many").into()),
@@ -237,7 +236,7 @@
 }
 
 /// The terms, and what load reports hold.
-pub fn read_terms(lines: &Lines) -> Read1<(DispatcherSettings, Reports)> {
+pub fn read_dispatcher_settings(lines: &FlatSettings) -> ReadResult<(DispatcherSettings, Reports)> {
     let zone: u16 = lines.must("az")?;
     let cache_slow_start = lines.cold(
         "rules.start_capacity",
@@ -285,7 +284,7 @@
         origin_kind: lines.kind("family_info.master_kind")?,
         classes: (0..class_count)
             .map(|i| lines.track(i))
-            .collect::<Read1<_>>()?,
+            .collect::<ReadResult<_>>()?,
         stream_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
         link_kb_per_s: links.get(usize::from(zone)).copied().filter(|&kb| kb > 0.0),
         link_load_reported: reports.link_full_at.is_some(),
@@ -312,18 +311,20 @@
     Ok((terms, reports))
 }
 
-pub fn read_bounds(lines: &Lines) -> Read1<Bounds> {
+pub fn read_socket_settings(lines: &FlatSettings) -> ReadResult<SocketSettings> {
     let classes = 0..lines.class_count()?;
     let names = classes.clone().map(|i| format!("classes.{i}.name"));
     let limits = classes.map(|i| lines.span(&format!("classes.{i}.hard_limit_us")));
-    let limits = limits.collect::<Read1<Vec<_>>>()?;
-    Ok(Bounds {
-        track_names: names.map(|path| lines.must(&path)).collect::<Read1<_>>()?,
+    let limits = limits.collect::<ReadResult<Vec<_>>>()?;
+    Ok(SocketSettings {
+        class_names: names
+            .map(|path| lines.must(&path))
+            .collect::<ReadResult<_>>()?,
         zone_names: lines.list("failure_domains")?,
         kind_names: lines.list("machine_types")?,
-        longest_limit: limits.into_iter().max().unwrap_or(TimeSpan::ZERO),
-        dial_within: lines.span("ceilings.dial_timeout_us")?,
-        idle_close: lines.span("ceilings.idle_close_us")?,
+        max_deadline: limits.into_iter().max().unwrap_or(TimeSpan::ZERO),
+        dial_timeout: lines.span("ceilings.dial_timeout_us")?,
+        idle_timeout: lines.span("ceilings.idle_close_us")?,
         max_streams: lines.must("ceilings.max_streams")?,
         max_open: lines.must("ceilings.max_open")?,
     })
--- a/crates/terms/tests/forms.rs
+++ b/crates/terms/tests/forms.rs
@@ -1,7 +1,9 @@
 //! The same settings in both forms give the same terms, and what is wrong is said in plain words.
 
 use serde_json::json;
-use trailproxy_terms::{Lines, Unreadable, read_bounds, read_terms};
+use trailproxy_terms::{
+    FlatSettings, SettingsError, read_dispatcher_settings, read_socket_settings,
+};
 
 const TEXT: &str = "az=1\nbalancers=3\nclasses.count=2\nclasses.0.name=small_file\n\
     classes.0.on_time_us=300000\nclasses.0.aim_stretch=1.6\nclasses.0.semantics=repeatable\n\
@@ -42,9 +44,12 @@
 
 #[test]
 fn both_forms_give_the_same_terms() {
-    let (text, json) = (Lines::from_text(TEXT), Lines::from_json(&nested()));
+    let (text, json) = (
+        FlatSettings::from_text(TEXT),
+        FlatSettings::from_json(&nested()),
+    );
     let both = [&text, &json].map(|lines| {
-        let (terms, bounds) = (read_terms(lines), read_bounds(lines));
+        let (terms, bounds) = (read_dispatcher_settings(lines), read_socket_settings(lines));
         format!("{:?} {:?}", terms.expect("terms"), bounds.expect("bounds"))
     });
     assert_eq!(both[0], both[1]);
@@ -64,8 +69,8 @@
     settings["classes"][0]["name"] = json!("small file, new");
     settings["failure_domains"] = json!(["hub no. 1", "depot, east", "ü"]);
     settings["machine_types"] = json!(["cache", "big, old", "origin"]);
-    let bounds = read_bounds(&Lines::from_json(&settings)).expect("bounds");
-    assert_eq!(bounds.track_names, ["small file, new", "order"]);
+    let bounds = read_socket_settings(&FlatSettings::from_json(&settings)).expect("bounds");
+    assert_eq!(bounds.class_names, ["small file, new", "order"]);
     assert_eq!(bounds.zone_names, ["hub no. 1", "depot, east", "ü"]);
     assert_eq!(bounds.kind_names, ["cache", "big, old", "origin"]);
 }
@@ -75,7 +80,8 @@
     let said = |pointer: &str, value| {
         let mut settings = nested();
         *settings.pointer_mut(pointer).expect("a place") = value;
-        let Unreadable(why) = read_terms(&Lines::from_json(&settings)).expect_err("it is wrong");
+        let SettingsError(why) =
+            read_dispatcher_settings(&FlatSettings::from_json(&settings)).expect_err("it is wrong");
         why
     };
     assert_eq!(said("/az", json!("x")), "setting az can't be read: \"x\"");
@@ -108,7 +114,7 @@
         settings["report"] = json!({"via": via, "fields": ["inflight", "util", "x1", "x0"]});
         settings["ceilings"]["may_probe"] = json!(may);
         settings["weights"] = json!("silent");
-        read_terms(&Lines::from_json(&settings)).expect("terms")
+        read_dispatcher_settings(&FlatSettings::from_json(&settings)).expect("terms")
     };
     let (terms, reports) = read("pull", true);
     assert!(terms.probes_enabled && terms.link_load_reported && !terms.capacities_reported);
--- a/crates/trailproxyd/src/dispatch/attempts.rs
+++ b/crates/trailproxyd/src/dispatch/attempts.rs
@@ -85,7 +85,7 @@
             },
             host,
             request: request.client_request.clone(),
-            class_name: bounds.track_names[class].as_str().into(),
+            class_name: bounds.class_names[class].as_str().into(),
             fill,
             source: name,
             deadline: request.deadline,
--- a/crates/trailproxyd/src/dispatch/requests.rs
+++ b/crates/trailproxyd/src/dispatch/requests.rs
@@ -118,7 +118,7 @@
     /// Removes a request that is closed and has no pending attempt. Its id stays reserved for as long as a host may
     /// still know the request.
     pub(super) fn remove_if_finished(&mut self, now: Timestamp, id: RequestId) {
-        let max_deadline = self.pools.shared.bounds.longest_limit;
+        let max_deadline = self.pools.shared.bounds.max_deadline;
         let finished = |request: &PendingRequest| {
             request.closed && request.pending_attempts().next().is_none()
         };
--- a/crates/trailproxyd/src/dispatch/sections.rs
+++ b/crates/trailproxyd/src/dispatch/sections.rs
@@ -92,7 +92,7 @@
             return Ok(());
         };
         let config = &section.config;
-        let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
+        let min_retention = longest_window(settings, self.pools.shared.bounds.max_deadline);
         let rules = config.settings(min_retention, settings.purge_propagation)?;
         let listen = section.addresses.listen;
         let socket = socket
@@ -148,7 +148,7 @@
         }
         let ended = present.take();
         if let Some(config) = section {
-            let min_retention = longest_window(settings, self.pools.shared.bounds.longest_limit);
+            let min_retention = longest_window(settings, self.pools.shared.bounds.max_deadline);
             match config.rules(min_retention, settings.purge_propagation) {
                 Ok(rules) => {
                     // Differs between any two processes; otherwise one would take records of the other for its own.
--- a/crates/trailproxyd/src/dispatch/timers.rs
+++ b/crates/trailproxyd/src/dispatch/timers.rs
@@ -10,7 +10,7 @@
 impl Dispatch {
     /// The longest deadline of any class.
     pub(super) fn max_deadline(&self) -> Duration {
-        Duration::from_micros(self.pools.shared.bounds.longest_limit.0)
+        Duration::from_micros(self.pools.shared.bounds.max_deadline.0)
     }
 
     /// When the task has something to do next, even if no message arrives.
--- a/crates/trailproxyd/src/host_connection.rs
+++ b/crates/trailproxyd/src/host_connection.rs
@@ -276,7 +276,7 @@
         // The connection closes a dial timeout before the host would close it. Otherwise a request might cross the host's
         // close.
         let bounds = &self.shared.bounds;
-        let idle_close = Duration::from_micros((bounds.idle_close - bounds.dial_within).0);
+        let idle_close = Duration::from_micros((bounds.idle_timeout - bounds.dial_timeout).0);
         let idle_until = self.last_active_at + idle_close;
         tokio::select! {
             biased;
--- a/crates/trailproxyd/src/host_context.rs
+++ b/crates/trailproxyd/src/host_context.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use trailproxy::interface::*;
 use trailproxy::units::*;
-use trailproxy_terms::Bounds;
+use trailproxy_terms::SocketSettings;
 
 /// What all pools and host connections share.
 pub struct HostContext {
     /// The dispatcher's queue, which receives the results.
     pub queue: InboundSender,
-    pub bounds: Bounds,
+    pub bounds: SocketSettings,
     pub clock: Clock,
     /// The number of connections that all pools together may hold.
     pub max_connections: usize,
@@ -32,7 +32,7 @@
 impl HostContext {
     /// The time in which a dial must succeed.
     pub fn dial_timeout(&self) -> Duration {
-        Duration::from_micros(self.bounds.dial_within.0)
+        Duration::from_micros(self.bounds.dial_timeout.0)
     }
 
     /// Reports the answer or the end of an attempt.
--- a/crates/trailproxyd/src/journal_client.rs
+++ b/crates/trailproxyd/src/journal_client.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 use trailproxy::interface::{HostEntry, HostListKind, HostState};
 use trailproxy::units::*;
-use trailproxy_terms::Bounds;
+use trailproxy_terms::SocketSettings;
 
 /// The service sends a comment every second. After two missed ones the connection is considered dead.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(2200);
@@ -41,7 +41,7 @@
 
 impl Names {
     /// Assigns ids in the order of the settings.
-    pub fn from_bounds(bounds: &Bounds) -> Names {
+    pub fn from_bounds(bounds: &SocketSettings) -> Names {
         let zones = bounds.zone_names.iter().cloned().zip((0..).map(ZoneId));
         let kinds = bounds.kind_names.iter().cloned().zip((0..).map(KindId));
         Names {
--- a/crates/trailproxyd/src/reload.rs
+++ b/crates/trailproxyd/src/reload.rs
@@ -10,7 +10,7 @@
 use slog::{Logger, info, warn};
 use tokio::signal::unix::Signal;
 use trailproxy::interface::DispatcherSettings;
-use trailproxy_terms::Bounds;
+use trailproxy_terms::SocketSettings;
 
 /// Where the parts of a new configuration are sent.
 pub struct ConfigReceivers {
@@ -80,7 +80,7 @@
     /// The settings of the start.
     pub settings: DispatcherSettings,
     /// The limits of the start.
-    pub bounds: Bounds,
+    pub bounds: SocketSettings,
 }
 
 impl ActiveConfig {
--- a/crates/trailproxyd/src/serving.rs
+++ b/crates/trailproxyd/src/serving.rs
@@ -36,11 +36,11 @@
     } = signals;
     let names = trailproxy_zones::decide::config::Names {
         zones: start.bounds.zone_names.clone(),
-        classes: start.bounds.track_names.clone(),
+        classes: start.bounds.class_names.clone(),
     };
     let context = operator::ValidationContext {
         names: names.clone(),
-        longest_window: operator::longest_window(&start.settings, start.bounds.longest_limit),
+        longest_window: operator::longest_window(&start.settings, start.bounds.max_deadline),
         purge_propagation: start.settings.purge_propagation,
         peers: start.peers.clone(),
     };
@@ -62,14 +62,14 @@
     // Clients of ordinary behaviour hold a third of the descriptors. Connections beyond that are closed when a slot is
     // needed.
     let max_clients = start.descriptors / 2;
-    let class_names = start.bounds.track_names.iter().cloned();
+    let class_names = start.bounds.class_names.iter().cloned();
     let shared = Rc::new(clients::ClientsContext {
         queue: queue.clone(),
         classes: class_names
             .zip((0..).map(trailproxy::units::ClassId))
             .collect(),
         slots: RefCell::new(client_slots::ClientSlots::new(max_clients)),
-        max_deadline: Duration::from_micros(start.bounds.longest_limit.0),
+        max_deadline: Duration::from_micros(start.bounds.max_deadline.0),
         ending: Cell::new(false),
         buffered: buffered.clone(),
         stall_detector: stall_detector.clone(),
--- a/crates/trailproxyd/src/startup.rs
+++ b/crates/trailproxyd/src/startup.rs
@@ -8,7 +8,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use trailproxy::interface::DispatcherSettings;
-use trailproxy_terms::{Bounds, Lines, Reports, Unreadable, read_bounds, read_terms};
+use trailproxy_terms::{
+    FlatSettings, Reports, SettingsError, SocketSettings, read_dispatcher_settings,
+    read_socket_settings,
+};
 
 /// Everything that is read at the start.
 pub struct StartConfig {
@@ -34,7 +37,7 @@
     /// How load reports of hosts are read.
     pub reports: Reports,
     /// Limits and timeouts of connections, with the names of classes, zones and kinds.
-    pub bounds: Bounds,
+    pub bounds: SocketSettings,
     /// Ids of zones and kinds, for the host list.
     pub names: Rc<Names>,
     /// The operator's file, if there is one.
@@ -145,10 +148,10 @@
         .or(text("listen")?)
         .ok_or("neither RELAY_LISTEN nor listen is given")?;
     let seed = text("seed")?.unwrap_or_default();
-    let lines = Lines::from_json(json.get("settings").ok_or("settings are missing")?);
-    let unreadable = |Unreadable(reason)| reason;
-    let (settings, reports) = read_terms(&lines).map_err(unreadable)?;
-    let bounds = read_bounds(&lines).map_err(unreadable)?;
+    let lines = FlatSettings::from_json(json.get("settings").ok_or("settings are missing")?);
+    let unreadable = |SettingsError(reason)| reason;
+    let (settings, reports) = read_dispatcher_settings(&lines).map_err(unreadable)?;
+    let bounds = read_socket_settings(&lines).map_err(unreadable)?;
     let names = Names::from_bounds(&bounds);
     let entries = field_at(json, "known.entries", "a list of events", Value::as_array)?;
     let entries: Vec<&Value> = entries.into_iter().flatten().collect();
