--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -6,7 +6,7 @@
 use trailproxy::interface::*;
 use trailproxy::units::*;
 
-/// Why the settings can't be understood.
+/// An error in the settings, as a message that names the setting and the accepted values.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
@@ -18,22 +18,29 @@
 
 type ReadResult<T> = Result<T, SettingsError>;
 
-/// What a socket layer needs of the settings besides [`DispatcherSettings`].
+/// The settings that the socket layer needs besides [`DispatcherSettings`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct SocketSettings {
+    /// Names of the classes, by class number.
     pub class_names: Vec<String>,
+    /// Names of the zones, by zone number.
     pub zone_names: Vec<String>,
+    /// Names of the host kinds, by kind number.
     pub kind_names: Vec<String>,
-    /// The longest outer limit of all tracks.
+    /// The longest deadline of all classes.
     pub max_deadline: TimeSpan,
+    /// Time within which a connection must be established.
     pub dial_timeout: TimeSpan,
+    /// Time after which an idle connection is closed.
     pub idle_timeout: TimeSpan,
+    /// Most concurrent requests on one connection.
     pub max_streams: usize,
+    /// Most requests that may be pending at once.
     pub max_open: usize,
 }
 
-/// What load reports may hold; the decisions read the share that is in use and how full a link is.
-const REPORTED: [&str; 8] = [
+/// The fields that load reports may hold; the dispatcher reads `util` (utilization) and `x1` (link utilization).
+const REPORT_FIELDS: [&str; 8] = [
     "inflight",
     "queue",
     "util",
@@ -45,27 +52,30 @@
 ];
 const WEIGHTS: [&str; 4] = ["silent", "nominal", "rough", "live"];
 
-/// Where in a load report the values stand that the decisions read.
+/// The positions in a load report of the values that the dispatcher reads.
 #[derive(Clone, Debug, Default)]
 pub struct Reports {
-    busy_at: Option<usize>,
-    link_full_at: Option<usize>,
+    utilization_index: Option<usize>,
+    link_utilization_index: Option<usize>,
 }
 
 impl Reports {
+    /// Reads a load report; a value that is missing or negative is not reported.
     pub fn load(&self, values: &[f64]) -> Load {
-        let at = |at: Option<usize>| values.get(at?).copied().filter(|value| *value >= 0.0);
+        let value_at =
+            |index: Option<usize>| values.get(index?).copied().filter(|value| *value >= 0.0);
         Load {
-            utilization: at(self.busy_at),
-            link_utilization: at(self.link_full_at),
+            utilization: value_at(self.utilization_index),
+            link_utilization: value_at(self.link_utilization_index),
         }
     }
 }
 
-/// Start settings by path, each a plain value or several joined with commas.
+/// Start settings by path; a value is a plain value or several, joined with commas.
 pub struct FlatSettings(BTreeMap<String, String>);
 
 impl FlatSettings {
+    /// Reads lines of the form `path=value`; other lines are ignored.
     pub fn from_text(options: &str) -> FlatSettings {
         let pairs = options.lines().filter_map(|line| line.split_once('='));
         FlatSettings(
@@ -75,33 +85,33 @@
         )
     }
 
-    /// The same paths from nested JSON: a list of objects gives its length and its items by place.
+    /// Makes the same paths from nested JSON: a list of objects gives `count` and its items by index.
     pub fn from_json(settings: &Value) -> FlatSettings {
-        let mut lines = FlatSettings(BTreeMap::new());
-        lines.flatten(String::new(), settings);
-        lines
+        let mut flat = FlatSettings(BTreeMap::new());
+        flat.flatten(String::new(), settings);
+        flat
     }
 
     fn flatten(&mut self, path: String, value: &Value) {
-        let below = |name: &str| match path.as_str() {
+        let child_path = |name: &str| match path.as_str() {
             "" => name.to_owned(),
             path => format!("{path}.{name}"),
         };
         match value {
             Value::Object(fields) => {
                 for (name, value) in fields {
-                    self.flatten(below(name), value);
+                    self.flatten(child_path(name), value);
                 }
             }
             Value::Array(items) if items.iter().any(Value::is_object) => {
-                self.0.insert(below("count"), items.len().to_string());
+                self.0.insert(child_path("count"), items.len().to_string());
                 for (i, item) in items.iter().enumerate() {
-                    self.flatten(below(&i.to_string()), item);
+                    self.flatten(child_path(&i.to_string()), item);
                 }
             }
             Value::Array(items) => {
-                let item = |item| plain(item).replace(',', COMMA);
-                let items: Vec<_> = items.iter().map(item).collect();
+                let escape = |item| plain(item).replace(',', ESCAPED_COMMA);
+                let items: Vec<_> = items.iter().map(escape).collect();
                 self.0.insert(path, items.join(","));
             }
             value => {
@@ -114,7 +124,8 @@
         self.0.get(path).map(String::as_str)
     }
 
-    fn maybe<T: FromStr>(&self, path: &str) -> ReadResult<Option<T>> {
+    /// The value of a setting; `None` if it is missing or empty.
+    fn optional<T: FromStr>(&self, path: &str) -> ReadResult<Option<T>> {
         let parse = |text: &str| {
             text.parse()
                 .map_err(|_| SettingsError(format!("setting {path} can't be read: {text:?}")))
@@ -125,16 +136,18 @@
             .transpose()
     }
 
-    fn must<T: FromStr>(&self, path: &str) -> ReadResult<T> {
-        self.maybe(path)?
+    /// The value of a setting that must be given.
+    fn required<T: FromStr>(&self, path: &str) -> ReadResult<T> {
+        self.optional(path)?
             .ok_or_else(|| SettingsError(format!("setting {path} is missing")))
     }
 
-    fn or<T: FromStr>(&self, path: &str, absent: T) -> ReadResult<T> {
-        Ok(self.maybe(path)?.unwrap_or(absent))
+    /// The value of a setting, or `default`.
+    fn value_or<T: FromStr>(&self, path: &str, default: T) -> ReadResult<T> {
+        Ok(self.optional(path)?.unwrap_or(default))
     }
 
-    /// One of the words that are accepted there; `None` where nothing is told.
+    /// One of the accepted words; `None` if the setting is missing or empty.
     fn one_of<'a>(&self, path: &str, accepted: &[&'a str]) -> ReadResult<Option<&'a str>> {
         let Some(text) = self.text(path).filter(|text| !text.is_empty()) else {
             return Ok(None);
@@ -146,62 +159,78 @@
         })
     }
 
+    /// A time span, given in microseconds.
     fn span(&self, path: &str) -> ReadResult<TimeSpan> {
-        Ok(TimeSpan(self.must(path)?))
+        Ok(TimeSpan(self.required(path)?))
     }
 
+    /// The items of a list; empty if the setting is missing.
     fn list<T: FromStr>(&self, path: &str) -> ReadResult<Vec<T>> {
-        let bad = || SettingsError(format!("setting {path} has an unreadable entry"));
+        let error = || SettingsError(format!("setting {path} has an unreadable entry"));
         let text = self.text(path).unwrap_or("");
         let entries = text.split(',').filter(|entry| !entry.is_empty());
         entries
-            .map(|entry| entry.replace(COMMA, ",").parse().map_err(|_| bad()))
+            .map(|entry| {
+                entry
+                    .replace(ESCAPED_COMMA, ",")
+                    .parse()
+                    .map_err(|_| error())
+            })
             .collect()
     }
 
+    /// A host kind; `None` if it is missing or not from 0 to 255.
     fn kind(&self, path: &str) -> ReadResult<Option<KindId>> {
         Ok(self
-            .maybe::<i64>(path)?
+            .optional::<i64>(path)?
             .and_then(|kind| u8::try_from(kind).ok())
             .map(KindId))
     }
 
-    fn cold(&self, from: &str, warm: &str, multiple: &str, after: &str) -> ReadResult<SlowStart> {
+    /// The slow-start settings at these four paths.
+    fn slow_start(
+        &self,
+        initial_capacity: &str,
+        duration: &str,
+        overload_factor: &str,
+        overload_window: &str,
+    ) -> ReadResult<SlowStart> {
         Ok(SlowStart {
-            initial_capacity: self.must(from)?,
-            duration: self.span(warm)?,
-            overload_factor: self.must(multiple)?,
-            overload_window: self.span(after)?,
+            initial_capacity: self.required(initial_capacity)?,
+            duration: self.span(duration)?,
+            overload_factor: self.required(overload_factor)?,
+            overload_window: self.span(overload_window)?,
             shared_by: None,
         })
     }
 
-    fn track(&self, i: usize) -> ReadResult<ClassSettings> {
-        let own = |name: &str| format!("classes.{i}.{name}");
-        let of_family = |name: &str| -> ReadResult<u64> {
+    /// The settings of one class.
+    fn class(&self, i: usize) -> ReadResult<ClassSettings> {
+        let class_path = |name: &str| format!("classes.{i}.{name}");
+        let family_value = |name: &str| -> ReadResult<u64> {
             let all = self.list(&format!("family_info.{name}"))?;
             Ok(all.get(i).copied().unwrap_or(0))
         };
-        let effect = match self.must::<String>(&own("semantics"))?.as_str() {
+        let effect = match self.required::<String>(&class_path("semantics"))?.as_str() {
             "repeatable" => Effect::Idempotent,
             "once" => Effect::NonIdempotent,
             "by_key" => Effect::Keyed {
-                group: match self.text(&own("group")).unwrap_or("") {
+                group: match self.text(&class_path("group")).unwrap_or("") {
                     "all" => RepeatGroup::All,
                     "zone" => RepeatGroup::Zone,
                     _ => RepeatGroup::Cell,
                 },
-                window: self.span(&own("repeat_window_us"))?,
+                window: self.span(&class_path("repeat_window_us"))?,
             },
             other => return Err(format!("unknown semantics {other:?} of class {i}").into()),
         };
-        let fresh = of_family("max_age_us")?;
+        let fresh_us = family_value("max_age_us")?;
         Ok(ClassSettings {
-            target: self.span(&own("on_time_us"))?,
-            target_stretch: self.or(&own("aim_stretch"), 0.0)?,
+            target: self.span(&class_path("on_time_us"))?,
+            target_stretch: self.value_or(&class_path("aim_stretch"), 0.0)?,
             effect,
-            fresh_for: (fresh > 0).then_some(TimeSpan(fresh)),
-            stale_grace: TimeSpan(of_family("usable_after_us")?),
+            fresh_for: (fresh_us > 0).then_some(TimeSpan(fresh_us)),
+            stale_grace: TimeSpan(family_value("usable_after_us")?),
             is_write: self
                 .list("family_info.never_kept")?
                 .get(i)
@@ -211,7 +240,7 @@
     }
 
     fn class_count(&self) -> ReadResult<usize> {
-        let n: usize = self.must("classes.count")?;
+        let n: usize = self.required("classes.count")?;
         match n > usize::from(u16::MAX) {
             true => Err(format!("{n} classes are too many").into()),
             false => Ok(n),
@@ -219,10 +248,10 @@
     }
 }
 
-/// What stands for a comma inside a name of a list: names come as the settings have them.
-const COMMA: &str = "\u{1f}";
+/// Replaces a comma inside an item of a list, so that names are read exactly as the settings have them.
+const ESCAPED_COMMA: &str = "\u{1f}";
 
-/// A value as the `path=value` form has it: whole numbers bare.
+/// Formats a value as the `path=value` form has it: whole numbers without a fraction.
 fn plain(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
@@ -235,97 +264,100 @@
     }
 }
 
-/// The terms, and what load reports hold.
-pub fn read_dispatcher_settings(lines: &FlatSettings) -> ReadResult<(DispatcherSettings, Reports)> {
-    let zone: u16 = lines.must("az")?;
-    let cache_slow_start = lines.cold(
+/// Reads the settings of the dispatcher and the layout of load reports.
+pub fn read_dispatcher_settings(
+    settings: &FlatSettings,
+) -> ReadResult<(DispatcherSettings, Reports)> {
+    let zone: u16 = settings.required("az")?;
+    let cache_slow_start = settings.slow_start(
         "rules.start_capacity",
         "rules.cold_us",
         "rules.overload_factor",
         "rules.tip_after_us",
     )?;
-    let parent_kind = lines.kind("family_info.second_tier_kind")?;
+    let parent_kind = settings.kind("family_info.second_tier_kind")?;
     let parent_slow_start = match parent_kind {
         None => cache_slow_start,
-        Some(_) => lines.cold(
+        Some(_) => settings.slow_start(
             "family_info.parent_starts_at",
             "family_info.parent_ramp_us",
             "family_info.upper_fall_multiple",
             "rules.tip_after_us",
         )?,
     };
-    let links: Vec<f64> = lines.list("family_info.feed_kb_per_s")?;
-    let retry_after = lines.or("ceilings.retry_after", false)?;
-    let class_count = lines.class_count()?;
-    let via = lines.one_of("report.via", &["piggyback", "pull", "silent"])?;
-    let may_probe = lines.one_of("ceilings.may_probe", &["true", "false"])?;
+    let links: Vec<f64> = settings.list("family_info.feed_kb_per_s")?;
+    let retry_after = settings.value_or("ceilings.retry_after", false)?;
+    let class_count = settings.class_count()?;
+    let via = settings.one_of("report.via", &["piggyback", "pull", "silent"])?;
+    let may_probe = settings.one_of("ceilings.may_probe", &["true", "false"])?;
     let probes_enabled = via == Some("pull") && may_probe == Some("true");
     let reported: Vec<String> = match probes_enabled || via == Some("piggyback") {
-        true => lines.list("report.fields")?,
+        true => settings.list("report.fields")?,
         false => Vec::new(),
     };
     if let Some(field) = reported
         .iter()
-        .find(|field| !REPORTED.contains(&field.as_str()))
+        .find(|field| !REPORT_FIELDS.contains(&field.as_str()))
     {
-        let list = REPORTED.join(", ");
+        let list = REPORT_FIELDS.join(", ");
         return Err(format!("setting report.fields has {field:?}; accepted are {list}").into());
     }
-    let at = |name: &str| reported.iter().position(|reported| reported == name);
+    let index_of = |name: &str| reported.iter().position(|reported| reported == name);
     let reports = Reports {
-        busy_at: at("util"),
-        link_full_at: at("x1"),
+        utilization_index: index_of("util"),
+        link_utilization_index: index_of("x1"),
     };
-    let terms = DispatcherSettings {
+    let dispatcher_settings = DispatcherSettings {
         zone: ZoneId(zone),
-        dispatchers: lines.must("balancers")?,
-        dispatchers_by_zone: lines.list("family_info.seats_by_zone")?,
+        dispatchers: settings.required("balancers")?,
+        dispatchers_by_zone: settings.list("family_info.seats_by_zone")?,
         parent_kind,
-        origin_kind: lines.kind("family_info.master_kind")?,
+        origin_kind: settings.kind("family_info.master_kind")?,
         classes: (0..class_count)
-            .map(|i| lines.track(i))
+            .map(|i| settings.class(i))
             .collect::<ReadResult<_>>()?,
-        stream_kb_per_s: lines.must("family_info.stream_kb_per_s")?,
+        stream_kb_per_s: settings.required("family_info.stream_kb_per_s")?,
         link_kb_per_s: links.get(usize::from(zone)).copied().filter(|&kb| kb > 0.0),
-        link_load_reported: reports.link_full_at.is_some(),
+        link_load_reported: reports.link_utilization_index.is_some(),
         probes_enabled,
-        capacities_reported: lines.one_of("weights", &WEIGHTS)? != Some("silent"),
-        joins_fills: lines.or("family_info.joins", false)?,
-        allows_direct: lines.or("family_info.straight", false)?,
-        note_level: match lines.text("family_info.note_level") {
+        capacities_reported: settings.one_of("weights", &WEIGHTS)? != Some("silent"),
+        joins_fills: settings.value_or("family_info.joins", false)?,
+        allows_direct: settings.value_or("family_info.straight", false)?,
+        note_level: match settings.text("family_info.note_level") {
             Some("all") => NoteLevel::All,
             Some("hit") => NoteLevel::Hits,
             _ => NoteLevel::None,
         },
-        max_attempts: lines.must("ceilings.max_attempts")?,
-        may_cancel: lines.or("ceilings.cancel", false)?,
+        max_attempts: settings.required("ceilings.max_attempts")?,
+        may_cancel: settings.value_or("ceilings.cancel", false)?,
         max_retry_after: match retry_after {
-            true => Some(lines.span("ceilings.max_retry_after_us")?),
+            true => Some(settings.span("ceilings.max_retry_after_us")?),
             false => None,
         },
-        host_list_on_request: lines.text("membership_mode") == Some("on_request"),
+        host_list_on_request: settings.text("membership_mode") == Some("on_request"),
         cache_slow_start,
         parent_slow_start,
-        purge_propagation: TimeSpan(lines.or("family_info.cleared_within_us", 0)?),
+        purge_propagation: TimeSpan(settings.value_or("family_info.cleared_within_us", 0)?),
     };
-    Ok((terms, reports))
+    Ok((dispatcher_settings, reports))
 }
 
-pub fn read_socket_settings(lines: &FlatSettings) -> ReadResult<SocketSettings> {
-    let classes = 0..lines.class_count()?;
+/// Reads the settings of the socket layer.
+pub fn read_socket_settings(settings: &FlatSettings) -> ReadResult<SocketSettings> {
+    let classes = 0..settings.class_count()?;
     let names = classes.clone().map(|i| format!("classes.{i}.name"));
-    let limits = classes.map(|i| lines.span(&format!("classes.{i}.hard_limit_us")));
-    let limits = limits.collect::<ReadResult<Vec<_>>>()?;
+    let deadlines = classes.map(|i| settings.span(&format!("classes.{i}.hard_limit_us")));
+    let deadlines = deadlines.collect::<ReadResult<Vec<_>>>()?;
     Ok(SocketSettings {
         class_names: names
-            .map(|path| lines.must(&path))
+            .map(|path| settings.required(&path))
             .collect::<ReadResult<_>>()?,
-        zone_names: lines.list("failure_domains")?,
-        kind_names: lines.list("machine_types")?,
-        max_deadline: limits.into_iter().max().unwrap_or(TimeSpan::ZERO),
-        dial_timeout: lines.span("ceilings.dial_timeout_us")?,
-        idle_timeout: lines.span("ceilings.idle_close_us")?,
-        max_streams: lines.must("ceilings.max_streams")?,
-        max_open: lines.must("ceilings.max_open")?,
+        zone_names: settings.list("failure_domains")?,
+        kind_names: settings.list("machine_types")?,
+        max_deadline: deadlines.into_iter().max().unwrap_or(TimeSpan::ZERO),
+        dial_timeout: settings.span("ceilings.dial_timeout_us")?,
+        idle_timeout: settings.span("ceilings.idle_close_us")?,
+        max_streams: settings.required("ceilings.max_streams")?,
+        max_open: settings.required("ceilings.max_open")?,
     })
 }
--- a/crates/terms/tests/forms.rs
+++ b/crates/terms/tests/forms.rs
@@ -1,4 +1,4 @@
-//! The same settings in both forms give the same terms, and what is wrong is said in plain words.
+//! Tests that both forms of the settings are read alike, and that errors name the setting and the accepted values.
 
 use serde_json::json;
 use trailproxy_terms::{
@@ -43,28 +43,32 @@
 }
 
 #[test]
-fn both_forms_give_the_same_terms() {
+fn both_forms_give_the_same_settings() {
     let (text, json) = (
         FlatSettings::from_text(TEXT),
         FlatSettings::from_json(&nested()),
     );
     let both = [&text, &json].map(|lines| {
-        let (terms, bounds) = (read_dispatcher_settings(lines), read_socket_settings(lines));
-        format!("{:?} {:?}", terms.expect("terms"), bounds.expect("bounds"))
+        let (settings, bounds) = (read_dispatcher_settings(lines), read_socket_settings(lines));
+        format!(
+            "{:?} {:?}",
+            settings.expect("settings"),
+            bounds.expect("bounds")
+        )
     });
     assert_eq!(both[0], both[1]);
-    for told in [
+    for expected in [
         "link_kb_per_s: Some(35168.5)",
         "group: Zone",
         "\"small_file\"",
         "TimeSpan(5000000)",
     ] {
-        assert!(both[0].contains(told), "{told} in {}", both[0]);
+        assert!(both[0].contains(expected), "{expected} in {}", both[0]);
     }
 }
 
 #[test]
-fn names_are_those_of_the_settings() {
+fn names_are_read_exactly_as_the_settings_have_them() {
     let mut settings = nested();
     settings["classes"][0]["name"] = json!("small file, new");
     settings["failure_domains"] = json!(["hub no. 1", "depot, east", "ü"]);
@@ -76,48 +80,58 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
-    let said = |pointer: &str, value| {
+fn an_error_names_the_setting_and_the_accepted_values() {
+    let error_for = |pointer: &str, value| {
         let mut settings = nested();
-        *settings.pointer_mut(pointer).expect("a place") = value;
-        let SettingsError(why) =
+        *settings.pointer_mut(pointer).expect("a setting") = value;
+        let SettingsError(reason) =
             read_dispatcher_settings(&FlatSettings::from_json(&settings)).expect_err("it is wrong");
-        why
+        reason
     };
-    assert_eq!(said("/az", json!("x")), "setting az can't be read: \"x\"");
     assert_eq!(
-        said("/balancers", json!(null)),
+        error_for("/az", json!("x")),
+        "setting az can't be read: \"x\""
+    );
+    assert_eq!(
+        error_for("/balancers", json!(null)),
         "setting balancers is missing"
     );
-    assert!(said("/classes/1/semantics", json!("twice")).contains("\"twice\" of class 1"));
+    assert!(error_for("/classes/1/semantics", json!("twice")).contains("\"twice\" of class 1"));
     assert!(
-        said("/family_info/seats_by_zone", json!(["y"]))
+        error_for("/family_info/seats_by_zone", json!(["y"]))
             .contains("seats_by_zone has an unreadable")
     );
     assert_eq!(
-        said("/weights", json!("heavy")),
+        error_for("/weights", json!("heavy")),
         "setting weights is \"heavy\"; accepted are silent, nominal, rough, live"
     );
     assert_eq!(
-        said("/ceilings/may_probe", json!("often")),
+        error_for("/ceilings/may_probe", json!("often")),
         "setting ceilings.may_probe is \"often\"; accepted are true, false"
     );
-    let told = |via: &str, fields| json!({"via": via, "fields": fields});
-    assert!(said("/report", told("often", json!([]))).contains("are piggyback, pull, silent"));
-    assert!(said("/report", told("piggyback", json!(["load"]))).contains("\"load\"; accepted are"));
+    let report = |via: &str, fields| json!({"via": via, "fields": fields});
+    assert!(
+        error_for("/report", report("often", json!([]))).contains("are piggyback, pull, silent")
+    );
+    assert!(
+        error_for("/report", report("piggyback", json!(["load"])))
+            .contains("\"load\"; accepted are")
+    );
 }
 
 #[test]
-fn hosts_are_probed_only_where_that_is_allowed_and_the_report_is_read_by_its_fields() {
+fn probes_need_permission_and_reports_are_read_by_their_fields() {
     let read = |via: &str, may: bool| {
         let mut settings = nested();
         settings["report"] = json!({"via": via, "fields": ["inflight", "util", "x1", "x0"]});
         settings["ceilings"]["may_probe"] = json!(may);
         settings["weights"] = json!("silent");
-        read_dispatcher_settings(&FlatSettings::from_json(&settings)).expect("terms")
+        read_dispatcher_settings(&FlatSettings::from_json(&settings)).expect("settings")
     };
-    let (terms, reports) = read("pull", true);
-    assert!(terms.probes_enabled && terms.link_load_reported && !terms.capacities_reported);
+    let (settings, reports) = read("pull", true);
+    assert!(
+        settings.probes_enabled && settings.link_load_reported && !settings.capacities_reported
+    );
     let load = reports.load(&[3.0, 0.5, 1.25, 0.7]);
     assert_eq!(
         (load.utilization, load.link_utilization),
@@ -126,11 +140,11 @@
     assert_eq!(
         reports.load(&[3.0, -1.0]).utilization,
         None,
-        "no share is below zero"
+        "utilization is never negative"
     );
-    let (terms, reports) = read("pull", false);
-    assert!(!terms.probes_enabled && !terms.link_load_reported);
+    let (settings, reports) = read("pull", false);
+    assert!(!settings.probes_enabled && !settings.link_load_reported);
     assert_eq!(reports.load(&[3.0, 0.5, 1.25, 0.7]).utilization, None);
-    let (terms, _) = read("piggyback", true);
-    assert!(!terms.probes_enabled && terms.link_load_reported);
+    let (settings, _) = read("piggyback", true);
+    assert!(!settings.probes_enabled && settings.link_load_reported);
 }
