--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -1,14 +1,15 @@
-//! The frames of the bench's wire: little-endian records without padding.
+//! The frames that are exchanged with the bench: little-endian records without padding.
 
 use std::io::{self, Read};
 
-/// Longer batches are taken for damage, not read.
-const LONGEST_BATCH: u32 = 1 << 28;
-const BATCH_HEADER: u32 = 16;
-/// A code and the instance: no record is shorter.
-const SHORTEST_RECORD: u32 = 4;
+/// A longer batch is an error and is not read.
+const MAX_BATCH_BYTES: u32 = 1 << 28;
+/// Length of the header: record count, batch length and clock.
+const BATCH_HEADER_BYTES: u32 = 16;
+/// Every record begins with a code and an instance number.
+const MIN_RECORD_BYTES: u32 = 4;
 
-/// Why a batch can't be understood.
+/// An error in a batch, as a message.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -18,20 +19,25 @@
     }
 }
 
-pub type Read1<T> = Result<T, Malformed>;
+/// The result of reading a part of a batch.
+pub type ReadResult<T> = Result<T, Malformed>;
 
+/// Records that share one time.
 pub struct Batch {
+    /// Number of records.
     pub count: u32,
+    /// The time in microseconds.
     pub clock: u64,
+    /// The encoded records.
     pub records: Vec<u8>,
 }
 
-/// The next batch; `None` at the end of the input.
-pub fn read_batch(input: &mut impl Read) -> Read1<Option<Batch>> {
+/// Reads the next batch; `None` at the end of the input.
+pub fn read_batch(input: &mut impl Read) -> ReadResult<Option<Batch>> {
     let mut header = Vec::new();
     let failed = |e: io::Error| Malformed(format!("input can't be read: {e}"));
     input
-        .take(BATCH_HEADER.into())
+        .take(BATCH_HEADER_BYTES.into())
         .read_to_end(&mut header)
         .map_err(failed)?;
     if header.is_empty() {
@@ -39,11 +45,11 @@
     }
     let mut fields = Fields::new(&header);
     let (count, len, clock) = (fields.u32()?, fields.u32()?, fields.u64()?);
-    if !(BATCH_HEADER..=LONGEST_BATCH).contains(&len) {
+    if !(BATCH_HEADER_BYTES..=MAX_BATCH_BYTES).contains(&len) {
         return Err(format!("a batch can't be {len} bytes long").into());
     }
-    let body = len - BATCH_HEADER;
-    if count > body / SHORTEST_RECORD {
+    let body = len - BATCH_HEADER_BYTES;
+    if count > body / MIN_RECORD_BYTES {
         return Err(format!("{count} records don't fit in {body} bytes").into());
     }
     let mut records = Vec::new();
@@ -65,7 +71,7 @@
     }))
 }
 
-/// Fields taken one after another from a record.
+/// Reads fields one after another from encoded records.
 pub struct Fields<'a> {
     rest: &'a [u8],
 }
@@ -79,7 +85,7 @@
         self.rest.is_empty()
     }
 
-    pub fn bytes(&mut self, n: usize) -> Read1<&'a [u8]> {
+    pub fn bytes(&mut self, n: usize) -> ReadResult<&'a [u8]> {
         if n > self.rest.len() {
             return Err(format!("a field of {n} bytes runs past the end of the batch").into());
         }
@@ -88,54 +94,56 @@
         Ok(taken)
     }
 
-    fn array<const N: usize>(&mut self) -> Read1<[u8; N]> {
+    fn array<const N: usize>(&mut self) -> ReadResult<[u8; N]> {
         let mut array = [0; N];
         array.copy_from_slice(self.bytes(N)?);
         Ok(array)
     }
 
-    pub fn u8(&mut self) -> Read1<u8> {
+    pub fn u8(&mut self) -> ReadResult<u8> {
         Ok(self.array::<1>()?[0])
     }
 
-    pub fn u16(&mut self) -> Read1<u16> {
+    pub fn u16(&mut self) -> ReadResult<u16> {
         self.array().map(u16::from_le_bytes)
     }
 
-    pub fn u32(&mut self) -> Read1<u32> {
+    pub fn u32(&mut self) -> ReadResult<u32> {
         self.array().map(u32::from_le_bytes)
     }
 
-    pub fn u64(&mut self) -> Read1<u64> {
+    pub fn u64(&mut self) -> ReadResult<u64> {
         self.array().map(u64::from_le_bytes)
     }
 
-    pub fn f32(&mut self) -> Read1<f32> {
+    pub fn f32(&mut self) -> ReadResult<f32> {
         self.array().map(f32::from_le_bytes)
     }
 
-    /// Four bytes of address and a port, packed into one number.
-    pub fn host(&mut self) -> Read1<u64> {
+    /// Reads four bytes of address and a port, packed into one number.
+    pub fn host(&mut self) -> ReadResult<u64> {
         let address = u32::from_be_bytes(self.array()?);
         Ok(u64::from(address) << 16 | u64::from(self.u16()?))
     }
 
-    pub fn text(&mut self) -> Read1<&'a str> {
+    pub fn text(&mut self) -> ReadResult<&'a str> {
         let n = self.u32()? as usize;
         std::str::from_utf8(self.bytes(n)?).map_err(|_| "a text is not UTF-8".into())
     }
 }
 
-/// A reply under construction.
+/// Builds the reply to a batch.
 pub struct Reply {
     bytes: Vec<u8>,
 }
 
 impl Reply {
+    /// A reply without records; its length is filled in by [`Reply::finish`].
     pub fn new() -> Reply {
         Reply { bytes: vec![0; 4] }
     }
 
+    /// Begins a record.
     pub fn record(&mut self, code: u16, instance: u16) -> &mut Reply {
         self.u16(code).u16(instance)
     }
@@ -165,7 +173,7 @@
         self.u16(packed as u16)
     }
 
-    /// Text of up to 65,535 bytes; the rest is cut off.
+    /// Appends a text of up to 65,535 bytes; the rest is cut off.
     pub fn text(&mut self, text: &str) -> &mut Reply {
         let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
         self.u16(bytes.len() as u16);
@@ -173,7 +181,7 @@
         self
     }
 
-    /// The whole frame, its length filled in.
+    /// Fills in the length and returns the whole frame.
     pub fn finish(mut self) -> Vec<u8> {
         let len = self.bytes.len() as u32;
         self.bytes[..4].copy_from_slice(&len.to_le_bytes());
--- a/crates/benchlink/src/hosting.rs
+++ b/crates/benchlink/src/hosting.rs
@@ -1,86 +1,97 @@
-//! Hosts the instances: each event goes to its own, and what they decide becomes one reply.
+//! Holds the dispatcher instances: gives each event to its instance and writes their actions into one reply.
 
-use crate::frame::{Batch, Fields, Malformed, Read1, Reply};
+use crate::frame::{Batch, Fields, Malformed, ReadResult, Reply};
 use std::collections::BTreeMap;
 use trailproxy::interface::*;
 use trailproxy::logic::Dispatcher;
 use trailproxy::units::*;
 use trailproxy_terms::{FlatSettings, Reports, SettingsError, read_dispatcher_settings};
 
-struct Seat {
+/// One dispatcher that the bench has started.
+struct Instance {
     dispatcher: Dispatcher,
-    tracks: usize,
+    class_count: usize,
     reports: Reports,
     has_event: bool,
 }
 
+/// All dispatcher instances, by instance number.
 #[derive(Default)]
-pub struct Hosting {
-    seats: BTreeMap<u16, Seat>,
+pub struct Instances {
+    instances: BTreeMap<u16, Instance>,
 }
 
-impl Hosting {
-    /// Takes a whole batch and gives the reply to it.
-    pub fn turn(&mut self, batch: &Batch) -> Read1<Vec<u8>> {
+impl Instances {
+    /// Handles the records of a batch and returns the encoded reply.
+    pub fn handle_batch(&mut self, batch: &Batch) -> ReadResult<Vec<u8>> {
         let now = Timestamp(batch.clock);
         let mut fields = Fields::new(&batch.records);
-        let mut acting = Vec::new();
+        let mut with_events = Vec::new();
         for i in 0..batch.count {
-            let record = self.record(&mut fields, now, &mut acting);
-            record.map_err(|Malformed(why)| Malformed(format!("record {i}: {why}")))?;
+            let record = self.handle_record(&mut fields, now, &mut with_events);
+            record.map_err(|Malformed(reason)| Malformed(format!("record {i}: {reason}")))?;
         }
         if !fields.is_empty() {
             return Err("bytes are left over behind the last record".into());
         }
         let mut reply = Reply::new();
-        for who in acting {
-            let Some(seat) = self.seats.get_mut(&who) else {
+        for number in with_events {
+            let Some(instance) = self.instances.get_mut(&number) else {
                 continue;
             };
-            if std::mem::take(&mut seat.has_event) {
-                for action in seat.dispatcher.take_actions(now) {
-                    write(&mut reply, who, action);
+            if std::mem::take(&mut instance.has_event) {
+                for action in instance.dispatcher.take_actions(now) {
+                    write_action(&mut reply, number, action);
                 }
             }
         }
         Ok(reply.finish())
     }
 
-    fn record(&mut self, f: &mut Fields, now: Timestamp, acting: &mut Vec<u16>) -> Read1<()> {
-        let (code, who) = (f.u16()?, f.u16()?);
+    fn handle_record(
+        &mut self,
+        f: &mut Fields,
+        now: Timestamp,
+        with_events: &mut Vec<u16>,
+    ) -> ReadResult<()> {
+        let (code, number) = (f.u16()?, f.u16()?);
         if code == 1070 {
             let seed = f.u64()?;
             let read = read_dispatcher_settings(&FlatSettings::from_text(f.text()?));
-            let (terms, reports) = read.map_err(|SettingsError(why)| Malformed(why))?;
-            let tracks = terms.classes.len();
-            let dispatcher = Dispatcher::new(Standalone, terms, seed);
-            let seat = Seat {
+            let (settings, reports) = read.map_err(|SettingsError(reason)| Malformed(reason))?;
+            let class_count = settings.classes.len();
+            let dispatcher = Dispatcher::new(Standalone, settings, seed);
+            let instance = Instance {
                 dispatcher,
-                tracks,
+                class_count,
                 reports,
                 has_event: true,
             };
-            self.seats.insert(who, seat);
-            acting.push(who);
+            self.instances.insert(number, instance);
+            with_events.push(number);
             return Ok(());
         }
-        let unknown = || Malformed(format!("instance {who} was never started"));
+        let unknown = || Malformed(format!("instance {number} was never started"));
         if code == 1050 {
-            return self.seats.remove(&who).map(|_| ()).ok_or_else(unknown);
+            return self
+                .instances
+                .remove(&number)
+                .map(|_| ())
+                .ok_or_else(unknown);
         }
-        let seat = self.seats.get_mut(&who).ok_or_else(unknown)?;
-        if let Some(event) = read_event(code, f, seat)? {
-            seat.dispatcher.handle_event(now, event);
+        let instance = self.instances.get_mut(&number).ok_or_else(unknown)?;
+        if let Some(event) = read_event(code, f, instance)? {
+            instance.dispatcher.handle_event(now, event);
         }
-        if !std::mem::replace(&mut seat.has_event, true) {
-            acting.push(who);
+        if !std::mem::replace(&mut instance.has_event, true) {
+            with_events.push(number);
         }
         Ok(())
     }
 }
 
-/// The event of a record; `None` for those that mean nothing to the decisions.
-fn read_event(code: u16, f: &mut Fields, seat: &Seat) -> Read1<Option<Event>> {
+/// Reads the event of a record; `None` for records that the dispatcher does not use.
+fn read_event(code: u16, f: &mut Fields, instance: &Instance) -> ReadResult<Option<Event>> {
     Ok(Some(match code {
         1000 => {
             f.u16()?;
@@ -92,7 +103,7 @@
         1020 => {
             let (host, ending) = (HostId(f.host()?), ending(f.u8()?)?);
             f.u32()?;
-            let load = seat.reports.load(&values(f)?);
+            let load = instance.reports.load(&values(f)?);
             Event::Probed { host, ending, load }
         }
         1030 => {
@@ -110,8 +121,8 @@
             f.u32()?;
             Event::ResponseStarted { id, attempt }
         }
-        1060 => arrival(f, seat.tracks)?,
-        1080 => outcome(f, &seat.reports)?,
+        1060 => arrival(f, instance.class_count)?,
+        1080 => outcome(f, &instance.reports)?,
         1090 => Event::ClientGone {
             id: RequestId(f.u64()?),
         },
@@ -122,7 +133,7 @@
     }))
 }
 
-fn hosts(f: &mut Fields) -> Read1<Event> {
+fn hosts(f: &mut Fields) -> ReadResult<Event> {
     let kind = match f.u8()? {
         0 | 1 => HostListKind::Full,
         2 => HostListKind::Delta,
@@ -138,7 +149,7 @@
     Ok(Event::HostList { kind, entries })
 }
 
-fn entry(f: &mut Fields) -> Read1<HostEntry> {
+fn entry(f: &mut Fields) -> ReadResult<HostEntry> {
     let cell = CellId(f.u16()?);
     let host = HostId(f.host()?);
     let zone = ZoneId(f.u16()?);
@@ -164,10 +175,10 @@
     })
 }
 
-fn arrival(f: &mut Fields, tracks: usize) -> Read1<Event> {
-    let (id, time_left, track) = (RequestId(f.u64()?), TimeSpan(f.u32()?.into()), f.u16()?);
-    if usize::from(track) >= tracks {
-        return Err(format!("unknown category {track}").into());
+fn arrival(f: &mut Fields, class_count: usize) -> ReadResult<Event> {
+    let (id, time_left, class) = (RequestId(f.u64()?), TimeSpan(f.u32()?.into()), f.u16()?);
+    if usize::from(class) >= class_count {
+        return Err(format!("unknown category {class}").into());
     }
     let object = ObjectId(f.u64()?);
     let group = GroupId(f.f32()? as u32);
@@ -179,7 +190,7 @@
     Ok(Event::Arrived(Arrival {
         id,
         time_left,
-        class: ClassId(track),
+        class: ClassId(class),
         object,
         group,
         part,
@@ -187,7 +198,7 @@
     }))
 }
 
-fn outcome(f: &mut Fields, reports: &Reports) -> Read1<Event> {
+fn outcome(f: &mut Fields, reports: &Reports) -> ReadResult<Event> {
     let (id, attempt) = (RequestId(f.u64()?), AttemptNo(f.u8()?));
     f.host()?;
     let ending = ending(f.u8()?)?;
@@ -224,12 +235,12 @@
     }))
 }
 
-fn values(f: &mut Fields) -> Read1<Vec<f64>> {
+fn values(f: &mut Fields) -> ReadResult<Vec<f64>> {
     let n = f.u8()?;
     (0..n).map(|_| f.f32().map(f64::from)).collect()
 }
 
-fn ending(code: u8) -> Read1<Ending> {
+fn ending(code: u8) -> ReadResult<Ending> {
     Ok(match code {
         0 => Ending::Done,
         1 => Ending::Error,
@@ -244,47 +255,48 @@
     })
 }
 
-/// Time-outs and ages travel as 32 bits, of which the top one would make them negative.
+/// Encodes a time span. The field is a signed 32-bit number of microseconds, so the top bit must stay clear.
 fn wire_span(span: TimeSpan) -> u32 {
     span.0.clamp(1, i32::MAX as u64) as u32
 }
 
-fn write(reply: &mut Reply, who: u16, action: Action) {
+/// Appends the record of an action.
+fn write_action(reply: &mut Reply, number: u16, action: Action) {
     match action {
         Action::Attempt(Attempt { id, host, fill }) => {
             let code = if fill.is_some() { 1120 } else { 1000 };
-            reply.record(code, who).u64(id.0).host(host.0).u32(0);
+            reply.record(code, number).u64(id.0).host(host.0).u32(0);
             if let Some(fill) = fill {
-                let how = u8::from(fill.join)
+                let flags = u8::from(fill.join)
                     | u8::from(fill.only_if_cached) << 1
                     | u8::from(fill.revalidate) << 3;
                 reply.host(fill.source.0).u8(fill.rank);
-                reply.u32(fill.max_age.map_or(0, wire_span)).u8(how);
+                reply.u32(fill.max_age.map_or(0, wire_span)).u8(flags);
             }
         }
         Action::Refuse {
             id, retry_after, ..
         } => {
             let retry_after = retry_after.map_or(0, wire_span);
-            reply.record(1010, who).u64(id.0).u32(retry_after);
+            reply.record(1010, number).u64(id.0).u32(retry_after);
         }
         Action::Fail { id, .. } => {
-            reply.record(1020, who).u64(id.0);
+            reply.record(1020, number).u64(id.0);
         }
         Action::Cancel { id, attempt } => {
-            reply.record(1030, who).u64(id.0).u8(attempt.0);
+            reply.record(1030, number).u64(id.0).u8(attempt.0);
         }
         Action::SetTimer { at, timer } => {
-            reply.record(1040, who).u64(at.0).u32(timer.0);
+            reply.record(1040, number).u64(at.0).u32(timer.0);
         }
         Action::Probe { host } => {
-            reply.record(1050, who).host(host.0);
+            reply.record(1050, number).host(host.0);
         }
         Action::RequestHostList => {
-            reply.record(1100, who).u8(1);
+            reply.record(1100, number).u8(1);
         }
         Action::Log { text } => {
-            reply.record(1080, who).text(&text);
+            reply.record(1080, number).text(&text);
         }
     }
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -1,19 +1,19 @@
-//! Plays the decisions of trailproxy on the bench's wire: batches on standard input, replies on
+//! Runs trailproxy dispatchers for the bench: reads batches of records from standard input and writes replies to
 //! standard output.
 
 mod frame;
 mod hosting;
 
-use frame::{Malformed, Read1};
+use frame::{Malformed, ReadResult};
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-fn serve() -> Read1<()> {
+fn serve() -> ReadResult<()> {
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = io::stdout().lock();
-    let mut hosting = hosting::Hosting::default();
+    let mut instances = hosting::Instances::default();
     while let Some(batch) = frame::read_batch(&mut input)? {
-        let reply = hosting.turn(&batch)?;
+        let reply = instances.handle_batch(&batch)?;
         let written = output.write_all(&reply).and_then(|()| output.flush());
         written.map_err(|e| Malformed(format!("the reply can't be written: {e}")))?;
     }
@@ -23,8 +23,8 @@
 fn main() -> ExitCode {
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Malformed(why)) => {
-            eprintln!("trailproxy-benchlink: {why}");
+        Err(Malformed(reason)) => {
+            eprintln!("trailproxy-benchlink: {reason}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/wire.rs
+++ b/crates/benchlink/tests/wire.rs
@@ -1,7 +1,9 @@
+//! Tests of the adapter as a process: batches in, replies or a plain error out.
+
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn play(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_trailproxy-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -28,7 +30,7 @@
     rules.start_capacity=0.25\nrules.overload_factor=4.0\nrules.tip_after_us=1000000\n\
     never.heard.of=this\n";
 
-fn hello(options: &str) -> Vec<u8> {
+fn start_record(options: &str) -> Vec<u8> {
     let mut record = [1070u16.to_le_bytes(), 3u16.to_le_bytes()].concat();
     record.extend(7u64.to_le_bytes());
     record.extend((options.len() as u32).to_le_bytes());
@@ -44,77 +46,83 @@
     record
 }
 
-fn fails_plainly(input: &[u8], why: &str) {
-    let output = play(input);
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{said}");
-    assert!(said.contains(why) && !said.contains("panicked"), "{said}");
+fn expect_error(input: &[u8], message: &str) {
+    let output = run_adapter(input);
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
+    assert!(
+        stderr.contains(message) && !stderr.contains("panicked"),
+        "{stderr}"
+    );
 }
 
 #[test]
 fn empty_batches_are_answered_and_the_end_of_input_ends_it() {
-    let output = play(&[batch(0, &[]), batch(0, &[])].concat());
+    let output = run_adapter(&[batch(0, &[]), batch(0, &[])].concat());
     assert!(output.status.success());
     assert_eq!(output.stdout, [4, 0, 0, 0, 4, 0, 0, 0]);
 }
 
 #[test]
-fn an_access_without_caches_is_rejected_in_the_same_batch() {
-    let records = [hello(OPTIONS), arrival()].concat();
-    let output = play(&batch(2, &records));
+fn a_request_without_caches_is_refused_in_the_same_batch() {
+    let records = [start_record(OPTIONS), arrival()].concat();
+    let output = run_adapter(&batch(2, &records));
     assert!(output.status.success(), "{output:?}");
-    let rejection = [1010u16.to_le_bytes(), 3u16.to_le_bytes()].concat();
+    let refusal = [1010u16.to_le_bytes(), 3u16.to_le_bytes()].concat();
     assert_eq!(
         output.stdout[..8],
-        [[20, 0, 0, 0], rejection[..].try_into().unwrap()].concat()
+        [[20, 0, 0, 0], refusal[..].try_into().unwrap()].concat()
     );
 }
 
 #[test]
-fn an_instance_that_ended_says_nothing_more() {
+fn an_ended_instance_sends_no_records() {
     let detach = [1050u16.to_le_bytes(), 3u16.to_le_bytes()].concat();
-    let records = [hello(OPTIONS), arrival(), detach].concat();
-    let output = play(&batch(3, &records));
+    let records = [start_record(OPTIONS), arrival(), detach].concat();
+    let output = run_adapter(&batch(3, &records));
     assert_eq!(output.stdout, [4, 0, 0, 0]);
 }
 
 #[test]
 fn malformed_input_ends_with_a_plain_message() {
-    fails_plainly(&[1, 0, 0], "past the end");
-    fails_plainly(&batch(3, &[0; 8]), "don't fit");
-    fails_plainly(&batch(0, &[0; 8]), "left over");
-    fails_plainly(&batch(1, &[9, 9, 3, 0]), "never started");
-    fails_plainly(&batch(1, &hello("az=0\n")), "is missing");
-    let truncated = batch(1, &hello(OPTIONS));
-    fails_plainly(&truncated[..truncated.len() - 5], "input ends");
-    let unknown = [hello(OPTIONS), vec![9, 9, 3, 0]].concat();
-    fails_plainly(&batch(2, &unknown), "unknown event code");
+    expect_error(&[1, 0, 0], "past the end");
+    expect_error(&batch(3, &[0; 8]), "don't fit");
+    expect_error(&batch(0, &[0; 8]), "left over");
+    expect_error(&batch(1, &[9, 9, 3, 0]), "never started");
+    expect_error(&batch(1, &start_record("az=0\n")), "is missing");
+    let truncated = batch(1, &start_record(OPTIONS));
+    expect_error(&truncated[..truncated.len() - 5], "input ends");
+    let unknown = [start_record(OPTIONS), vec![9, 9, 3, 0]].concat();
+    expect_error(&batch(2, &unknown), "unknown event code");
     let mut huge = batch(0, &[]);
     huge[4..8].copy_from_slice(&u32::MAX.to_le_bytes());
-    fails_plainly(&huge, "bytes long");
+    expect_error(&huge, "bytes long");
     let mut list = [1010u16.to_le_bytes(), 3u16.to_le_bytes()].concat();
     list.extend([0; 9]);
     list.extend(u32::MAX.to_le_bytes());
-    fails_plainly(&batch(2, &[hello(OPTIONS), list].concat()), "past the end");
+    expect_error(
+        &batch(2, &[start_record(OPTIONS), list].concat()),
+        "past the end",
+    );
 }
 
 #[test]
 fn arbitrary_bytes_never_panic() {
-    let mut chance = fastrand::Rng::with_seed(11);
+    let mut rng = fastrand::Rng::with_seed(11);
     for _ in 0..60 {
-        let mut records = [hello(OPTIONS), arrival(), arrival()].concat();
-        for _ in 0..chance.usize(1..8) {
-            let at = chance.usize(..records.len());
-            records[at] = chance.u8(..);
+        let mut records = [start_record(OPTIONS), arrival(), arrival()].concat();
+        for _ in 0..rng.usize(1..8) {
+            let at = rng.usize(..records.len());
+            records[at] = rng.u8(..);
         }
-        let output = play(&batch(3, &records));
-        let said = String::from_utf8_lossy(&output.stderr);
+        let output = run_adapter(&batch(3, &records));
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(
-            matches!(output.status.code(), Some(0 | 1)) && !said.contains("panicked"),
-            "{said}"
+            matches!(output.status.code(), Some(0 | 1)) && !stderr.contains("panicked"),
+            "{stderr}"
         );
-        let noise: Vec<u8> = (0..200).map(|_| chance.u8(..)).collect();
-        let output = play(&batch(4, &noise));
+        let noise: Vec<u8> = (0..200).map(|_| rng.u8(..)).collect();
+        let output = run_adapter(&batch(4, &noise));
         assert_eq!(output.status.code(), Some(1));
     }
 }
