--- a/crates/fault-control/src/build.rs
+++ b/crates/fault-control/src/build.rs
@@ -1,4 +1,4 @@
-//! Where the shim's library is, built if need be.
+//! Finds the shared library of the fault shim and builds it if necessary.
 
 use std::io;
 use std::path::PathBuf;
@@ -7,12 +7,12 @@
 const PACKAGE: &str = "trailproxy-fault-shim";
 const LIBRARY: &str = "libtrailproxy_fault_shim.so";
 
-/// The library to preload. Under `cargo test` it is built first, in the profile of the caller; elsewhere it has to lie
-/// beside the program that asks.
+/// Returns the path of the library to preload. Under `cargo test` the library is built first, in the profile of the
+/// caller; otherwise it must be in the folder of the calling program.
 pub fn shim_library() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folder = program.parent().unwrap_or(&program);
-    // Tests lie one folder below the programs of their profile.
+    // Test programs are in the folder `deps` below the folder of their profile.
     let folder = match folder.ends_with("deps") {
         true => folder.parent().unwrap_or(folder),
         false => folder,
--- a/crates/fault-control/src/page.rs
+++ b/crates/fault-control/src/page.rs
@@ -11,14 +11,14 @@
 /// The environment variable that names the file of the control page.
 pub const VARIABLE: &str = "TRAILPROXY_FAULTS";
 
-/// Words in the page; fewer are used.
+/// Length of the page in 64-bit words; not all of them are used.
 const WORDS: usize = 512;
 const PAGE_BYTES: usize = WORDS * size_of::<u64>();
-/// The words of the first kind begin here.
-const FIRST_KIND: usize = 8;
+/// Index of the first word of the first [`Kind`].
+const FIRST_KIND_WORD: usize = 8;
 const WORDS_PER_KIND: usize = 4;
-/// So many different `errno` values are kept for a kind, sixteen bits each.
-const MOST_ERRNOS: usize = 4;
+/// Most `errno` values that are kept for a kind, sixteen bits each.
+const MAX_ERRNOS: usize = 4;
 const MILLION: u64 = 1_000_000;
 
 /// The kinds of system calls that can be made to fail.
@@ -28,16 +28,19 @@
     Read,
     /// Writing to a TCP connection.
     Write,
-    /// Reading from a TCP connection: it is given one byte. The `errno` is not used.
+    /// Reading from a TCP connection: the call reads one byte. The `errno` is not used.
     ShortRead,
-    /// Writing to a TCP connection: one byte is taken. The `errno` is not used.
+    /// Writing to a TCP connection: the call writes one byte. The `errno` is not used.
     ShortWrite,
+    /// `accept4(2)`.
     Accept,
     /// `socket(2)`.
     Socket,
+    /// `connect(2)`.
     Connect,
+    /// `epoll_wait(2)`.
     EpollWait,
-    /// `socketpair(2)`, `epoll_create1(2)` and `eventfd(2)`: what a process needs to be woken up.
+    /// `socketpair(2)`, `epoll_create1(2)` and `eventfd(2)`: what the event loop of a process needs for wake-ups.
     WakeUp,
     /// Opening a file to read it.
     OpenRead,
@@ -48,6 +51,7 @@
 }
 
 impl Kind {
+    /// All kinds, in the order of their words in the page.
     pub const ALL: [Kind; 12] = [
         Kind::Read,
         Kind::Write,
@@ -64,13 +68,16 @@
     ];
 }
 
-/// The four words of one kind.
+/// The four words of one kind in the page.
 #[repr(C)]
 struct Fault {
-    /// So many calls fail from now on, whatever the share says.
+    /// How many of the next calls fail, regardless of the share.
     next: AtomicU64,
+    /// The share of calls that fail, in millionths.
     per_million: AtomicU64,
+    /// Up to [`MAX_ERRNOS`] packed `errno` values.
     errnos: AtomicU64,
+    /// How many calls have been made to fail.
     injected: AtomicU64,
 }
 
@@ -85,7 +92,7 @@
 unsafe impl Sync for Control {}
 
 impl Control {
-    /// Makes a page in which nothing fails, and maps it.
+    /// Creates a page without faults and maps it.
     pub fn create(path: &Path) -> io::Result<Control> {
         std::fs::write(path, [0; PAGE_BYTES])?;
         let file = File::options().read(true).write(true).open(path)?;
@@ -111,7 +118,7 @@
         })
     }
 
-    /// A path for a page that no other test has.
+    /// Returns a path for a page that no other test uses.
     pub fn fresh_path() -> PathBuf {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let nth = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -125,42 +132,42 @@
     }
 
     fn fault(&self, kind: Kind) -> &Fault {
-        let at = FIRST_KIND + kind as usize * WORDS_PER_KIND;
+        let at = FIRST_KIND_WORD + kind as usize * WORDS_PER_KIND;
         debug_assert!(at + WORDS_PER_KIND <= WORDS);
         // SAFETY: the four words lie within the mapping, which is never unmapped, and are aligned.
         unsafe { &*self.words.add(at).cast() }
     }
 
-    /// Steps the wall clock of the process: it is ahead of the machine's by this much from now on.
+    /// Sets by how much the wall clock of the process is ahead of the machine's.
     pub fn set_clock_ahead(&self, ahead: Duration) {
         let ahead = ahead.as_millis() as i64;
         self.clock().store(ahead, Ordering::Relaxed);
     }
 
-    /// The same, for a clock that is behind.
+    /// Sets by how much the wall clock of the process is behind the machine's.
     pub fn set_clock_behind(&self, behind: Duration) {
         let behind = behind.as_millis() as i64;
         self.clock().store(-behind, Ordering::Relaxed);
     }
 
-    /// By how many milliseconds the wall clock is ahead.
+    /// By how many milliseconds the wall clock is ahead; negative if it is behind.
     pub fn clock_ahead_ms(&self) -> i64 {
         self.clock().load(Ordering::Relaxed)
     }
 
     fn set_errnos(&self, kind: Kind, errnos: &[i32]) {
         let pack = |packed: u64, &errno: &i32| packed << 16 | errno as u64;
-        let packed = errnos.iter().take(MOST_ERRNOS).fold(0, pack);
+        let packed = errnos.iter().take(MAX_ERRNOS).fold(0, pack);
         self.fault(kind).errnos.store(packed, Ordering::Relaxed);
     }
 
-    /// The next calls of this kind fail, each with one of the errors.
+    /// Makes the next `calls` calls of this kind fail, each with one of the errors.
     pub fn fail_next(&self, kind: Kind, calls: u64, errnos: &[i32]) {
         self.set_errnos(kind, errnos);
         self.fault(kind).next.store(calls, Ordering::Relaxed);
     }
 
-    /// This share of all calls of the kind fails from now on, each with one of the errors.
+    /// Makes this share of all calls of this kind fail from now on, each with one of the errors.
     pub fn fail_share(&self, kind: Kind, share: f64, errnos: &[i32]) {
         self.set_errnos(kind, errnos);
         let per_million = (share.clamp(0.0, 1.0) * MILLION as f64) as u64;
@@ -168,7 +175,7 @@
         fault.per_million.store(per_million, Ordering::Relaxed);
     }
 
-    /// No call fails from now on; the clock stays as it is.
+    /// Removes all faults of calls; the clock stays as it is.
     pub fn heal(&self) {
         for kind in Kind::ALL {
             let fault = self.fault(kind);
@@ -182,15 +189,15 @@
         self.fault(kind).injected.load(Ordering::Relaxed)
     }
 
-    /// Asked by the shim before a call: what becomes of it. `random` is any number that differs from call to call.
+    /// Decides whether a call fails; the shim asks before each call. `random` is a number that differs from call to call.
     pub fn verdict(&self, kind: Kind, random: u64) -> Verdict {
         let fault = self.fault(kind);
-        let left = |left: u64| left.checked_sub(1);
-        let ordered = (fault.next)
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, left)
+        let decrement = |left: u64| left.checked_sub(1);
+        let is_counted = (fault.next)
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement)
             .is_ok();
-        let drawn = random % MILLION < fault.per_million.load(Ordering::Relaxed);
-        if !ordered && !drawn {
+        let is_drawn = random % MILLION < fault.per_million.load(Ordering::Relaxed);
+        if !is_counted && !is_drawn {
             return Verdict::Pass;
         }
         fault.injected.fetch_add(1, Ordering::Relaxed);
@@ -201,9 +208,9 @@
     }
 }
 
-/// One of the packed errors.
+/// Selects one of the packed errors; `EIO` if there are none.
 fn pick_errno(packed: u64, random: u64) -> i32 {
-    let errnos: [i32; MOST_ERRNOS] =
+    let errnos: [i32; MAX_ERRNOS] =
         std::array::from_fn(|nth| (packed >> (16 * nth) & 0xffff) as i32);
     let count = errnos.iter().take_while(|errno| **errno != 0).count();
     match count {
--- a/crates/fault-shim/src/control.rs
+++ b/crates/fault-shim/src/control.rs
@@ -1,4 +1,4 @@
-//! The control page of this process, and what it says of a call.
+//! The control page of this process: whether a call fails and how far the clock is stepped.
 
 use libc::c_int;
 use std::sync::OnceLock;
@@ -9,11 +9,11 @@
 const MULTIPLIER: u64 = 0x5851_f42d_4c95_7f2d;
 const INCREMENT: u64 = 0x1405_7b7e_f767_814f;
 
-/// The page, looked for once; a process without one has no faults.
+/// The control page, mapped at first use; a process without one has no faults.
 static PAGE: OnceLock<Option<Control>> = OnceLock::new();
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
-/// Whether a call of this kind goes through; if not, `errno` is set.
+/// Whether a call of this kind is made; if not, `errno` is set.
 pub fn allowed(kind: Kind) -> bool {
     let Some(control) = control() else {
         return true;
@@ -28,7 +28,7 @@
     }
 }
 
-/// By how many milliseconds the wall clock is ahead.
+/// By how many milliseconds the wall clock is ahead; negative if it is behind.
 pub fn clock_ahead_ms() -> i64 {
     control().map_or(0, Control::clock_ahead_ms)
 }
@@ -44,18 +44,18 @@
 }
 
 fn control() -> Option<&'static Control> {
-    PAGE.get_or_init(find).as_ref()
+    PAGE.get_or_init(map_from_environment).as_ref()
 }
 
-/// Maps the page that the environment names.
-fn find() -> Option<Control> {
+/// Maps the control page that the environment variable names.
+fn map_from_environment() -> Option<Control> {
     // SAFETY: the environment is not changed while the process starts.
     let path = unsafe { libc::getenv(VARIABLE.as_ptr()) };
-    (!path.is_null()).then(|| map(path)).flatten()
+    (!path.is_null()).then(|| map_file(path)).flatten()
 }
 
-fn map(path: *const libc::c_char) -> Option<Control> {
-    // The system call itself: the library's function stands in this library, too.
+fn map_file(path: *const libc::c_char) -> Option<Control> {
+    // Makes the system call directly, as the library's function is one of those that this library replaces.
     // SAFETY: the path is the environment's, which ends with a zero.
     let opened = unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path, libc::O_RDWR) };
     let descriptor = c_int::try_from(opened).ok().filter(|fd| *fd >= 0)?;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,10 +1,11 @@
-//! A library to preload into one process: system calls fail as Linux documents them to, and the wall clock is stepped.
+//! A library to preload into one process: it makes system calls fail with errors that Linux documents, and steps the
+//! wall clock.
 //!
-//! What fails is read from the control page that [`trailproxy_fault_control::VARIABLE`] names. Without one, every call
-//! goes through. Only the process that it is preloaded into is touched.
+//! The faults are read from the control page that [`trailproxy_fault_control::VARIABLE`] names. Without a page, every
+//! call is made. Only the process that preloads the library is affected.
 //!
-//! Each function here has the name and the form of the C library's function, asks the control page, and then either sets
-//! `errno` or calls the function that it stands before. Nothing here allocates, locks or uses the standard library's
+//! Each function has the name and the signature of a function of the C library, consults the control page, and then
+//! either sets `errno` or calls the function that it replaces. Nothing here allocates, locks or uses the standard library's
 //! input and output, as it runs inside calls of those.
 
 mod control;
@@ -22,20 +23,20 @@
 const NS_PER_MS: i64 = 1_000_000;
 const NS_PER_S: i64 = 1_000_000_000;
 
-/// How many of `len` bytes a call may move, or that it fails. One that is shortened does not fail, so that a test can have so
-/// many bytes move before calls fail.
-fn bytes_allowed(descriptor: c_int, len: usize, fails: Kind, shortens: Kind) -> Option<usize> {
+/// How many of `len` bytes a call may transfer; `None` if it fails. A shortened call does not fail, so that a test can
+/// let a number of bytes pass before calls fail.
+fn bytes_allowed(descriptor: c_int, len: usize, failing: Kind, shortening: Kind) -> Option<usize> {
     if !is_tcp(descriptor) {
         return Some(len);
     }
-    if !allowed(shortens) {
+    if !allowed(shortening) {
         return Some(len.min(1));
     }
-    allowed(fails).then_some(len)
+    allowed(failing).then_some(len)
 }
 
-/// The same for a write, which may also go to a file.
-fn written_allowed(descriptor: c_int, len: usize) -> Option<usize> {
+/// How many of `len` bytes a write may transfer; the descriptor may also be a file.
+fn write_bytes_allowed(descriptor: c_int, len: usize) -> Option<usize> {
     if is_regular_file(descriptor) {
         return allowed(Kind::FileWrite).then_some(len);
     }
@@ -79,7 +80,7 @@
 /// As `write(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(fd: c_int, buf: *const c_void, len: usize) -> ssize_t {
-    let Some(len) = written_allowed(fd, len) else {
+    let Some(len) = write_bytes_allowed(fd, len) else {
         return FAILED as ssize_t;
     };
     let next: unsafe extern "C" fn(c_int, *const c_void, usize) -> ssize_t = real!(c"write");
@@ -90,7 +91,7 @@
 /// As `writev(2)`.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(fd: c_int, parts: *const iovec, count: c_int) -> ssize_t {
-    if written_allowed(fd, usize::MAX).is_none() {
+    if write_bytes_allowed(fd, usize::MAX).is_none() {
         return FAILED as ssize_t;
     }
     let next: unsafe extern "C" fn(c_int, *const iovec, c_int) -> ssize_t = real!(c"writev");
@@ -142,7 +143,7 @@
 pub unsafe extern "C" fn epoll_wait(
     fd: c_int,
     events: *mut libc::epoll_event,
-    most: c_int,
+    max_events: c_int,
     timeout: c_int,
 ) -> c_int {
     if !allowed(Kind::EpollWait) {
@@ -150,7 +151,7 @@
     }
     let next: unsafe extern "C" fn(c_int, *mut libc::epoll_event, c_int, c_int) -> c_int =
         real!(c"epoll_wait");
-    unsafe { next(fd, events, most, timeout) }
+    unsafe { next(fd, events, max_events, timeout) }
 }
 
 /// # Safety
@@ -235,7 +236,7 @@
     unsafe { next(from, to) }
 }
 
-/// Only wall clocks are stepped: the monotonic one runs on.
+/// Steps only the wall clocks; the monotonic clock is not changed.
 ///
 /// # Safety
 /// As `clock_gettime(2)`.
@@ -243,16 +244,16 @@
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, now: *mut timespec) -> c_int {
     let next: unsafe extern "C" fn(libc::clockid_t, *mut timespec) -> c_int =
         real!(c"clock_gettime");
-    let told = unsafe { next(clock, now) };
-    let wall = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
-    if told == 0 && wall && !now.is_null() {
-        // SAFETY: the call went well, so the caller's timespec is there and filled in.
+    let status = unsafe { next(clock, now) };
+    let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
+    if status == 0 && is_wall_clock && !now.is_null() {
+        // SAFETY: the call succeeded, so the caller's timespec is valid and filled in.
         let now = unsafe { &mut *now };
         let ns = now.tv_nsec + clock_ahead_ms() % MS_PER_S * NS_PER_MS;
         now.tv_sec += clock_ahead_ms() / MS_PER_S + ns.div_euclid(NS_PER_S);
         now.tv_nsec = ns.rem_euclid(NS_PER_S);
     }
-    told
+    status
 }
 
 /// # Safety
@@ -260,10 +261,10 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn time(now: *mut time_t) -> time_t {
     let next: unsafe extern "C" fn(*mut time_t) -> time_t = real!(c"time");
-    let told = unsafe { next(std::ptr::null_mut()) } + clock_ahead_ms() / MS_PER_S;
+    let seconds = unsafe { next(std::ptr::null_mut()) } + clock_ahead_ms() / MS_PER_S;
     if !now.is_null() {
-        // SAFETY: the caller's place for the time.
-        unsafe { *now = told };
+        // SAFETY: the caller's pointer is valid if it is not null.
+        unsafe { *now = seconds };
     }
-    told
+    seconds
 }
--- a/crates/fault-shim/src/real.rs
+++ b/crates/fault-shim/src/real.rs
@@ -1,17 +1,17 @@
-//! The functions that this library stands before.
+//! Access to the functions of the C library that this library replaces.
 
-/// Looks a function of the C library up, once for each place of use. Its type is the one that the place wants.
+/// Looks up a function of the C library, once for each use of the macro. Its type is inferred from the use.
 macro_rules! real {
     ($name:literal) => {{
         static FOUND: std::sync::atomic::AtomicPtr<libc::c_void> =
             std::sync::atomic::AtomicPtr::new(std::ptr::null_mut());
         let mut found = FOUND.load(std::sync::atomic::Ordering::Relaxed);
         if found.is_null() {
-            // SAFETY: the name ends with a zero; RTLD_NEXT is what is behind this library.
+            // SAFETY: the name ends with a zero; RTLD_NEXT finds the next library after this one.
             found = unsafe { libc::dlsym(libc::RTLD_NEXT, $name.as_ptr()) };
             FOUND.store(found, std::sync::atomic::Ordering::Relaxed);
         }
-        // SAFETY: the C library has each of these functions, in the form that is written beside its use.
+        // SAFETY: the C library has each of these functions, with the signature that is written at its use.
         unsafe { std::mem::transmute(found) }
     }};
 }
