--- a/crates/benchlink/src/frame.rs
+++ b/crates/benchlink/src/frame.rs
@@ -77,14 +77,17 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Reads from the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Fields<'a> {
         Fields { rest: bytes }
     }
 
+    /// Whether all bytes have been read.
     pub fn is_empty(&self) -> bool {
         self.rest.is_empty()
     }
 
+    /// Reads `n` bytes.
     pub fn bytes(&mut self, n: usize) -> ReadResult<&'a [u8]> {
         if n > self.rest.len() {
             return Err(format!("a field of {n} bytes runs past the end of the batch").into());
@@ -100,22 +103,27 @@
         Ok(array)
     }
 
+    /// Reads one `u8`.
     pub fn u8(&mut self) -> ReadResult<u8> {
         Ok(self.array::<1>()?[0])
     }
 
+    /// Reads one `u16`.
     pub fn u16(&mut self) -> ReadResult<u16> {
         self.array().map(u16::from_le_bytes)
     }
 
+    /// Reads one `u32`.
     pub fn u32(&mut self) -> ReadResult<u32> {
         self.array().map(u32::from_le_bytes)
     }
 
+    /// Reads one `u64`.
     pub fn u64(&mut self) -> ReadResult<u64> {
         self.array().map(u64::from_le_bytes)
     }
 
+    /// Reads one `f32`.
     pub fn f32(&mut self) -> ReadResult<f32> {
         self.array().map(f32::from_le_bytes)
     }
@@ -126,6 +134,7 @@
         Ok(u64::from(address) << 16 | u64::from(self.u16()?))
     }
 
+    /// Reads a length of four bytes and a UTF-8 text.
     pub fn text(&mut self) -> ReadResult<&'a str> {
         let n = self.u32()? as usize;
         std::str::from_utf8(self.bytes(n)?).map_err(|_| "a text is not UTF-8".into())
@@ -148,26 +157,31 @@
         self.u16(code).u16(instance)
     }
 
+    /// Appends one `u8`.
     pub fn u8(&mut self, value: u8) -> &mut Reply {
         self.bytes.push(value);
         self
     }
 
+    /// Appends one `u16`.
     pub fn u16(&mut self, value: u16) -> &mut Reply {
         self.bytes.extend(value.to_le_bytes());
         self
     }
 
+    /// Appends one `u32`.
     pub fn u32(&mut self, value: u32) -> &mut Reply {
         self.bytes.extend(value.to_le_bytes());
         self
     }
 
+    /// Appends one `u64`.
     pub fn u64(&mut self, value: u64) -> &mut Reply {
         self.bytes.extend(value.to_le_bytes());
         self
     }
 
+    /// Appends an address and a port that are packed into one number.
     pub fn host(&mut self, packed: u64) -> &mut Reply {
         self.bytes.extend(((packed >> 16) as u32).to_be_bytes());
         self.u16(packed as u16)
