--- a/crates/trailproxy-cli/src/budgets.rs
+++ b/crates/trailproxy-cli/src/budgets.rs
@@ -1,6 +1,6 @@
-//! Budgets of the whole fleet: who has which part of them, until when, and why not more.
+//! `trailproxy budgets`: shows which dispatcher holds which share of a budget, until when, and why not more.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::peers::said;
 use crate::sections::{budgets_sheet, kinds};
 use clap::Subcommand;
@@ -9,17 +9,18 @@
 use trailproxy_operator::read_file;
 use trailproxy_peers::decide::messages::{InquiryId, MessagePart};
 
+/// The subcommands of `trailproxy budgets`.
 #[derive(Subcommand)]
 pub enum Task {
-    /// All budgets as each dispatcher has them; with voters, whom they gave their words.
+    /// Show all budgets as each dispatcher holds them, and for voters the leases that they granted.
     Show {
         /// The operator's file.
         file: String,
-        /// Only the one at this address, whether the file names it or not.
+        /// Ask only the dispatcher at this address, even if the file does not name it.
         #[arg(long)]
         at: Option<SocketAddrV4>,
     },
-    /// One budget at each dispatcher, by the name of its crossing, or "cold caches" or "cold parents".
+    /// Show one budget at each dispatcher, by the name of its crossing, or "cold caches" or "cold parents".
     Explain {
         file: String,
         name: String,
@@ -28,41 +29,47 @@
     },
 }
 
-pub fn run(task: Task) -> End {
-    let done = match task {
-        Task::Show { file, at } => shown(&file, at, |text| Some(text.into())),
-        Task::Explain { file, name, at } => shown(&file, at, |text| of_one(text, &name)),
+/// Runs a subcommand.
+pub fn run(task: Task) -> ExitStatus {
+    let result = match task {
+        Task::Show { file, at } => print_status(&file, at, |text| Some(text.into())),
+        Task::Explain { file, name, at } => {
+            print_status(&file, at, |text| lines_of_budget(text, &name))
+        }
     };
-    match done {
-        Ok(()) => End::Well,
-        Err(why) => End::Refused(why),
+    match result {
+        Ok(()) => ExitStatus::Success,
+        Err(reason) => ExitStatus::InvalidInput(reason),
     }
 }
 
-fn shown(
+fn print_status(
     file: &str,
     at: Option<SocketAddrV4>,
-    of: impl Fn(&str) -> Option<String>,
+    select: impl Fn(&str) -> Option<String>,
 ) -> Result<(), String> {
-    let script = read_file(file, &kinds()).map_err(|wrong| wrong.to_string())?;
-    let sheet =
+    let script = read_file(file, &kinds()).map_err(|error| error.to_string())?;
+    let config =
         budgets_sheet(&script).ok_or(format!("{file} has no section budgets that is on"))?;
-    sheet.check()?;
-    let note: fn(InquiryId) -> MessagePart =
-        |no| MessagePart::SubsystemStatusRequest(no, SUBSYSTEM_ID);
-    said(file, at, note, of)
+    config.check()?;
+    let request: fn(InquiryId) -> MessagePart =
+        |inquiry| MessagePart::SubsystemStatusRequest(inquiry, SUBSYSTEM_ID);
+    said(file, at, request, select)
 }
 
-/// The lines of one budget, which begin with its name behind the zone's number.
-fn of_one(text: &str, name: &str) -> Option<String> {
+/// Selects the lines of one budget; its first line has the name after the zone number.
+fn lines_of_budget(text: &str, name: &str) -> Option<String> {
     let mut lines = Vec::new();
-    let mut within = false;
+    let mut is_selected = false;
     for line in text.lines() {
         if let Some(rest) = line.strip_prefix("budget ") {
-            let of = rest.split_once(": ").map_or(rest, |(of, _)| of);
-            within = of == name || of.split_once('/').is_some_and(|(_, own)| own == name);
+            let budget = rest.split_once(": ").map_or(rest, |(budget, _)| budget);
+            is_selected = budget == name
+                || budget
+                    .split_once('/')
+                    .is_some_and(|(_, local_name)| local_name == name);
         }
-        if within {
+        if is_selected {
             lines.push(line);
         }
     }
--- a/crates/trailproxy-cli/src/capacity.rs
+++ b/crates/trailproxy-cli/src/capacity.rs
@@ -1,6 +1,6 @@
 //! What a large fleet costs and achieves, by size.
 
-use crate::{End, out};
+use crate::{ExitStatus, out};
 use clap::Args;
 use trailproxy_capacity::description::Description;
 use trailproxy_capacity::figures::PhaseFigures;
@@ -47,11 +47,11 @@
     out: Option<String>,
 }
 
-pub fn run(task: Task) -> End {
-    measured(&task).unwrap_or_else(End::Refused)
+pub fn run(task: Task) -> ExitStatus {
+    measured(&task).unwrap_or_else(ExitStatus::InvalidInput)
 }
 
-fn measured(task: &Task) -> Result<End, String> {
+fn measured(task: &Task) -> Result<ExitStatus, String> {
     let plan = plan(task)?;
     let bar = out::progress(plan.runs() as u64, "phases");
     println!("{}", report::HEADINGS);
@@ -71,9 +71,9 @@
         out::write(folder, "report.html", &page)?;
     }
     Ok(if summary.keeps_rules() {
-        End::Well
+        ExitStatus::Success
     } else {
-        End::Broken
+        ExitStatus::CheckFailed
     })
 }
 
--- a/crates/trailproxy-cli/src/capacity_live.rs
+++ b/crates/trailproxy-cli/src/capacity_live.rs
@@ -1,6 +1,6 @@
-//! What a real dispatcher costs in a large fleet, measured from outside.
+//! `trailproxy capacity-live`: measures from outside what a real dispatcher costs in a large fleet.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::lab::place;
 use crate::out;
 use clap::Args;
@@ -11,37 +11,37 @@
 
 #[derive(Args)]
 pub struct Task {
-    /// Sizes of the fleet in which a few dispatchers are real and the others are cores on sockets; `none` leaves it out.
+    /// Sizes of the fleet in which a few dispatchers are real and the others only run the peer protocol on sockets; `none` skips this part.
     #[arg(long, default_value = "60,120,240,490")]
     members: String,
-    /// Real dispatchers in each of these.
+    /// Number of real dispatchers in each of these fleets.
     #[arg(long, default_value_t = 8)]
     real: usize,
-    /// Zones that the members of each fleet say they are in, without distances between them; 0: they do not say.
+    /// Number of zones that the members of each fleet report to be in, without distances between them; 0: none is reported.
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u8).range(0..=64))]
     zones: u8,
-    /// Processes that the other members are spread over.
+    /// Number of processes that run the other members.
     #[arg(long, default_value_t = 4)]
     workers: usize,
-    /// Real dispatchers at rest, without others; 0 leaves it out.
+    /// Number of real dispatchers at rest, without other members; 0 skips this part.
     #[arg(long, default_value_t = 100)]
     processes: usize,
-    /// Real dispatchers under load.
+    /// Number of real dispatchers under load.
     #[arg(long, default_value_t = 16)]
     loaded: usize,
-    /// Requests a second to each loaded one, plain and keyed, step by step; `none` leaves it out.
+    /// Requests a second to each loaded dispatcher, plain and keyed, one step each; `none` skips this part.
     #[arg(long, default_value = "10,20,40,80")]
     rates: String,
-    /// Purges a second to all loaded ones, step by step; `none` leaves it out.
+    /// Purges a second to all loaded dispatchers, one step each; `none` skips this part.
     #[arg(long, default_value = "2,5,10,20")]
     purges: String,
-    /// Length of each window.
+    /// Length of each measured window, in seconds.
     #[arg(long, default_value_t = 20)]
     seconds: u64,
-    /// The longest that a fleet is given to settle before its window.
+    /// The longest time for a fleet to settle before its window, in seconds.
     #[arg(long, default_value_t = 60)]
     settle: u64,
-    /// How long a record of a keyed request is kept.
+    /// How long a record of a keyed request is kept, in seconds.
     #[arg(long, default_value_t = 10.0)]
     keep: f64,
     #[arg(long, default_value_t = 1)]
@@ -49,24 +49,25 @@
     /// Folder for live.json.
     #[arg(long)]
     out: Option<String>,
-    /// The dispatcher's program; else `trailproxyd` beside this one.
+    /// Path of the dispatcher; by default `trailproxyd` in the folder of this program.
     #[arg(long)]
     daemon: Option<String>,
-    /// The program of members without a dispatcher; else `hollow-members` beside this one.
+    /// Path of the program that runs members without a dispatcher; by default `hollow-members` in the folder of this program.
     #[arg(long)]
     hollow: Option<PathBuf>,
 }
 
-pub fn run(task: Task) -> End {
-    match measured(&task) {
-        Ok(()) => End::Well,
-        Err(why) => End::Refused(why),
+/// Runs the measurement.
+pub fn run(task: Task) -> ExitStatus {
+    match run_plan(&task) {
+        Ok(()) => ExitStatus::Success,
+        Err(reason) => ExitStatus::InvalidInput(reason),
     }
 }
 
-fn measured(task: &Task) -> Result<(), String> {
+fn run_plan(task: &Task) -> Result<(), String> {
     let plan = plan(task)?;
-    plan.check().map_err(|unfit| unfit.to_string())?;
+    plan.check().map_err(|error| error.to_string())?;
     let place = programs(task)?;
     let parts = plan.parts() as u64;
     let bar = out::progress(parts, "capacity-live");
@@ -97,21 +98,21 @@
     })
 }
 
-/// Whole numbers with commas between them, or the word `none`.
+/// Reads whole numbers with commas between them, or the word `none`.
 fn list<T: std::str::FromStr>(argument: &str, text: &str) -> Result<Vec<T>, String> {
     if text == "none" {
         return Ok(Vec::new());
     }
-    let unfit = format!(
+    let error = format!(
         "--{argument}: found {text:?}, accepted: whole numbers with commas between them, or none"
     );
     let numbers = text.split(',').map(|number| number.parse().ok());
-    numbers.collect::<Option<_>>().ok_or(unfit)
+    numbers.collect::<Option<_>>().ok_or(error)
 }
 
 fn programs(task: &Task) -> Result<Place, String> {
     let lab = place(task.daemon.clone())?;
-    let beside = || {
+    let default_path = || {
         Some(
             std::env::current_exe()
                 .ok()?
@@ -119,7 +120,7 @@
                 .join("hollow-members"),
         )
     };
-    let hollow = task.hollow.clone().or_else(beside);
+    let hollow = task.hollow.clone().or_else(default_path);
     let hollow = hollow.ok_or("no program of hollow members is named")?;
     if !hollow.is_file() {
         let path = hollow.display();
--- a/crates/trailproxy-cli/src/lab.rs
+++ b/crates/trailproxy-cli/src/lab.rs
@@ -1,6 +1,6 @@
 //! `trailproxy lab`: days in the model and on loopback, compared, hunted and held against each other.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::out;
 use clap::{Args, Subcommand};
 use serde_json::json;
@@ -160,7 +160,7 @@
     slog::Logger::root(std::sync::Mutex::new(drain).map(slog::Fuse), slog::o!())
 }
 
-pub fn run(task: Task) -> End {
+pub fn run(task: Task) -> ExitStatus {
     let done = match task {
         Task::Model {
             scenario,
@@ -190,7 +190,7 @@
         } => bench(p99_ms, seconds, daemon, &how),
         Task::Compare { a, b, on, how } => compare(&a, &b, on.as_deref(), &how),
     };
-    done.unwrap_or_else(End::Refused)
+    done.unwrap_or_else(ExitStatus::InvalidInput)
 }
 
 fn load(path: &str) -> Result<Scenario, String> {
@@ -198,7 +198,7 @@
 }
 
 /// The end that a run's rules call for; what was broken is told on standard error.
-pub fn judged(summaries: &[&Summary]) -> End {
+pub fn judged(summaries: &[&Summary]) -> ExitStatus {
     let broken: Vec<&String> = summaries
         .iter()
         .flat_map(|summary| &summary.rules_broken)
@@ -208,13 +208,13 @@
         .take(20)
         .for_each(|breach| eprintln!("trailproxy: {breach}"));
     if broken.is_empty() {
-        End::Well
+        ExitStatus::Success
     } else {
-        End::Broken
+        ExitStatus::CheckFailed
     }
 }
 
-fn in_model(path: &str, policy: Policy, how: &How) -> Result<End, String> {
+fn in_model(path: &str, policy: Policy, how: &How) -> Result<ExitStatus, String> {
     let (plan, scenario) = (how.plan()?, load(path)?);
     let bar = out::progress(plan.days, &scenario.name);
     let days = experiment::days(&scenario, policy, plan.seed, plan.days, |day| {
@@ -228,7 +228,7 @@
 }
 
 /// Prints the summary of all days, writes the pages and judges.
-fn finish(plan: &Plan, scenario: &Scenario, days: &[Day]) -> Result<End, String> {
+fn finish(plan: &Plan, scenario: &Scenario, days: &[Day]) -> Result<ExitStatus, String> {
     let summaries: Vec<Summary> = days.iter().map(|day| day.summary.clone()).collect();
     let all = experiment::together(&summaries).ok_or("no day was played")?;
     let text = serde_json::to_string_pretty(&all).map_err(|e| e.to_string())?;
@@ -266,7 +266,7 @@
     })
 }
 
-fn loopback(path: &str, daemon: Option<String>, how: &How) -> Result<End, String> {
+fn loopback(path: &str, daemon: Option<String>, how: &How) -> Result<ExitStatus, String> {
     let (plan, scenario, place) = (how.plan()?, load(path)?, place(daemon)?);
     let bar = out::progress(plan.days, &scenario.name);
     let mut days = Vec::new();
@@ -279,7 +279,7 @@
     finish(&plan, &scenario, &days)
 }
 
-fn validate(path: &str, daemon: Option<String>, how: &How) -> Result<End, String> {
+fn validate(path: &str, daemon: Option<String>, how: &How) -> Result<ExitStatus, String> {
     let (plan, scenario, place) = (how.plan()?, load(path)?, place(daemon)?);
     let bar = out::progress(plan.days, &scenario.name);
     let mut pairs = Vec::new();
@@ -312,10 +312,19 @@
             .flat_map(|pair| [&pair.0, &pair.1])
             .collect::<Vec<_>>(),
     );
-    Ok(if report.agree { rules } else { End::Broken })
+    Ok(if report.agree {
+        rules
+    } else {
+        ExitStatus::CheckFailed
+    })
 }
 
-fn bench(p99_ms: f64, seconds: f64, daemon: Option<String>, how: &How) -> Result<End, String> {
+fn bench(
+    p99_ms: f64,
+    seconds: f64,
+    daemon: Option<String>,
+    how: &How,
+) -> Result<ExitStatus, String> {
     let (plan, place) = (how.plan()?, place(daemon)?);
     if !(0.1..=1e5).contains(&p99_ms) || !(0.5..=60.0).contains(&seconds) {
         return Err("accepted: --p99-ms from 0.1 to 100000, --seconds from 0.5 to 60".into());
@@ -346,10 +355,10 @@
         let text = serde_json::to_string_pretty(&report).map_err(|e| e.to_string())?;
         out::write(folder, "summary.json", &text)?;
     }
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
-fn hunt(path: &str, tries: usize, how: &How) -> Result<End, String> {
+fn hunt(path: &str, tries: usize, how: &How) -> Result<ExitStatus, String> {
     let plan = how.plan()?;
     let base = std::fs::read_to_string(path).map_err(|e| format!("{path} can't be read: {e}"))?;
     let bar = out::progress(tries as u64, "days");
@@ -381,7 +390,7 @@
     Ok(judged(&[design]))
 }
 
-fn compare(a: &str, b: &str, on: Option<&str>, how: &How) -> Result<End, String> {
+fn compare(a: &str, b: &str, on: Option<&str>, how: &How) -> Result<ExitStatus, String> {
     let plan = how.plan()?;
     let sides = match on {
         Some(path) => {
--- a/crates/trailproxy-cli/src/main.rs
+++ b/crates/trailproxy-cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `trailproxy`: checks of an operator's file, and the laboratory.
+//! The command line `trailproxy`: checks operators' files, queries running dispatchers and runs simulations and tests.
 
 mod budgets;
 mod capacity;
@@ -20,51 +20,52 @@
 /// Decides where objects are served, kept and filled from: the tools beside the dispatcher.
 #[derive(Parser)]
 #[command(version, about, max_term_width = 110)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     task: Task,
 }
 
 #[derive(Subcommand)]
 enum Task {
-    /// Check an operator's file or a scenario: 0 where all of it fits, 1 with the place of what does not.
+    /// Check an operator's file or a scenario: exits with 0 if it is valid, with 1 and the position of the error if not.
     Check { file: String },
-    /// The laboratory: a fleet in virtual time and on loopback.
+    /// The laboratory: simulate a fleet in virtual time, or run it on loopback.
     #[command(subcommand)]
     Lab(lab::Task),
-    /// Traffic between zones: sections, reports, the planner, and what they are worth.
+    /// Traffic between zones: check sections, merge reports, plan budgets and measure their effect.
     #[command(subcommand)]
     Zones(zones::Task),
     /// The store that dispatchers share: whether it can be used, what it holds, and how to leave it.
     #[command(subcommand)]
     Store(store::Task),
-    /// The other dispatchers: whether they are reached, how they stand, and how one leaves them.
+    /// The other dispatchers: whether they can be reached, their state, and how a dispatcher leaves them.
     #[command(subcommand)]
     Peers(peers::Task),
-    /// Budgets of the whole fleet: who has which part, until when, and why not more.
+    /// Budgets of the whole fleet: which dispatcher holds which share, until when, and why not more.
     #[command(subcommand)]
     Budgets(budgets::Task),
-    /// Many real dispatchers under randomized faults that overlap, judged from outside: 3 where a promise was broken.
+    /// Run many real dispatchers under random overlapping faults and check them from outside: exits with 3 if a promise was broken.
     Soak(soak::Task),
-    /// Several real dispatchers, faults between them by a script, and somebody outside who counts: 3 where a rule broke.
+    /// Run several real dispatchers with scripted faults between them and check them from outside: exits with 3 if a rule was broken.
     Trial(trial::Task),
-    /// What a large fleet costs and achieves, by size, in virtual time: 3 where a promise is missed.
+    /// Simulate the costs and the performance of a large fleet by size, in virtual time: exits with 3 if a promise is missed.
     Capacity(capacity::Task),
-    /// What a real dispatcher costs in a large fleet, measured from outside.
+    /// Measure from outside what a real dispatcher costs in a large fleet.
     CapacityLive(capacity_live::Task),
 }
 
-/// How a task ended; the numbers are the exit codes.
-pub enum End {
-    Well,
-    /// Bad input: one plain message.
-    Refused(String),
+/// How a task ended. The exit codes are 0, 1 and 3, in this order.
+pub enum ExitStatus {
+    /// The task succeeded.
+    Success,
+    /// The input is invalid or the task could not be done; the message says why.
+    InvalidInput(String),
     /// A rule was broken or a promise missed.
-    Broken,
+    CheckFailed,
 }
 
 fn main() -> ExitCode {
-    let end = match Line::parse().task {
+    let end = match CommandLine::parse().task {
         Task::Check { file } => check(&file),
         Task::Lab(task) => lab::run(task),
         Task::Zones(task) => zones::run(task),
@@ -77,37 +78,37 @@
         Task::CapacityLive(task) => capacity_live::run(task),
     };
     match end {
-        End::Well => ExitCode::SUCCESS,
-        End::Refused(why) => {
-            eprintln!("trailproxy: {why}");
+        ExitStatus::Success => ExitCode::SUCCESS,
+        ExitStatus::InvalidInput(reason) => {
+            eprintln!("trailproxy: {reason}");
             ExitCode::from(1)
         }
-        End::Broken => ExitCode::from(3),
+        ExitStatus::CheckFailed => ExitCode::from(3),
     }
 }
 
-/// A file with a scenario section is held against a scenario's kinds, any other against the operator's.
-fn check(file: &str) -> End {
-    let sheet = match read_file(file, &sections::kinds()) {
-        Ok(sheet) => sheet,
-        Err(wrong) => return End::Refused(wrong.to_string()),
+/// Checks a file with a scenario section against the sections of a scenario, any other against those of an operator's file.
+fn check(file: &str) -> ExitStatus {
+    let parsed = match read_file(file, &sections::kinds()) {
+        Ok(parsed) => parsed,
+        Err(error) => return ExitStatus::InvalidInput(error.to_string()),
     };
-    let checked = match sheet.one("scenario") {
+    let checked = match parsed.one("scenario") {
         Some(_) => scenario::Scenario::load(file).map(|_| ()),
         None => read_file(file, sections::OPERATOR).map(|_| ()),
     };
-    let zones = trailproxy_zones_tools::sections::zones_config(&sheet);
-    if let Some(Err(unfit)) = zones.map(|zones| zones.check()) {
-        return End::Refused(unfit.to_string());
+    let zones = trailproxy_zones_tools::sections::zones_config(&parsed);
+    if let Some(Err(error)) = zones.map(|zones| zones.check()) {
+        return ExitStatus::InvalidInput(error.to_string());
     }
-    if let Some(Err(unfit)) = sections::budgets_sheet(&sheet).map(|budgets| budgets.check()) {
-        return End::Refused(unfit);
+    if let Some(Err(error)) = sections::budgets_sheet(&parsed).map(|budgets| budgets.check()) {
+        return ExitStatus::InvalidInput(error);
     }
     match checked {
         Ok(()) => {
-            println!("{file}: {} sections, all fit", sheet.sections.len());
-            End::Well
+            println!("{file}: {} sections, all fit", parsed.sections.len());
+            ExitStatus::Success
         }
-        Err(wrong) => End::Refused(wrong.to_string()),
+        Err(error) => ExitStatus::InvalidInput(error.to_string()),
     }
 }
--- a/crates/trailproxy-cli/src/peers.rs
+++ b/crates/trailproxy-cli/src/peers.rs
@@ -1,6 +1,6 @@
 //! The other dispatchers: their section in the operator's file, and what is to be seen and done among them.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::sections::{kinds, peers_sheet};
 use clap::Subcommand;
 use std::net::{SocketAddrV4, UdpSocket};
@@ -139,15 +139,15 @@
     }
 }
 
-pub fn run(task: Task) -> End {
+pub fn run(task: Task) -> ExitStatus {
     let done = match task {
         Task::Check { file } => check(&file),
         Task::Show { file, at } => show(&file, at),
         Task::Leave { file, at, undo } => leave(&file, at, undo),
     };
     match done {
-        Ok(()) => End::Well,
-        Err(why) => End::Refused(why),
+        Ok(()) => ExitStatus::Success,
+        Err(why) => ExitStatus::InvalidInput(why),
     }
 }
 
--- a/crates/trailproxy-cli/src/soak.rs
+++ b/crates/trailproxy-cli/src/soak.rs
@@ -1,6 +1,6 @@
 //! `trailproxy soak`: randomized runs of many real dispatchers under overlapping faults.
 
-use crate::{End, out};
+use crate::{ExitStatus, out};
 use clap::Args;
 use serde::Serialize;
 use std::path::PathBuf;
@@ -12,13 +12,13 @@
 
 #[derive(Args)]
 pub struct Task {
-    /// The first seed; each run has the next one.
+    /// Seed of the first run; each later run uses the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many runs.
+    /// Number of runs.
     #[arg(long, default_value_t = 1)]
     runs: u64,
-    /// Dispatchers of a run.
+    /// Number of dispatchers in a run.
     #[arg(long, default_value_t = 12)]
     dispatchers: usize,
     /// Length of a run, in seconds.
@@ -27,13 +27,13 @@
     /// Requests a second at each dispatcher.
     #[arg(long, default_value_t = 8.0)]
     rate: f64,
-    /// The kinds of trouble, separated by commas; else all: process, calls, clocks, servers, network, discovery, clients.
+    /// Kinds of faults, separated by commas; by default all: process, calls, clocks, servers, network, discovery, clients.
     #[arg(long)]
     kinds: Option<String>,
-    /// Without the preloaded shim: no system call fails and no clock is wrong.
+    /// Do not preload the fault shim: no system call fails and no clock is stepped.
     #[arg(long)]
     no_shim: bool,
-    /// The dispatcher's program; else `trailproxyd` beside this one.
+    /// Path of the dispatcher; by default `trailproxyd` in the folder of this program.
     #[arg(long)]
     daemon: Option<PathBuf>,
     /// Folder for summary.json, and for the logs of runs that broke something.
@@ -41,10 +41,12 @@
     out: String,
 }
 
-const DISPATCHERS: std::ops::RangeInclusive<usize> = 1..=40;
-/// So many breaches of a run are printed.
-const PRINTED: usize = 12;
+/// Accepted values of `--dispatchers`.
+const ACCEPTED_DISPATCHERS: std::ops::RangeInclusive<usize> = 1..=40;
+/// Most breaches that are printed for a run.
+const MAX_PRINTED_BREACHES: usize = 12;
 
+/// The result of one run in summary.json.
 #[derive(Serialize)]
 struct Summary {
     seed: u64,
@@ -56,24 +58,25 @@
     verdict: Verdict,
 }
 
-pub fn run(task: Task) -> End {
-    soaked(&task).unwrap_or_else(End::Refused)
+/// Runs the soak test.
+pub fn run(task: Task) -> ExitStatus {
+    run_all(&task).unwrap_or_else(ExitStatus::InvalidInput)
 }
 
-fn soaked(task: &Task) -> Result<End, String> {
+fn run_all(task: &Task) -> Result<ExitStatus, String> {
     let kinds = kinds(task.kinds.as_deref())?;
-    if !DISPATCHERS.contains(&task.dispatchers) {
+    if !ACCEPTED_DISPATCHERS.contains(&task.dispatchers) {
         return Err(format!(
             "--dispatchers: found {}, accepted: {} to {}",
             task.dispatchers,
-            DISPATCHERS.start(),
-            DISPATCHERS.end()
+            ACCEPTED_DISPATCHERS.start(),
+            ACCEPTED_DISPATCHERS.end()
         ));
     }
     let mut summaries = Vec::new();
     let (mut broken, mut void) = (0, 0);
     for seed in task.seed..task.seed + task.runs {
-        let summary = one(task, seed, &kinds)?;
+        let summary = run_seed(task, seed, &kinds)?;
         let verdict = &summary.verdict;
         void += usize::from(verdict.is_void());
         broken += usize::from(!verdict.is_void() && !verdict.broken.is_empty());
@@ -85,7 +88,11 @@
         "{broken} of {} runs broke something, {void} are void",
         summaries.len()
     );
-    Ok(if broken == 0 { End::Well } else { End::Broken })
+    Ok(if broken == 0 {
+        ExitStatus::Success
+    } else {
+        ExitStatus::CheckFailed
+    })
 }
 
 fn kinds(named: Option<&str>) -> Result<Vec<Kind>, String> {
@@ -93,14 +100,14 @@
         return Ok(Kind::ALL.to_vec());
     };
     let accepted = || Kind::ALL.map(Kind::name).join(", ");
-    let of = |name: &str| {
+    let parse_kind = |name: &str| {
         let kind = Kind::ALL.into_iter().find(|kind| kind.name() == name);
         kind.ok_or_else(|| format!("--kinds: found {name:?}, accepted: {}", accepted()))
     };
-    named.split(',').map(of).collect()
+    named.split(',').map(parse_kind).collect()
 }
 
-fn one(task: &Task, seed: u64, kinds: &[Kind]) -> Result<Summary, String> {
+fn run_seed(task: &Task, seed: u64, kinds: &[Kind]) -> Result<Summary, String> {
     let size = Size {
         dispatchers: task.dispatchers,
         seconds: task.seconds,
@@ -111,9 +118,9 @@
     let servers = plan.scenario.script.iter();
     let servers: Vec<String> = servers.map(ToString::to_string).collect();
     let place = place(task, seed)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let verdict = play(plan, &place).map_err(|e| format!("the run can't be played: {e}"))?;
-    let (tally, took) = (verdict.tally, begun.elapsed().as_secs());
+    let (tally, took) = (verdict.tally, started.elapsed().as_secs());
     println!(
         "seed {seed}: {} troubles, {} asked, {} served, {} refused, {} failed, {} left, {} excused, {took} s, broken: {:?}",
         events.len() + servers.len(),
@@ -129,7 +136,7 @@
         let stalled = verdict.judge_stalled_s;
         println!("  void: the judge itself was not run for {stalled:.3} s");
     }
-    for breach in verdict.breaches.iter().take(PRINTED) {
+    for breach in verdict.breaches.iter().take(MAX_PRINTED_BREACHES) {
         println!(
             "  {:7.3} s {:?}: {}",
             breach.at_s, breach.promise, breach.what
@@ -152,11 +159,11 @@
 }
 
 fn place(task: &Task, seed: u64) -> Result<Place, String> {
-    let beside = || {
-        let own = std::env::current_exe().map_err(|e| e.to_string())?;
-        Ok::<_, String>(own.with_file_name("trailproxyd"))
+    let default_path = || {
+        let this_program = std::env::current_exe().map_err(|e| e.to_string())?;
+        Ok::<_, String>(this_program.with_file_name("trailproxyd"))
     };
-    let program = task.daemon.clone().map_or_else(beside, Ok)?;
+    let program = task.daemon.clone().map_or_else(default_path, Ok)?;
     let shim = match task.no_shim {
         true => None,
         false => Some(trailproxy_fault_control::shim_library().map_err(|e| e.to_string())?),
--- a/crates/trailproxy-cli/src/store.rs
+++ b/crates/trailproxy-cli/src/store.rs
@@ -1,6 +1,6 @@
 //! The store that dispatchers share: its section in the operator's file, and what is to be seen and done there.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::sections::{kinds, store_sheet};
 use clap::Subcommand;
 use std::time::{Duration, Instant};
@@ -123,15 +123,15 @@
     }
 }
 
-pub fn run(task: Task) -> End {
+pub fn run(task: Task) -> ExitStatus {
     let done = match task {
         Task::Check { file } => check(&file),
         Task::Show { file } => show(&file),
         Task::Drain { file, undo } => drain(&file, undo),
     };
     match done {
-        Ok(()) => End::Well,
-        Err(why) => End::Refused(why),
+        Ok(()) => ExitStatus::Success,
+        Err(why) => ExitStatus::InvalidInput(why),
     }
 }
 
--- a/crates/trailproxy-cli/src/trial.rs
+++ b/crates/trailproxy-cli/src/trial.rs
@@ -1,6 +1,6 @@
 //! Trials of many processes: one script, or every fault alone and in pairs.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::lab::place;
 use crate::out;
 use clap::Args;
@@ -51,8 +51,8 @@
     alone: bool,
 }
 
-pub fn run(task: Task) -> End {
-    tried(&task).unwrap_or_else(End::Refused)
+pub fn run(task: Task) -> ExitStatus {
+    tried(&task).unwrap_or_else(ExitStatus::InvalidInput)
 }
 
 fn read(task: &Task) -> Result<(Scenario, Trial), String> {
@@ -94,7 +94,7 @@
     }
 }
 
-fn tried(task: &Task) -> Result<End, String> {
+fn tried(task: &Task) -> Result<ExitStatus, String> {
     let (scenario, mut trial) = read(task)?;
     trial.refuse |= task.refuse;
     let place = place(task.daemon.clone())?;
@@ -113,7 +113,7 @@
     }
     let Some(why) = outcome.wrong() else {
         let _ = std::fs::remove_dir_all(&place.folder);
-        return Ok(End::Well);
+        return Ok(ExitStatus::Success);
     };
     println!("broken   {why}");
     for story in &outcome.keys.stories {
@@ -135,7 +135,7 @@
         out::write(folder, "shortest.star", &lines)?;
     }
     println!("logs     {}", place.folder.display());
-    Ok(End::Broken)
+    Ok(ExitStatus::CheckFailed)
 }
 
 fn print(outcome: &Outcome) {
@@ -212,7 +212,12 @@
     cases
 }
 
-fn sweep(task: &Task, scenario: &Scenario, trial: &Trial, place: &Place) -> Result<End, String> {
+fn sweep(
+    task: &Task,
+    scenario: &Scenario,
+    trial: &Trial,
+    place: &Place,
+) -> Result<ExitStatus, String> {
     let cases = cases(task, scenario, trial);
     let bar = out::progress(cases.len() as u64, "trials");
     let (next, ran) = (AtomicUsize::new(0), Mutex::new(BTreeMap::new()));
@@ -249,7 +254,7 @@
 
 type Ran<'a> = (&'a Case, Outcome);
 
-fn summed(task: &Task, outcomes: &[Ran]) -> Result<End, String> {
+fn summed(task: &Task, outcomes: &[Ran]) -> Result<ExitStatus, String> {
     let (with, alone): (Vec<&Ran>, Vec<&Ran>) =
         outcomes.iter().partition(|(_, of)| of.peers || of.store);
     let overruns = |all: &[&Ran]| {
@@ -391,7 +396,7 @@
         out::write(folder, "runs.json", &all)?;
     }
     Ok(match broken.is_empty() {
-        true => End::Well,
-        false => End::Broken,
+        true => ExitStatus::Success,
+        false => ExitStatus::CheckFailed,
     })
 }
--- a/crates/trailproxy-cli/src/zones.rs
+++ b/crates/trailproxy-cli/src/zones.rs
@@ -1,7 +1,7 @@
 //! `trailproxy zones`: the operator's section for a dispatcher, reports of several as one account, the planner, and
 //! what account, budget and watch are worth in the laboratory.
 
-use crate::End;
+use crate::ExitStatus;
 use crate::lab::{How, Plan, judged, place};
 use crate::out;
 use crate::sections::{budgets_sheet, kinds, peers_sheet, store_sheet};
@@ -78,7 +78,7 @@
     },
 }
 
-pub fn run(task: Task) -> End {
+pub fn run(task: Task) -> ExitStatus {
     let done = match task {
         Task::Sheet { file, config } => sheet(&file, config.as_deref()),
         Task::Report { logs, slot_s, out } => account(&logs, slot_s, out.as_deref()),
@@ -101,10 +101,10 @@
             measure(&budget, &rise, strikes, strike_s, daemon, &how)
         }
     };
-    done.unwrap_or_else(End::Refused)
+    done.unwrap_or_else(ExitStatus::InvalidInput)
 }
 
-fn sheet(file: &str, config: Option<&str>) -> Result<End, String> {
+fn sheet(file: &str, config: Option<&str>) -> Result<ExitStatus, String> {
     let script = read_file(file, &kinds()).map_err(|wrong| wrong.to_string())?;
     let sheet = zones_sections::zones_config(&script);
     if let Some(sheet) = &sheet {
@@ -130,7 +130,7 @@
         all[name] = told.map_err(|e| e.to_string())?;
     }
     println!("{all}");
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
 /// Zones and tracks as a dispatcher's configuration names them.
@@ -175,7 +175,7 @@
     Ok(merge(reports, (slot_s * 1e6) as u64))
 }
 
-fn account(logs: &[String], slot_s: f64, folder: Option<&str>) -> Result<End, String> {
+fn account(logs: &[String], slot_s: f64, folder: Option<&str>) -> Result<ExitStatus, String> {
     let merged = merged(logs, slot_s)?;
     let all = merged.rows.values().fold(0.0, |all, total| all + total.kb);
     println!(
@@ -227,7 +227,7 @@
             &page(&merged).map_err(|e| e.to_string())?,
         )?;
     }
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
 /// Points of a plot by track.
@@ -336,7 +336,12 @@
     }
 }
 
-fn planned(logs: &[String], wanted: &Wanted, on: Option<&str>, how: &How) -> Result<End, String> {
+fn planned(
+    logs: &[String],
+    wanted: &Wanted,
+    on: Option<&str>,
+    how: &How,
+) -> Result<ExitStatus, String> {
     let merged = merged(logs, wanted.slot_s)?;
     let sums = merged.by(|row| row.to.clone());
     let most = sums
@@ -406,7 +411,7 @@
         let text = serde_json::to_string_pretty(&summary).map_err(|e| e.to_string())?;
         out::write(&folder, "summary.json", &text)?;
     }
-    Ok(End::Well)
+    Ok(ExitStatus::Success)
 }
 
 /// The service of a scenario whose link has the planned rate.
@@ -490,7 +495,7 @@
     strike_s: f64,
     daemon: Option<Option<String>>,
     how: &How,
-) -> Result<End, String> {
+) -> Result<ExitStatus, String> {
     let plan: Plan = how.plan()?;
     let read = |path: &str| {
         std::fs::read_to_string(path).map_err(|e| format!("{path} can't be read: {e}"))
@@ -578,7 +583,11 @@
     }
     let kept = over_1s <= MOST_1S && over_10s <= MOST_10S && error <= MOST_ERROR;
     let kept = kept && detect_p95 <= WITHIN_S && alarms == 0 && breaches == 0;
-    Ok(if kept { End::Well } else { End::Broken })
+    Ok(if kept {
+        ExitStatus::Success
+    } else {
+        ExitStatus::CheckFailed
+    })
 }
 
 /// What a day on loopback has in place of the scenario's own: no object is larger than the protocol's 240,000 bytes.
@@ -609,7 +618,7 @@
             .or(limit);
         let (zone, held) = limit.ok_or("the scenario sets no budget")?;
         let day = loopback::run(&scenario, &place, seed).map_err(|e| e.to_string())?;
-        if let End::Broken = judged(&[&day.summary]) {
+        if let ExitStatus::CheckFailed = judged(&[&day.summary]) {
             return Err("a rule was broken on loopback".into());
         }
         sides.push((
